--- /dev/null
+++ b/crates/gaparch-audit/tests/pinned_bytes.rs
@@ -0,0 +1,126 @@
+//! Digests and hashes that routers of different builds compare, and records that they store.
+//!
+//! The constants were written by the build that introduced this test.
+
+use gaparch_audit::{digest, subject, Book, FleetOrder, Kind, OrderOutput, Orders, Tally};
+use gaparch_protocol::list::{ListEntry, ServerState};
+use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::to_bytes;
+use gaparch_protocol::versions::{ListVersion, Stamp, Talk};
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn entry(name: &str, state: ServerState) -> ListEntry {
+    ListEntry {
+        engine: name.to_owned(),
+        address: "10.0.0.1:7000".to_owned(),
+        kind: "read".to_owned(),
+        zone: "north".to_owned(),
+        rack: "n1".to_owned(),
+        state,
+        weight: Some(0.25),
+        started_at: None,
+    }
+}
+
+#[test]
+fn digest_of_a_list() {
+    let entries = [entry("engine-1", ServerState::Ready), entry("engine-2", ServerState::Draining)];
+    assert_eq!(digest(&entries), 17467824027233021543);
+    assert_eq!(digest(&entries[..1]), 14569422583924442914);
+}
+
+#[test]
+fn subjects_that_order_the_orders() {
+    let engine = || "engine-1".to_owned();
+    let subjects: Vec<Option<String>> = [
+        Change::Hold { engine: engine(), hold: Hold::Drain },
+        Change::Free { engine: engine() },
+        Change::Pause {},
+        Change::Resume {},
+        Change::Limit { name: "queue".to_owned(), value: None },
+        Change::Stop {},
+    ]
+    .iter()
+    .map(subject)
+    .collect();
+    let names: Vec<Option<&str>> = subjects.iter().map(Option::as_deref).collect();
+    let (engine, intake) = (Some("engine engine-1"), Some("intake"));
+    assert_eq!(names, [engine, engine, intake, intake, Some("limit queue"), None]);
+}
+
+/// Gives one order of each kind at one router, and returns its last stored orders.
+fn orders_given() -> (Orders, Vec<FleetOrder>) {
+    let mut orders = Orders::new("router-1", 3, 1, Vec::new(), 0);
+    let engine = || "engine-1".to_owned();
+    let changes = [
+        Change::Hold { engine: engine(), hold: Hold::Aside },
+        Change::Pause {},
+        Change::Limit { name: "queue".to_owned(), value: Some(12.5) },
+        Change::Limit { name: "rate".to_owned(), value: Some(-1.0) },
+        Change::Hold { engine: engine(), hold: Hold::Drain },
+    ];
+    let mut kept = Vec::new();
+    for change in &changes {
+        let note = Note { who: "ada ".repeat(20), why: "because ".repeat(40), at: 5 };
+        let mut out = Vec::new();
+        orders.give(0, change, &note, &mut out);
+        for output in out {
+            if let OrderOutput::Keep(all) = output {
+                kept = all;
+            }
+        }
+    }
+    (orders, kept)
+}
+
+#[test]
+fn stored_orders_and_the_digest_that_routers_compare() {
+    let (mut orders, kept) = orders_given();
+    let ids: Vec<String> = kept.iter().map(|order| hex(&to_bytes(&order.id))).collect();
+    assert_eq!(
+        ids,
+        [
+            "000000000000000500000000000000020008726f757465722d310000000000000003",
+            "000000000000000200000000000000020008726f757465722d310000000000000003",
+            "0000000000000003bfd6ffffffffffff0008726f757465722d310000000000000003",
+            "000000000000000400000000000000000008726f757465722d310000000000000003"
+        ]
+    );
+    let lengths: Vec<usize> = kept.iter().map(|order| to_bytes(order).len()).collect();
+    assert_eq!(lengths, [393, 348, 364, 363]);
+    let mut out = Vec::new();
+    orders.on_kept(0, &kept, &mut out);
+    let question = Talk::Orders { held: 0, kept: 0, answer: true };
+    orders.on_talk(0, "router-2", &question, &mut out);
+    let answers: Vec<String> = out
+        .iter()
+        .filter_map(|output| match output {
+            OrderOutput::Say { talk: talk @ Talk::Orders { .. }, .. } => Some(hex(&to_bytes(talk))),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(answers, ["047c141b3de356405d7c141b3de356405d00"]);
+}
+
+#[test]
+fn pieces_of_the_record_and_the_hash_that_chains_them() {
+    let stamp = Stamp {
+        list: ListVersion { rank: 1, epoch: 7, version: 4 },
+        sure: true,
+        orders: 2,
+        build: "1".to_owned(),
+    };
+    let mut book = Book::new(5, Vec::new(), 0);
+    let mut pieces = vec![book.begin(1000).expect("a piece")];
+    let mut tally = Tally::default();
+    tally.note(3, Kind::Read, 71, 1, 2000);
+    tally.note(4, Kind::Write, 71, 2, 2001);
+    tally.note(3, Kind::Probe, 0, 0, 2002);
+    pieces.extend(book.take(&tally.take(stamp, 2003, |engine| format!("engine-{engine}"))));
+    pieces.extend(book.end(3000));
+    let written: Vec<String> = pieces.iter().map(|piece| hex(&to_bytes(piece))).collect();
+    assert_eq!(written, ["000000000000000100000000000000000000000000000000000000000000000500000000000003e800000000000003e801000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000", "000000000000000295650229676ae28b3fbd5c5e08cb503f000000000000000500000000000007d00000000000000bb800010000000100000000000000070000000000000004010000000000000002000131000000020008656e67696e652d3300000000000000010000000000000000000000000000000100000000000007d000000000000007d20008656e67696e652d3400000000000000000000000000000001000000000000000000000000000007d100000000000007d10000000300000000000007d000000000000000470000000100000100000000000007d100000000000000470000000200010200000000000007d20000000000000000000000000000030000000000000000"]);
+}
--- /dev/null
+++ b/crates/gaparch-audit/tests/pinned_traffic.rs
@@ -0,0 +1,179 @@
+//! A digest of all that a small fleet says about list versions and orders, with a fixed seed.
+//!
+//! The constant was written by the build that introduced this test. Another digest means that routers decide, or send,
+//! something else than before.
+
+use gaparch_audit::{Follow, Held, Nanos, OrderOutput, Orders, Output, Settings, Taken};
+use gaparch_protocol::list::{ListEntry, Scope, ServerState};
+use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::to_bytes;
+use gaparch_protocol::versions::Talk;
+use sha2::{Digest, Sha256};
+
+const MS: Nanos = 1_000_000;
+const STEP: Nanos = 10 * MS;
+const SECOND: Nanos = 1_000 * MS;
+const ROUTERS: usize = 5;
+
+fn name(router: usize) -> String {
+    format!("router-{router}")
+}
+
+fn number(name: &str) -> usize {
+    name.strip_prefix("router-").and_then(|number| number.parse().ok()).expect("a router")
+}
+
+fn entries(version: u64) -> Vec<ListEntry> {
+    let entry = |engine: u64| ListEntry {
+        engine: format!("engine-{engine:03}"),
+        address: format!("10.0.0.{engine}:7000"),
+        kind: "read".to_owned(),
+        zone: "north".to_owned(),
+        rack: "n1".to_owned(),
+        state: if engine == version % 60 { ServerState::Draining } else { ServerState::Ready },
+        weight: Some(0.5),
+        started_at: None,
+    };
+    (0..60).map(entry).collect()
+}
+
+struct Router {
+    held: Held,
+    follow: Follow,
+    orders: Orders,
+    /// The list service reaches it.
+    is_linked: bool,
+}
+
+struct Fleet {
+    now: Nanos,
+    routers: Vec<Router>,
+    /// Sender, receiver and message, in the order in which they were sent.
+    in_flight: Vec<(usize, usize, Talk)>,
+    traffic: Sha256,
+    messages: u64,
+    brought_up: u64,
+}
+
+impl Fleet {
+    fn new() -> Fleet {
+        let router = |n: usize| Router {
+            held: Held::default(),
+            follow: Follow::new(Settings { router: name(n), confirm: 2 * SECOND, seed: n as u64 }, 0),
+            orders: Orders::new(&name(n), 1, 10 + n as u64, Vec::new(), 0),
+            is_linked: true,
+        };
+        let routers = (0..ROUTERS).map(router).collect();
+        let (in_flight, traffic) = (Vec::new(), Sha256::new());
+        Fleet { now: 0, routers, in_flight, traffic, messages: 0, brought_up: 0 }
+    }
+
+    fn say(&mut self, from: usize, to: &str, talk: Talk) {
+        self.traffic.update([from as u8]);
+        self.traffic.update(to);
+        self.traffic.update(to_bytes(&talk));
+        self.messages += 1;
+        // Every fifth message is lost.
+        if !self.messages.is_multiple_of(5) {
+            self.in_flight.push((from, number(to), talk));
+        }
+    }
+
+    fn service_says(&mut self, router: usize, version: u64) {
+        let router = &mut self.routers[router];
+        if !router.is_linked {
+            return;
+        }
+        let taken = router.held.from_service(7, false, Scope::Full, version, &entries(version));
+        if matches!(taken, Taken::New { .. } | Taken::Same) {
+            router.follow.on_news(self.now, Some(router.held.list()), Some(self.now));
+        }
+    }
+
+    fn carry_out(&mut self, router: usize, out: Vec<Output>) {
+        for output in out {
+            match output {
+                Output::Say { to, talk } => self.say(router, &to, talk),
+                Output::Take { list, .. } => {
+                    self.brought_up += 1;
+                    let taker = &mut self.routers[router];
+                    taker.held.from_peer(&list);
+                    taker.follow.on_news(self.now, Some(taker.held.list()), None);
+                }
+                Output::Believed(version) => self.routers[router].held.believe(version),
+                Output::Happened(_) => {}
+            }
+        }
+    }
+
+    fn carry_out_orders(&mut self, router: usize, out: Vec<OrderOutput>) {
+        for output in out {
+            let mut next = Vec::new();
+            match output {
+                OrderOutput::Say { to, talk } => self.say(router, &to, talk),
+                OrderOutput::Apply(order) => {
+                    self.routers[router].orders.on_applied(self.now, &order.id, &mut next);
+                }
+                OrderOutput::Keep(all) => self.routers[router].orders.on_kept(self.now, &all, &mut next),
+                OrderOutput::Happened(_) => {}
+            }
+            self.carry_out_orders(router, next);
+        }
+    }
+
+    fn give(&mut self, router: usize, change: &Change) {
+        let note = Note { who: name(router), why: "a test".to_owned(), at: self.now };
+        let mut out = Vec::new();
+        self.routers[router].orders.give(self.now, change, &note, &mut out);
+        self.carry_out_orders(router, out);
+    }
+
+    fn run(&mut self, time: Nanos, version: u64) {
+        let until = self.now + time;
+        while self.now < until {
+            self.now += STEP;
+            for (from, to, talk) in std::mem::take(&mut self.in_flight) {
+                let (mut out, mut orders) = (Vec::new(), Vec::new());
+                self.routers[to].orders.on_talk(self.now, &name(from), &talk, &mut orders);
+                self.routers[to].follow.on_talk(self.now, &name(from), talk, &mut out);
+                self.carry_out(to, out);
+                self.carry_out_orders(to, orders);
+            }
+            for router in 0..ROUTERS {
+                if self.now.is_multiple_of(SECOND / 2) {
+                    self.service_says(router, version);
+                }
+                let others: Vec<String> = (0..ROUTERS).filter(|n| *n != router).map(name).collect();
+                let (mut out, mut orders) = (Vec::new(), Vec::new());
+                self.routers[router].follow.on_time(self.now, others.clone(), &mut out);
+                self.routers[router].orders.on_time(self.now, others, &mut orders);
+                self.carry_out(router, out);
+                self.carry_out_orders(router, orders);
+            }
+        }
+    }
+}
+
+#[test]
+fn all_that_a_fleet_says_of_versions_and_orders() {
+    let mut fleet = Fleet::new();
+    fleet.run(5 * SECOND, 1);
+    fleet.routers[3].is_linked = false;
+    fleet.run(5 * SECOND, 2);
+    fleet.give(1, &Change::Pause {});
+    fleet.give(2, &Change::Limit { name: "queue".to_owned(), value: Some(8.0) });
+    fleet.run(5 * SECOND, 3);
+    // Neither router knows of the other's order yet.
+    fleet.give(1, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Drain });
+    fleet.give(4, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Aside });
+    fleet.routers[0].is_linked = false;
+    fleet.run(10 * SECOND, 4);
+    let digest: String = fleet.traffic.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    let versions: Vec<u64> =
+        fleet.routers.iter().filter_map(|router| Some(router.held.version()?.version)).collect();
+    assert_eq!(versions, [4; ROUTERS]);
+    assert_eq!(
+        (fleet.brought_up, fleet.messages, digest.as_str()),
+        (4, 1556, "b0d712d786defb848e68b8fd21da1846c7637e03bb14e433081b4c7cbdcfe5be")
+    );
+}
