--- /dev/null
+++ b/tests/pinned_bytes.rs
@@ -0,0 +1,79 @@
+//! Bytes and names that others read, held as they are: messages between routers, and the names in logs and counters.
+
+use gaparch::api::{ServerId, Status};
+use gaparch::policy::permits::{Denial, Denials};
+use gaparch::state::{held_from_bytes, held_to_bytes};
+use std::collections::BTreeMap;
+
+/// Servers 1, 2 and 0x01020304 with 16, 1000 and more tokens than fit; amounts are in units of 16 tokens.
+const MESSAGE: [u8; 18] = [1, 0, 0, 0, 1, 0, 2, 0, 0, 0, 62, 0, 4, 3, 2, 1, 0xff, 0xff];
+
+#[test]
+fn messages_between_routers_keep_their_bytes() {
+    let held = [(1, 16.0), (2, 1000.0), (3, 15.9), (0x0102_0304, 1e12)];
+    let bytes = held_to_bytes(held.into_iter().map(|(server, tokens)| (ServerId(server), tokens)));
+    assert_eq!(bytes, MESSAGE);
+}
+
+#[test]
+fn messages_between_routers_are_read_as_before() {
+    let read =
+        BTreeMap::from([(ServerId(1), 16.0), (ServerId(2), 992.0), (ServerId(0x0102_0304), 1_048_560.0)]);
+    assert_eq!(held_from_bytes(&MESSAGE), read);
+    // What is left of an entry that was cut off is no entry.
+    assert_eq!(held_from_bytes(&MESSAGE[..17]).len(), 2);
+    assert!(held_from_bytes(&[]).is_empty());
+}
+
+#[test]
+fn a_message_holds_no_more_than_42_servers() {
+    let bytes = held_to_bytes((0..100).map(|server| (ServerId(server), 32.0)));
+    assert_eq!(bytes.len(), 252);
+}
+
+#[test]
+fn statuses_keep_their_names() {
+    let names = [
+        (Status::Ok, "ok"),
+        (Status::Read, "read"),
+        (Status::Error, "error"),
+        (Status::Full, "full"),
+        (Status::Timeout, "timeout"),
+        (Status::ConnectFailed, "connect_failed"),
+        (Status::NoSocket, "no_socket"),
+        (Status::Reset, "reset"),
+        (Status::Cancelled, "cancelled"),
+        (Status::Moot, "moot"),
+        (Status::Unknown, "unknown"),
+    ];
+    for (status, name) in names {
+        assert_eq!(status.name(), name);
+    }
+}
+
+#[test]
+fn denials_keep_their_names_and_order() {
+    let names = [
+        "answered",
+        "client_left",
+        "deadline",
+        "another_out",
+        "attempts_used",
+        "may_have_run",
+        "not_harmless",
+        "not_ready",
+        "too_late",
+    ];
+    assert_eq!(Denial::ALL.map(Denial::name), names);
+    let mut denials = Denials::default();
+    assert_eq!(denials.to_string(), "");
+    for denial in Denial::ALL {
+        denials.count(denial);
+    }
+    denials.count(Denial::TooLate);
+    assert_eq!(
+        denials.to_string(),
+        "answered=1,client_left=1,deadline=1,another_out=1,attempts_used=1,may_have_run=1,not_harmless=1,\
+         not_ready=1,too_late=2"
+    );
+}
