--- /dev/null
+++ b/crates/gaparch-node/tests/pinned_bytes.rs
@@ -0,0 +1,279 @@
+//! Bytes that the router writes to clients and workers, as a build before the code's names changed wrote them.
+
+mod common;
+
+use common::{put, Site};
+use gaparch_lab::platform::{events, head_and_body, instance, raw, until, Platform, Step, LONG};
+use gaparch_node::Order;
+use serde_json::{json, Value};
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// All that comes back for these bytes, up to the end of the connection.
+fn answer_to(site: &Site, request: &[u8]) -> String {
+    let mut client = TcpStream::connect(site.listen).expect("it listens");
+    client.write_all(request).expect("written");
+    client.set_read_timeout(Some(LONG)).expect("set");
+    let mut bytes = Vec::new();
+    client.read_to_end(&mut bytes).expect("its end");
+    String::from_utf8(bytes).expect("text")
+}
+
+/// An answer with a text, after which the connection closes.
+fn closing(status: &str, text: &str) -> String {
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{text}",
+        text.len()
+    )
+}
+
+/// A request of one that closes the connection after its answer.
+fn last_request(txn: &str, remaining_ms: u32) -> Vec<u8> {
+    format!(
+        "POST /v1/chat/completions HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: chat\r\nX-Remaining-Ms: {remaining_ms}\r\n\
+         Connection: close\r\nContent-Length: 2\r\n\r\n{{}}"
+    )
+    .into_bytes()
+}
+
+#[test]
+fn health_and_messages_that_are_rejected() {
+    let site = Site::with(|_| {});
+    let health =
+        "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+    let asked = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    assert_eq!(answer_to(&site, asked), health);
+
+    let post = "POST /v1/chat/completions HTTP/1.1\r\n";
+    let sound = "X-Txn: a\r\nX-Lane: chat\r\nX-Remaining-Ms: 100\r\n";
+    let cases = [
+        ("GET / HTTP/1.1\r\n\r\n".to_owned(), "404 Not Found", "nothing is served there"),
+        (
+            "GET /v1/chat/completions HTTP/1.1\r\n\r\n".to_owned(),
+            "405 Method Not Allowed",
+            "that is done with POST",
+        ),
+        (
+            format!("{post}X-Txn: a b\r\n\r\n"),
+            "400 Bad Request",
+            "X-Txn must be there once: up to 64 letters, digits, '-' or '_'",
+        ),
+        (format!("{post}X-Txn: a\r\n\r\n"), "400 Bad Request", "X-Lane must name a class of the settings"),
+        (
+            format!("{post}X-Txn: a\r\nX-Lane: chat\r\n\r\n"),
+            "400 Bad Request",
+            "X-Remaining-Ms must be a whole number of milliseconds",
+        ),
+        (
+            format!("{post}{sound}X-Org: a\r\nX-Org: b\r\n\r\n"),
+            "400 Bad Request",
+            "X-Org, X-Entity, X-Labels and X-Resent may be there once each",
+        ),
+        (format!("{post}{sound}Content-Length: 0\r\n\r\n"), "400 Bad Request", "a request must have a body"),
+        (format!("{post}Content-Length: 1, 1\r\n\r\n"), "400 Bad Request", "a length that can't be told"),
+        ("noise\r\n\r\n".to_owned(), "400 Bad Request", "no HTTP/1.1 head"),
+        (
+            format!("{post}{sound}Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
+            "400 Bad Request",
+            "a chunk whose size can't be read",
+        ),
+        (
+            format!("{post}{sound}Transfer-Encoding: chunked\r\n\r\n3\r\nabcd"),
+            "400 Bad Request",
+            "a chunk that does not end where its size says",
+        ),
+        (
+            format!("{post}{sound}Transfer-Encoding: chunked\r\n\r\n50000\r\n"),
+            "400 Bad Request",
+            "a chunk of more bytes than a body may have",
+        ),
+        (format!("{post}{sound}Content-Length: 300000\r\n\r\n"), "413 Content Too Large", "too long"),
+        (
+            format!("{post}X: {}\r\n\r\n", "x".repeat(9000)),
+            "431 Request Header Fields Too Large",
+            "a head of more than 8192 bytes",
+        ),
+        (post.to_owned(), "408 Request Timeout", "the request did not come in time"),
+    ];
+    for (request, status, text) in cases {
+        assert_eq!(answer_to(&site, request.as_bytes()), closing(status, text), "{request:.200}");
+    }
+}
+
+#[test]
+fn a_stream_and_one_that_breaks() {
+    let site = Site::with(|_| {});
+    let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\
+        Connection: close\r\n\r\n";
+    let all = events().concat();
+    let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
+    site.next_write(&[put(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{all}", all.len()))]);
+    let expected = format!("{head}{}0\r\n\r\n", chunk(&all));
+    assert_eq!(answer_to(&site, &last_request("complete", 5000)), expected);
+
+    let first = &events()[0];
+    let begun = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(first));
+    site.next_write(&[put(&begun), Step::Wait(Duration::from_millis(200)), Step::Close]);
+    assert_eq!(answer_to(&site, &last_request("broken", 5000)), format!("{head}{}", chunk(first)));
+}
+
+#[test]
+fn rejected_failed_and_conflicting_requests() {
+    let site = Site::with(|config| {
+        config["settings"]["services"][0]["idempotency"] = json!("single_shot");
+        config["settings"]["caps"]["retryAfter"] = json!(false);
+    });
+    site.next_write(&[Step::Wait(Duration::from_millis(100)), Step::Close]);
+    let failed = closing("500 Internal Server Error", "not answered; it may have run");
+    assert_eq!(answer_to(&site, &last_request("failed", 5000)), failed);
+
+    let list = Platform::list(&site.readers, &site.writers);
+    site.tell(Platform::without_writers(&list));
+    let mut open = TcpStream::connect(site.listen).expect("it listens");
+    open.write_all(&head_and_body("open", "{}")).expect("written");
+    std::thread::sleep(Duration::from_millis(100));
+    let conflict = closing("409 Conflict", "a request of this id is open");
+    assert_eq!(answer_to(&site, &last_request("open", 5000)), conflict);
+
+    let rejected = closing("503 Service Unavailable", "not done; a retry is harmless");
+    assert_eq!(answer_to(&site, &last_request("rejected", 300)), rejected);
+}
+
+/// A worker that records each message byte by byte, and answers all of them well.
+#[derive(Clone)]
+struct Recorder {
+    address: String,
+    answer: &'static str,
+    messages: Arc<Mutex<Vec<String>>>,
+}
+
+impl Recorder {
+    fn start(answer: &'static str) -> Recorder {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("bound").to_string();
+        let recorder = Recorder { address, answer, messages: Arc::default() };
+        let this = recorder.clone();
+        std::thread::spawn(move || {
+            for socket in listener.incoming().flatten() {
+                let this = this.clone();
+                std::thread::spawn(move || this.serve(socket));
+            }
+        });
+        recorder
+    }
+
+    fn serve(&self, mut socket: TcpStream) {
+        while let Some(message) = read_message(&mut socket) {
+            let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+            let answer = if message.contains(" /v1/") { self.answer } else { ok };
+            self.messages.lock().expect("no panic").push(message);
+            socket.write_all(answer.as_bytes()).expect("written");
+        }
+    }
+
+    fn entry(&self, site: &Site, name: &str, kind: &str) -> Value {
+        let mut entry = instance(&site.readers[0], kind, "ready");
+        entry["instanceId"] = json!(name);
+        entry["hostPort"] = json!(self.address);
+        entry
+    }
+
+    /// The messages that begin so.
+    fn recorded(&self, start: &str) -> Vec<String> {
+        let messages = self.messages.lock().expect("no panic");
+        messages.iter().filter(|message| message.starts_with(start)).cloned().collect()
+    }
+}
+
+/// Lists these two, and the workers of the platform as gone.
+fn list_only(site: &Site, prefill: &Recorder, decode: &Recorder) {
+    let mut list = Platform::list(&site.readers, &site.writers);
+    list.iter_mut().for_each(|entry| entry["lifecycle"] = json!("gone"));
+    list.push(prefill.entry(site, "p", "prefill"));
+    list.push(decode.entry(site, "d", "decode"));
+    site.tell(list);
+}
+
+/// A message with its body, whose length the head states; `None` at the end of the connection.
+fn read_message(socket: &mut TcpStream) -> Option<String> {
+    let mut bytes = Vec::new();
+    loop {
+        let mut byte = [0];
+        if socket.read(&mut byte).ok()? == 0 {
+            return None;
+        }
+        bytes.push(byte[0]);
+        if bytes.ends_with(b"\r\n\r\n") {
+            break;
+        }
+    }
+    let head = String::from_utf8(bytes).expect("text");
+    let length =
+        head.split_once("Content-Length: ").map_or("0", |(_, rest)| rest.lines().next().expect("a line"));
+    let mut body = vec![0; length.parse().expect("a number")];
+    socket.read_exact(&mut body).ok()?;
+    Some(head + std::str::from_utf8(&body).expect("text"))
+}
+
+/// The request without the value of its one header that tells a time, and that value.
+fn without_remaining(request: &str) -> (String, u64) {
+    let (before, rest) = request.split_once("X-Remaining-Ms: ").expect("the header");
+    let (value, after) = rest.split_once("\r\n").expect("its end");
+    (format!("{before}X-Remaining-Ms: \r\n{after}"), value.parse().expect("a number"))
+}
+
+#[test]
+fn messages_as_workers_get_them() {
+    let site = Site::with(|_| {});
+    let prefill = Recorder::start("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}");
+    let decode = Recorder::start("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\ndata: [DONE]\n\n");
+    list_only(&site, &prefill, &decode);
+    assert_eq!(raw(site.listen, &head_and_body("bytes", "{}"), LONG).status, 200);
+    for worker in [&prefill, &decode] {
+        let host = &worker.address;
+        let expected = format!(
+            "POST /v1/chat/completions HTTP/1.1\r\nHost: {host}\r\nX-Txn: bytes\r\nX-Remaining-Ms: \r\n\
+             Content-Type: application/json\r\nContent-Length: 2\r\n\r\n{{}}"
+        );
+        let requests = worker.recorded("POST /v1/");
+        let (request, remaining) = without_remaining(&requests[0]);
+        assert_eq!((request, requests.len()), (expected, 1));
+        assert!((1..=5000).contains(&remaining), "{remaining}");
+        for probe in worker.recorded("GET") {
+            assert_eq!(probe, format!("GET /ping HTTP/1.1\r\nHost: {host}\r\n\r\n"));
+        }
+    }
+}
+
+/// What was prefilled is released where the decode worker has failed it.
+#[test]
+fn a_release_as_workers_get_it() {
+    let site = Site::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
+    let prefill = Recorder::start("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}");
+    let decode = Recorder::start("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n");
+    list_only(&site, &prefill, &decode);
+    assert_eq!(raw(site.listen, &head_and_body("bytes", "{}"), LONG).status, 500);
+    let released = || [prefill.recorded("DELETE"), decode.recorded("DELETE")].concat();
+    until("it is released", || !released().is_empty());
+    let expected = |worker: &Recorder| {
+        format!("DELETE /internal/reservations/bytes HTTP/1.1\r\nHost: {}\r\n\r\n", worker.address)
+    };
+    assert!(released().iter().all(|release| *release == expected(&prefill) || *release == expected(&decode)));
+}
+
+#[test]
+fn health_of_a_router_that_shuts_down() {
+    let site = Site::with(|_| {});
+    site.order(Order::End);
+    until("it says so", || site.health() == 503);
+    let expected = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 0\r\n\
+        Connection: close\r\n\r\n";
+    let mut client = TcpStream::connect(site.listen).expect("it still accepts");
+    client.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
+    let mut text = String::new();
+    client.read_to_string(&mut text).expect("its end");
+    assert_eq!(text, expected);
+    site.ended();
+}
--- /dev/null
+++ b/crates/gaparch-platform/tests/pinned_meanings.rs
@@ -0,0 +1,164 @@
+//! What answers of workers and of the catalogue, and the configuration, mean: as a build before the code's names changed
+//! read them.
+
+use bytes::BytesMut;
+use gaparch::api::{ServerState, Status};
+use gaparch_platform::catalogue::{list_call, watch_call, ListLimits, Members};
+use gaparch_platform::config::{ConfigError, NodeConfig, Peers};
+use gaparch_platform::head::{take_answer, AnswerHead};
+use gaparch_platform::worker::{kept, meaning, probe_meaning, reserved, Meaning};
+use gaparch_protocol::list::{ListEntry, Scope};
+
+const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 100 };
+
+fn head(status: u16, turned_away: bool) -> AnswerHead {
+    let header = if turned_away { "X-Turned-Away: 1\r\n" } else { "" };
+    let text = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 0\r\n\r\n");
+    take_answer(&mut BytesMut::from(text.as_bytes())).expect("sound").expect("complete")
+}
+
+#[test]
+fn answers_of_workers() {
+    const PREFILL: bool = true;
+    const DECODE: bool = false;
+    assert_eq!(meaning(&head(202, false), PREFILL), Meaning::Read);
+    assert_eq!(meaning(&head(202, false), DECODE), Meaning::Ended(Status::Unknown, 0));
+    assert_eq!(meaning(&head(200, false), DECODE), Meaning::Stream);
+    assert_eq!(meaning(&head(200, false), PREFILL), Meaning::Ended(Status::Unknown, 0));
+    for prefills in [PREFILL, DECODE] {
+        assert_eq!(meaning(&head(410, true), prefills), Meaning::Ended(Status::Full, 1));
+        assert_eq!(meaning(&head(410, false), prefills), Meaning::Ended(Status::Unknown, 0));
+        assert_eq!(meaning(&head(503, true), prefills), Meaning::Ended(Status::Full, 0));
+        assert_eq!(meaning(&head(504, true), prefills), Meaning::Ended(Status::Full, 0));
+        assert_eq!(meaning(&head(503, false), prefills), Meaning::Ended(Status::Unknown, 0));
+        assert_eq!(meaning(&head(500, true), prefills), Meaning::Ended(Status::Error, 0));
+        assert_eq!(meaning(&head(500, false), prefills), Meaning::Ended(Status::Error, 0));
+    }
+}
+
+#[test]
+fn answers_of_workers_to_calls() {
+    let probes = [200, 503, 404, 500].map(probe_meaning);
+    assert_eq!(probes, [Status::Ok, Status::Full, Status::Unknown, Status::Unknown]);
+    assert_eq!([200, 204, 503].map(reserved), [Some(true), None, Some(false)]);
+    assert_eq!(kept(br#"{"cached_tokens":37.9,"x":1}"#), 37);
+    assert_eq!([kept(b"{}"), kept(b"noise"), kept(br#"{"cached_tokens":-1}"#)], [0; 3]);
+    assert_eq!(kept(br#"{"cached_tokens":1e30}"#), u32::MAX);
+}
+
+#[test]
+fn calls_of_the_catalogue() {
+    assert_eq!(list_call("a:1"), "GET /catalog/members HTTP/1.1\r\nHost: a:1\r\n\r\n");
+    let watch = "GET /catalog/members?after=41&wait_ms=1000 HTTP/1.1\r\nHost: a:1\r\n\r\n";
+    assert_eq!(watch_call("a:1", 41, 1000), watch);
+}
+
+fn entry(engine: &str, state: ServerState) -> ListEntry {
+    ListEntry {
+        engine: engine.to_owned(),
+        address: "10.0.0.1:80".to_owned(),
+        kind: String::new(),
+        zone: String::new(),
+        rack: String::new(),
+        state,
+        weight: None,
+        started_at: None,
+    }
+}
+
+#[test]
+fn answers_of_the_catalogue() {
+    let json = br#"{"generation":42,"reset":true,"instances":[
+        {"instanceId":"w-1","hostPort":"10.0.0.1:80","zone":"a","machineType":"decode","cell":7,"lifecycle":"ready",
+         "weight":0.5,"startedAtMs":1500.5},
+        {"instanceId":"w-2","hostPort":"10.0.0.1:80","lifecycle":"draining","cell":"rack-b"},
+        {"instanceId":"w-3","hostPort":"10.0.0.1:80","lifecycle":"gone"},
+        {"instanceId":"w-4","hostPort":"10.0.0.1:80","lifecycle":"sleeping"},
+        {"instanceId":"","hostPort":"10.0.0.1:80","lifecycle":"ready"}]}"#;
+    let complete = ListEntry {
+        kind: "decode".to_owned(),
+        zone: "a".to_owned(),
+        rack: "7".to_owned(),
+        weight: Some(0.5),
+        started_at: Some(1_500_500_000),
+        ..entry("w-1", ServerState::Ready)
+    };
+    let named_rack = ListEntry { rack: "rack-b".to_owned(), ..entry("w-2", ServerState::Draining) };
+    let entries =
+        vec![complete, named_rack, entry("w-3", ServerState::Gone), entry("w-4", ServerState::Draining)];
+    let expected = Members { generation: 42, scope: Scope::Full, entries, dropped: 1 };
+    assert_eq!(Members::read(json, LIMITS).expect("a list"), expected);
+
+    let change = Members::read(br#"{"generation":43,"instances":[]}"#, LIMITS).expect("a change");
+    assert_eq!(change, Members { generation: 43, scope: Scope::Delta, entries: Vec::new(), dropped: 0 });
+}
+
+const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:8080","discovery":"127.0.0.1:9090","seed":"00000000000000ff",
+    "limits":{"sockets":400,"memory_mb":32.5},
+    "peer_listen":"127.0.0.1:7000","peers":["127.0.0.1:7001","127.0.0.1:7002"],"peers_all":"127.0.0.1:7999",
+    "known":{"generation":3,"reset":true,"instances":[{"instanceId":"w-1","hostPort":"10.0.0.1:80","lifecycle":"ready"}]},
+    "settings":{"services":[{"name":"chat"}],"flavors":["m"],"caps":{"idleCloseNs":7000000000}}}"#;
+
+#[test]
+fn configuration_with_every_field() {
+    let config = NodeConfig::read(CONFIG.as_bytes(), |_| None).expect("sound");
+    assert_eq!((config.name.as_str(), config.sockets), ("n0", 400));
+    assert_eq!(config.listen.to_string(), "127.0.0.1:8080");
+    assert_eq!(config.discovery.to_string(), "127.0.0.1:9090");
+    assert_eq!(config.site.settings.seed, 255);
+    assert_eq!(config.list_limits, ListLimits { bytes: 8320 * 512, entries: 8320 });
+    let address = |text: &str| text.parse().expect("an address");
+    let peers = Peers {
+        listen: address("127.0.0.1:7000"),
+        each: vec![address("127.0.0.1:7001"), address("127.0.0.1:7002")],
+        all: Some(address("127.0.0.1:7999")),
+    };
+    assert_eq!(config.peers, Some(peers));
+    let entries = vec![entry("w-1", ServerState::Ready)];
+    assert_eq!(config.known, Some(Members { generation: 3, scope: Scope::Full, entries, dropped: 0 }));
+    assert_eq!(config.idle_close_ns, Some(7_000_000_000));
+    assert!(!config.odd.is_empty());
+}
+
+#[test]
+fn configuration_with_only_settings() {
+    let fallback = |field: &str| match field {
+        "name" => Some("from-environment".to_owned()),
+        "listen" => Some("127.0.0.1:1".to_owned()),
+        "discovery" => Some("127.0.0.1:2".to_owned()),
+        _ => None,
+    };
+    let text = br#"{"settings":{"services":[{"name":"chat"}],"flavors":["m"]}}"#;
+    let config = NodeConfig::read(text, fallback).expect("sound");
+    assert_eq!((config.name.as_str(), config.sockets), ("from-environment", 256));
+    assert_eq!((config.listen.port(), config.discovery.port()), (1, 2));
+    assert_eq!(config.list_limits, ListLimits { bytes: 16384 * 512, entries: 16384 });
+    assert_eq!((config.peers, config.known, config.idle_close_ns), (None, None, None));
+    assert_eq!(config.site.settings.seed, 0);
+}
+
+#[test]
+fn configuration_with_a_field_that_makes_no_sense() {
+    let without_settings = br#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}"#;
+    let error = NodeConfig::read(without_settings, |_| None).expect_err("no settings");
+    assert_eq!(error, ConfigError::Missing("settings"));
+    let cases = [
+        ("\"n0\"", "7", "'name' must be"),
+        ("\"n0\"", "null", "'name' is missing"),
+        ("\"127.0.0.1:8080\"", "\"nowhere\"", "'listen' must be"),
+        ("\"127.0.0.1:9090\"", "\"nowhere\"", "'discovery' must be"),
+        ("\"00000000000000ff\"", "\"xyz\"", "'seed' must be"),
+        ("400", "31", "'limits.sockets' must be"),
+        ("32.5", "0", "'limits.memory_mb' must be"),
+        ("\"127.0.0.1:7000\"", "\"nowhere\"", "'peer_listen' must be"),
+        ("\"127.0.0.1:7001\"", "7", "'peers' must be"),
+        ("\"127.0.0.1:7999\"", "7", "'peers_all' must be"),
+        (r#"[{"name":"chat"}]"#, "[]", "'settings.services' is missing"),
+        (r#"["m"]"#, "[]", "'settings.flavors' is missing"),
+        (r#"{"name":"n0","#, "{{", "not JSON: "),
+    ];
+    for (from, to, said) in cases {
+        let error = NodeConfig::read(CONFIG.replacen(from, to, 1).as_bytes(), |_| None).expect_err(from);
+        assert!(error.to_string().starts_with(said), "{from}: {error}");
+    }
+}
--- /dev/null
+++ b/crates/gaparch-site/tests/pinned_settings.rs
@@ -0,0 +1,157 @@
+//! The platform's settings object with every key, and what a build before the code's names changed read from it.
+
+use gaparch::api::{Class, Effect, Group, KindId, Role, Settings, Tenant, ZoneId};
+use serde_json::{json, Value};
+
+fn every_key() -> Value {
+    serde_json::from_str(
+        r#"{
+        "me": 2, "replicasOfMe": 5, "zone": "b", "zones": ["a", "b"],
+        "flavors": ["prefill-small", "decode-small", "mixed", "encode"], "discovery": "ask", "stepNs": 100,
+        "overShareWorth": 0.25,
+        "tenants": [{"name": "t0", "fraction": 0.5, "quotaPerS": 12.5}, {"name": "t1"}],
+        "services": [
+            {"name": "chat", "idempotency": "free", "dedupScope": "all", "dedupWindowNs": 11, "aimNs": 12,
+             "deadlineNs": 13, "worth": 1.5, "lateShare": 0.75, "streamed": false},
+            {"name": "tool", "idempotency": "guarded", "dedupScope": "zone"},
+            {"name": "pay", "idempotency": "single_shot", "dedupScope": "cell"}],
+        "familyInfo": {
+            "roleByKind": ["read", "write", "both", "encode"], "tokensByKind": [1000, 2000, 3000],
+            "aimUsPer1000PromptTokens": [7.5], "tokenAimNs": [14, 15],
+            "selfPrefill": true, "ahead": true, "resume": true, "releaseWithinNs": 16},
+        "caps": {
+            "cancel": true, "probes": true, "peers": true, "mayDuplicate": true, "retryAfter": true,
+            "maxRetryAfterNs": 17, "maxAttempts": 18, "connectTimeoutNs": 19},
+        "rules": {
+            "askEveryNs": 20, "stopSendingWithinNs": 21, "coldFrom": 0.125, "rampTimeNs": 22, "overloadFactor": 2.5,
+            "overloadForNs": 23, "answerSlackNs": 24},
+        "fees": {"probe": 0.001, "peer": 0.002},
+        "report": {"fields": ["inflight", "queue"]}}"#,
+    )
+    .expect("JSON")
+}
+
+#[test]
+fn every_key_has_its_field() {
+    let site = gaparch_site::read(&every_key(), 99);
+    let chat = Class {
+        effect: Effect::Safe,
+        group: Group::All,
+        window: 11,
+        aim: 12,
+        aim_per_token: 7.5,
+        deadline: 13,
+        token_aim: 14,
+        worth: 1.5,
+        late_worth: 0.75,
+        streamed: false,
+    };
+    let tool = Class {
+        effect: Effect::Keyed,
+        group: Group::Zone,
+        window: 0,
+        aim: 0,
+        aim_per_token: 0.0,
+        deadline: 0,
+        token_aim: 15,
+        worth: 1.0,
+        late_worth: 0.0,
+        streamed: true,
+    };
+    let pay = Class { effect: Effect::Unsafe, group: Group::Cell, token_aim: 0, ..tool.clone() };
+    let settings = Settings {
+        seed: 99,
+        me: 2,
+        routers: 5,
+        zone: Some(ZoneId(1)),
+        classes: vec![chat, tool, pay],
+        tenants: vec![Tenant { share: 0.5, quota_per_s: 12.5 }, Tenant { share: 0.0, quota_per_s: 0.0 }],
+        over_share_worth: 0.25,
+        roles: vec![Role::Read, Role::Write, Role::Both, Role::default()],
+        neither: vec![KindId(3)],
+        memory: vec![1000.0, 2000.0, 3000.0, 0.0],
+        self_prefill: true,
+        ahead: true,
+        resume: true,
+        release_within: 16,
+        ask: true,
+        ask_within: 20,
+        cancel: true,
+        probes: true,
+        peers: true,
+        second_copies: true,
+        retry_after: true,
+        max_retry_after: 17,
+        max_attempts: 18,
+        connect_timeout: 19,
+        drain_grace: 21,
+        cold_from: 0.125,
+        cold: 22,
+        fall_multiple: 2.5,
+        fall: 23,
+        answer_slack: 24,
+        tick: 100,
+        probe_price: 0.001,
+        peer_price: 0.002,
+    };
+    assert_eq!(site.settings, settings);
+    assert_eq!(site.classes, ["chat", "tool", "pay"]);
+    assert_eq!(site.tenants, ["t0", "t1"]);
+    assert_eq!(site.zones, ["a", "b"]);
+    assert_eq!(site.kinds, ["prefill-small", "decode-small", "mixed", "encode"]);
+    assert_eq!(site.report, ["inflight", "queue"]);
+}
+
+#[test]
+fn an_absent_key_is_the_modules_own_default() {
+    let site = gaparch_site::read(&json!({}), 0);
+    assert_eq!(site.settings, Settings::default());
+    assert!(site.classes.is_empty() && site.kinds.is_empty() && site.report.is_empty());
+}
+
+/// A field of the wrong type counts as absent, and so does a number that is negative.
+#[test]
+fn a_value_that_makes_no_sense_counts_as_absent() {
+    let mut env = every_key();
+    env["rules"]["coldFrom"] = json!("a third");
+    env["rules"]["rampTimeNs"] = json!(-1);
+    env["caps"]["cancel"] = json!("yes");
+    env["zone"] = json!("c");
+    let settings = gaparch_site::read(&env, 0).settings;
+    let defaults = Settings::default();
+    assert_eq!(settings.cold_from, defaults.cold_from);
+    assert_eq!((settings.cold, settings.cancel, settings.zone), (defaults.cold, false, None));
+}
+
+/// Which fields a diagnostic is given for, in which order.
+#[test]
+fn diagnostics_name_these_fields_in_this_order() {
+    let fields = |env: &Value| -> Vec<String> {
+        let lines = gaparch_site::oddities(env, &gaparch_site::read(env, 0));
+        let field = |line: &String| {
+            let named = line.strip_prefix("'settings.").expect("a field first");
+            named.split('\'').next().expect("its end").to_owned()
+        };
+        lines.iter().map(field).collect()
+    };
+    let of_every_key = [
+        "familyInfo.roleByKind[3]",
+        "familyInfo.tokensByKind[3]",
+        "services[1].aimNs",
+        "services[1].dedupWindowNs",
+        "services[2].aimNs",
+    ];
+    assert_eq!(fields(&every_key()), of_every_key);
+    let of_nothing = [
+        "caps.maxAttempts",
+        "caps.connectTimeoutNs",
+        "familyInfo.releaseWithinNs",
+        "rules.stopSendingWithinNs",
+        "rules.rampTimeNs",
+        "rules.coldFrom",
+        "rules.overloadForNs",
+        "familyInfo.roleByKind",
+        "familyInfo.roleByKind",
+    ];
+    assert_eq!(fields(&json!({})), of_nothing);
+}
