--- /dev/null
+++ b/crates/gaparch-ops/tests/pinned_records.rs
@@ -0,0 +1,87 @@
+//! Records of operators' orders as earlier versions kept them, and what the ledger makes of them.
+
+use gaparch_ops::book::{read_change, Book, SCHEMA};
+use gaparch_ops::{ledger, limits};
+use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
+use gaparch_protocol::ops::to_bytes;
+use std::fmt::Write;
+
+const NOW: u64 = 1_700_000_000_000_000_000;
+
+/// Of schema 1: no revisions.
+const DRAIN_OF_SCHEMA_1: &str = "0100027730010003616e6e00056e6f69736517979cfe362a0000";
+const DRAIN: &str = "00000000000000040100027730010003616e6e00056e6f69736517979cfe362a0000";
+const ASIDE: &str = "00000000000000040100027730020003616e6e00056e6f69736517979cfe362a0000";
+const FREE: &str = "000000000000000402000277300003616e6e00056e6f69736517979cfe362a0000";
+const PAUSE: &str = "0000000000000004030003616e6e00056e6f69736517979cfe362a0000";
+const RESUME: &str = "0000000000000004040003616e6e00056e6f69736517979cfe362a0000";
+const LIMIT: &str = "000000000000000405000d6f70656e2d72657175657374730140490000000000000003616e6e00056e6f69736517979cfe362a0000";
+const RESET: &str =
+    "000000000000000405000d6f70656e2d7265717565737473000003616e6e00056e6f69736517979cfe362a0000";
+
+fn hex(bytes: &[u8]) -> String {
+    let mut text = String::with_capacity(bytes.len() * 2);
+    for byte in bytes {
+        write!(text, "{byte:02x}").expect("a string takes all that is written to it");
+    }
+    text
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits: Vec<u32> = text.chars().map(|digit| digit.to_digit(16).expect("a hex digit")).collect();
+    digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect()
+}
+
+fn note() -> Note {
+    Note { who: "ann".to_owned(), why: "noise".to_owned(), at: NOW }
+}
+
+fn hold(hold: Hold) -> Change {
+    Change::Hold { engine: "w0".to_owned(), hold }
+}
+
+fn limit(value: Option<f64>) -> Change {
+    Change::Limit { name: limits::OPEN_REQUESTS.to_owned(), value }
+}
+
+#[test]
+fn changes_of_the_present_schema_keep_their_bytes() {
+    assert_eq!((SCHEMA, ledger::SCHEMA), (2, 1));
+    let records = [
+        (hold(Hold::Drain), DRAIN),
+        (hold(Hold::Aside), ASIDE),
+        (Change::Free { engine: "w0".to_owned() }, FREE),
+        (Change::Pause {}, PAUSE),
+        (Change::Resume {}, RESUME),
+        (limit(Some(50.0)), LIMIT),
+        (limit(None), RESET),
+    ];
+    for (change, pinned) in records {
+        let taken = Taken { revision: 4, change, note: note() };
+        assert_eq!(hex(&to_bytes(&taken)), pinned, "{taken:?}");
+        assert_eq!(read_change(2, &unhex(pinned), 9), Some(taken));
+    }
+}
+
+#[test]
+fn a_change_of_the_first_schema_is_read() {
+    let wanted = Taken { revision: 9, change: hold(Hold::Drain), note: note() };
+    assert_eq!(read_change(1, &unhex(DRAIN_OF_SCHEMA_1), 9), Some(wanted));
+}
+
+#[test]
+fn pinned_changes_make_the_same_book() {
+    let changes = [DRAIN, PAUSE, LIMIT].map(|pinned| read_change(2, &unhex(pinned), 0).expect("read"));
+    let book = Book::restore(changes);
+    assert_eq!(book.revision(), 4);
+    assert_eq!(book.hold("w0"), Some((Hold::Drain, NOW)));
+    assert!(book.paused());
+    assert_eq!(book.limit(limits::OPEN_REQUESTS), Some(50.0));
+}
+
+#[test]
+fn names_of_limits_stay() {
+    assert_eq!(limits::OPEN_REQUESTS, "open-requests");
+    assert_eq!(limits::tenant_limit("app"), "tenant.app.requests-per-second");
+    assert_eq!(limits::limited_tenant("tenant.app.requests-per-second"), Some("app"));
+}
