--- a/benches/driver/mod.rs
+++ b/benches/driver/mod.rs
@@ -1,8 +1,8 @@
 //! A made-up world around one module: engines that answer, requests at even gaps. Shared by the criterion bench and
 //! by `examples/decisions.rs`.
 
-use gaparch::api::*;
-use gaparch::policy::Policy;
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::policy::Policy;
 use std::time::Instant;
 
 const MS: Nanos = 1_000_000;
--- a/crates/gaparch-cli/src/commands/badday.rs
+++ b/crates/gaparch-cli/src/commands/badday.rs
@@ -2,7 +2,7 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch_lab::badday::{play, Day};
+use gaparch_testbed::badday::{play, Day};
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/crates/gaparch-cli/src/commands/demo.rs
+++ b/crates/gaparch-cli/src/commands/demo.rs
@@ -2,8 +2,8 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch_lab::demo::{play, Session};
-use gaparch_lab::terminal::Piece;
+use gaparch_testbed::demo::{play, Session};
+use gaparch_testbed::terminal::Piece;
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -2,14 +2,14 @@
 
 use crate::Outcome;
 use clap::{Args, Subcommand};
-use gaparch_lab::fleet::day::Day;
-use gaparch_lab::fleet::lying::{Lie, LyingDisk};
-use gaparch_lab::fleet::{days, picture, process, rig};
-use gaparch_lab::scale::{self, Row};
-use gaparch_lab::soak;
 use gaparch_net::Clock;
 use gaparch_router::shell::{Disks, FleetDisks};
 use gaparch_store::Folder;
+use gaparch_testbed::fleet::day::Day;
+use gaparch_testbed::fleet::lying::{Lie, LyingDisk};
+use gaparch_testbed::fleet::{days, picture, process, rig};
+use gaparch_testbed::scale::{self, Row};
+use gaparch_testbed::soak;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -201,7 +201,7 @@
 /// A router in service that ends with the one who started it.
 async fn node(file: PathBuf) -> Outcome {
     process::end_with_parent()?;
-    gaparch_node::run(file).await?;
+    gaparch_platform_router::run(file).await?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/gaparch-cli/src/commands/list.rs
+++ b/crates/gaparch-cli/src/commands/list.rs
@@ -2,11 +2,11 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch::api::ServerState;
-use gaparch_lab::list_service::ListService;
-use gaparch_lab::record::Record;
 use gaparch_net::Clock;
 use gaparch_protocol::list::ListEntry;
+use gaparch_scheduler::api::ServerState;
+use gaparch_testbed::list_service::ListService;
+use gaparch_testbed::record::Record;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/gaparch-cli/src/commands/load.rs
+++ b/crates/gaparch-cli/src/commands/load.rs
@@ -2,10 +2,10 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch_lab::load::{self, Mix};
-use gaparch_lab::record::Record;
 use gaparch_net::Clock;
 use gaparch_protocol::client::Dialect;
+use gaparch_testbed::load::{self, Mix};
+use gaparch_testbed::record::Record;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
--- a/crates/gaparch-cli/src/commands/node.rs
+++ b/crates/gaparch-cli/src/commands/node.rs
@@ -2,7 +2,7 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch_node::NodeError;
+use gaparch_platform_router::NodeError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -17,7 +17,7 @@
 }
 
 pub async fn run(options: Options) -> Outcome {
-    match gaparch_node::run(options.config).await {
+    match gaparch_platform_router::run(options.config).await {
         Ok(()) => Ok(ExitCode::SUCCESS),
         Err(error @ (NodeError::Read { .. } | NodeError::Config { .. })) => {
             crate::complain(format_args!("{error}"));
--- a/crates/gaparch-cli/src/commands/try_out.rs
+++ b/crates/gaparch-cli/src/commands/try_out.rs
@@ -2,9 +2,9 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch_lab::load::{stream_events, Patience, Question};
-use gaparch_lab::record::Ask;
-use gaparch_lab::site::{Plan, Site};
+use gaparch_testbed::load::{stream_events, Patience, Question};
+use gaparch_testbed::record::Ask;
+use gaparch_testbed::site::{Plan, Site};
 use std::process::ExitCode;
 
 #[derive(Debug, Args)]
@@ -41,7 +41,7 @@
         deadline: 0,
         patience: Patience::Stays,
     };
-    println!("POST /v1/messages\n{}\n", gaparch_lab::load::body(&question));
+    println!("POST /v1/messages\n{}\n", gaparch_testbed::load::body(&question));
     let mut last = String::new();
     let status = stream_events(&question, |event| {
         println!("event: {}\ndata: {}\n", event.name, event.data);
@@ -56,7 +56,7 @@
 
 /// The engines that did it, by what they saw on their sockets.
 fn path_of(site: &Site) -> String {
-    use gaparch_lab::record::{Seen, What};
+    use gaparch_testbed::record::{Seen, What};
     let step = |what: &What| match what {
         What::Frame { engine, seen: Seen::ReadDone { .. }, .. } => Some(format!("read by {engine}")),
         What::Frame { engine, seen: Seen::Outcome { ok: true, .. }, .. } => {
--- a/crates/gaparch-cli/tests/common/mod.rs
+++ b/crates/gaparch-cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A router in service as a process of its own, on its platform. Each test file uses a part of it.
 #![allow(dead_code)]
 
-use gaparch_lab::platform::{until, Platform, LONG};
+use gaparch_testbed::platform::{until, Platform, LONG};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::ops::Deref;
--- a/crates/gaparch-cli/tests/console.rs
+++ b/crates/gaparch-cli/tests/console.rs
@@ -1,11 +1,11 @@
 //! The console and `ctl` as a person and a script run them: the program itself, in a pseudo-terminal.
 
-use gaparch_lab::demo::{play, Session};
-use gaparch_lab::site::{Plan, Site};
-use gaparch_lab::terminal::Terminal;
 use gaparch_net::{Credentials, OpsClient, Place};
 use gaparch_protocol::ops::intent::Change;
 use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
+use gaparch_testbed::demo::{play, Session};
+use gaparch_testbed::site::{Plan, Site};
+use gaparch_testbed::terminal::Terminal;
 use std::io::{BufRead, BufReader};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
--- a/crates/gaparch-cli/tests/node.rs
+++ b/crates/gaparch-cli/tests/node.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{start, Environment, Site};
-use gaparch_lab::platform::{
+use gaparch_testbed::platform::{
     ask, events, folder, head_and_body, instance, raw, settings, stream, until, Catalogue, Floor, Got,
     Platform, Seen, Step, Stuck, Worker, LONG,
 };
--- a/crates/gaparch-cli/tests/scale.rs
+++ b/crates/gaparch-cli/tests/scale.rs
@@ -1,8 +1,10 @@
 //! Real routers before ten thousand hollow workers.
 
-use gaparch_lab::scale::raise_descriptors;
-use gaparch_lab::scale::real::{load, AnswerPace, HollowWorkers, ListedWorker, NodeProcess, ScaleCatalogue};
-use gaparch_lab::scale::router::address_block;
+use gaparch_testbed::scale::raise_descriptors;
+use gaparch_testbed::scale::real::{
+    load, AnswerPace, HollowWorkers, ListedWorker, NodeProcess, ScaleCatalogue,
+};
+use gaparch_testbed::scale::router::address_block;
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/gaparch-cli/tests/system_calls.rs
+++ b/crates/gaparch-cli/tests/system_calls.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{start, Environment, Site};
-use gaparch_lab::platform::{head_and_body, raw, read, until, Platform, LONG};
-use gaparch_lab::soak::{Shim, Steering};
+use gaparch_testbed::platform::{head_and_body, raw, read, until, Platform, LONG};
+use gaparch_testbed::soak::{Shim, Steering};
 use rustix::process::{getrlimit, prlimit, Resource, Rlimit, Signal};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -46,7 +46,7 @@
     assert_eq!(read(&mut client, LONG).status, 200);
     // Nobody was probed: nobody looked dead.
     let seen = site.platform.floor.seen();
-    let probes = seen.iter().filter(|s| matches!(s, gaparch_lab::platform::Seen::Probed { .. })).count();
+    let probes = seen.iter().filter(|s| matches!(s, gaparch_testbed::platform::Seen::Probed { .. })).count();
     assert!(probes <= 4, "{seen:?}");
 }
 
--- a/crates/gaparch-config/src/check.rs
+++ b/crates/gaparch-config/src/check.rs
@@ -7,10 +7,10 @@
 use crate::document::{Node, Problem};
 use crate::raw;
 use crate::units::Span;
-use gaparch::api::{ClassId, ServerState, TenantId};
 use gaparch_protocol::client::{
     Dialect, DialectParts, EventKind, EventShape, Field, Path, RequestField, Source, Value, Word,
 };
+use gaparch_scheduler::api::{ClassId, ServerState, TenantId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -5,11 +5,11 @@
 use crate::raw;
 use crate::schema::Schema;
 use crate::units::Span;
-use gaparch::api::{
+use gaparch_protocol::client::Dialect;
+use gaparch_scheduler::api::{
     CellId, Class, ClassId, Effect, Group, Key, KindId, Nanos, Role, ServerId, ServerState, Settings, Tenant,
     TenantId, ZoneId,
 };
-use gaparch_protocol::client::Dialect;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/gaparch-config/src/units.rs
+++ b/crates/gaparch-config/src/units.rs
@@ -1,6 +1,6 @@
 //! Values with a unit, as the settings write them.
 
-use gaparch::api::Nanos;
+use gaparch_scheduler::api::Nanos;
 use serde::{de, Deserialize, Deserializer};
 use std::fmt;
 use std::str::FromStr;
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -1,8 +1,8 @@
 //! Settings: the example is sound, every mistake is named with its line, schema and reader agree.
 
-use gaparch::api::{Effect, Group, ServerState};
 use gaparch_config::schema::{self, Schema};
 use gaparch_config::{server_id, Config, EXAMPLE};
+use gaparch_scheduler::api::{Effect, Group, ServerState};
 
 fn problems(text: &str) -> Vec<String> {
     Config::parse(text).err().unwrap_or_default().iter().map(ToString::to_string).collect()
--- a/crates/gaparch-engine/src/fault.rs
+++ b/crates/gaparch-engine/src/fault.rs
@@ -1,6 +1,6 @@
 //! What can be made to go wrong, and scripts that switch it on and off.
 
-use gaparch::api::Nanos;
+use gaparch_scheduler::api::Nanos;
 use std::str::FromStr;
 use thiserror::Error;
 use winnow::ascii::{dec_uint, float, space1};
--- a/crates/gaparch-engine/src/link.rs
+++ b/crates/gaparch-engine/src/link.rs
@@ -1,6 +1,6 @@
 //! The link of a stand-in: it can be cut and made slow while connections go on believing in it.
 
-use gaparch::api::Nanos;
+use gaparch_scheduler::api::Nanos;
 use std::time::Duration;
 use tokio::sync::watch;
 
--- a/crates/gaparch-engine/src/model/cold.rs
+++ b/crates/gaparch-engine/src/model/cold.rs
@@ -1,7 +1,7 @@
 //! A cold start: the ramp, and falling over when pushed.
 
 use crate::spec::EngineSpec;
-use gaparch::api::Nanos;
+use gaparch_scheduler::api::Nanos;
 use std::collections::VecDeque;
 
 /// Requests of mean weight that chance may add to what is too much.
--- a/crates/gaparch-engine/src/model/mod.rs
+++ b/crates/gaparch-engine/src/model/mod.rs
@@ -13,10 +13,10 @@
 use crate::observe::Note;
 use crate::spec::EngineSpec;
 use cold::Cold;
-use gaparch::api::{Nanos, Report, Role, Status};
 use gaparch_protocol::engine::{
     AttemptKey, EngineFacts, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey, VERSION,
 };
+use gaparch_scheduler::api::{Nanos, Report, Role, Status};
 use kept::KeptTexts;
 use std::collections::{BTreeMap, VecDeque};
 use work::{answer_length, answer_word, prompt_tokens, Work, WorkKind};
--- a/crates/gaparch-engine/src/model/work.rs
+++ b/crates/gaparch-engine/src/model/work.rs
@@ -1,8 +1,8 @@
 //! One piece of work at an engine, and what a request without an engine's tokeniser comes to.
 
 use super::{ConnId, FetchId};
-use gaparch::api::Nanos;
 use gaparch_protocol::engine::{AttemptKey, Job, RouterRun, StateAt};
+use gaparch_scheduler::api::Nanos;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum WorkKind {
--- a/crates/gaparch-engine/src/observe.rs
+++ b/crates/gaparch-engine/src/observe.rs
@@ -1,8 +1,8 @@
 //! What a stand-in saw, for whoever judges a run from outside.
 
 use crate::model::ConnId;
-use gaparch::api::Nanos;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
+use gaparch_scheduler::api::Nanos;
 
 /// Which way a frame went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/gaparch-engine/src/spec.rs
+++ b/crates/gaparch-engine/src/spec.rs
@@ -1,7 +1,7 @@
 //! What a modelled engine is like when nothing is wrong.
 
-use gaparch::api::{Nanos, Role};
 use gaparch_protocol::engine::EngineFacts;
+use gaparch_scheduler::api::{Nanos, Role};
 
 /// Sizes and speeds of one engine. The defaults are a small engine's; none is measured from a real one.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gaparch-engine/tests/model.rs
+++ b/crates/gaparch-engine/tests/model.rs
@@ -1,12 +1,12 @@
 //! The engine model, alone: what it does with frames and time.
 
-use gaparch::api::{Nanos, Role, Status};
 use gaparch_engine::model::FetchId;
 use gaparch_engine::observe::Note;
 use gaparch_engine::{ConnId, EngineSpec, Fault, Input, Model, Output};
 use gaparch_protocol::engine::{
     AttemptKey, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey, VERSION,
 };
+use gaparch_scheduler::api::{Nanos, Role, Status};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
--- a/crates/gaparch-net/src/clock.rs
+++ b/crates/gaparch-net/src/clock.rs
@@ -1,6 +1,6 @@
 //! Time as the cores take it.
 
-use gaparch::api::Nanos;
+use gaparch_scheduler::api::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Nanoseconds since the Unix epoch as it was known when the clock was made, and monotonic from there: two
--- a/crates/gaparch-platform/src/ask.rs
+++ b/crates/gaparch-platform-protocol/src/ask.rs
@@ -1,8 +1,8 @@
 //! What a client asks, as its head says it.
 
 use crate::head::{One, RequestHead};
-use gaparch::api::{ClassId, Key, Nanos, TenantId};
-use gaparch_site::Site;
+use gaparch_platform_settings::Site;
+use gaparch_scheduler::api::{ClassId, Key, Nanos, TenantId};
 use thiserror::Error;
 
 /// Where clients ask.
--- a/crates/gaparch-platform/src/catalogue/mod.rs
+++ b/crates/gaparch-platform-protocol/src/catalogue/mod.rs
@@ -1,7 +1,7 @@
 //! The catalogue: which workers there are.
 
-use gaparch::api::ServerState;
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::ServerState;
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
--- a/crates/gaparch-platform/src/config.rs
+++ b/crates/gaparch-platform-protocol/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that the platform gives a router at its start, and again at each SIGHUP.
 
 use crate::catalogue::{ListLimits, Members};
-use gaparch_site::Site;
+use gaparch_platform_settings::Site;
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -75,7 +75,7 @@
         if !settings.is_object() {
             return Err(ConfigError::Missing("settings"));
         }
-        let site = gaparch_site::read(settings, seed(&all["seed"])?);
+        let site = gaparch_platform_settings::read(settings, seed(&all["seed"])?);
         if site.classes.is_empty() {
             return Err(ConfigError::Missing("settings.services"));
         }
@@ -106,7 +106,7 @@
             // An old list that can't be read is none: the catalogue tells.
             known: Members::from_value(&all["known"]).ok(),
             idle_close_ns: settings["caps"]["idleCloseNs"].as_u64().filter(|ns| *ns > 0),
-            odd: gaparch_site::oddities(settings, &site),
+            odd: gaparch_platform_settings::oddities(settings, &site),
             site,
         })
     }
--- a/crates/gaparch-platform/src/worker.rs
+++ b/crates/gaparch-platform-protocol/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::ask::Txn;
 use crate::head::AnswerHead;
 use bytes::Bytes;
-use gaparch::api::Status;
+use gaparch_scheduler::api::Status;
 
 /// Interim answers (1xx) that may come ahead of one.
 pub const MOST_INTERIM: usize = 8;
--- a/crates/gaparch-platform/tests/codec.rs
+++ b/crates/gaparch-platform-protocol/tests/codec.rs
@@ -1,9 +1,9 @@
 //! The codec takes the same from the same bytes however they are cut, and never holds more than its bounds.
 
 use bytes::{Bytes, BytesMut};
-use gaparch_platform::body::{put_chunk, Body, BodyError, Framing, Part, LAST_CHUNK, MOST_BODY};
-use gaparch_platform::events::{EventError, Events};
-use gaparch_platform::head::{take_answer, take_request, HeadError, RequestHead, MOST_HEAD};
+use gaparch_platform_protocol::body::{put_chunk, Body, BodyError, Framing, Part, LAST_CHUNK, MOST_BODY};
+use gaparch_platform_protocol::events::{EventError, Events};
+use gaparch_platform_protocol::head::{take_answer, take_request, HeadError, RequestHead, MOST_HEAD};
 use proptest::prelude::*;
 
 type Taken = Result<(RequestHead, Vec<u8>), String>;
--- a/crates/gaparch-platform/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -1,10 +1,10 @@
 //! Bytes of the platform's protocol, as a build before the code's names changed wrote and read them.
 
 use bytes::{Bytes, BytesMut};
-use gaparch_platform::ask::{Ask, AskError, Txn};
-use gaparch_platform::body::{put_chunk, Body, Framing, Part, LAST_CHUNK};
-use gaparch_platform::head::{answer, stream_head, take_answer, take_request, One, RequestHead};
-use gaparch_platform::worker::{job_head, probe_head, release_head, reserve_head};
+use gaparch_platform_protocol::ask::{Ask, AskError, Txn};
+use gaparch_platform_protocol::body::{put_chunk, Body, Framing, Part, LAST_CHUNK};
+use gaparch_platform_protocol::head::{answer, stream_head, take_answer, take_request, One, RequestHead};
+use gaparch_platform_protocol::worker::{job_head, probe_head, release_head, reserve_head};
 
 const HOST: &str = "10.0.0.7:8000";
 
@@ -123,12 +123,12 @@
 
 mod requests_of_clients {
     use super::*;
-    use gaparch::api::{ClassId, Key, TenantId};
+    use gaparch_scheduler::api::{ClassId, Key, TenantId};
     use serde_json::json;
 
     fn read(headers: &str) -> Result<Ask, AskError> {
         let settings = json!({"services": [{"name": "batch"}, {"name": "chat"}], "tenants": [{"name": "t0"}, {"name": "t1"}]});
-        let site = gaparch_site::read(&settings, 0);
+        let site = gaparch_platform_settings::read(&settings, 0);
         Ask::read(&request(&format!("POST /v1/chat/completions?v=2 HTTP/1.1\r\n{headers}\r\n\r\n")), &site)
     }
 
--- a/crates/gaparch-platform/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -2,11 +2,11 @@
 //! read them.
 
 use bytes::BytesMut;
-use gaparch::api::{ServerState, Status};
-use gaparch_platform::catalogue::{list_call, watch_call, ListLimits, Members};
-use gaparch_platform::config::{ConfigError, NodeConfig, Peers};
-use gaparch_platform::head::{take_answer, AnswerHead};
-use gaparch_platform::worker::{kept, meaning, probe_meaning, reserved, Meaning};
+use gaparch_scheduler::api::{ServerState, Status};
+use gaparch_platform_protocol::catalogue::{list_call, watch_call, ListLimits, Members};
+use gaparch_platform_protocol::config::{ConfigError, NodeConfig, Peers};
+use gaparch_platform_protocol::head::{take_answer, AnswerHead};
+use gaparch_platform_protocol::worker::{kept, meaning, probe_meaning, reserved, Meaning};
 use gaparch_protocol::list::{ListEntry, Scope};
 
 const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 100 };
--- a/crates/gaparch-node/src/client/closes.rs
+++ b/crates/gaparch-platform-router/src/client/closes.rs
@@ -1,6 +1,6 @@
 //! Why connections of clients have ended, for the log and the summary.
 
-use gaparch::counts::write_counts;
+use gaparch_scheduler::counts::write_counts;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -51,7 +51,7 @@
 
 impl Closes {
     pub fn count(&self, reason: CloseReason) {
-        tracing::debug!(target: "gaparch_node::client", why = reason.name(), "closed");
+        tracing::debug!(target: "gaparch_platform_router::client", why = reason.name(), "closed");
         self.counts[reason as usize].fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/gaparch-node/src/client/connection_tests.rs
+++ b/crates/gaparch-platform-router/src/client/connection_tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Connection, Idle, Message, Shared};
 use crate::test_support::shared;
-use gaparch_lab::platform::head_and_body;
+use gaparch_testbed::platform::head_and_body;
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/gaparch-node/src/client/idle.rs
+++ b/crates/gaparch-platform-router/src/client/idle.rs
@@ -1,7 +1,7 @@
 //! Client connections without an open request, in the order in which they make room for others.
 
 use crate::shared::lock;
-use gaparch::policy::intake::Carried;
+use gaparch_scheduler::policy::intake::Carried;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/crates/gaparch-node/src/client/mod.rs
+++ b/crates/gaparch-platform-router/src/client/mod.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 pub(crate) use closes::Closes;
 use connection::Connection;
-use gaparch_platform::body::MOST_BODY;
+use gaparch_platform_protocol::body::MOST_BODY;
 use idle::Idle;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/gaparch-node/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -7,11 +7,11 @@
 use crate::shared::{Message, Phase, Shared};
 use crate::transient::write_all;
 use backoff::Backoff;
-use gaparch_platform::body::{Body, BodyError, Part};
-use gaparch_platform::catalogue::{
+use gaparch_platform_protocol::body::{Body, BodyError, Part};
+use gaparch_platform_protocol::catalogue::{
     list_call, watch_call, CatalogueError, ListLimits, Members, MembersReader,
 };
-use gaparch_platform::head::AnswerHead;
+use gaparch_platform_protocol::head::AnswerHead;
 use gaparch_protocol::list::Scope;
 use gaparch_router::core::ListUpdate;
 use std::io;
--- a/crates/gaparch-node/src/link.rs
+++ b/crates/gaparch-platform-router/src/link.rs
@@ -2,9 +2,9 @@
 
 use crate::transient::{is_interrupted, lacks_memory, would_block, PAUSE};
 use bytes::{Bytes, BytesMut};
-use gaparch_platform::body::{Body, BodyError, Framing, Part};
-use gaparch_platform::head::{take_answer, AnswerHead, HeadError};
-use gaparch_platform::worker::MOST_INTERIM;
+use gaparch_platform_protocol::body::{Body, BodyError, Framing, Part};
+use gaparch_platform_protocol::head::{take_answer, AnswerHead, HeadError};
+use gaparch_platform_protocol::worker::MOST_INTERIM;
 use std::io;
 use thiserror::Error;
 use tokio::net::TcpStream;
--- a/crates/gaparch-node/src/owner.rs
+++ b/crates/gaparch-platform-router/src/owner.rs
@@ -6,14 +6,14 @@
 use crate::settings::{connect_within, release_try};
 use crate::shared::{Answer, Forward, Message, Seen, Shared};
 use crate::worker::{self, Job, Pool, Release, Target};
-use gaparch::api::{AttemptNo, Nanos, RequestId, ServerId, Status};
-use gaparch::policy::connecting::Carries;
 use gaparch_config::Config;
 use gaparch_ops::book::Book;
-use gaparch_platform::ask::Ask;
+use gaparch_platform_protocol::ask::Ask;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job as EngineJob, RouterRun};
 use gaparch_protocol::ops::ending::WaitedFor;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
+use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::policy::connecting::Carries;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -302,11 +302,11 @@
                 Answer::Stream(stream)
             }
             ToClient::Refused { retry_after, waited_for, cause } => {
-                tracing::debug!(target: "gaparch_node::wire", request = id.0, txn, ?cause, ?waited_for, "refused");
+                tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, txn, ?cause, ?waited_for, "refused");
                 Answer::Refused { over_share: waited_for == Some(WaitedFor::OverShare), retry_after }
             }
             ToClient::Failed { why, cause } => {
-                tracing::debug!(target: "gaparch_node::wire", request = id.0, txn, ?cause, why, "failed");
+                tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, txn, ?cause, why, "failed");
                 Answer::Failed
             }
             // The events themselves never come by here.
@@ -329,7 +329,7 @@
                 // Nobody may be told anything more of it: its client has left, and its attempt's time is up.
                 self.touched.push(RequestId(key.request));
                 let exchange = self.open.get(&RequestId(key.request)).and_then(|o| o.exchange.as_ref());
-                tracing::debug!(target: "gaparch_node::wire", request = key.request, attempt = key.attempt, "called off");
+                tracing::debug!(target: "gaparch_platform_router::wire", request = key.request, attempt = key.attempt, "called off");
                 exchange.into_iter().filter(|e| e.no.0 == key.attempt).for_each(|e| e.task.abort());
             }
             EngineFrame::Reserve { job, .. } => {
@@ -343,7 +343,7 @@
             }
             EngineFrame::Release { request } => {
                 self.touched.push(RequestId(request));
-                tracing::debug!(target: "gaparch_node::wire", request, reader = server.0, "let go");
+                tracing::debug!(target: "gaparch_platform_router::wire", request, reader = server.0, "let go");
                 self.release(RequestId(request), server);
             }
             EngineFrame::Probe { nonce } => {
@@ -374,7 +374,7 @@
             return self.shared.tell(Message::Worker { server, id, no, at, seen });
         };
         tracing::debug!(
-            target: "gaparch_node::wire",
+            target: "gaparch_platform_router::wire",
             request = id.0,
             attempt = no.0,
             worker = server.0,
--- a/crates/gaparch-node/src/peers.rs
+++ b/crates/gaparch-platform-router/src/peers.rs
@@ -1,7 +1,7 @@
 //! Datagrams between routers.
 
 use crate::transient::PAUSE;
-use gaparch_platform::config::Peers;
+use gaparch_platform_protocol::config::Peers;
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/gaparch-node/src/ready_workers.rs
+++ b/crates/gaparch-platform-router/src/ready_workers.rs
@@ -2,9 +2,9 @@
 //! whose queue may be deep, so an attempt asks here just before its first byte.
 
 use crate::shared::lock;
-use gaparch::api::{ServerId, ServerState};
 use gaparch_config::server_id;
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::{ServerId, ServerState};
 use std::collections::HashMap;
 use std::sync::Mutex;
 
--- a/crates/gaparch-node/src/ready_workers_tests.rs
+++ b/crates/gaparch-platform-router/src/ready_workers_tests.rs
@@ -1,9 +1,9 @@
 //! Which workers may be sent to, list by list.
 
 use super::ReadyWorkers;
-use gaparch::api::ServerState;
 use gaparch_config::server_id;
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::ServerState;
 
 fn entry(name: &str, state: ServerState) -> ListEntry {
     ListEntry {
--- a/crates/gaparch-node/src/settings.rs
+++ b/crates/gaparch-platform-router/src/settings.rs
@@ -1,8 +1,8 @@
 //! The platform's configuration as the core takes it.
 
-use gaparch::api::{Nanos, Settings};
 use gaparch_config::{Attempts, ClassTimes, Config, Limits, Links, ListConfig, Names};
-use gaparch_platform::config::NodeConfig;
+use gaparch_platform_protocol::config::NodeConfig;
+use gaparch_scheduler::api::{Nanos, Settings};
 use std::time::Duration;
 
 /// For a connection to a worker, where the settings tell no time.
--- a/crates/gaparch-node/src/shared.rs
+++ b/crates/gaparch-platform-router/src/shared.rs
@@ -2,12 +2,12 @@
 
 use crate::client::{Closes, Piece};
 use crate::ready_workers::ReadyWorkers;
-use gaparch::api::{AttemptNo, Nanos, RequestId, ServerId, Status};
-use gaparch::policy::permits::{Denial, Denials};
 use gaparch_net::Clock;
-use gaparch_platform::ask::{Ask, Txn};
-use gaparch_platform::config::NodeConfig;
+use gaparch_platform_protocol::ask::{Ask, Txn};
+use gaparch_platform_protocol::config::NodeConfig;
 use gaparch_router::core::ListUpdate;
+use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::policy::permits::{Denial, Denials};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -182,7 +182,7 @@
 
     /// An attempt was stopped just before its first byte.
     pub fn denied(&self, id: RequestId, denial: Denial) {
-        tracing::debug!(target: "gaparch_node::wire", request = id.0, why = denial.name(), "not sent");
+        tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, why = denial.name(), "not sent");
         lock(&self.denials).count(denial);
     }
 
--- a/crates/gaparch-node/src/test_support.rs
+++ b/crates/gaparch-platform-router/src/test_support.rs
@@ -1,9 +1,9 @@
 //! What the tests inside this crate share: the state of a router whose owner is the test itself.
 
 use crate::shared::{Message, Shared};
-use gaparch_lab::platform::settings;
 use gaparch_net::Clock;
-use gaparch_platform::config::NodeConfig;
+use gaparch_platform_protocol::config::NodeConfig;
+use gaparch_testbed::platform::settings;
 use serde_json::json;
 use std::sync::Arc;
 use tokio::sync::mpsc::{self, UnboundedReceiver};
--- a/crates/gaparch-node/src/worker/calls.rs
+++ b/crates/gaparch-platform-router/src/worker/calls.rs
@@ -4,13 +4,13 @@
 use crate::shared::{Message, Seen, Shared};
 use crate::transient::write_all;
 use bytes::Bytes;
-use gaparch::api::{AttemptNo, Nanos, RequestId, Status};
-use gaparch::policy::connecting::Carries;
-use gaparch::policy::releasing::{next_round_after, Rounds};
 use gaparch_net::Clock;
-use gaparch_platform::ask::Txn;
-use gaparch_platform::body::MOST_BODY;
-use gaparch_platform::worker::{probe_head, probe_meaning, release_head, reserve_head, reserved};
+use gaparch_platform_protocol::ask::Txn;
+use gaparch_platform_protocol::body::MOST_BODY;
+use gaparch_platform_protocol::worker::{probe_head, probe_meaning, release_head, reserve_head, reserved};
+use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, Status};
+use gaparch_scheduler::policy::connecting::Carries;
+use gaparch_scheduler::policy::releasing::{next_round_after, Rounds};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -58,7 +58,7 @@
         }
     };
     let status = timeout(within, asked).await.unwrap_or(Status::Timeout);
-    tracing::debug!(target: "gaparch_node::wire", worker = target.server.0, ?status, "probe");
+    tracing::debug!(target: "gaparch_platform_router::wire", worker = target.server.0, ?status, "probe");
     shared.tell(Message::Probed { server: target.server, nonce, at: shared.clock.now(), status });
 }
 
@@ -139,7 +139,7 @@
         call(conn, &head, &pool).await
     };
     let status = timeout(within, tried).await.ok().flatten();
-    tracing::debug!(target: "gaparch_node::wire", txn = txn.as_str(), worker = target.server.0, ?status, "released");
+    tracing::debug!(target: "gaparch_platform_router::wire", txn = txn.as_str(), worker = target.server.0, ?status, "released");
     status.is_some()
 }
 
--- a/crates/gaparch-node/src/worker/calls_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/calls_tests.rs
@@ -2,8 +2,8 @@
 
 use super::{release, Clock, Pool, Release};
 use crate::worker::Target;
-use gaparch::api::ServerId;
-use gaparch_platform::ask::Txn;
+use gaparch_platform_protocol::ask::Txn;
+use gaparch_scheduler::api::ServerId;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc;
--- a/crates/gaparch-node/src/worker/exchange.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange.rs
@@ -7,14 +7,14 @@
 use crate::shared::{Forward, Message, Seen, Shared};
 use crate::transient::write_all;
 use bytes::{Buf, Bytes, BytesMut};
-use gaparch::api::{AttemptNo, Nanos, RequestId, Status};
-use gaparch::policy::connecting::Carries;
-use gaparch::policy::permits::{self, Denial, SendFacts};
 use gaparch_net::Clock;
-use gaparch_platform::body::{Body, Part};
-use gaparch_platform::events::Events;
-use gaparch_platform::head::AnswerHead;
-use gaparch_platform::worker::{job_head, kept, meaning, Meaning};
+use gaparch_platform_protocol::body::{Body, Part};
+use gaparch_platform_protocol::events::Events;
+use gaparch_platform_protocol::head::AnswerHead;
+use gaparch_platform_protocol::worker::{job_head, kept, meaning, Meaning};
+use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, Status};
+use gaparch_scheduler::policy::connecting::Carries;
+use gaparch_scheduler::policy::permits::{self, Denial, SendFacts};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -103,7 +103,7 @@
     fn log(&mut self, end: &dyn std::fmt::Debug) {
         let Some(line) = self.line.take() else { return };
         tracing::debug!(
-            target: "gaparch_node::wire",
+            target: "gaparch_platform_router::wire",
             request = line.request,
             txn = line.forward.txn.as_str(),
             attempt = line.attempt,
--- a/crates/gaparch-node/src/worker/pool.rs
+++ b/crates/gaparch-platform-router/src/worker/pool.rs
@@ -3,9 +3,9 @@
 use crate::link::Link;
 use crate::shared::lock;
 use crate::transient::connect_failure;
-use gaparch::api::{Nanos, ServerId};
-use gaparch::policy::connecting::{second_try_after, Carries, ConnectFailure, TRY_AGAIN};
-use gaparch_platform::head::AnswerHead;
+use gaparch_platform_protocol::head::AnswerHead;
+use gaparch_scheduler::api::{Nanos, ServerId};
+use gaparch_scheduler::policy::connecting::{second_try_after, Carries, ConnectFailure, TRY_AGAIN};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/gaparch-node/src/worker/pool_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/pool_tests.rs
@@ -2,10 +2,10 @@
 
 use super::{AnswerHead, LastExchange, Pool, Target, SETTLE};
 use bytes::BytesMut;
-use gaparch::api::ServerId;
-use gaparch::policy::connecting::{Carries, ConnectFailure};
-use gaparch_lab::platform::Stuck;
-use gaparch_platform::head::take_answer;
+use gaparch_platform_protocol::head::take_answer;
+use gaparch_scheduler::api::ServerId;
+use gaparch_scheduler::policy::connecting::{Carries, ConnectFailure};
+use gaparch_testbed::platform::Stuck;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
--- a/crates/gaparch-node/tests/common/mod.rs
+++ b/crates/gaparch-platform-router/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A router's shell on a thread of its own, on the scripted platform. Each test file uses a part of it.
 #![allow(dead_code)]
 
-use gaparch_lab::platform::{head_and_body, until, Platform, Step, LONG};
-use gaparch_node::{serve, NodeError, Order};
+use gaparch_platform_router::{serve, NodeError, Order};
+use gaparch_testbed::platform::{head_and_body, until, Platform, Step, LONG};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/gaparch-node/tests/crossings.rs
+++ b/crates/gaparch-platform-router/tests/crossings.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::{ms, put, Site};
-use gaparch_lab::platform::{
+use gaparch_platform_router::Order;
+use gaparch_testbed::platform::{
     ask, head_and_body, instance, judge, read, stream, until, Catalogue, Facts, Got, Platform, Seen, Step,
     Stuck, LONG,
 };
-use gaparch_node::Order;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpStream;
@@ -249,7 +249,7 @@
     let mut entries = Platform::list(&site.readers, &site.writers);
     (entries[1]["lifecycle"], entries[3]["lifecycle"]) = (json!("draining"), json!("draining"));
     site.tell(entries);
-    let own = String::from_utf8(stream(&gaparch_lab::platform::events())).expect("text");
+    let own = String::from_utf8(stream(&gaparch_testbed::platform::events())).expect("text");
     let late = vec![put(&own), Step::Wait(ms(6)), put(&foreign())];
     let mut client = TcpStream::connect(site.listen).expect("it listens");
     for number in 0..30 {
@@ -316,7 +316,7 @@
 fn a_request_whose_last_byte_comes_long_after_the_end_was_ordered_is_refused() {
     let site = Site::with(|_| {});
     // A stream that outlasts the late request keeps the router from its end.
-    let event = &gaparch_lab::platform::events()[0];
+    let event = &gaparch_testbed::platform::events()[0];
     let first =
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{event}\r\n", event.len());
     site.next_write(&[put(&first), Step::Wait(ms(2500)), put("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n")]);
--- a/crates/gaparch-node/tests/guards.rs
+++ b/crates/gaparch-platform-router/tests/guards.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{ms, put, Site};
-use gaparch_lab::platform::{
+use gaparch_platform_router::Order;
+use gaparch_testbed::platform::{
     ask, head_and_body, instance, raw, read, until, Got, Platform, Step, Stuck, Worker, LONG,
 };
-use gaparch_node::Order;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -273,7 +273,7 @@
                 let length = 250 + step * 25;
                 let mut whole = vec![event; length];
                 whole.push("data: [DONE]\n\n".to_owned());
-                site.next_write(&[Step::Put(gaparch_lab::platform::stream(&whole))]);
+                site.next_write(&[Step::Put(gaparch_testbed::platform::stream(&whole))]);
                 let mut client = TcpStream::connect(site.listen).expect("it listens");
                 rustix::net::sockopt::set_socket_recv_buffer_size(&client, 64 * 1024).expect("set");
                 client.write_all(&head_and_body("long", "{}")).expect("written");
--- a/crates/gaparch-node/tests/hanging_writers.rs
+++ b/crates/gaparch-platform-router/tests/hanging_writers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::Site;
-use gaparch_lab::platform::{ask, head_and_body, instance, until, Got, HangingRelay, Platform, Seen};
+use gaparch_testbed::platform::{ask, head_and_body, instance, until, Got, HangingRelay, Platform, Seen};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -151,7 +151,7 @@
     ending.relays[0].hang();
     let asked = ending.asks("ends");
     ending.read_at("ends");
-    ending.site.order(gaparch_node::Order::End);
+    ending.site.order(gaparch_platform_router::Order::End);
     ending.is_not_pinned("ends");
     assert_ne!(asked.join().expect("no panic").status, 0);
     ending.site.ended();
--- a/crates/gaparch-node/tests/long_lists.rs
+++ b/crates/gaparch-platform-router/tests/long_lists.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Site;
-use gaparch_lab::platform::{ask, instance, until, Platform};
+use gaparch_testbed::platform::{ask, instance, until, Platform};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
--- a/crates/gaparch-node/tests/moments.rs
+++ b/crates/gaparch-platform-router/tests/moments.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{put, Site};
-use gaparch_lab::platform::{
+use gaparch_platform_router::Order;
+use gaparch_testbed::platform::{
     ask, events, head_and_body, judge, read, stream, until, Facts, Platform, Step, LONG,
 };
-use gaparch_node::Order;
 use rustix::net::sockopt::set_socket_linger;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
@@ -110,7 +110,7 @@
                 go(client);
                 // Who has had its answer may ask again.
                 facts.left.extend((moment != Resting).then(|| (TXN.to_owned(), Instant::now())));
-                std::thread::sleep(gaparch_lab::platform::LEFT + AFTERWARDS);
+                std::thread::sleep(gaparch_testbed::platform::LEFT + AFTERWARDS);
                 site.tell(Platform::list(&site.readers, &site.writers));
                 assert_eq!(ask(site.listen, "next").status, 200, "{moment:?}");
                 if matches!(moment, Reading | BetweenStages | Writing) {
@@ -197,7 +197,7 @@
 }
 
 /// The rest of an answer whose first byte has been taken.
-fn streamed(client: &mut TcpStream) -> gaparch_lab::platform::Got {
+fn streamed(client: &mut TcpStream) -> gaparch_testbed::platform::Got {
     let mut bytes = b"H".to_vec();
     let mut piece = [0; 4096];
     while !bytes.ends_with(b"0\r\n\r\n") {
@@ -205,7 +205,7 @@
         assert!(n > 0, "it was cut: {}", String::from_utf8_lossy(&bytes));
         bytes.extend_from_slice(&piece[..n]);
     }
-    gaparch_lab::platform::Got { status: 200, whole: true, ..Default::default() }
+    gaparch_testbed::platform::Got { status: 200, whole: true, ..Default::default() }
 }
 
 #[test]
--- a/crates/gaparch-node/tests/shutdown.rs
+++ b/crates/gaparch-platform-router/tests/shutdown.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{begun, ms, Site};
-use gaparch_lab::platform::{events, head_and_body, read, stream, Step, LONG};
-use gaparch_node::Order;
+use gaparch_platform_router::Order;
+use gaparch_testbed::platform::{events, head_and_body, read, stream, Step, LONG};
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/gaparch-node/tests/silent_connections.rs
+++ b/crates/gaparch-platform-router/tests/silent_connections.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Site;
-use gaparch_lab::platform::{ask, head_and_body, instance, until, Platform, Seen, SilentRelay, Step};
+use gaparch_testbed::platform::{ask, head_and_body, instance, until, Platform, Seen, SilentRelay, Step};
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/gaparch-site/src/lib.rs
+++ b/crates/gaparch-platform-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The start-up settings, made into those of the module: one copy for the simulator's adapter, which gets them in
 //! its first message, and for the router in service, which gets the same object in its configuration.
 
-use gaparch::api::{Class, Effect, Group, KindId, Nanos, Role, Settings, Tenant, ZoneId};
+use gaparch_scheduler::api::{Class, Effect, Group, KindId, Nanos, Role, Settings, Tenant, ZoneId};
 use serde_json::Value;
 
 mod odd;
--- a/crates/gaparch-site/src/odd.rs
+++ b/crates/gaparch-platform-settings/src/odd.rs
@@ -1,7 +1,7 @@
 //! What of the settings is missing, makes no sense or contradicts something, by field, with what is done about it.
 
 use crate::{index, list, number, role, text, whole, Site};
-use gaparch::api::Role;
+use gaparch_scheduler::api::Role;
 use serde_json::Value;
 use std::fmt::Display;
 
--- a/crates/gaparch-site/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings object with every key, and what a build before the code's names changed read from it.
 
-use gaparch::api::{Class, Effect, Group, KindId, Role, Settings, Tenant, ZoneId};
+use gaparch_scheduler::api::{Class, Effect, Group, KindId, Role, Settings, Tenant, ZoneId};
 use serde_json::{json, Value};
 
 fn every_key() -> Value {
@@ -33,7 +33,7 @@
 
 #[test]
 fn every_key_has_its_field() {
-    let site = gaparch_site::read(&every_key(), 99);
+    let site = gaparch_platform_settings::read(&every_key(), 99);
     let chat = Class {
         effect: Effect::Safe,
         group: Group::All,
@@ -104,7 +104,7 @@
 
 #[test]
 fn an_absent_key_is_the_modules_own_default() {
-    let site = gaparch_site::read(&json!({}), 0);
+    let site = gaparch_platform_settings::read(&json!({}), 0);
     assert_eq!(site.settings, Settings::default());
     assert!(site.classes.is_empty() && site.kinds.is_empty() && site.report.is_empty());
 }
@@ -117,7 +117,7 @@
     env["rules"]["rampTimeNs"] = json!(-1);
     env["caps"]["cancel"] = json!("yes");
     env["zone"] = json!("c");
-    let settings = gaparch_site::read(&env, 0).settings;
+    let settings = gaparch_platform_settings::read(&env, 0).settings;
     let defaults = Settings::default();
     assert_eq!(settings.cold_from, defaults.cold_from);
     assert_eq!((settings.cold, settings.cancel, settings.zone), (defaults.cold, false, None));
@@ -127,7 +127,7 @@
 #[test]
 fn diagnostics_name_these_fields_in_this_order() {
     let fields = |env: &Value| -> Vec<String> {
-        let lines = gaparch_site::oddities(env, &gaparch_site::read(env, 0));
+        let lines = gaparch_platform_settings::oddities(env, &gaparch_platform_settings::read(env, 0));
         let field = |line: &String| {
             let named = line.strip_prefix("'settings.").expect("a field first");
             named.split('\'').next().expect("its end").to_owned()
--- a/crates/gaparch-protocol/src/engine/codec.rs
+++ b/crates/gaparch-protocol/src/engine/codec.rs
@@ -7,7 +7,7 @@
     u16_, u32_, u64_, Body,
 };
 use bytes::{BufMut, BytesMut};
-use gaparch::api::{Report, Role, Status};
+use gaparch_scheduler::api::{Report, Role, Status};
 use winnow::binary::u8;
 use winnow::ModalResult;
 
--- a/crates/gaparch-protocol/src/engine/mod.rs
+++ b/crates/gaparch-protocol/src/engine/mod.rs
@@ -5,7 +5,7 @@
 
 mod codec;
 
-use gaparch::api::{Report, Role, Status};
+use gaparch_scheduler::api::{Report, Role, Status};
 
 /// The version spoken here. A peer that says another one is refused with a [`Bye`](EngineFrame::Bye).
 pub const VERSION: u16 = 1;
--- a/crates/gaparch-protocol/src/list.rs
+++ b/crates/gaparch-protocol/src/list.rs
@@ -8,7 +8,7 @@
     f64_, flag, malformed, many, optional, put_optional, put_short_text, short_text, u16_, u64_, Body, Wire,
 };
 use bytes::{BufMut, BytesMut};
-pub use gaparch::api::ServerState;
+pub use gaparch_scheduler::api::ServerState;
 use winnow::binary::u8;
 use winnow::ModalResult;
 
--- a/crates/gaparch-protocol/src/ops/ending.rs
+++ b/crates/gaparch-protocol/src/ops/ending.rs
@@ -1,7 +1,7 @@
 //! How requests ended, and why.
 
 use crate::wire::{choice, closed_set, record};
-use gaparch::api::{Holdup, Reason};
+use gaparch_scheduler::api::{Holdup, Reason};
 
 closed_set! {
     pub enum EndKind {
--- a/crates/gaparch-protocol/tests/codecs.rs
+++ b/crates/gaparch-protocol/tests/codecs.rs
@@ -1,7 +1,6 @@
 //! Every codec: what goes in comes out, however the bytes are cut, and no bytes at all make it panic.
 
 use bytes::BytesMut;
-use gaparch::api::{Report, Role, ServerState, Status};
 use gaparch_protocol::client::{
     encode_event, parse_request, ClientEvent, Dialect, ErrorKind, SseDecoder, SseError, SseEvent, StopReason,
     Usage,
@@ -12,6 +11,7 @@
 use gaparch_protocol::frame::{encode, Frame};
 use gaparch_protocol::list::{ListEntry, ListFrame, Scope};
 use gaparch_protocol::{FrameDecoder, FrameError};
+use gaparch_scheduler::api::{Report, Role, ServerState, Status};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
--- a/crates/gaparch-protocol/tests/pinned_engine.rs
+++ b/crates/gaparch-protocol/tests/pinned_engine.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::assert_frame;
-use gaparch::api::{Report, Role, Status};
+use gaparch_scheduler::api::{Report, Role, Status};
 use gaparch_protocol::engine::{
     AttemptKey, EngineFacts, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey,
 };
--- a/crates/gaparch-router/src/core/actions.rs
+++ b/crates/gaparch-router/src/core/actions.rs
@@ -4,13 +4,13 @@
 use super::request::{Attempt, Stage};
 use super::timers::Timer;
 use super::{Core, Output, ToClient};
-use gaparch::api::{
-    Action, AttemptNo, Event, Nanos, Outcome, Report, RequestId, Role, ServerId, Status, Why,
-};
-use gaparch::policy::permits::{self, Denial, Repeat, SendFacts};
-use gaparch::policy::releasing::goes_beside_a_write;
 use gaparch_config::Links;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame};
+use gaparch_scheduler::api::{
+    Action, AttemptNo, Event, Nanos, Outcome, Report, RequestId, Role, ServerId, Status, Why,
+};
+use gaparch_scheduler::policy::permits::{self, Denial, Repeat, SendFacts};
+use gaparch_scheduler::policy::releasing::goes_beside_a_write;
 
 impl Core {
     pub(super) fn act(&mut self, action: Action, out: &mut Vec<Output>) {
--- a/crates/gaparch-router/src/core/attempts.rs
+++ b/crates/gaparch-router/src/core/attempts.rs
@@ -3,10 +3,10 @@
 use super::request::{Attempt, Stage};
 use super::timers::Timer;
 use super::{Core, Output, ToClient};
-use gaparch::api::{AttemptNo, Event, Outcome, Report, RequestId, Status};
-use gaparch::state::MayHaveRun;
 use gaparch_protocol::engine::EngineFrame;
 use gaparch_protocol::ops::ending::Cause;
+use gaparch_scheduler::api::{AttemptNo, Event, Outcome, Report, RequestId, Status};
+use gaparch_scheduler::state::MayHaveRun;
 
 /// Whether a read that ended so may have ended well all the same, and left its state behind.
 fn may_have_read(status: Status) -> bool {
--- a/crates/gaparch-router/src/core/clients.rs
+++ b/crates/gaparch-router/src/core/clients.rs
@@ -3,9 +3,9 @@
 use super::request::{Accepted, Live};
 use super::timers::Timer;
 use super::{Core, Output, ToClient};
-use gaparch::api::{Event, RequestId, Status};
 use gaparch_ops::limits::OPEN_REQUESTS;
 use gaparch_protocol::ops::ending::Cause;
+use gaparch_scheduler::api::{Event, RequestId, Status};
 
 impl Core {
     pub(super) fn on_ask(&mut self, id: RequestId, ask: Accepted, out: &mut Vec<Output>) {
--- a/crates/gaparch-router/src/core/engines.rs
+++ b/crates/gaparch-router/src/core/engines.rs
@@ -1,7 +1,7 @@
 //! The one connection to each engine.
 
-use gaparch::api::{Nanos, Report, RequestId};
 use gaparch_config::Attempts;
+use gaparch_scheduler::api::{Nanos, Report, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One connection that was asked for; the next one to the same engine has another number.
--- a/crates/gaparch-router/src/core/figures.rs
+++ b/crates/gaparch-router/src/core/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of engines and of the list: what no one should send is dropped and counted.
 
 use super::Counts;
-use gaparch::api::Report;
+use gaparch_scheduler::api::Report;
 
 /// No figure of a report or a weight makes sense above this.
 const MOST: f64 = 1e9;
--- a/crates/gaparch-router/src/core/following.rs
+++ b/crates/gaparch-router/src/core/following.rs
@@ -4,8 +4,8 @@
 use super::request::{Attempt, Live};
 use super::roster::ListUpdate;
 use super::{Core, Output};
-use gaparch::api::{Event, ListKind, RequestId, ServerId, Status};
 use gaparch_config::Links;
+use gaparch_scheduler::api::{Event, ListKind, RequestId, ServerId, Status};
 use std::collections::BTreeSet;
 
 impl Core {
--- a/crates/gaparch-router/src/core/links.rs
+++ b/crates/gaparch-router/src/core/links.rs
@@ -5,10 +5,10 @@
 use super::request::{Attempt, Live, Stage};
 use super::timers::Timer;
 use super::{Core, Output, ToClient};
-use gaparch::api::{AttemptNo, Event, ListKind, Nanos, Report, RequestId, ServerId, Status};
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::{AttemptKey, EngineFacts, EngineFrame};
 use gaparch_protocol::ops::ending::Cause;
+use gaparch_scheduler::api::{AttemptNo, Event, ListKind, Nanos, Report, RequestId, ServerId, Status};
 
 impl Core {
     pub(super) fn connect(&mut self, engine: ServerId, out: &mut Vec<Output>) {
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -21,15 +21,15 @@
 pub use roster::ListUpdate;
 
 use engines::EngineLink;
-use gaparch::api::{Event, ListKind, Nanos, RequestId, ServerId, Status};
-use gaparch::policy::permits::Denials;
-use gaparch::policy::Policy;
 use gaparch_config::Config;
 use gaparch_ops::book::Book;
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, RouterRun, StateAt};
 use gaparch_protocol::ops::ending::{Cause, Ending, Evidence, WaitedFor};
 use gaparch_protocol::ops::intent::Taken;
+use gaparch_scheduler::api::{Event, ListKind, Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::policy::permits::Denials;
+use gaparch_scheduler::policy::Policy;
 use request::Live;
 use roster::Roster;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -2,8 +2,6 @@
 
 use super::request::{Live, Stage};
 use super::{Core, Output, ToClient};
-use gaparch::api::{Event, ListKind, Nanos, RequestId, Role, ServerId, ServerState, TenantId};
-use gaparch::view::{Avoided, ServerView};
 use gaparch_config::Span;
 use gaparch_ops::book::{Denied, EngineStanding, Standing};
 use gaparch_ops::limits::{limited_tenant, tenant_limit, OPEN_REQUESTS};
@@ -15,6 +13,8 @@
     Avoid, EngineRole, EngineState, EngineView, Figures, LiveView, PartRest, Phase, Setting,
 };
 use gaparch_protocol::ops::Order;
+use gaparch_scheduler::api::{Event, ListKind, Nanos, RequestId, Role, ServerId, ServerState, TenantId};
+use gaparch_scheduler::view::{Avoided, ServerView};
 use std::collections::BTreeMap;
 
 /// Evidence younger than this is used again: requests given up together saw the same.
@@ -132,7 +132,7 @@
             unit: unit.to_owned(),
         };
         let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
-        let of_tenant = |(name, tenant): (&String, &gaparch::api::Tenant)| {
+        let of_tenant = |(name, tenant): (&String, &gaparch_scheduler::api::Tenant)| {
             let unit = "requests a second, 0: not bounded";
             limit(tenant_limit(name), tenant.quota_per_s, 0.0, MOST_PER_S, unit)
         };
@@ -186,7 +186,7 @@
             let seen = seen.get(id)?;
             let link = self.engines.get(id);
             let tally = link.map(|l| l.tally).unwrap_or_default();
-            let part = |rest: &gaparch::view::PartRest| PartRest {
+            let part = |rest: &gaparch_scheduler::view::PartRest| PartRest {
                 class: self.config.names.classes.get(rest.class.0).cloned().unwrap_or_default(),
                 tenant: self.tenant_name(rest.tenant).to_owned(),
                 until: rest.until,
--- a/crates/gaparch-router/src/core/reasons.rs
+++ b/crates/gaparch-router/src/core/reasons.rs
@@ -2,8 +2,8 @@
 //! request holds something for how long.
 
 use super::Core;
-use gaparch::api::{Nanos, RequestId, ServerId, Status};
-use gaparch::counts::write_counts;
+use gaparch_scheduler::api::{Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::counts::write_counts;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -1,14 +1,14 @@
 //! A request from its acceptance to its one final answer.
 
 use super::timers::TimerKey;
-use gaparch::api::{
-    AttemptNo, ClassId, Key, Nanos, Request, RequestId, ServerId, Settings, Status, TenantId,
-};
-use gaparch::state::MayHaveRun;
 use gaparch_config::ClassTimes;
 use gaparch_protocol::client::Usage;
 use gaparch_protocol::engine::{AttemptKey, Job};
 use gaparch_protocol::ops::ending::{StepEnd, MAX_STEPS};
+use gaparch_scheduler::api::{
+    AttemptNo, ClassId, Key, Nanos, Request, RequestId, ServerId, Settings, Status, TenantId,
+};
+use gaparch_scheduler::state::MayHaveRun;
 
 /// A request whose names have been looked up.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gaparch-router/src/core/roster.rs
+++ b/crates/gaparch-router/src/core/roster.rs
@@ -2,13 +2,13 @@
 
 use super::{figures, state_at, Counts};
 use crate::core::operate::{listed_state, server_state};
-use gaparch::api::{CellId, Entry, ListKind, Nanos, Role, ServerId, ServerState, Settings, ZoneId};
-use gaparch::policy::start_times::{self, ListedStart};
 use gaparch_config::{server_id, Config, Links};
 use gaparch_ops::book::Book;
 use gaparch_ops::combine::combine;
 use gaparch_protocol::engine::{EngineFacts, StateAt};
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::{CellId, Entry, ListKind, Nanos, Role, ServerId, ServerState, Settings, ZoneId};
+use gaparch_scheduler::policy::start_times::{self, ListedStart};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/gaparch-router/src/core/timers.rs
+++ b/crates/gaparch-router/src/core/timers.rs
@@ -1,6 +1,6 @@
 //! Timers of the core, in order of time and then of setting.
 
-use gaparch::api::{AttemptNo, Nanos, RequestId, ServerId, TimerToken};
+use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, ServerId, TimerToken};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/gaparch-router/src/shell/engine.rs
+++ b/crates/gaparch-router/src/shell/engine.rs
@@ -1,10 +1,10 @@
 //! One connection to one engine.
 
 use crate::core::ConnNo;
-use gaparch::api::{Nanos, ServerId};
 use gaparch_net::{write_frames, FrameReader, ReadError};
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, Peer, RouterRun, VERSION};
 use gaparch_protocol::frame::encode;
+use gaparch_scheduler::api::{Nanos, ServerId};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/gaparch-router/src/shell/ops/session.rs
+++ b/crates/gaparch-router/src/shell/ops/session.rs
@@ -3,10 +3,10 @@
 use super::{KnownOperator, Lobby, News};
 use crate::shell::owner::Control;
 use bytes::BytesMut;
-use gaparch::api::RequestId;
 use gaparch_net::{FrameReader, ReadError};
 use gaparch_protocol::frame::encode;
 use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, OpsRole, Order, Query, Update, MAX_ASK, VERSION};
+use gaparch_scheduler::api::RequestId;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -1,6 +1,5 @@
 //! The core alone: frames that make no sense, outcomes that come twice or late, drains, the end.
 
-use gaparch::api::{Nanos, RequestId, Role, ServerId, ServerState, Status};
 use gaparch_config::{server_id, Config, EXAMPLE};
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::{AttemptKey, EngineFacts, EngineFrame, RouterRun};
@@ -10,6 +9,7 @@
 use gaparch_protocol::ops::view::EngineState;
 use gaparch_protocol::ops::Order;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, Phase, ToClient};
+use gaparch_scheduler::api::{Nanos, RequestId, Role, ServerId, ServerState, Status};
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
@@ -109,7 +109,7 @@
 
 fn question() -> Accepted {
     Accepted {
-        class: gaparch::api::ClassId(0),
+        class: gaparch_scheduler::api::ClassId(0),
         tenant: None,
         session: None,
         prefix: None,
@@ -234,7 +234,7 @@
 fn figures_of_engines_and_the_list_that_make_no_sense_are_dropped_and_counted() {
     let mut bench = Bench::new();
     let (reader, key) = bench.ask(1);
-    let report = gaparch::api::Report {
+    let report = gaparch_scheduler::api::Report {
         inflight: Some(f64::NAN),
         queue: Some(-1.0),
         util: Some(1e300),
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -1,12 +1,12 @@
 //! The core where each attempt is an exchange of its own: engines count as reachable while listed, a release may reach
 //! any of them, and nothing is left behind by a day of new requests and new engines.
 
-use gaparch::api::{Nanos, RequestId, ServerId, ServerState, Status};
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
+use gaparch_scheduler::api::{Nanos, RequestId, ServerId, ServerState, Status};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
@@ -69,10 +69,10 @@
 
     fn ask(&mut self, id: u64) -> (ServerId, AttemptKey) {
         let ask = Accepted {
-            class: gaparch::api::ClassId(0),
+            class: gaparch_scheduler::api::ClassId(0),
             tenant: None,
-            session: Some(gaparch::api::Key(id)),
-            prefix: Some(gaparch::api::Key(id)),
+            session: Some(gaparch_scheduler::api::Key(id)),
+            prefix: Some(gaparch_scheduler::api::Key(id)),
             prompt_len: 100,
             prefix_len: 50,
             max_out: 20,
--- a/crates/gaparch-router/tests/long_lists.rs
+++ b/crates/gaparch-router/tests/long_lists.rs
@@ -1,11 +1,11 @@
 //! Lists of ten thousand engines: doubled entries, names that hash alike, changes one after the other.
 
-use gaparch::api::{Nanos, ServerId, ServerState};
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Core, Input, ListUpdate, Output};
+use gaparch_scheduler::api::{Nanos, ServerId, ServerState};
 use std::collections::{BTreeSet, HashMap};
 
 const NOW: Nanos = 1_000_000_000_000;
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -1,12 +1,12 @@
 //! When a listed process began, by the router's own clock: its wall clock may be off by hours, and starts are told by the
 //! catalogue's. Slow start goes by the time that has really passed.
 
-use gaparch::api::{Nanos, ServerState};
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Core, Input, ListUpdate};
+use gaparch_scheduler::api::{Nanos, ServerState};
 
 const S: Nanos = 1_000_000_000;
 const HOUR: i64 = 3_600;
--- a/crates/gaparch-setup/src/doctor.rs
+++ b/crates/gaparch-setup/src/doctor.rs
@@ -1,7 +1,7 @@
 //! What is wrong around a router, in plain words, each with what to do.
 
-use gaparch::api::{Effect, Nanos, Role};
 use gaparch_config::Config;
+use gaparch_scheduler::api::{Effect, Nanos, Role};
 use std::fmt;
 
 /// Room on a disk below this will not last.
--- a/crates/gaparch-setup/tests/setup.rs
+++ b/crates/gaparch-setup/tests/setup.rs
@@ -1,7 +1,7 @@
 //! First start and doctor, from values alone.
 
-use gaparch::api::Role;
 use gaparch_config::{Config, EXAMPLE};
+use gaparch_scheduler::api::Role;
 use gaparch_setup::doctor::{judge, EngineSeen, FileSeen, Finding, Level, PortSeen, Seen, StateSeen};
 use gaparch_setup::init::{files, Answers, Place, Secrets};
 
--- a/crates/gaparch-simhost/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -1,9 +1,9 @@
 //! Keeps the instances apart and hands each its events in order.
 
 use crate::wire::{self, need, Batch, Parsed, RawEntry};
-use gaparch::api::{Event, ListKind};
-use gaparch::policy::Policy;
-use gaparch_site::{whole, Site};
+use gaparch_platform_settings::{whole, Site};
+use gaparch_scheduler::api::{Event, ListKind};
+use gaparch_scheduler::policy::Policy;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,7 +40,8 @@
         }
         let who = need(event, "who", whole)?;
         if kind == "init" {
-            let site = gaparch_site::read(need(event, "env", object)?, need(event, "entropy", seed)?);
+            let site =
+                gaparch_platform_settings::read(need(event, "env", object)?, need(event, "entropy", seed)?);
             let policy = Policy::new(site.settings.clone());
             self.instances.insert(who, Instance { site, policy });
             return Ok(());
--- a/crates/gaparch-simhost/src/wire.rs
+++ b/crates/gaparch-simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! The words of the wire: events in, actions out.
 
-use gaparch::api::{
+use gaparch_platform_settings::{index, number, whole, Site};
+use gaparch_scheduler::api::{
     Action, AttemptNo, CellId, ClassId, Entry, Event, Key, KindId, ListKind, Nanos, Outcome, Report, Request,
     RequestId, ServerId, ServerState, Status, TenantId, TimerToken, ZoneId,
 };
-use gaparch_site::{index, number, whole, Site};
 use serde::Deserialize;
 use serde_json::{json, Value};
 
--- a/crates/gaparch-simhost/tests/pinned_lines.rs
+++ b/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
@@ -1,10 +1,10 @@
 //! Every event and action of the simulator's wire, as the lines that it is written in.
 
-use gaparch::api::{
+use gaparch_scheduler::api::{
     Action, AttemptNo, CellId, ClassId, Entry, Event, Holdup, Key, KindId, ListKind, Outcome, Reason, Report,
     Request, RequestId, ServerId, ServerState, Status, TenantId, TimerToken, Why, ZoneId,
 };
-use gaparch_site::Site;
+use gaparch_platform_settings::Site;
 use serde_json::{json, Value};
 
 #[path = "../src/wire.rs"]
@@ -16,7 +16,7 @@
         "services": [{"aimNs": 1000000000, "deadlineNs": 5000000000u64, "idempotency": "free", "name": "ask"}],
         "report": {"fields": ["concurrent", "depth", "load_share", "x0", "x1", "unheard_of"], "source": "piggyback"}
     });
-    gaparch_site::read(&env, 7)
+    gaparch_platform_settings::read(&env, 7)
 }
 
 fn parsed(line: &str) -> Event {
--- a/crates/gaparch-lab/examples/operations.rs
+++ b/crates/gaparch-testbed/examples/operations.rs
@@ -4,13 +4,10 @@
 //! - requests a second with 0, 1 and 10 subscribers, in turns;
 //! - orders kept a second, on a real folder; a start with a million records; the ledger at its bound.
 //!
-//! `cargo run --release -p gaparch-lab --example operations`; with `subscribers` or `ledger` after it only
+//! `cargo run --release -p gaparch-testbed --example operations`; with `subscribers` or `ledger` after it only
 //! these
 
 use gaparch_engine::observe::Way;
-use gaparch_lab::load::{closed, Client, Question};
-use gaparch_lab::record::{Record, Seen, What};
-use gaparch_lab::site::{Plan, Site};
 use gaparch_net::{Incoming, OpsClient};
 use gaparch_ops::book::{read_change, Book, SCHEMA};
 use gaparch_ops::ledger::{Bounds, Ledger};
@@ -18,6 +15,9 @@
 use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
 use gaparch_protocol::ops::{to_bytes, Answer, Query};
 use gaparch_store::{Folder, Journal};
+use gaparch_testbed::load::{closed, Client, Question};
+use gaparch_testbed::record::{Record, Seen, What};
+use gaparch_testbed::site::{Plan, Site};
 use hdrhistogram::Histogram;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/gaparch-lab/examples/relay.rs
+++ b/crates/gaparch-testbed/examples/relay.rs
@@ -1,12 +1,12 @@
 //! What the router's own work costs: requests and tokens a second, and the time to the first token, against a
 //! relay that decides nothing, in turns within one run, over the same stand-in engines.
 //!
-//! `cargo run --release -p gaparch-lab --example relay`
+//! `cargo run --release -p gaparch-testbed --example relay`
 
-use gaparch_lab::load::{closed, Client, Patience, Question};
-use gaparch_lab::plain_relay::PlainRelay;
-use gaparch_lab::record::Record;
-use gaparch_lab::site::{Plan, Site};
+use gaparch_testbed::load::{closed, Client, Patience, Question};
+use gaparch_testbed::plain_relay::PlainRelay;
+use gaparch_testbed::record::Record;
+use gaparch_testbed::site::{Plan, Site};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/gaparch-lab/src/checker.rs
+++ b/crates/gaparch-testbed/src/checker.rs
@@ -6,10 +6,10 @@
 //! killed router held is no longer its duty.
 
 use crate::record::{Ask, End, Entry, Record, Seen, What};
-use gaparch::api::{Nanos, ServerState};
 use gaparch_engine::observe::{Note, Way};
 use gaparch_engine::{ConnId, EngineSpec};
 use gaparch_protocol::engine::{AttemptKey, RouterRun};
+use gaparch_scheduler::api::{Nanos, ServerState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/gaparch-lab/src/fleet/streams_tests.rs
+++ b/crates/gaparch-testbed/src/fleet/streams_tests.rs
@@ -2,8 +2,8 @@
 
 use super::super::faults::Fault;
 use super::*;
-use gaparch::api::ServerState;
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::ServerState;
 use tokio::time::timeout;
 
 const SOON: Duration = Duration::from_secs(5);
--- a/crates/gaparch-lab/src/list_service.rs
+++ b/crates/gaparch-testbed/src/list_service.rs
@@ -1,11 +1,11 @@
 //! A list service to stand in for a real one: it pushes changes, goes silent, or fails.
 
 use crate::record::{Record, What};
-use gaparch::api::ServerState;
 use gaparch_net::{Clock, FrameReader};
 use gaparch_protocol::frame::encode;
 use gaparch_protocol::list::{ListEntry, ListFrame, Scope, VERSION, VERSION_EPOCHS};
 use gaparch_protocol::DEFAULT_MAX_FRAME;
+use gaparch_scheduler::api::ServerState;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/gaparch-lab/src/load.rs
+++ b/crates/gaparch-testbed/src/load.rs
@@ -2,10 +2,10 @@
 
 use crate::record::{Ask, End, Record, What};
 use bytes::Bytes;
-use gaparch::api::Nanos;
 use gaparch_net::Clock;
 use gaparch_protocol::client::{ClientEvent, Dialect, ErrorKind, SseDecoder};
 use gaparch_protocol::engine::RouterRun;
+use gaparch_scheduler::api::Nanos;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/crates/gaparch-lab/src/plain_relay.rs
+++ b/crates/gaparch-testbed/src/plain_relay.rs
@@ -3,11 +3,11 @@
 
 use crate::site::Site;
 use bytes::{Bytes, BytesMut};
-use gaparch::api::{Role, Status};
 use gaparch_net::{write_frames, FrameReader};
 use gaparch_protocol::client::{parse_request, ClientEvent, Dialect, StopReason, Usage};
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job, Peer, RouterRun, StateAt, VERSION};
 use gaparch_protocol::DEFAULT_MAX_FRAME;
+use gaparch_scheduler::api::{Role, Status};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Frame, Incoming};
--- a/crates/gaparch-lab/src/record.rs
+++ b/crates/gaparch-testbed/src/record.rs
@@ -1,9 +1,9 @@
 //! What went over the sockets, as the stand-ins and the load saw it, on one clock.
 
-use gaparch::api::{Nanos, ServerState};
 use gaparch_engine::observe::{Note, Observer, Way};
 use gaparch_engine::ConnId;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Peer, RouterRun};
+use gaparch_scheduler::api::{Nanos, ServerState};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// A request as the load numbers it.
@@ -182,8 +182,8 @@
             EngineFrame::Tokens { key, count, .. } => Seen::Tokens { key: *key, count: *count },
             EngineFrame::Outcome { key, status, .. } => Seen::Outcome {
                 key: *key,
-                ok: *status == gaparch::api::Status::Ok,
-                not_run: *status == gaparch::api::Status::Full,
+                ok: *status == gaparch_scheduler::api::Status::Ok,
+                not_run: *status == gaparch_scheduler::api::Status::Full,
             },
             _ => return,
         };
--- a/crates/gaparch-lab/src/scale/decision.rs
+++ b/crates/gaparch-testbed/src/scale/decision.rs
@@ -3,8 +3,8 @@
 use super::hollow::{list, play, settings, Day, Shape};
 use super::report::{Figure, Point, Way};
 use super::{target, Row};
-use gaparch::api::{Entry, Event, ListKind, Nanos, ServerState, ZoneId};
-use gaparch::policy::Policy;
+use gaparch_scheduler::api::{Entry, Event, ListKind, Nanos, ServerState, ZoneId};
+use gaparch_scheduler::policy::Policy;
 use std::time::Instant;
 
 const S: Nanos = 1_000_000_000;
--- a/crates/gaparch-lab/src/scale/hollow/choosers.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/choosers.rs
@@ -3,7 +3,7 @@
 use super::super::layout::is_reader;
 use super::entries::server_of;
 use super::fleet::{Chooser, Fleet};
-use gaparch::api::{Event, RequestId, Status};
+use gaparch_scheduler::api::{Event, RequestId, Status};
 
 impl Fleet {
     fn lot(&mut self, below: usize) -> usize {
--- a/crates/gaparch-lab/src/scale/hollow/entries.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/entries.rs
@@ -1,7 +1,7 @@
 //! The list and the settings of a hollow fleet.
 
 use super::super::{layout, settings as platform_settings, target};
-use gaparch::api::{CellId, Entry, KindId, ServerId, ServerState, Settings, ZoneId};
+use gaparch_scheduler::api::{CellId, Entry, KindId, ServerId, ServerState, Settings, ZoneId};
 
 /// Size and seed of a hollow fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,5 +53,6 @@
 /// The settings of one router of the fleet, as a router in service reads them.
 pub fn settings(shape: &Shape, me: usize) -> Settings {
     let seed = shape.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ me as u64;
-    gaparch_site::read(&platform_settings::of_router(me, shape.routers, shape.zones), seed).settings
+    gaparch_platform_settings::read(&platform_settings::of_router(me, shape.routers, shape.zones), seed)
+        .settings
 }
--- a/crates/gaparch-lab/src/scale/hollow/traffic.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/traffic.rs
@@ -2,7 +2,7 @@
 //! turns, and answers of the target's length.
 
 use super::super::target;
-use gaparch::api::{ClassId, Key, Nanos, Request, RequestId, TenantId};
+use gaparch_scheduler::api::{ClassId, Key, Nanos, Request, RequestId, TenantId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/gaparch-lab/src/scale/hollow/workers.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/workers.rs
@@ -3,7 +3,7 @@
 
 use super::super::layout::cell_of;
 use super::super::settings::MEMORY;
-use gaparch::api::{Key, Nanos};
+use gaparch_scheduler::api::{Key, Nanos};
 use std::collections::HashMap;
 
 const MS: f64 = 1e6;
--- a/crates/gaparch-lab/src/soak/site.rs
+++ b/crates/gaparch-testbed/src/soak/site.rs
@@ -113,7 +113,7 @@
                 "discovery": catalogue.addresses[number].to_string(),
                 "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
                 "settings": soak_settings(options.routers, shape.patience)});
-            let arguments = ["--log", "gaparch_node=debug", "lab", "node"].map(str::to_owned);
+            let arguments = ["--log", "gaparch_platform_router=debug", "lab", "node"].map(str::to_owned);
             let arguments = [arguments.to_vec(), vec![file.to_string_lossy().into_owned()]].concat();
             let log = folder.path().join(format!("n{number}.log"));
             let process = Process::new(&options.routers_program, arguments, log);
--- a/crates/gaparch-lab/tests/appliance.rs
+++ b/crates/gaparch-testbed/tests/appliance.rs
@@ -1,18 +1,18 @@
 //! A router run by operators, over real sockets: orders under load, consoles that vanish, disks that fail, the night.
 
-use gaparch::api::{Nanos, ServerState};
 use gaparch_engine::observe::Way;
 use gaparch_engine::Fault;
-use gaparch_lab::load::{Answered, Question};
-use gaparch_lab::record::{End, Seen, What};
-use gaparch_lab::site::{entry, Plan, Site, OFFICE_KEY, WALL_KEY};
 use gaparch_net::{Credentials, Incoming, OpsClient, OpsError, Place};
 use gaparch_protocol::ops::ending::{Cause, EndKind, EndingFilter, WaitedFor};
 use gaparch_protocol::ops::intent::{Change, Hold, Subject};
 use gaparch_protocol::ops::view::Happening;
 use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Order, Query, Update};
 use gaparch_router::shell::{Disks, FleetDisks};
+use gaparch_scheduler::api::{Nanos, ServerState};
 use gaparch_store::faulty::{Faults, FaultyDisk, Unsynced};
+use gaparch_testbed::load::{Answered, Question};
+use gaparch_testbed::record::{End, Seen, What};
+use gaparch_testbed::site::{entry, Plan, Site, OFFICE_KEY, WALL_KEY};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/gaparch-lab/tests/checker.rs
+++ b/crates/gaparch-testbed/tests/checker.rs
@@ -1,11 +1,11 @@
 //! The checker can fail: a record that breaks a rule on purpose is named by that rule, and by no other.
 
-use gaparch::api::{Nanos, ServerState};
 use gaparch_engine::observe::{Note, Way};
 use gaparch_engine::{ConnId, EngineSpec};
-use gaparch_lab::checker::{check_entries, Effect, Figures, Verdict};
-use gaparch_lab::record::{Ask, End, Entry, Seen, What};
 use gaparch_protocol::engine::{AttemptKey, RouterRun};
+use gaparch_scheduler::api::{Nanos, ServerState};
+use gaparch_testbed::checker::{check_entries, Effect, Figures, Verdict};
+use gaparch_testbed::record::{Ask, End, Entry, Seen, What};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
@@ -260,7 +260,7 @@
 /// The judge of what workers saw names each kind of breach, and nothing where there is none.
 #[test]
 fn what_workers_saw_is_judged_by_when_it_came() {
-    use gaparch_lab::platform::{judge, Facts, Seen, LEFT};
+    use gaparch_testbed::platform::{judge, Facts, Seen, LEFT};
     use std::time::{Duration, Instant};
     let from = Instant::now();
     let told = |worker: &str, txn: &str, ms: u64, remaining: Option<u64>| {
--- a/crates/gaparch-lab/tests/hard_cases.rs
+++ b/crates/gaparch-testbed/tests/hard_cases.rs
@@ -1,14 +1,14 @@
 //! The hard cases over real sockets: stand-in engines, a list service, a router, clients, all on loopback. What is
 //! said of the rules is the checker's word, from what went over the sockets.
 
-use gaparch::api::{ServerState, Status};
 use gaparch_engine::{EngineSpec, Fault};
-use gaparch_lab::checker::Effect;
-use gaparch_lab::load::{Answered, Patience, Question};
-use gaparch_lab::record::{Ask, End};
-use gaparch_lab::scripted::{Script, ScriptedEngine};
-use gaparch_lab::site::{entry, Plan, Site, SiteClass, CLASSES};
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job};
+use gaparch_scheduler::api::{ServerState, Status};
+use gaparch_testbed::checker::Effect;
+use gaparch_testbed::load::{Answered, Patience, Question};
+use gaparch_testbed::record::{Ask, End};
+use gaparch_testbed::scripted::{Script, ScriptedEngine};
+use gaparch_testbed::site::{entry, Plan, Site, SiteClass, CLASSES};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -161,7 +161,7 @@
     }
     // Asks for a stream and never reads it.
     let question = site.question(900, 400);
-    let body = gaparch_lab::load::body(&question).to_string();
+    let body = gaparch_testbed::load::body(&question).to_string();
     let mut deaf = TcpStream::connect(site.address(0)).await.expect("a connection");
     let head = format!("POST /v1/messages HTTP/1.1\r\nhost: g\r\ncontent-length: {}\r\n\r\n", body.len());
     deaf.write_all(format!("{head}{body}").as_bytes()).await.expect("written");
--- a/crates/gaparch-lab/tests/membership.rs
+++ b/crates/gaparch-testbed/tests/membership.rs
@@ -1,8 +1,8 @@
 //! The membership core in virtual time: kills, pauses, lost messages, one-sided cuts, splits, lying disks.
 
-use gaparch_lab::fleet::world::{name, Link, Terms, World, MS, SECOND};
 use gaparch_membership::Happening;
 use gaparch_protocol::fleet::MemberState::{Alive, Dead, Left, Suspect};
+use gaparch_testbed::fleet::world::{name, Link, Terms, World, MS, SECOND};
 
 /// A fleet that has found itself.
 fn whole(members: usize, terms: Terms) -> World {
@@ -59,7 +59,7 @@
         assert!(took.is_some_and(|t| t <= 2 * SECOND), "{stopped_ms} ms: whole after {took:?}");
         world.run_for(5 * SECOND);
         let accused = world.told.iter().filter(|t| t.at >= woke && four.contains(&t.node));
-        let own = |t: &&gaparch_lab::fleet::world::Told| matches!(&t.what, Happening::Suspected { by, .. } | Happening::Died { by, .. } if *by == name(t.node));
+        let own = |t: &&gaparch_testbed::fleet::world::Told| matches!(&t.what, Happening::Suspected { by, .. } | Happening::Died { by, .. } if *by == name(t.node));
         assert_eq!(accused.filter(own).count(), 0, "{stopped_ms} ms");
         assert!(world.is_whole());
     }
--- a/crates/gaparch-lab/tests/scale.rs
+++ b/crates/gaparch-testbed/tests/scale.rs
@@ -1,9 +1,9 @@
 //! Rows of `gaparch lab scale` that are the same each time, at small sizes, with their slopes.
 
-use gaparch_lab::scale::fit::{Fit, Growth};
-use gaparch_lab::scale::hollow::{play, shape, Chooser, Day, Fault, Played, Shape};
-use gaparch_lab::scale::knowledge::{cold_share, slow_share};
-use gaparch_lab::scale::target;
+use gaparch_testbed::scale::fit::{Fit, Growth};
+use gaparch_testbed::scale::hollow::{play, shape, Chooser, Day, Fault, Played, Shape};
+use gaparch_testbed::scale::knowledge::{cold_share, slow_share};
+use gaparch_testbed::scale::target;
 
 /// One router with its part of the peak before so many workers.
 fn one_router(workers: usize) -> Played {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -5,8 +5,8 @@
 
 use common::draws::Draws;
 use common::{class, entry, settings, MS, S};
-use gaparch::api::*;
-use gaparch::policy::Policy;
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod draws;
 
-use gaparch::api::*;
-use gaparch::policy::Policy;
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::policy::Policy;
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{class, settings, Router, MS, S};
-use gaparch::api::*;
-use gaparch::state::{new_server, Averages, Nearness, Position, Server, Servers};
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::state::{new_server, Averages, Nearness, Position, Server, Servers};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use gaparch::api::*;
+use gaparch_scheduler::api::*;
 
 fn reads(r: &mut Router, ids: std::ops::Range<u64>, prefix: u64) -> Vec<u32> {
     ids.map(|id| {
@@ -632,11 +632,11 @@
 #[test]
 fn a_reads_pace_is_learnt_from_what_it_truly_read() {
     // The prefix was kept, though the router could not know: told as unread, the pace would be a seventh.
-    let mut reads = gaparch::state::Reads::default();
-    let sent = gaparch::state::Sent {
+    let mut reads = gaparch_scheduler::state::Reads::default();
+    let sent = gaparch_scheduler::state::Sent {
         unread: 7000.0,
         queued: 7000.0,
-        ..gaparch::state::Sent::to(ServerId(1), gaparch::state::Stage::Read)
+        ..gaparch_scheduler::state::Sent::to(ServerId(1), gaparch_scheduler::state::Stage::Read)
     };
     for _ in 0..10 {
         reads.done(&sent, 50_000_000, 1000.0, 0.1, 0.02);
@@ -644,5 +644,5 @@
     assert_eq!(reads.best, 50_000.0);
     assert_eq!(reads.tokens(100_000_000), 2000.0);
     // Until then the settings' own allowance for a token is gone by.
-    assert_eq!(gaparch::state::Reads::guessed(100_000.0).tokens(100_000_000), 1000.0);
+    assert_eq!(gaparch_scheduler::state::Reads::guessed(100_000.0).tokens(100_000_000), 1000.0);
 }
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use gaparch::api::*;
+use gaparch_scheduler::api::*;
 
 /// Found by reading: an answer was due two ticks before its client leaves, however far apart a site's steps are.
 #[test]
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,8 +1,8 @@
 //! The rules as one place decides them, one after the other.
 
-use gaparch::api::{CellId, Class, Effect, Group, Nanos, Status, ZoneId};
-use gaparch::policy::permits::{may_refuse, may_send, Denial, Denials, Repeat, SendFacts};
-use gaparch::state::MayHaveRun;
+use gaparch_scheduler::api::{CellId, Class, Effect, Group, Nanos, Status, ZoneId};
+use gaparch_scheduler::policy::permits::{may_refuse, may_send, Denial, Denials, Repeat, SendFacts};
+use gaparch_scheduler::state::MayHaveRun;
 
 const NOW: Nanos = 1_000_000;
 
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,8 +1,8 @@
 //! Bytes and names that others read, held as they are: messages between routers, and the names in logs and counters.
 
-use gaparch::api::{ServerId, Status};
-use gaparch::policy::permits::{Denial, Denials};
-use gaparch::state::{held_from_bytes, held_to_bytes};
+use gaparch_scheduler::api::{ServerId, Status};
+use gaparch_scheduler::policy::permits::{Denial, Denials};
+use gaparch_scheduler::state::{held_from_bytes, held_to_bytes};
 use std::collections::BTreeMap;
 
 /// Servers 1, 2 and 0x01020304 with 16, 1000 and more tokens than fit; amounts are in units of 16 tokens.
--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -4,8 +4,8 @@
 //! -> written near that reader -> answered. Then come health, cold servers and the clock.
 
 use super::state::*;
-use gaparch::api::*;
-use gaparch::policy::arrivals::{state_after, NextStep, StateAfter, UnansweredWrite};
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::policy::arrivals::{state_after, NextStep, StateAfter, UnansweredWrite};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Nanos = 1_000_000;
--- a/tests/plain/state.rs
+++ b/tests/plain/state.rs
@@ -1,6 +1,6 @@
 //! Bookkeeping for the decision module: the tables of servers and requests. Decides nothing.
 
-use gaparch::api::{
+use gaparch_scheduler::api::{
     AttemptNo, CellId, ClassId, Entry, Key, KindId, Nanos, Report, Request, Role, ServerId, ServerState,
     TenantId, ZoneId,
 };
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use gaparch::api::*;
-use gaparch::view::Avoided;
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::view::Avoided;
 
 fn held(reason: Reason, by: Holdup) -> Option<Why> {
     Some(Why { reason, held_by: Some(by) })
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use gaparch::api::*;
+use gaparch_scheduler::api::*;
 
 // 1: one final answer, in time, nothing after it.
 
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -3,8 +3,8 @@
 
 mod plain;
 
-use gaparch::api::*;
-use gaparch::policy::Policy;
+use gaparch_scheduler::api::*;
+use gaparch_scheduler::policy::Policy;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
