--- a/benches/driver/mod.rs
+++ b/benches/driver/mod.rs
@@ -9,48 +9,50 @@
 const S: Nanos = 1_000 * MS;
 
 fn settings() -> Settings {
-    let class = |aim: Nanos, worth: f64| Class {
-        effect: Effect::Safe,
-        group: Group::All,
-        window: 0,
-        aim,
-        aim_per_token: 50_000.0,
+    let class = |aim: Nanos, worth: f64| TrafficClass {
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0,
+        latency_objective: aim,
+        latency_objective_per_prompt_token: 50_000.0,
         deadline: 60 * S,
-        token_aim: 50 * MS,
-        worth,
-        late_worth: 0.1,
+        token_latency_objective: 50 * MS,
+        priority_weight: worth,
+        late_priority_weight: 0.1,
         streamed: true,
     };
     Settings {
-        routers: 1,
+        router_count: 1,
         classes: vec![class(40 * S, 1.0), class(50 * S, 3.0)],
-        tenants: vec![Tenant { share: 0.5, quota_per_s: 0.0 }; 3],
-        roles: vec![Role::Read, Role::Write],
-        memory: vec![240_000.0, 130_000.0],
-        release_within: S / 2,
-        cancel: true,
-        probes: true,
+        tenants: vec![Tenant { quota_share: 0.5, quota_per_second: 0.0 }; 3],
+        kinds: vec![
+            ServerKind { role: Some(Role::Prefill), kv_capacity_tokens: 240_000.0 },
+            ServerKind { role: Some(Role::Decode), kv_capacity_tokens: 130_000.0 },
+        ],
+        kv_release_within: S / 2,
+        can_cancel: true,
+        can_probe: true,
         max_attempts: 5,
         drain_grace: S / 2,
-        cold_from: 0.28,
-        cold: 14 * S,
-        fall_multiple: 2.5,
-        fall: 2 * S,
-        answer_slack: 8 * MS,
-        probe_price: 0.003,
+        slow_start_speed: 0.28,
+        slow_start_duration: 14 * S,
+        overload_factor: 2.5,
+        overload_window: 2 * S,
+        answer_grace: 8 * MS,
+        probe_cost: 0.003,
         ..Settings::default()
     }
 }
 
-fn engines(count: u32) -> Vec<Entry> {
-    let entry = |n: u32| Entry {
+fn engines(count: u32) -> Vec<Endpoint> {
+    let entry = |n: u32| Endpoint {
         server: ServerId(n.wrapping_mul(2_654_435_761)),
         zone: Some(ZoneId((n % 3) as usize)),
         kind: Some(KindId((n % 2) as usize)),
         cell: Some(CellId(u64::from(n / 5))),
         state: ServerState::Ready,
         weight: Some(1.0),
-        ready_at: None,
+        started_at: None,
     };
     (1..=count).map(entry).collect()
 }
@@ -78,7 +80,7 @@
             attempts: Default::default(),
             overload,
         };
-        day.event(Event::Members { kind: ListKind::Full, entries: engines(count).into() });
+        day.event(Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: engines(count).into() });
         day
     }
 
@@ -93,9 +95,10 @@
         let took = began.elapsed().as_nanos() as Nanos;
         for action in actions {
             match action {
-                Action::Timer { token, delay } => self.later(delay, Event::Timer(token)),
+                Action::SetTimer { token, delay } => self.later(delay, Event::TimerFired(token)),
                 Action::Probe(server) => {
-                    let probed = Event::Probed { server, status: Status::Ok, latency: MS, report: None };
+                    let probed =
+                        Event::ProbeFinished { server, status: AttemptStatus::Ok, latency: MS, report: None };
                     self.later(MS, probed);
                 }
                 Action::Send { id, server, .. } => self.answer(id, server),
@@ -107,27 +110,28 @@
 
     fn answer(&mut self, id: RequestId, server: ServerId) {
         let no = self.attempts.entry(id.0).or_default();
-        let attempt = AttemptNo(*no);
+        let attempt = AttemptNumber(*no);
         *no += 1;
         let outcome = |status, latency| {
-            Event::Outcome(Outcome {
+            Event::AttemptFinished(AttemptOutcome {
                 id,
                 attempt,
                 server,
                 status,
                 latency,
-                closed: status == Status::Ok,
-                note: 0,
+                request_finished: status == AttemptStatus::Ok,
+                cached_prompt_tokens: 0,
+                kv_cache_missing: false,
                 report: None,
             })
         };
         if attempt.0 == 0 {
-            self.later(30 * MS, outcome(Status::Read, 30 * MS));
+            self.later(30 * MS, outcome(AttemptStatus::Prefilled, 30 * MS));
         } else {
-            self.later(20 * MS, Event::First { id, attempt, server, latency: 20 * MS });
+            self.later(20 * MS, Event::FirstToken { id, attempt, server, latency: 20 * MS });
             // In overload the answers last longer than the day: what is held stays held.
             let length = if self.overload { 3000 * S } else { 2 * S };
-            self.later(length, outcome(Status::Ok, length));
+            self.later(length, outcome(AttemptStatus::Ok, length));
         }
     }
 
@@ -151,17 +155,17 @@
             id: RequestId(self.id),
             class,
             tenant: Some(TenantId((mixed >> 56) as usize % 3)),
-            session: Some(Key(mixed % 5000)),
-            prefix: (!mixed.is_multiple_of(4)).then_some(Key(mixed % 50)),
-            prompt_len: 500.0 + (mixed >> 40) as f64 % 2000.0,
-            prefix_len: 300.0,
-            max_out: 400.0,
-            hint: Some(3 * S + (mixed >> 33) % S),
-            give_up_at: self.now + 60 * S,
-            retry: false,
-            again: false,
+            session: Some(AffinityKey(mixed % 5000)),
+            prefix: (!mixed.is_multiple_of(4)).then_some(AffinityKey(mixed % 50)),
+            prompt_tokens: 500.0 + (mixed >> 40) as f64 % 2000.0,
+            prefix_tokens: 300.0,
+            max_output_tokens: 400.0,
+            expected_duration: Some(3 * S + (mixed >> 33) % S),
+            deadline_at: self.now + 60 * S,
+            client_retry: false,
+            client_reconnect: false,
         };
-        self.event(Event::Request(request))
+        self.event(Event::RequestArrived(request))
     }
 }
 
--- a/crates/gaparch-audit/src/held.rs
+++ b/crates/gaparch-audit/src/held.rs
@@ -190,7 +190,7 @@
     }
 
     fn change(&mut self, entry: &ListEntry) {
-        let gone = entry.state == ServerState::Gone;
+        let gone = entry.state == ServerState::Removed;
         let before = match gone {
             true => self.entries.remove(&entry.engine),
             false => self.entries.insert(entry.engine.clone(), entry.clone()),
--- a/crates/gaparch-audit/tests/fleet.rs
+++ b/crates/gaparch-audit/tests/fleet.rs
@@ -361,7 +361,7 @@
     let version = ListVersion { rank: 1, epoch: 7, version: 3 };
     let mut list = HeldList { version, digest: digest(&entries), entries };
     let mut held = Held::default();
-    list.entries[1].state = ServerState::Gone;
+    list.entries[1].state = ServerState::Removed;
     assert!(matches!(held.from_peer(&list), Taken::Refused(_)));
     list.entries[1].state = ServerState::Ready;
     assert!(matches!(held.from_peer(&list), Taken::New { .. }));
--- a/crates/gaparch-cli/src/commands/list.rs
+++ b/crates/gaparch-cli/src/commands/list.rs
@@ -63,7 +63,7 @@
         [] => {}
         ["ready", engine] => set(engine, ServerState::Ready),
         ["drain", engine] => set(engine, ServerState::Draining),
-        ["gone", engine] => set(engine, ServerState::Gone),
+        ["gone", engine] => set(engine, ServerState::Removed),
         ["silent", on] => list.silent(on == "on"),
         ["failing", on] => list.failing(on == "on"),
         _ => eprintln!("gaparch: ready|drain|gone ENGINE, or silent|failing on|off"),
--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -7,8 +7,8 @@
 use crate::units::Span;
 use gaparch_protocol::client::Dialect;
 use gaparch_scheduler::api::{
-    CellId, Class, ClassId, Effect, Group, Key, KindId, Nanos, Role, ServerId, ServerState, Settings, Tenant,
-    TenantId, ZoneId,
+    AffinityKey, CellId, ClassId, DeduplicationScope, Idempotency, KindId, Nanos, Role, ServerId, ServerKind,
+    ServerState, Settings, Tenant, TenantId, TrafficClass, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 /// The number by which every router knows an engine of this name.
 pub fn server_id(name: &str) -> ServerId {
-    let digest = Key::of(name).0;
+    let digest = AffinityKey::from_text(name).0;
     ServerId((digest ^ (digest >> 32)) as u32)
 }
 
@@ -157,7 +157,7 @@
 
     /// The number of a rack: the same on every router, whatever it lists.
     pub fn cell(&self, zone: &str, rack: &str) -> Option<CellId> {
-        (!rack.is_empty()).then(|| CellId(Key::of(&format!("{zone}/{rack}")).0))
+        (!rack.is_empty()).then(|| CellId(AffinityKey::from_text(&format!("{zone}/{rack}")).0))
     }
 }
 
@@ -273,72 +273,74 @@
     let (attempts, rules) = (&raw.attempts, &raw.rules);
     Settings {
         seed: raw.router.seed,
-        me: raw.router.number as u32,
-        routers: raw.router.routers,
+        router_index: raw.router.number as u32,
+        router_count: raw.router.routers,
         zone: raw.router.zone.as_deref().and_then(|z| names.zone(z)),
         classes: raw.classes.class.iter().map(class).collect(),
         tenants: raw.tenants.iter().flat_map(|t| &t.tenant).map(tenant).collect(),
-        over_share_worth: raw.tenants.as_ref().map_or(1.0, |t| t.over_share_worth),
-        roles: raw.kinds.kind.iter().map(|k| role(k.role)).collect(),
-        memory: raw.kinds.kind.iter().map(|k| f64::from(k.memory_tokens)).collect(),
-        neither: Vec::new(),
-        self_prefill: attempts.self_prefill,
-        ahead: true,
-        resume: false,
-        release_within: rules.release_within.0,
-        ask: raw.list.as_ref().is_some_and(|l| l.mode == raw::Mode::Ask),
-        ask_within: raw.list.as_ref().map_or(0, |l| l.ask_within.0),
-        cancel: attempts.cancel,
-        probes: attempts.probes,
-        peers: false,
-        second_copies: false,
-        retry_after: attempts.retry_after,
+        over_quota_priority_weight: raw.tenants.as_ref().map_or(1.0, |t| t.over_share_worth),
+        kinds: raw.kinds.kind.iter().map(server_kind).collect(),
+        decode_workers_can_prefill: attempts.self_prefill,
+        can_reserve: true,
+        can_resume: false,
+        kv_release_within: rules.release_within.0,
+        poll_endpoints: raw.list.as_ref().is_some_and(|l| l.mode == raw::Mode::Ask),
+        endpoint_poll_interval: raw.list.as_ref().map_or(0, |l| l.ask_within.0),
+        can_cancel: attempts.cancel,
+        can_probe: attempts.probes,
+        can_gossip: false,
+        can_hedge: false,
+        can_send_retry_after: attempts.retry_after,
         max_retry_after: attempts.max_retry_after.0,
         max_attempts: attempts.most,
         connect_timeout: attempts.connect_timeout.0,
         drain_grace: rules.drain_grace.0,
-        cold_from: rules.cold_from,
-        cold: rules.cold.0,
-        fall_multiple: rules.fall_multiple,
-        fall: rules.fall.0,
-        answer_slack: rules.answer_slack.0,
-        tick: 0,
-        probe_price: attempts.probe_price,
-        peer_price: 0.0,
+        slow_start_speed: rules.cold_from,
+        slow_start_duration: rules.cold.0,
+        overload_factor: rules.fall_multiple,
+        overload_window: rules.fall.0,
+        answer_grace: rules.answer_slack.0,
+        step: 0,
+        probe_cost: attempts.probe_price,
+        gossip_cost: 0.0,
     }
 }
 
-fn class(raw: &raw::Class) -> Class {
-    Class {
-        effect: match raw.effect {
-            raw::Effect::Safe => Effect::Safe,
-            raw::Effect::Keyed => Effect::Keyed,
-            raw::Effect::Unsafe => Effect::Unsafe,
+fn class(raw: &raw::Class) -> TrafficClass {
+    TrafficClass {
+        idempotency: match raw.effect {
+            raw::Effect::Safe => Idempotency::Idempotent,
+            raw::Effect::Keyed => Idempotency::WithKey,
+            raw::Effect::Unsafe => Idempotency::NotIdempotent,
         },
-        group: match raw.group {
-            raw::Group::All => Group::All,
-            raw::Group::Zone => Group::Zone,
-            raw::Group::Rack => Group::Cell,
+        deduplication_scope: match raw.group {
+            raw::Group::All => DeduplicationScope::All,
+            raw::Group::Zone => DeduplicationScope::Zone,
+            raw::Group::Rack => DeduplicationScope::Cell,
         },
-        window: raw.window.0,
-        aim: raw.aim.0,
-        aim_per_token: raw.aim_per_1000_tokens.0 as f64 / 1000.0,
+        deduplication_window: raw.window.0,
+        latency_objective: raw.aim.0,
+        latency_objective_per_prompt_token: raw.aim_per_1000_tokens.0 as f64 / 1000.0,
         deadline: raw.deadline.0,
-        token_aim: raw.token_aim.0,
-        worth: raw.worth,
-        late_worth: raw.late_worth,
+        token_latency_objective: raw.token_aim.0,
+        priority_weight: raw.worth,
+        late_priority_weight: raw.late_worth,
         streamed: true,
     }
 }
 
 fn tenant(raw: &raw::Tenant) -> Tenant {
-    Tenant { share: raw.share, quota_per_s: raw.requests_per_second }
+    Tenant { quota_share: raw.share, quota_per_second: raw.requests_per_second }
+}
+
+fn server_kind(kind: &raw::Kind) -> ServerKind {
+    ServerKind { role: Some(role(kind.role)), kv_capacity_tokens: f64::from(kind.memory_tokens) }
 }
 
 fn role(raw: raw::Role) -> Role {
     match raw {
-        raw::Role::Read => Role::Read,
-        raw::Role::Write => Role::Write,
-        raw::Role::Both => Role::Both,
+        raw::Role::Read => Role::Prefill,
+        raw::Role::Write => Role::Decode,
+        raw::Role::Both => Role::Mixed,
     }
 }
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use gaparch_config::schema::{self, Schema};
 use gaparch_config::{server_id, Config, EXAMPLE};
-use gaparch_scheduler::api::{Effect, Group, ServerState};
+use gaparch_scheduler::api::{DeduplicationScope, Idempotency, ServerState};
 
 fn problems(text: &str) -> Vec<String> {
     Config::parse(text).err().unwrap_or_default().iter().map(ToString::to_string).collect()
@@ -20,10 +20,10 @@
     assert_eq!(config.router, "north-1");
     assert_eq!(config.listeners.len(), 3);
     assert_eq!(config.listeners[2].dialect.name(), "house");
-    assert_eq!(config.module.classes[1].effect, Effect::Keyed);
-    assert_eq!(config.module.classes[1].group, Group::Cell);
-    assert_eq!(config.module.classes[0].aim_per_token, 60_000.0);
-    assert_eq!(config.module.release_within, 500_000_000);
+    assert_eq!(config.module.classes[1].idempotency, Idempotency::WithKey);
+    assert_eq!(config.module.classes[1].deduplication_scope, DeduplicationScope::Cell);
+    assert_eq!(config.module.classes[0].latency_objective_per_prompt_token, 60_000.0);
+    assert_eq!(config.module.kv_release_within, 500_000_000);
     assert_eq!(config.engines[3].state, ServerState::Ready);
     assert_eq!(config.keys.len(), 2);
     assert_ne!(server_id("read-1"), server_id("read-2"));
--- a/crates/gaparch-engine/src/model/mod.rs
+++ b/crates/gaparch-engine/src/model/mod.rs
@@ -16,7 +16,7 @@
 use gaparch_protocol::engine::{
     AttemptKey, EngineFacts, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey, VERSION,
 };
-use gaparch_scheduler::api::{Nanos, Report, Role, Status};
+use gaparch_scheduler::api::{AttemptStatus, LoadReport, Nanos, Role};
 use kept::KeptTexts;
 use std::collections::{BTreeMap, VecDeque};
 use work::{answer_length, answer_word, prompt_tokens, Work, WorkKind};
@@ -136,7 +136,7 @@
     step_at: Option<Nanos>,
     cold: Cold,
     troubles: Troubles,
-    reports: VecDeque<(Nanos, Report)>,
+    reports: VecDeque<(Nanos, LoadReport)>,
     next: u64,
 }
 
@@ -306,27 +306,27 @@
         self.troubles.errors_due += self.troubles.errors;
         if self.troubles.errors_due >= 1.0 {
             self.troubles.errors_due -= 1.0;
-            return self.end(conn, key, Status::Error, 0, 0, out);
+            return self.end(conn, key, AttemptStatus::Error, 0, 0, out);
         }
         let class = self.troubles.full_to_class == Some(job.class);
         let tenant = job.tenant.is_some() && self.troubles.full_to_tenant == job.tenant;
         let wrong_role = match self.spec.role {
-            Role::Read => !read,
-            Role::Write => read,
-            Role::Both => false,
+            Role::Prefill => !read,
+            Role::Decode => read,
+            Role::Mixed => false,
         };
         let draining = self.troubles.draining_until.is_some();
         if self.troubles.silent_to_class == Some(job.class) {
             return;
         }
         if class || tenant || wrong_role || draining || self.queue.len() >= self.spec.queue {
-            return self.end(conn, key, Status::Full, 0, 0, out);
+            return self.end(conn, key, AttemptStatus::Rejected, 0, 0, out);
         }
         let place = StateKey { router: run, request: key.request };
         let no_state = matches!(kind, WorkKind::Write { state: None }) && !self.places.contains_key(&place);
-        let reads_itself = self.spec.role == Role::Both || self.spec.self_prefill;
+        let reads_itself = self.spec.role == Role::Mixed || self.spec.self_prefill;
         if !read && no_state && !reads_itself {
-            return self.end(conn, key, Status::Full, 1, 0, out);
+            return self.end(conn, key, AttemptStatus::Rejected, 1, 0, out);
         }
         let work = Work::new(conn, run, job, kind, tokens, length, now, self.number());
         self.queue.push_back(work);
@@ -343,7 +343,7 @@
         } else {
             return;
         }
-        self.end(conn, key, Status::Cancelled, 0, 0, out);
+        self.end(conn, key, AttemptStatus::Cancelled, 0, 0, out);
         self.admit(now, out);
     }
 
@@ -352,7 +352,7 @@
         let tokens = prompt_tokens(job);
         let fits = self.held + u64::from(tokens) <= self.spec.memory;
         let free = self.queue.is_empty() && self.active.len() + self.places.len() < self.spec.slots;
-        let held = fits && free && self.spec.role != Role::Read && !self.places.contains_key(&state);
+        let held = fits && free && self.spec.role != Role::Prefill && !self.places.contains_key(&state);
         if held {
             self.held += u64::from(tokens);
             let fetch = FetchId(self.number());
@@ -409,7 +409,7 @@
                 let work = self.active.remove(at);
                 self.held -= work.memory;
                 if let Some(key) = work.key() {
-                    self.end(work.conn, key, Status::Full, 1, 0, out);
+                    self.end(work.conn, key, AttemptStatus::Rejected, 1, 0, out);
                 }
                 self.admit(now, out);
             }
@@ -539,7 +539,7 @@
         }
         if self.states.len() >= MOST_STATES {
             self.held -= work.memory;
-            self.end(work.conn, job.key, Status::Full, 0, 0, out);
+            self.end(work.conn, job.key, AttemptStatus::Rejected, 0, 0, out);
             return true;
         }
         // Read again by the same router: the older state goes.
@@ -588,7 +588,7 @@
             self.held -= work.memory;
             let frame = EngineFrame::Outcome {
                 key,
-                status: Status::Ok,
+                status: AttemptStatus::Ok,
                 note: u64::from(kept),
                 produced,
                 report: self.report(now),
@@ -683,7 +683,7 @@
         while let Some(at) = self.queue.iter().position(|w| w.until.is_some_and(|until| until <= now)) {
             let Some(work) = self.queue.remove(at) else { return };
             if let Some(key) = work.key() {
-                self.end(work.conn, key, Status::Timeout, 0, work.produced, out);
+                self.end(work.conn, key, AttemptStatus::Timeout, 0, work.produced, out);
             }
         }
     }
@@ -702,7 +702,7 @@
         &self,
         conn: ConnId,
         key: AttemptKey,
-        status: Status,
+        status: AttemptStatus,
         note: u64,
         produced: u32,
         out: &mut Vec<Output>,
@@ -742,19 +742,19 @@
     }
 
     /// The load report: made anew now and then, and told late while that trouble lasts.
-    fn report(&mut self, now: Nanos) -> Option<Report> {
+    fn report(&mut self, now: Nanos) -> Option<LoadReport> {
         let last = self.reports.back().map(|(at, _)| *at);
         if last.is_none_or(|at| now >= at + self.spec.report_every) {
             let waiting = self.queue.iter().filter(|w| w.job.is_some());
             let unread: f64 = self.active.iter().map(|w| w.unread).sum::<f64>()
                 + waiting.clone().map(|w| f64::from(w.tokens)).sum::<f64>();
             let queue = waiting.count() as f64;
-            let report = Report {
-                inflight: Some(self.active.len() as f64 + queue + self.states.len() as f64),
-                queue: Some(queue),
-                util: Some(self.active.len() as f64 / self.spec.slots.max(1) as f64),
-                memory: Some(self.held as f64 / self.spec.memory.max(1) as f64),
-                unread_k: Some(unread / 1000.0),
+            let report = LoadReport {
+                in_flight: Some(self.active.len() as f64 + queue + self.states.len() as f64),
+                queued: Some(queue),
+                slot_utilization: Some(self.active.len() as f64 / self.spec.slots.max(1) as f64),
+                memory_utilization: Some(self.held as f64 / self.spec.memory.max(1) as f64),
+                pending_prefill_kilotokens: Some(unread / 1000.0),
             };
             self.reports.push_back((now, report));
         }
--- a/crates/gaparch-engine/src/spec.rs
+++ b/crates/gaparch-engine/src/spec.rs
@@ -44,7 +44,7 @@
     pub fn reader(name: &str, zone: &str, rack: &str) -> EngineSpec {
         EngineSpec {
             name: name.to_owned(),
-            role: Role::Read,
+            role: Role::Prefill,
             zone: zone.to_owned(),
             rack: rack.to_owned(),
             memory: 200_000,
@@ -68,7 +68,7 @@
     /// A small writer.
     pub fn writer(name: &str, zone: &str, rack: &str) -> EngineSpec {
         EngineSpec {
-            role: Role::Write,
+            role: Role::Decode,
             memory: 130_000,
             slots: 64,
             queue: 16,
@@ -81,7 +81,7 @@
 
     /// An engine that does both.
     pub fn mixed(name: &str, zone: &str, rack: &str) -> EngineSpec {
-        EngineSpec { role: Role::Both, read_rate: 12_000.0, ..EngineSpec::writer(name, zone, rack) }
+        EngineSpec { role: Role::Mixed, read_rate: 12_000.0, ..EngineSpec::writer(name, zone, rack) }
     }
 
     /// What it says of itself; `started_at` in nanoseconds since the Unix epoch.
--- a/crates/gaparch-engine/tests/model.rs
+++ b/crates/gaparch-engine/tests/model.rs
@@ -6,7 +6,7 @@
 use gaparch_protocol::engine::{
     AttemptKey, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey, VERSION,
 };
-use gaparch_scheduler::api::{Nanos, Role, Status};
+use gaparch_scheduler::api::{AttemptStatus, Nanos, Role};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
@@ -77,7 +77,7 @@
     EngineFrame::Write { job, state: Some(at_reader()) }
 }
 
-fn outcomes(out: &[Output]) -> Vec<(u64, Status, u64)> {
+fn outcomes(out: &[Output]) -> Vec<(u64, AttemptStatus, u64)> {
     let outcome = |o: &Output| match o {
         Output::Send { frame: EngineFrame::Outcome { key, status, note, .. }, .. } => {
             Some((key.request, *status, *note))
@@ -142,7 +142,7 @@
     bench.input(Input::Fetched { fetch, tokens: Some(1000) });
     let out = plain(bench.pass(S));
     assert_eq!(tokens(&out), 20);
-    assert_eq!(outcomes(&out), vec![(1, Status::Ok, 0)]);
+    assert_eq!(outcomes(&out), vec![(1, AttemptStatus::Ok, 0)]);
     assert_eq!(bench.model.held(), 0);
 }
 
@@ -150,10 +150,10 @@
 fn a_write_without_a_state_to_fetch_is_full_with_note_one() {
     let mut bench = Bench::new(EngineSpec::writer("w", "z", "r"));
     let out = bench.frame(EngineFrame::Write { job: job(1, 1000, 20), state: None });
-    assert_eq!(outcomes(&out), vec![(1, Status::Full, 1)]);
+    assert_eq!(outcomes(&out), vec![(1, AttemptStatus::Rejected, 1)]);
     let fetch = fetches(&bench.frame(write(job(2, 1000, 20))))[0];
     let out = bench.input(Input::Fetched { fetch, tokens: None });
-    assert_eq!(outcomes(&out), vec![(2, Status::Full, 1)]);
+    assert_eq!(outcomes(&out), vec![(2, AttemptStatus::Rejected, 1)]);
     assert_eq!(bench.model.held(), 0);
 }
 
@@ -164,7 +164,7 @@
     let out: Vec<Output> = (0..9).flat_map(|i| bench.frame(write(job(i, 100, 500)))).collect();
     let full: Vec<u64> = outcomes(&out).iter().map(|o| o.0).collect();
     assert_eq!(full, vec![5, 6, 7, 8]);
-    assert!(outcomes(&out).iter().all(|o| (o.1, o.2) == (Status::Full, 0)));
+    assert!(outcomes(&out).iter().all(|o| (o.1, o.2) == (AttemptStatus::Rejected, 0)));
 }
 
 #[test]
@@ -175,7 +175,7 @@
     bench.input(Input::Fetched { fetch, tokens: Some(100) });
     bench.frame(write(job(2, 100, 500)));
     let out = plain(bench.pass(30 * S));
-    assert!(outcomes(&out).contains(&(2, Status::Timeout, 0)));
+    assert!(outcomes(&out).contains(&(2, AttemptStatus::Timeout, 0)));
 }
 
 #[test]
@@ -217,10 +217,13 @@
     let mut bench = Bench::new(EngineSpec::reader("e", "z", "r"));
     bench.input(Input::Fault(Fault::Errors(0.5)));
     let out: Vec<Output> = (0..4).flat_map(|i| bench.frame(EngineFrame::Read(job(i, 100, 10)))).collect();
-    assert_eq!(outcomes(&out).iter().filter(|o| o.1 == Status::Error).count(), 2);
+    assert_eq!(outcomes(&out).iter().filter(|o| o.1 == AttemptStatus::Error).count(), 2);
     bench.input(Input::Fault(Fault::Errors(0.0)));
     bench.input(Input::Fault(Fault::FullToTenant(Some(3))));
-    assert_eq!(outcomes(&bench.frame(EngineFrame::Read(job(7, 100, 10)))), vec![(7, Status::Full, 0)]);
+    assert_eq!(
+        outcomes(&bench.frame(EngineFrame::Read(job(7, 100, 10)))),
+        vec![(7, AttemptStatus::Rejected, 0)]
+    );
     bench.input(Input::Fault(Fault::FullToTenant(None)));
     bench.input(Input::Fault(Fault::SilentToClass(Some(0))));
     bench.frame(EngineFrame::Read(job(8, 100, 10)));
@@ -236,7 +239,10 @@
     let read: Vec<u64> = plain(bench.pass(5 * S)).iter().filter_map(done).collect();
     assert!(read.contains(&9) && !read.contains(&8), "{read:?}");
     bench.input(Input::Fault(Fault::Drain(S)));
-    assert_eq!(outcomes(&bench.frame(EngineFrame::Read(job(10, 100, 10)))), vec![(10, Status::Full, 0)]);
+    assert_eq!(
+        outcomes(&bench.frame(EngineFrame::Read(job(10, 100, 10)))),
+        vec![(10, AttemptStatus::Rejected, 0)]
+    );
     let out = plain(bench.pass(2 * S));
     assert!(out.contains(&Output::Die) && !bench.model.alive());
 }
@@ -279,7 +285,7 @@
 #[test]
 fn a_router_that_closes_leaves_nothing_behind() {
     let mut bench = Bench::new(EngineSpec::mixed("m", "z", "r"));
-    assert_eq!(bench.model.spec().role, Role::Both);
+    assert_eq!(bench.model.spec().role, Role::Mixed);
     for request in 0..5 {
         bench.frame(EngineFrame::Write { job: job(request, 1000, 500), state: None });
         bench.frame(EngineFrame::Read(job(10 + request, 1000, 500)));
--- a/crates/gaparch-platform-protocol/src/ask.rs
+++ b/crates/gaparch-platform-protocol/src/ask.rs
@@ -2,7 +2,7 @@
 
 use crate::head::{One, RequestHead};
 use gaparch_platform_settings::Site;
-use gaparch_scheduler::api::{ClassId, Key, Nanos, TenantId};
+use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, TenantId};
 use thiserror::Error;
 
 /// Where clients ask.
@@ -68,8 +68,8 @@
     pub txn: Txn,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
-    pub session: Option<Key>,
-    pub prefix: Option<Key>,
+    pub session: Option<AffinityKey>,
+    pub prefix: Option<AffinityKey>,
     /// Tokens; 0: not told.
     pub prompt_len: u32,
     pub prefix_len: u32,
@@ -119,7 +119,7 @@
             tenant: optional("x-org")?
                 .and_then(|org| site.tenants.iter().position(|t| t == org))
                 .map(TenantId),
-            session: optional("x-entity")?.map(Key::of),
+            session: optional("x-entity")?.map(AffinityKey::from_text),
             prefix: None,
             prompt_len: 0,
             prefix_len: 0,
@@ -137,7 +137,7 @@
         let tokens = |value: &str| value.parse::<u32>().ok().filter(|n| *n <= MOST_TOKENS).unwrap_or(0);
         for (name, value) in labels.split(',').filter_map(|label| label.trim().split_once('=')) {
             match name {
-                "prefix" if !value.is_empty() => self.prefix = Some(Key::of(value)),
+                "prefix" if !value.is_empty() => self.prefix = Some(AffinityKey::from_text(value)),
                 "prompt_len" => self.prompt_len = tokens(value),
                 "prefix_len" => self.prefix_len = tokens(value),
                 "max_out" => self.max_out = tokens(value),
--- a/crates/gaparch-platform-protocol/src/catalogue/mod.rs
+++ b/crates/gaparch-platform-protocol/src/catalogue/mod.rs
@@ -146,7 +146,7 @@
             },
             state: match self.lifecycle.as_str() {
                 "ready" => ServerState::Ready,
-                "gone" => ServerState::Gone,
+                "gone" => ServerState::Removed,
                 // A word that is not known is no invitation.
                 _ => ServerState::Draining,
             },
--- a/crates/gaparch-platform-protocol/src/worker.rs
+++ b/crates/gaparch-platform-protocol/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::ask::Txn;
 use crate::head::AnswerHead;
 use bytes::Bytes;
-use gaparch_scheduler::api::Status;
+use gaparch_scheduler::api::AttemptStatus;
 
 /// Interim answers (1xx) that may come ahead of one.
 pub const MOST_INTERIM: usize = 8;
@@ -44,7 +44,7 @@
     /// Events follow.
     Stream,
     /// It has ended so, with this note.
-    Ended(Status, u64),
+    Ended(AttemptStatus, u64),
 }
 
 /// The answer to a read or to a write.
@@ -54,20 +54,20 @@
         202 if reads => Meaning::Read,
         200 if !reads => Meaning::Stream,
         // The state to be written from is gone.
-        410 if turned_away => Meaning::Ended(Status::Full, 1),
-        503 | 504 if turned_away => Meaning::Ended(Status::Full, 0),
-        500 => Meaning::Ended(Status::Error, 0),
+        410 if turned_away => Meaning::Ended(AttemptStatus::Rejected, 1),
+        503 | 504 if turned_away => Meaning::Ended(AttemptStatus::Rejected, 0),
+        500 => Meaning::Ended(AttemptStatus::Error, 0),
         // Whatever else it says, the request may have run.
-        _ => Meaning::Ended(Status::Unknown, 0),
+        _ => Meaning::Ended(AttemptStatus::Unknown, 0),
     }
 }
 
 /// The answer to a probe.
-pub fn probe_meaning(status: u16) -> Status {
+pub fn probe_meaning(status: u16) -> AttemptStatus {
     match status {
-        200 => Status::Ok,
-        503 => Status::Full,
-        _ => Status::Unknown,
+        200 => AttemptStatus::Ok,
+        503 => AttemptStatus::Rejected,
+        _ => AttemptStatus::Unknown,
     }
 }
 
--- a/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -123,7 +123,7 @@
 
 mod requests_of_clients {
     use super::*;
-    use gaparch_scheduler::api::{ClassId, Key, TenantId};
+    use gaparch_scheduler::api::{AffinityKey, ClassId, TenantId};
     use serde_json::json;
 
     fn read(headers: &str) -> Result<Ask, AskError> {
@@ -140,8 +140,8 @@
             txn: Txn::new("t-1").expect("an id"),
             class: ClassId(1),
             tenant: Some(TenantId(1)),
-            session: Some(Key::of("conversation")),
-            prefix: Some(Key::of("shared")),
+            session: Some(AffinityKey::from_text("conversation")),
+            prefix: Some(AffinityKey::from_text("shared")),
             prompt_len: 900,
             prefix_len: 300,
             max_out: 64,
--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -2,12 +2,12 @@
 //! read them.
 
 use bytes::BytesMut;
-use gaparch_scheduler::api::{ServerState, Status};
 use gaparch_platform_protocol::catalogue::{list_call, watch_call, ListLimits, Members};
 use gaparch_platform_protocol::config::{ConfigError, NodeConfig, Peers};
 use gaparch_platform_protocol::head::{take_answer, AnswerHead};
 use gaparch_platform_protocol::worker::{kept, meaning, probe_meaning, reserved, Meaning};
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::{AttemptStatus, ServerState};
 
 const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 100 };
 
@@ -22,24 +22,27 @@
     const PREFILL: bool = true;
     const DECODE: bool = false;
     assert_eq!(meaning(&head(202, false), PREFILL), Meaning::Read);
-    assert_eq!(meaning(&head(202, false), DECODE), Meaning::Ended(Status::Unknown, 0));
+    assert_eq!(meaning(&head(202, false), DECODE), Meaning::Ended(AttemptStatus::Unknown, 0));
     assert_eq!(meaning(&head(200, false), DECODE), Meaning::Stream);
-    assert_eq!(meaning(&head(200, false), PREFILL), Meaning::Ended(Status::Unknown, 0));
+    assert_eq!(meaning(&head(200, false), PREFILL), Meaning::Ended(AttemptStatus::Unknown, 0));
     for prefills in [PREFILL, DECODE] {
-        assert_eq!(meaning(&head(410, true), prefills), Meaning::Ended(Status::Full, 1));
-        assert_eq!(meaning(&head(410, false), prefills), Meaning::Ended(Status::Unknown, 0));
-        assert_eq!(meaning(&head(503, true), prefills), Meaning::Ended(Status::Full, 0));
-        assert_eq!(meaning(&head(504, true), prefills), Meaning::Ended(Status::Full, 0));
-        assert_eq!(meaning(&head(503, false), prefills), Meaning::Ended(Status::Unknown, 0));
-        assert_eq!(meaning(&head(500, true), prefills), Meaning::Ended(Status::Error, 0));
-        assert_eq!(meaning(&head(500, false), prefills), Meaning::Ended(Status::Error, 0));
+        assert_eq!(meaning(&head(410, true), prefills), Meaning::Ended(AttemptStatus::Rejected, 1));
+        assert_eq!(meaning(&head(410, false), prefills), Meaning::Ended(AttemptStatus::Unknown, 0));
+        assert_eq!(meaning(&head(503, true), prefills), Meaning::Ended(AttemptStatus::Rejected, 0));
+        assert_eq!(meaning(&head(504, true), prefills), Meaning::Ended(AttemptStatus::Rejected, 0));
+        assert_eq!(meaning(&head(503, false), prefills), Meaning::Ended(AttemptStatus::Unknown, 0));
+        assert_eq!(meaning(&head(500, true), prefills), Meaning::Ended(AttemptStatus::Error, 0));
+        assert_eq!(meaning(&head(500, false), prefills), Meaning::Ended(AttemptStatus::Error, 0));
     }
 }
 
 #[test]
 fn answers_of_workers_to_calls() {
     let probes = [200, 503, 404, 500].map(probe_meaning);
-    assert_eq!(probes, [Status::Ok, Status::Full, Status::Unknown, Status::Unknown]);
+    assert_eq!(
+        probes,
+        [AttemptStatus::Ok, AttemptStatus::Rejected, AttemptStatus::Unknown, AttemptStatus::Unknown]
+    );
     assert_eq!([200, 204, 503].map(reserved), [Some(true), None, Some(false)]);
     assert_eq!(kept(br#"{"cached_tokens":37.9,"x":1}"#), 37);
     assert_eq!([kept(b"{}"), kept(b"noise"), kept(br#"{"cached_tokens":-1}"#)], [0; 3]);
@@ -85,7 +88,7 @@
     };
     let named_rack = ListEntry { rack: "rack-b".to_owned(), ..entry("w-2", ServerState::Draining) };
     let entries =
-        vec![complete, named_rack, entry("w-3", ServerState::Gone), entry("w-4", ServerState::Draining)];
+        vec![complete, named_rack, entry("w-3", ServerState::Removed), entry("w-4", ServerState::Draining)];
     let expected = Members { generation: 42, scope: Scope::Full, entries, dropped: 1 };
     assert_eq!(Members::read(json, LIMITS).expect("a list"), expected);
 
--- a/crates/gaparch-platform-router/src/owner.rs
+++ b/crates/gaparch-platform-router/src/owner.rs
@@ -12,7 +12,7 @@
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job as EngineJob, RouterRun};
 use gaparch_protocol::ops::ending::WaitedFor;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
-use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::connecting::Carries;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 
 /// The last attempt's task.
 struct Exchange {
-    no: AttemptNo,
+    no: AttemptNumber,
     task: JoinHandle<()>,
     written: watch::Receiver<bool>,
 }
@@ -107,7 +107,7 @@
         wanted: watch::Sender<Wanted>,
     ) -> Owner {
         let now = shared.clock.now();
-        let ask = config.module.ask;
+        let ask = config.module.poll_endpoints;
         let probe_within = Duration::from_nanos(config.attempts.probe_timeout);
         let mut out = Vec::new();
         let mut core = Core::new(config, Book::default(), RouterRun(now), now, &mut out);
@@ -187,7 +187,7 @@
     /// Names what is held for longer than the settings allow: nobody is known to have fetched it.
     fn log_held_too_long(&mut self) {
         let now = self.shared.clock.now();
-        let most = self.shared.config.site.settings.release_within;
+        let most = self.shared.config.site.settings.kv_release_within;
         let (mut logged, mut oldest) = (Vec::new(), self.held_logged_to);
         for state in self.core.held_states() {
             let overdue = now.saturating_sub(state.since) > most && state.since > self.held_logged_to;
@@ -337,7 +337,7 @@
                 let Some(open) = self.open.get(&id) else { return };
                 let written = open.exchange.as_ref().map(|e| e.written.clone());
                 let (Some(target), Some(written)) = (self.target(server), written) else { return };
-                let of = (id, AttemptNo(job.key.attempt), open.forward.txn.clone());
+                let of = (id, AttemptNumber(job.key.attempt), open.forward.txn.clone());
                 let (pool, shared) = (Arc::clone(&self.pool), Arc::clone(&self.shared));
                 self.calls.spawn(worker::reserve(of, target, written, pool, shared));
             }
@@ -353,7 +353,7 @@
                         self.calls.spawn(worker::probe(target, nonce, self.probe_within, pool, shared));
                     }
                     None => {
-                        let (at, status) = (shared.clock.now(), Status::ConnectFailed);
+                        let (at, status) = (shared.clock.now(), AttemptStatus::ConnectFailed);
                         shared.tell(Message::Probed { server, nonce, at, status });
                     }
                 }
@@ -364,12 +364,12 @@
     }
 
     fn send(&mut self, server: ServerId, ask: &EngineJob, reads: bool, carries: Carries) {
-        let (id, no) = (RequestId(ask.key.request), AttemptNo(ask.key.attempt));
+        let (id, no) = (RequestId(ask.key.request), AttemptNumber(ask.key.attempt));
         let target = self.target(server);
         let waited = self.shared.clock.now().saturating_sub(self.core.asked_at(id));
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(target) = target else {
-            let seen = Seen::Ended { status: Status::ConnectFailed, note: 0 };
+            let seen = Seen::Ended { status: AttemptStatus::ConnectFailed, note: 0 };
             let at = self.shared.clock.now();
             return self.shared.tell(Message::Worker { server, id, no, at, seen });
         };
@@ -385,7 +385,7 @@
             prefix = ask.prefix,
             session = ask.session,
             waited_us = waited / 1000,
-            after = self.core.last_status(id).map(Status::name),
+            after = self.core.last_status(id).map(AttemptStatus::name),
             "sent"
         );
         let (written, seen) = watch::channel(false);
--- a/crates/gaparch-platform-router/src/ready_workers_tests.rs
+++ b/crates/gaparch-platform-router/src/ready_workers_tests.rs
@@ -31,7 +31,7 @@
     assert_eq!((may("a"), may("b"), may("c"), may("d")), (true, true, false, false));
     ready.update(Scope::Delta, &[entry("a", ServerState::Draining), entry("d", ServerState::Ready)]);
     assert_eq!((may("a"), may("b"), may("d")), (false, true, true));
-    ready.update(Scope::Delta, &[entry("a", ServerState::Ready), entry("b", ServerState::Gone)]);
+    ready.update(Scope::Delta, &[entry("a", ServerState::Ready), entry("b", ServerState::Removed)]);
     assert_eq!((may("a"), may("b")), (true, false));
     // A whole list forgets what it does not name.
     ready.update(Scope::Full, &[entry("b", ServerState::Ready)]);
--- a/crates/gaparch-platform-router/src/run.rs
+++ b/crates/gaparch-platform-router/src/run.rs
@@ -99,7 +99,7 @@
     let config = load(&file)?;
     let no_listener = |address| move |source| NodeError::Listen { address, source };
     let listener = listen(config.listen).await.map_err(no_listener(config.listen))?;
-    let peer_socket = match config.peers.clone().filter(|_| config.site.settings.peers) {
+    let peer_socket = match config.peers.clone().filter(|_| config.site.settings.can_gossip) {
         Some(peers) => {
             let address = peers.listen;
             Some(PeerSocket::bind(peers).await.map_err(no_listener(address))?)
--- a/crates/gaparch-platform-router/src/settings.rs
+++ b/crates/gaparch-platform-router/src/settings.rs
@@ -27,7 +27,7 @@
 
 /// How long one worker gets to take a release.
 pub(crate) fn release_try(settings: &Settings) -> Duration {
-    match Duration::from_nanos(settings.release_within) {
+    match Duration::from_nanos(settings.kv_release_within) {
         Duration::ZERO => RELEASE_TRY,
         within => RELEASE_TRY.min(within.mul_f64(RELEASE_SHARE)),
     }
@@ -76,7 +76,7 @@
         let set = |connect, grace, release| Settings {
             connect_timeout: ms(connect),
             drain_grace: ms(grace),
-            release_within: ms(release),
+            kv_release_within: ms(release),
             ..Settings::default()
         };
         let within = |connect, grace| connect_within(&set(connect, grace, 0)).as_millis();
--- a/crates/gaparch-platform-router/src/shared.rs
+++ b/crates/gaparch-platform-router/src/shared.rs
@@ -6,7 +6,7 @@
 use gaparch_platform_protocol::ask::{Ask, Txn};
 use gaparch_platform_protocol::config::NodeConfig;
 use gaparch_router::core::ListUpdate;
-use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::permits::{Denial, Denials};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -67,7 +67,7 @@
         kept: u32,
     },
     Ended {
-        status: Status,
+        status: AttemptStatus,
         note: u64,
     },
     Reserved {
@@ -90,7 +90,7 @@
     Worker {
         server: ServerId,
         id: RequestId,
-        no: AttemptNo,
+        no: AttemptNumber,
         at: Nanos,
         seen: Seen,
     },
@@ -98,7 +98,7 @@
         server: ServerId,
         nonce: u64,
         at: Nanos,
-        status: Status,
+        status: AttemptStatus,
     },
     List(ListUpdate),
     ListDown,
--- a/crates/gaparch-platform-router/src/worker/calls.rs
+++ b/crates/gaparch-platform-router/src/worker/calls.rs
@@ -8,7 +8,7 @@
 use gaparch_platform_protocol::ask::Txn;
 use gaparch_platform_protocol::body::MOST_BODY;
 use gaparch_platform_protocol::worker::{probe_head, probe_meaning, release_head, reserve_head, reserved};
-use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, Status};
+use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId};
 use gaparch_scheduler::policy::connecting::Carries;
 use gaparch_scheduler::policy::releasing::{next_round_after, Rounds};
 use std::sync::Arc;
@@ -54,17 +54,17 @@
         match pool.fresh(target).await {
             Err(failure) => failure.status(),
             // One that closes on a probe could as well not have been reached.
-            Ok(conn) => call(conn, &head, &pool).await.map_or(Status::ConnectFailed, probe_meaning),
+            Ok(conn) => call(conn, &head, &pool).await.map_or(AttemptStatus::ConnectFailed, probe_meaning),
         }
     };
-    let status = timeout(within, asked).await.unwrap_or(Status::Timeout);
+    let status = timeout(within, asked).await.unwrap_or(AttemptStatus::Timeout);
     tracing::debug!(target: "gaparch_platform_router::wire", worker = target.server.0, ?status, "probe");
     shared.tell(Message::Probed { server: target.server, nonce, at: shared.clock.now(), status });
 }
 
 /// Asks a worker to hold a place, directly after the last byte of the read that is out.
 pub(crate) async fn reserve(
-    (id, no, txn): (RequestId, AttemptNo, Txn),
+    (id, no, txn): (RequestId, AttemptNumber, Txn),
     target: Target,
     mut read: watch::Receiver<bool>,
     pool: Arc<Pool>,
--- a/crates/gaparch-platform-router/src/worker/exchange.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange.rs
@@ -12,7 +12,7 @@
 use gaparch_platform_protocol::events::Events;
 use gaparch_platform_protocol::head::AnswerHead;
 use gaparch_platform_protocol::worker::{job_head, kept, meaning, Meaning};
-use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, Status};
+use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId};
 use gaparch_scheduler::policy::connecting::Carries;
 use gaparch_scheduler::policy::permits::{self, Denial, SendFacts};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 /// One attempt.
 pub(crate) struct Job {
     pub id: RequestId,
-    pub no: AttemptNo,
+    pub no: AttemptNumber,
     pub target: Target,
     pub reads: bool,
     /// Whether something is held for its request that it is to fetch.
@@ -61,7 +61,7 @@
     /// Given up meanwhile: its connection closes, and nobody has to hear of it.
     const UNWANTED: End = End { seen: None, conn: None };
 
-    fn broken(status: Status) -> End {
+    fn broken(status: AttemptStatus) -> End {
         End { seen: Some(Seen::Ended { status, note: 0 }), conn: None }
     }
 }
@@ -154,7 +154,7 @@
     let mut conn = match timeout(left, pool.get_for(job.target, job.carries)).await {
         Ok(Ok(conn)) => conn,
         Ok(Err(failure)) => return End::broken(failure.status()),
-        Err(_) => return End::broken(Status::Moot),
+        Err(_) => return End::broken(AttemptStatus::Expired),
     };
     // Until the poller has been asked once more, a close or a change of the list that has arrived is not known of.
     tokio::task::yield_now().await;
@@ -174,10 +174,10 @@
         // It ended after the last byte was written: it may have run.
         Err(NoAnswer::Ended) => {
             pool.broke(&conn);
-            return End::broken(Status::Reset);
+            return End::broken(AttemptStatus::Reset);
         }
         // Noise, or a head without end, in place of an answer: it has run.
-        Err(NoAnswer::Unreadable(_) | NoAnswer::Interim) => return End::broken(Status::Unknown),
+        Err(NoAnswer::Unreadable(_) | NoAnswer::Interim) => return End::broken(AttemptStatus::Unknown),
     };
     trace.first = shared.clock.now();
     pool.heard(job.target);
@@ -214,7 +214,7 @@
 
 /// Writes the request up to its last byte, before which it has not run. A worker that takes none of it must not get the
 /// rest when the time of a drain or of a repeat is over.
-async fn write(job: &Job, shared: &Shared, conn: &mut Conn) -> Result<(), Status> {
+async fn write(job: &Job, shared: &Shared, conn: &mut Conn) -> Result<(), AttemptStatus> {
     let Forward { target, txn, body, .. } = &*job.forward;
     let now = shared.clock.now();
     // What is left to the client now, not when the attempt was decided on.
@@ -225,8 +225,8 @@
     let within = job.write_within.min(Duration::from_nanos(job.write_by.saturating_sub(now)));
     match timeout(within, write_all(&conn.link.stream, &mut request)).await {
         Ok(Ok(())) => Ok(()),
-        _ if shared.clock.now() >= job.write_by => Err(Status::Moot),
-        _ => Err(Status::ConnectFailed),
+        _ if shared.clock.now() >= job.write_by => Err(AttemptStatus::Expired),
+        _ => Err(AttemptStatus::ConnectFailed),
     }
 }
 
@@ -248,7 +248,7 @@
     // not begun.
     let mut ready = BytesMut::new();
     // The worker is there and has run it: this is no broken connection, after which it would count as a new process.
-    let spoilt = || End::broken(Status::Unknown);
+    let spoilt = || End::broken(AttemptStatus::Unknown);
     loop {
         let part = match body.next(&mut conn.link.buf) {
             Ok(part) => part,
@@ -277,8 +277,8 @@
                     Ok(Ok(_)) if body.ends_with_connection() => {
                         return whole(conn, head, &events, client).await;
                     }
-                    Ok(_) => return End::broken(Status::Reset),
-                    Err(_) => return End::broken(Status::Timeout),
+                    Ok(_) => return End::broken(AttemptStatus::Reset),
+                    Err(_) => return End::broken(AttemptStatus::Timeout),
                 }
             }
         }
@@ -317,9 +317,11 @@
 
 /// The body has ended: the stream is whole if its last event was there.
 async fn whole(conn: Conn, head: AnswerHead, events: &Events, client: Option<mpsc::Sender<Piece>>) -> End {
-    let Some(client) = client.filter(|_| events.is_whole()) else { return End::broken(Status::Unknown) };
+    let Some(client) = client.filter(|_| events.is_whole()) else {
+        return End::broken(AttemptStatus::Unknown);
+    };
     if client.send(Piece::Whole).await.is_err() {
         return End::UNWANTED;
     }
-    End { seen: Some(Seen::Ended { status: Status::Ok, note: 0 }), conn: Some((conn, head)) }
+    End { seen: Some(Seen::Ended { status: AttemptStatus::Ok, note: 0 }), conn: Some((conn, head)) }
 }
--- a/crates/gaparch-platform-router/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-router/tests/pinned_bytes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{put, Site};
-use gaparch_testbed::platform::{events, head_and_body, instance, raw, until, Platform, Step, LONG};
 use gaparch_platform_router::Order;
+use gaparch_testbed::platform::{events, head_and_body, instance, raw, until, Platform, Step, LONG};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/gaparch-platform-settings/src/lib.rs
+++ b/crates/gaparch-platform-settings/src/lib.rs
@@ -1,7 +1,9 @@
 //! The start-up settings, made into those of the module: one copy for the simulator's adapter, which gets them in
 //! its first message, and for the router in service, which gets the same object in its configuration.
 
-use gaparch_scheduler::api::{Class, Effect, Group, KindId, Nanos, Role, Settings, Tenant, ZoneId};
+use gaparch_scheduler::api::{
+    DeduplicationScope, Idempotency, Nanos, Role, ServerKind, Settings, Tenant, TrafficClass, ZoneId,
+};
 use serde_json::Value;
 
 mod odd;
@@ -29,46 +31,47 @@
     let roles = list(&fam["roleByKind"]);
     let settings = Settings {
         seed,
-        me: whole(&env["me"]).unwrap_or(0) as u32,
-        routers: whole(&env["replicasOfMe"]).unwrap_or(u64::from(base.routers)).max(1) as u32,
+        router_index: whole(&env["me"]).unwrap_or(0) as u32,
+        router_count: whole(&env["replicasOfMe"]).unwrap_or(u64::from(base.router_count)).max(1) as u32,
         zone: index(&zones, &env["zone"]).map(ZoneId),
         classes: services.iter().enumerate().map(|(i, s)| class(s, i, fam)).collect(),
         tenants: tenants
             .iter()
             .map(|t| Tenant {
-                share: number(&t["fraction"]).unwrap_or(0.0),
-                quota_per_s: number(&t["quotaPerS"]).unwrap_or(0.0),
+                quota_share: number(&t["fraction"]).unwrap_or(0.0),
+                quota_per_second: number(&t["quotaPerS"]).unwrap_or(0.0),
             })
             .collect(),
-        over_share_worth: number(&env["overShareWorth"]).unwrap_or(base.over_share_worth),
-        roles: (0..kinds.len()).map(|i| role(roles.get(i)).unwrap_or_default()).collect(),
-        neither: (0..kinds.len()).filter(|i| role(roles.get(*i)).is_none()).map(KindId).collect(),
-        memory: (0..kinds.len())
-            .map(|i| list(&fam["tokensByKind"]).get(i).and_then(number).unwrap_or(0.0))
+        over_quota_priority_weight: number(&env["overShareWorth"]).unwrap_or(base.over_quota_priority_weight),
+        kinds: (0..kinds.len())
+            .map(|index| ServerKind {
+                role: role(roles.get(index)),
+                kv_capacity_tokens: list(&fam["tokensByKind"]).get(index).and_then(number).unwrap_or(0.0),
+            })
             .collect(),
-        self_prefill: flag(&fam["selfPrefill"]),
-        ahead: flag(&fam["ahead"]),
-        resume: flag(&fam["resume"]),
-        release_within: whole(&fam["releaseWithinNs"]).unwrap_or(base.release_within),
-        ask: env["discovery"].as_str() == Some("ask"),
-        ask_within: whole(&rules["askEveryNs"]).unwrap_or(base.ask_within),
-        cancel: flag(&caps["cancel"]),
-        probes: flag(&caps["probes"]),
-        peers: flag(&caps["peers"]),
-        second_copies: flag(&caps["mayDuplicate"]),
-        retry_after: flag(&caps["retryAfter"]),
+        decode_workers_can_prefill: flag(&fam["selfPrefill"]),
+        can_reserve: flag(&fam["ahead"]),
+        can_resume: flag(&fam["resume"]),
+        kv_release_within: whole(&fam["releaseWithinNs"]).unwrap_or(base.kv_release_within),
+        poll_endpoints: env["discovery"].as_str() == Some("ask"),
+        endpoint_poll_interval: whole(&rules["askEveryNs"]).unwrap_or(base.endpoint_poll_interval),
+        can_cancel: flag(&caps["cancel"]),
+        can_probe: flag(&caps["probes"]),
+        can_gossip: flag(&caps["peers"]),
+        can_hedge: flag(&caps["mayDuplicate"]),
+        can_send_retry_after: flag(&caps["retryAfter"]),
         max_retry_after: whole(&caps["maxRetryAfterNs"]).unwrap_or(base.max_retry_after),
         max_attempts: whole(&caps["maxAttempts"]).unwrap_or(u64::from(base.max_attempts)) as u32,
         connect_timeout: whole(&caps["connectTimeoutNs"]).unwrap_or(base.connect_timeout),
         drain_grace: whole(&rules["stopSendingWithinNs"]).unwrap_or(base.drain_grace),
-        cold_from: number(&rules["coldFrom"]).unwrap_or(base.cold_from),
-        cold: whole(&rules["rampTimeNs"]).unwrap_or(base.cold),
-        fall_multiple: number(&rules["overloadFactor"]).unwrap_or(base.fall_multiple),
-        fall: whole(&rules["overloadForNs"]).unwrap_or(base.fall),
-        answer_slack: whole(&rules["answerSlackNs"]).unwrap_or(base.answer_slack),
-        tick: whole(&env["stepNs"]).unwrap_or(base.tick),
-        probe_price: number(&env["fees"]["probe"]).unwrap_or(base.probe_price),
-        peer_price: number(&env["fees"]["peer"]).unwrap_or(base.peer_price),
+        slow_start_speed: number(&rules["coldFrom"]).unwrap_or(base.slow_start_speed),
+        slow_start_duration: whole(&rules["rampTimeNs"]).unwrap_or(base.slow_start_duration),
+        overload_factor: number(&rules["overloadFactor"]).unwrap_or(base.overload_factor),
+        overload_window: whole(&rules["overloadForNs"]).unwrap_or(base.overload_window),
+        answer_grace: whole(&rules["answerSlackNs"]).unwrap_or(base.answer_grace),
+        step: whole(&env["stepNs"]).unwrap_or(base.step),
+        probe_cost: number(&env["fees"]["probe"]).unwrap_or(base.probe_cost),
+        gossip_cost: number(&env["fees"]["peer"]).unwrap_or(base.gossip_cost),
     };
     Site {
         settings,
@@ -80,27 +83,27 @@
     }
 }
 
-fn class(service: &Value, index: usize, fam: &Value) -> Class {
+fn class(service: &Value, index: usize, fam: &Value) -> TrafficClass {
     let us_per_k = list(&fam["aimUsPer1000PromptTokens"]).get(index).and_then(number).unwrap_or(0.0);
-    Class {
+    TrafficClass {
         // What is not known to be harmless is taken for harmful.
-        effect: match service["idempotency"].as_str() {
-            Some("free") => Effect::Safe,
-            Some("guarded") => Effect::Keyed,
-            _ => Effect::Unsafe,
+        idempotency: match service["idempotency"].as_str() {
+            Some("free") => Idempotency::Idempotent,
+            Some("guarded") => Idempotency::WithKey,
+            _ => Idempotency::NotIdempotent,
         },
-        group: match service["dedupScope"].as_str() {
-            Some("all") => Group::All,
-            Some("zone") => Group::Zone,
-            _ => Group::Cell,
+        deduplication_scope: match service["dedupScope"].as_str() {
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         },
-        window: whole(&service["dedupWindowNs"]).unwrap_or(0),
-        aim: whole(&service["aimNs"]).unwrap_or(0),
-        aim_per_token: us_per_k,
+        deduplication_window: whole(&service["dedupWindowNs"]).unwrap_or(0),
+        latency_objective: whole(&service["aimNs"]).unwrap_or(0),
+        latency_objective_per_prompt_token: us_per_k,
         deadline: whole(&service["deadlineNs"]).unwrap_or(0),
-        token_aim: list(&fam["tokenAimNs"]).get(index).and_then(whole).unwrap_or(0),
-        worth: number(&service["worth"]).unwrap_or(1.0),
-        late_worth: number(&service["lateShare"]).unwrap_or(0.0),
+        token_latency_objective: list(&fam["tokenAimNs"]).get(index).and_then(whole).unwrap_or(0),
+        priority_weight: number(&service["worth"]).unwrap_or(1.0),
+        late_priority_weight: number(&service["lateShare"]).unwrap_or(0.0),
         streamed: service["streamed"].as_bool().unwrap_or(true),
     }
 }
@@ -108,9 +111,9 @@
 /// What a kind does; it does both where nothing is told, and `None` of it where the word is none of these.
 fn role(value: Option<&Value>) -> Option<Role> {
     match value.filter(|v| !v.is_null()).map(Value::as_str) {
-        Some(Some("read")) => Some(Role::Read),
-        Some(Some("write")) => Some(Role::Write),
-        Some(Some("both")) | None => Some(Role::Both),
+        Some(Some("read")) => Some(Role::Prefill),
+        Some(Some("write")) => Some(Role::Decode),
+        Some(Some("both")) | None => Some(Role::Mixed),
         Some(_) => None,
     }
 }
--- a/crates/gaparch-platform-settings/src/odd.rs
+++ b/crates/gaparch-platform-settings/src/odd.rs
@@ -108,15 +108,16 @@
 fn together(env: &Value, site: &Site, odd: &mut Vec<String>) {
     let set = &site.settings;
     let can = |one: Role| {
-        let kinds = set.roles.iter().enumerate().filter(|(i, _)| !set.neither.iter().any(|k| k.0 == *i));
-        kinds.map(|(_, role)| *role).any(|role| role == one || role == Role::Both)
+        let roles = set.kinds.iter().filter_map(|kind| kind.role);
+        roles.into_iter().any(|role| role == one || role == Role::Mixed)
     };
-    if !can(Role::Write) {
+    if !can(Role::Decode) {
         say(odd, "familyInfo.roleByKind", "has no kind that writes: nothing can be served");
-    } else if !can(Role::Read) && !set.self_prefill {
+    } else if !can(Role::Prefill) && !set.decode_workers_can_prefill {
         say(odd, "familyInfo.roleByKind", "has no kind that reads, and writers don't: nothing can be served");
     }
-    let whole_kinds = set.self_prefill || set.roles.contains(&Role::Both);
+    let whole_kinds =
+        set.decode_workers_can_prefill || set.kinds.iter().any(|kind| kind.role == Some(Role::Mixed));
     if whole(&env["caps"]["maxAttempts"]).is_some_and(|most| most < 2) && !whole_kinds {
         say(odd, "caps.maxAttempts", "is under 2 where one reads and another writes: nothing can be served");
     }
--- a/crates/gaparch-platform-settings/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -1,6 +1,8 @@
 //! The platform's settings object with every key, and what a build before the code's names changed read from it.
 
-use gaparch_scheduler::api::{Class, Effect, Group, KindId, Role, Settings, Tenant, ZoneId};
+use gaparch_scheduler::api::{
+    DeduplicationScope, Idempotency, Role, ServerKind, Settings, Tenant, TrafficClass, ZoneId,
+};
 use serde_json::{json, Value};
 
 fn every_key() -> Value {
@@ -34,65 +36,76 @@
 #[test]
 fn every_key_has_its_field() {
     let site = gaparch_platform_settings::read(&every_key(), 99);
-    let chat = Class {
-        effect: Effect::Safe,
-        group: Group::All,
-        window: 11,
-        aim: 12,
-        aim_per_token: 7.5,
+    let chat = TrafficClass {
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 11,
+        latency_objective: 12,
+        latency_objective_per_prompt_token: 7.5,
         deadline: 13,
-        token_aim: 14,
-        worth: 1.5,
-        late_worth: 0.75,
+        token_latency_objective: 14,
+        priority_weight: 1.5,
+        late_priority_weight: 0.75,
         streamed: false,
     };
-    let tool = Class {
-        effect: Effect::Keyed,
-        group: Group::Zone,
-        window: 0,
-        aim: 0,
-        aim_per_token: 0.0,
+    let tool = TrafficClass {
+        idempotency: Idempotency::WithKey,
+        deduplication_scope: DeduplicationScope::Zone,
+        deduplication_window: 0,
+        latency_objective: 0,
+        latency_objective_per_prompt_token: 0.0,
         deadline: 0,
-        token_aim: 15,
-        worth: 1.0,
-        late_worth: 0.0,
+        token_latency_objective: 15,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
         streamed: true,
     };
-    let pay = Class { effect: Effect::Unsafe, group: Group::Cell, token_aim: 0, ..tool.clone() };
+    let pay = TrafficClass {
+        idempotency: Idempotency::NotIdempotent,
+        deduplication_scope: DeduplicationScope::Cell,
+        token_latency_objective: 0,
+        ..tool.clone()
+    };
     let settings = Settings {
         seed: 99,
-        me: 2,
-        routers: 5,
+        router_index: 2,
+        router_count: 5,
         zone: Some(ZoneId(1)),
         classes: vec![chat, tool, pay],
-        tenants: vec![Tenant { share: 0.5, quota_per_s: 12.5 }, Tenant { share: 0.0, quota_per_s: 0.0 }],
-        over_share_worth: 0.25,
-        roles: vec![Role::Read, Role::Write, Role::Both, Role::default()],
-        neither: vec![KindId(3)],
-        memory: vec![1000.0, 2000.0, 3000.0, 0.0],
-        self_prefill: true,
-        ahead: true,
-        resume: true,
-        release_within: 16,
-        ask: true,
-        ask_within: 20,
-        cancel: true,
-        probes: true,
-        peers: true,
-        second_copies: true,
-        retry_after: true,
+        tenants: vec![
+            Tenant { quota_share: 0.5, quota_per_second: 12.5 },
+            Tenant { quota_share: 0.0, quota_per_second: 0.0 },
+        ],
+        over_quota_priority_weight: 0.25,
+        kinds: vec![
+            ServerKind { role: Some(Role::Prefill), kv_capacity_tokens: 1000.0 },
+            ServerKind { role: Some(Role::Decode), kv_capacity_tokens: 2000.0 },
+            ServerKind { role: Some(Role::Mixed), kv_capacity_tokens: 3000.0 },
+            ServerKind { role: None, kv_capacity_tokens: 0.0 },
+        ],
+        decode_workers_can_prefill: true,
+        can_reserve: true,
+        can_resume: true,
+        kv_release_within: 16,
+        poll_endpoints: true,
+        endpoint_poll_interval: 20,
+        can_cancel: true,
+        can_probe: true,
+        can_gossip: true,
+        can_hedge: true,
+        can_send_retry_after: true,
         max_retry_after: 17,
         max_attempts: 18,
         connect_timeout: 19,
         drain_grace: 21,
-        cold_from: 0.125,
-        cold: 22,
-        fall_multiple: 2.5,
-        fall: 23,
-        answer_slack: 24,
-        tick: 100,
-        probe_price: 0.001,
-        peer_price: 0.002,
+        slow_start_speed: 0.125,
+        slow_start_duration: 22,
+        overload_factor: 2.5,
+        overload_window: 23,
+        answer_grace: 24,
+        step: 100,
+        probe_cost: 0.001,
+        gossip_cost: 0.002,
     };
     assert_eq!(site.settings, settings);
     assert_eq!(site.classes, ["chat", "tool", "pay"]);
@@ -119,8 +132,11 @@
     env["zone"] = json!("c");
     let settings = gaparch_platform_settings::read(&env, 0).settings;
     let defaults = Settings::default();
-    assert_eq!(settings.cold_from, defaults.cold_from);
-    assert_eq!((settings.cold, settings.cancel, settings.zone), (defaults.cold, false, None));
+    assert_eq!(settings.slow_start_speed, defaults.slow_start_speed);
+    assert_eq!(
+        (settings.slow_start_duration, settings.can_cancel, settings.zone),
+        (defaults.slow_start_duration, false, None)
+    );
 }
 
 /// Which fields a diagnostic is given for, in which order.
--- a/crates/gaparch-protocol/src/engine/codec.rs
+++ b/crates/gaparch-protocol/src/engine/codec.rs
@@ -7,7 +7,7 @@
     u16_, u32_, u64_, Body,
 };
 use bytes::{BufMut, BytesMut};
-use gaparch_scheduler::api::{Report, Role, Status};
+use gaparch_scheduler::api::{AttemptStatus, LoadReport, Role};
 use winnow::binary::u8;
 use winnow::ModalResult;
 
@@ -220,50 +220,50 @@
 
 fn role_code(role: Role) -> u8 {
     match role {
-        Role::Read => 0,
-        Role::Write => 1,
-        Role::Both => 2,
+        Role::Prefill => 0,
+        Role::Decode => 1,
+        Role::Mixed => 2,
     }
 }
 
 fn role(body: &mut Body<'_>) -> ModalResult<Role> {
     match u8(body)? {
-        0 => Ok(Role::Read),
-        1 => Ok(Role::Write),
-        2 => Ok(Role::Both),
+        0 => Ok(Role::Prefill),
+        1 => Ok(Role::Decode),
+        2 => Ok(Role::Mixed),
         _ => malformed(),
     }
 }
 
-fn status_code(status: Status) -> u8 {
+fn status_code(status: AttemptStatus) -> u8 {
     match status {
-        Status::Ok => 0,
-        Status::Read => 1,
-        Status::Error => 2,
-        Status::Full => 3,
-        Status::Timeout => 4,
-        Status::ConnectFailed => 5,
-        Status::Reset => 6,
-        Status::Cancelled => 7,
-        Status::Moot => 8,
+        AttemptStatus::Ok => 0,
+        AttemptStatus::Prefilled => 1,
+        AttemptStatus::Error => 2,
+        AttemptStatus::Rejected => 3,
+        AttemptStatus::Timeout => 4,
+        AttemptStatus::ConnectFailed => 5,
+        AttemptStatus::Reset => 6,
+        AttemptStatus::Cancelled => 7,
+        AttemptStatus::Expired => 8,
         // Never said by an engine: to one it is what it cannot tell apart.
-        Status::NoSocket => 5,
-        Status::Unknown => 255,
+        AttemptStatus::NoSocket => 5,
+        AttemptStatus::Unknown => 255,
     }
 }
 
 /// What an engine may say of an attempt's end. A code of a later version may have run; the ones that only a
 /// router can know are malformed.
-fn status(body: &mut Body<'_>) -> ModalResult<Status> {
+fn status(body: &mut Body<'_>) -> ModalResult<AttemptStatus> {
     match u8(body)? {
-        0 => Ok(Status::Ok),
-        2 => Ok(Status::Error),
-        3 => Ok(Status::Full),
-        4 => Ok(Status::Timeout),
-        6 => Ok(Status::Reset),
-        7 => Ok(Status::Cancelled),
+        0 => Ok(AttemptStatus::Ok),
+        2 => Ok(AttemptStatus::Error),
+        3 => Ok(AttemptStatus::Rejected),
+        4 => Ok(AttemptStatus::Timeout),
+        6 => Ok(AttemptStatus::Reset),
+        7 => Ok(AttemptStatus::Cancelled),
         1 | 5 | 8 => malformed(),
-        _ => Ok(Status::Unknown),
+        _ => Ok(AttemptStatus::Unknown),
     }
 }
 
@@ -294,18 +294,24 @@
     })
 }
 
-fn put_report(out: &mut BytesMut, report: &Report) {
-    for value in [report.inflight, report.queue, report.util, report.memory, report.unread_k] {
+fn put_report(out: &mut BytesMut, report: &LoadReport) {
+    for value in [
+        report.in_flight,
+        report.queued,
+        report.slot_utilization,
+        report.memory_utilization,
+        report.pending_prefill_kilotokens,
+    ] {
         put_optional(out, value, |out, v| out.put_f64(v));
     }
 }
 
-fn report(body: &mut Body<'_>) -> ModalResult<Report> {
-    Ok(Report {
-        inflight: optional(f64_)(body)?,
-        queue: optional(f64_)(body)?,
-        util: optional(f64_)(body)?,
-        memory: optional(f64_)(body)?,
-        unread_k: optional(f64_)(body)?,
+fn report(body: &mut Body<'_>) -> ModalResult<LoadReport> {
+    Ok(LoadReport {
+        in_flight: optional(f64_)(body)?,
+        queued: optional(f64_)(body)?,
+        slot_utilization: optional(f64_)(body)?,
+        memory_utilization: optional(f64_)(body)?,
+        pending_prefill_kilotokens: optional(f64_)(body)?,
     })
 }
--- a/crates/gaparch-protocol/src/engine/mod.rs
+++ b/crates/gaparch-protocol/src/engine/mod.rs
@@ -5,7 +5,7 @@
 
 mod codec;
 
-use gaparch_scheduler::api::{Report, Role, Status};
+use gaparch_scheduler::api::{AttemptStatus, LoadReport, Role};
 
 /// The version spoken here. A peer that says another one is refused with a [`Bye`](EngineFrame::Bye).
 pub const VERSION: u16 = 1;
@@ -102,17 +102,17 @@
     /// Router to engine: answer when this would be served.
     Probe { nonce: u64 },
     /// Engine to router: the prompt is read and its state waits.
-    ReadDone { key: AttemptKey, kept: u32, prompt_len: u32, report: Option<Report> },
+    ReadDone { key: AttemptKey, kept: u32, prompt_len: u32, report: Option<LoadReport> },
     /// Engine to router: tokens of the answer, of which `from` were sent before.
     Tokens { key: AttemptKey, from: u32, count: u16, text: String },
-    /// Engine to router: the attempt has ended; never [`Status::Read`]. `note` as in `api::Outcome`.
-    Outcome { key: AttemptKey, status: Status, note: u64, produced: u32, report: Option<Report> },
+    /// Engine to router: the attempt has ended; never [`AttemptStatus::Prefilled`]. `note` is an `api::OutcomeNote`.
+    Outcome { key: AttemptKey, status: AttemptStatus, note: u64, produced: u32, report: Option<LoadReport> },
     /// Engine to router: whether the place asked for is held.
     Reserved { key: AttemptKey, held: bool },
     /// Engine to router: answer to a probe.
-    Probed { nonce: u64, report: Option<Report> },
+    Probed { nonce: u64, report: Option<LoadReport> },
     /// Engine to router: a load report on its own.
-    Report(Report),
+    Report(LoadReport),
     /// Engine to engine: give me this state.
     Fetch { state: StateKey },
     /// Engine to engine: here it is; the giver has let it go.
--- a/crates/gaparch-protocol/src/list.rs
+++ b/crates/gaparch-protocol/src/list.rs
@@ -45,7 +45,7 @@
     serializer.serialize_str(match state {
         ServerState::Ready => "ready",
         ServerState::Draining => "draining",
-        ServerState::Gone => "gone",
+        ServerState::Removed => "gone",
     })
 }
 
@@ -128,7 +128,7 @@
     out.put_u8(match entry.state {
         ServerState::Ready => 0,
         ServerState::Draining => 1,
-        ServerState::Gone => 2,
+        ServerState::Removed => 2,
     });
     put_optional(out, entry.weight, |out, w| out.put_f64(w));
     put_optional(out, entry.started_at, |out, at| out.put_u64(at));
@@ -144,7 +144,7 @@
         state: match u8(body)? {
             0 => ServerState::Ready,
             1 => ServerState::Draining,
-            2 => ServerState::Gone,
+            2 => ServerState::Removed,
             _ => return malformed(),
         },
         weight: optional(f64_)(body)?,
--- a/crates/gaparch-protocol/src/ops/ending.rs
+++ b/crates/gaparch-protocol/src/ops/ending.rs
@@ -1,7 +1,7 @@
 //! How requests ended, and why.
 
 use crate::wire::{choice, closed_set, record};
-use gaparch_scheduler::api::{Holdup, Reason};
+use gaparch_scheduler::api::{GiveUpReason, QueueingReason};
 
 closed_set! {
     pub enum EndKind {
@@ -45,16 +45,16 @@
     }
 }
 
-impl From<Reason> for Cause {
-    fn from(reason: Reason) -> Cause {
+impl From<GiveUpReason> for Cause {
+    fn from(reason: GiveUpReason) -> Cause {
         match reason {
-            Reason::UnknownClass => Cause::UnknownClass,
-            Reason::Deadline => Cause::Deadline,
-            Reason::AimLost => Cause::AimLost,
-            Reason::ReleaseTime => Cause::ReleaseTime,
-            Reason::AttemptsUsed => Cause::AttemptsUsed,
-            Reason::MayHaveRun => Cause::MayHaveRun,
-            Reason::TooLate => Cause::TooLate,
+            GiveUpReason::UnknownClass => Cause::UnknownClass,
+            GiveUpReason::DeadlineExceeded => Cause::Deadline,
+            GiveUpReason::ObjectiveMissed => Cause::AimLost,
+            GiveUpReason::KvReleaseTimeout => Cause::ReleaseTime,
+            GiveUpReason::AttemptsExhausted => Cause::AttemptsUsed,
+            GiveUpReason::MayHaveRun => Cause::MayHaveRun,
+            GiveUpReason::TooLate => Cause::TooLate,
         }
     }
 }
@@ -70,14 +70,14 @@
     }
 }
 
-impl From<Holdup> for WaitedFor {
-    fn from(holdup: Holdup) -> WaitedFor {
+impl From<QueueingReason> for WaitedFor {
+    fn from(holdup: QueueingReason) -> WaitedFor {
         match holdup {
-            Holdup::NoWriter => WaitedFor::NoWriter,
-            Holdup::NoReader => WaitedFor::NoReader,
-            Holdup::OverShare => WaitedFor::OverShare,
-            Holdup::WritersFull => WaitedFor::WritersFull,
-            Holdup::ReadersFull => WaitedFor::ReadersFull,
+            QueueingReason::NoDecodeWorker => WaitedFor::NoWriter,
+            QueueingReason::NoPrefillWorker => WaitedFor::NoReader,
+            QueueingReason::OverQuota => WaitedFor::OverShare,
+            QueueingReason::DecodeWorkersSaturated => WaitedFor::WritersFull,
+            QueueingReason::PrefillWorkersSaturated => WaitedFor::ReadersFull,
         }
     }
 }
--- a/crates/gaparch-protocol/tests/codecs.rs
+++ b/crates/gaparch-protocol/tests/codecs.rs
@@ -11,7 +11,7 @@
 use gaparch_protocol::frame::{encode, Frame};
 use gaparch_protocol::list::{ListEntry, ListFrame, Scope};
 use gaparch_protocol::{FrameDecoder, FrameError};
-use gaparch_scheduler::api::{Report, Role, ServerState, Status};
+use gaparch_scheduler::api::{AttemptStatus, LoadReport, Role, ServerState};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -19,11 +19,17 @@
     (any::<u64>(), any::<u32>()).prop_map(|(request, attempt)| AttemptKey { request, attempt })
 }
 
-fn report() -> impl Strategy<Value = Report> {
+fn report() -> impl Strategy<Value = LoadReport> {
     // NaN is carried too, but would not compare equal here.
     let figure = || proptest::option::of(prop_oneof![Just(f64::INFINITY), Just(-1.0), Just(1e300), 0.0..9.0]);
     (figure(), figure(), figure(), figure(), figure()).prop_map(
-        |(inflight, queue, util, memory, unread_k)| Report { inflight, queue, util, memory, unread_k },
+        |(inflight, queue, util, memory, unread_k)| LoadReport {
+            in_flight: inflight,
+            queued: queue,
+            slot_utilization: util,
+            memory_utilization: memory,
+            pending_prefill_kilotokens: unread_k,
+        },
     )
 }
 
@@ -51,16 +57,16 @@
 fn engine_frame() -> impl Strategy<Value = EngineFrame> {
     let at = || (".{0,9}", ".{0,9}").prop_map(|(engine, address)| StateAt { engine, address });
     let status = prop_oneof![
-        Just(Status::Ok),
-        Just(Status::Error),
-        Just(Status::Full),
-        Just(Status::Timeout),
-        Just(Status::Reset),
-        Just(Status::Cancelled),
-        Just(Status::Unknown)
+        Just(AttemptStatus::Ok),
+        Just(AttemptStatus::Error),
+        Just(AttemptStatus::Rejected),
+        Just(AttemptStatus::Timeout),
+        Just(AttemptStatus::Reset),
+        Just(AttemptStatus::Cancelled),
+        Just(AttemptStatus::Unknown)
     ];
     let facts = (".{0,9}", 0.0..1e9, ".{0,9}", any::<u64>()).prop_map(|(name, memory, zone, started_at)| {
-        EngineFacts { name, role: Role::Both, memory, zone, rack: "rack".to_owned(), started_at }
+        EngineFacts { name, role: Role::Mixed, memory, zone, rack: "rack".to_owned(), started_at }
     });
     let router = (any::<u64>(), ".{0,9}").prop_map(|(run, name)| Peer::Router { run: RouterRun(run), name });
     prop_oneof![
@@ -102,7 +108,8 @@
 }
 
 fn list_frame() -> impl Strategy<Value = ListFrame> {
-    let state = prop_oneof![Just(ServerState::Ready), Just(ServerState::Draining), Just(ServerState::Gone)];
+    let state =
+        prop_oneof![Just(ServerState::Ready), Just(ServerState::Draining), Just(ServerState::Removed)];
     let entry =
         (".{0,9}", ".{0,9}", state, proptest::option::of(0.0..9.0), proptest::option::of(any::<u64>()))
             .prop_map(|(engine, address, state, weight, started_at)| ListEntry {
@@ -188,7 +195,7 @@
         let at = at % bytes.len();
         bytes[at] ^= 0x55;
         // Every code of a later version means the same.
-        let unknown = matches!(frame, EngineFrame::Outcome { status: Status::Unknown, .. });
+        let unknown = matches!(frame, EngineFrame::Outcome { status: AttemptStatus::Unknown, .. });
         prop_assert!(unknown || decode_cut::<EngineFrame>(&bytes, &[7]) != Ok(vec![frame]));
     }
 
@@ -238,12 +245,12 @@
         produced: 0,
         report: None,
     };
-    for status in [Status::Read, Status::ConnectFailed, Status::Moot] {
+    for status in [AttemptStatus::Prefilled, AttemptStatus::ConnectFailed, AttemptStatus::Expired] {
         assert!(decode_cut::<EngineFrame>(&encoded(&[outcome(status)]), &[64]).is_err(), "{status:?}");
     }
-    let mut later = encoded(&[outcome(Status::Ok)]);
+    let mut later = encoded(&[outcome(AttemptStatus::Ok)]);
     later[4 + 1 + 12] = 77;
-    assert_eq!(decode_cut(&later, &[64]), Ok(vec![outcome(Status::Unknown)]));
+    assert_eq!(decode_cut(&later, &[64]), Ok(vec![outcome(AttemptStatus::Unknown)]));
 }
 
 #[test]
--- a/crates/gaparch-protocol/tests/pinned_engine.rs
+++ b/crates/gaparch-protocol/tests/pinned_engine.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::assert_frame;
-use gaparch_scheduler::api::{Report, Role, Status};
 use gaparch_protocol::engine::{
     AttemptKey, EngineFacts, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey,
 };
+use gaparch_scheduler::api::{AttemptStatus, LoadReport, Role};
 
 const KEY: AttemptKey = AttemptKey { request: 0x0102_0304_0506_0708, attempt: 3 };
 const STATE: StateKey = StateKey { router: RouterRun(0x18a2b3), request: 42 };
@@ -34,13 +34,13 @@
     StateAt { engine: "r0".to_owned(), address: "10.0.0.1:7000".to_owned() }
 }
 
-fn report() -> Report {
-    Report {
-        inflight: Some(1.0),
-        queue: Some(2.5),
-        util: Some(0.25),
-        memory: Some(0.5),
-        unread_k: Some(12.0),
+fn report() -> LoadReport {
+    LoadReport {
+        in_flight: Some(1.0),
+        queued: Some(2.5),
+        slot_utilization: Some(0.25),
+        memory_utilization: Some(0.5),
+        pending_prefill_kilotokens: Some(12.0),
     }
 }
 
@@ -55,7 +55,7 @@
     })
 }
 
-fn outcome(status: Status) -> EngineFrame {
+fn outcome(status: AttemptStatus) -> EngineFrame {
     EngineFrame::Outcome { key: KEY, status, note: 7, produced: 20, report: None }
 }
 
@@ -67,15 +67,15 @@
         "0000001601000100000000000018a2b30008726f757465722d31",
     );
     assert_frame(
-        &EngineFrame::Hello { version: 1, peer: engine(Role::Read) },
+        &EngineFrame::Hello { version: 1, peer: engine(Role::Prefill) },
         "00000024010001010002773000410388000000000000056e6f72746800026e3117979cfe362a0000",
     );
     assert_frame(
-        &EngineFrame::Hello { version: 1, peer: engine(Role::Write) },
+        &EngineFrame::Hello { version: 1, peer: engine(Role::Decode) },
         "00000024010001010002773001410388000000000000056e6f72746800026e3117979cfe362a0000",
     );
     assert_frame(
-        &EngineFrame::Hello { version: 1, peer: engine(Role::Both) },
+        &EngineFrame::Hello { version: 1, peer: engine(Role::Mixed) },
         "00000024010001010002773002410388000000000000056e6f72746800026e3117979cfe362a0000",
     );
     assert_frame(
@@ -120,7 +120,13 @@
         "0000001d11010203040506070800000003000000040002000868656c6c6f20c3a9",
     );
     assert_frame(
-        &EngineFrame::Outcome { key: KEY, status: Status::Ok, note: 7, produced: 20, report: Some(report()) },
+        &EngineFrame::Outcome {
+            key: KEY,
+            status: AttemptStatus::Ok,
+            note: 7,
+            produced: 20,
+            report: Some(report()),
+        },
         "00000048120102030405060708000000030000000000000000070000001401013ff0000000000000014004000000\
          000000013fd0000000000000013fe0000000000000014028000000000000",
     );
@@ -137,7 +143,7 @@
          00000000",
     );
     assert_frame(
-        &EngineFrame::Report(Report { memory: Some(0.5), ..Report::default() }),
+        &EngineFrame::Report(LoadReport { memory_utilization: Some(0.5), ..LoadReport::default() }),
         "0000000e15000000013fe000000000000000",
     );
     assert_frame(&EngineFrame::Fetch { state: STATE }, "0000001120000000000018a2b3000000000000002a");
@@ -158,14 +164,32 @@
 
 #[test]
 fn each_status_of_an_outcome_keeps_its_code() {
-    assert_frame(&outcome(Status::Ok), "0000001b120102030405060708000000030000000000000000070000001400");
-    assert_frame(&outcome(Status::Error), "0000001b120102030405060708000000030200000000000000070000001400");
-    assert_frame(&outcome(Status::Full), "0000001b120102030405060708000000030300000000000000070000001400");
-    assert_frame(&outcome(Status::Timeout), "0000001b120102030405060708000000030400000000000000070000001400");
-    assert_frame(&outcome(Status::Reset), "0000001b120102030405060708000000030600000000000000070000001400");
     assert_frame(
-        &outcome(Status::Cancelled),
+        &outcome(AttemptStatus::Ok),
+        "0000001b120102030405060708000000030000000000000000070000001400",
+    );
+    assert_frame(
+        &outcome(AttemptStatus::Error),
+        "0000001b120102030405060708000000030200000000000000070000001400",
+    );
+    assert_frame(
+        &outcome(AttemptStatus::Rejected),
+        "0000001b120102030405060708000000030300000000000000070000001400",
+    );
+    assert_frame(
+        &outcome(AttemptStatus::Timeout),
+        "0000001b120102030405060708000000030400000000000000070000001400",
+    );
+    assert_frame(
+        &outcome(AttemptStatus::Reset),
+        "0000001b120102030405060708000000030600000000000000070000001400",
+    );
+    assert_frame(
+        &outcome(AttemptStatus::Cancelled),
         "0000001b120102030405060708000000030700000000000000070000001400",
     );
-    assert_frame(&outcome(Status::Unknown), "0000001b12010203040506070800000003ff00000000000000070000001400");
+    assert_frame(
+        &outcome(AttemptStatus::Unknown),
+        "0000001b12010203040506070800000003ff00000000000000070000001400",
+    );
 }
--- a/crates/gaparch-protocol/tests/pinned_list.rs
+++ b/crates/gaparch-protocol/tests/pinned_list.rs
@@ -43,7 +43,7 @@
          6f72746800026e3100013ff80000000000000117979cfe362a000000027730000d31302e302e302e323a37303030\
          000677726974657200056e6f72746800026e31010000",
     );
-    let entries = vec![bare(ServerState::Gone)];
+    let entries = vec![bare(ServerState::Removed)];
     assert_frame(
         &ListFrame::Update { scope: Scope::Delta, version: 13, entries },
         "000000350400000000000000000d000100027730000d31302e302e302e323a37303030000677726974657200056e\
@@ -65,7 +65,7 @@
         "00027730000d31302e302e302e323a37303030000677726974657200056e6f72746800026e31010000",
     );
     assert_record(
-        &bare(ServerState::Gone),
+        &bare(ServerState::Removed),
         "00027730000d31302e302e302e323a37303030000677726974657200056e6f72746800026e31020000",
     );
     assert_json(
@@ -77,7 +77,7 @@
         r#"{"engine":"w0","address":"10.0.0.2:7000","kind":"writer","zone":"north","rack":"n1","state":"draining","weight":null,"started_at":null}"#,
     );
     assert_json(
-        &bare(ServerState::Gone),
+        &bare(ServerState::Removed),
         r#"{"engine":"w0","address":"10.0.0.2:7000","kind":"writer","zone":"north","rack":"n1","state":"gone","weight":null,"started_at":null}"#,
     );
 }
--- a/crates/gaparch-router/src/core/actions.rs
+++ b/crates/gaparch-router/src/core/actions.rs
@@ -7,7 +7,8 @@
 use gaparch_config::Links;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame};
 use gaparch_scheduler::api::{
-    Action, AttemptNo, Event, Nanos, Outcome, Report, RequestId, Role, ServerId, Status, Why,
+    Action, AttemptNumber, AttemptOutcome, AttemptStatus, Event, GiveUpCause, LoadReport, Nanos, RequestId,
+    Role, ServerId,
 };
 use gaparch_scheduler::policy::permits::{self, Denial, Repeat, SendFacts};
 use gaparch_scheduler::policy::releasing::goes_beside_a_write;
@@ -15,31 +16,31 @@
 impl Core {
     pub(super) fn act(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send { id, server, timeout, by } => self.send(id, server, timeout, by),
+            Action::Send { id, server, timeout, send_by: by } => self.send(id, server, timeout, by),
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
-            Action::Refuse { id, retry_after, why } => self.refuse(id, retry_after, why, out),
-            Action::Fail { id, why } => {
+            Action::Reject { id, retry_after, cause: why } => self.refuse(id, retry_after, why, out),
+            Action::Fail { id, cause: why } => {
                 let cause = why.reason.into();
                 let why = "it may have been tried, and could not be ended";
                 self.answer(id, ToClient::Failed { why, cause }, out);
                 self.forget_if_done(id);
             }
-            Action::Release(id) => self.release(id),
-            Action::Ahead { id, server } => self.ahead(id, server),
+            Action::ReleaseKv(id) => self.release(id),
+            Action::ReserveKv { id, server } => self.ahead(id, server),
             Action::Probe(server) => self.probe(server),
-            Action::Timer { token, delay } => {
+            Action::SetTimer { token, delay } => {
                 self.timers.set(self.now.saturating_add(delay), Timer::Module(token));
             }
-            Action::Watch(on) => out.push(Output::Watch(on)),
-            Action::Fetch => out.push(Output::Fetch),
+            Action::WatchEndpoints(on) => out.push(Output::Watch(on)),
+            Action::FetchEndpoints => out.push(Output::Fetch),
             Action::Log(text) => out.push(Output::Log(text)),
-            Action::Tell { peer, data } => out.push(Output::Tell { peer, data }),
-            Action::Close(engine) => {
+            Action::SendGossip { peer, data } => out.push(Output::Tell { peer, data }),
+            Action::CloseConnections(engine) => {
                 // One connection that carries all stays; idle ones of single exchanges may go.
                 out.extend((self.config.links == Links::Exchanges).then_some(Output::CloseIdle(engine)));
             }
             // A stream that breaks can't be resumed: the module is told so in its settings and moves none.
-            Action::Move(_) => {}
+            Action::Migrate(_) => {}
         }
         out.append(&mut self.wire);
     }
@@ -47,8 +48,8 @@
     pub(super) fn send(&mut self, id: RequestId, server: ServerId, timeout: Nanos, by: Nanos) {
         let now = self.now;
         let denied = self.may_send(id, server, by);
-        let Some(live) = self.live.get_mut(&id) else { return self.moot(id, AttemptNo(0), server, true) };
-        let no = AttemptNo(live.next_attempt);
+        let Some(live) = self.live.get_mut(&id) else { return self.moot(id, AttemptNumber(0), server, true) };
+        let no = AttemptNumber(live.next_attempt);
         live.next_attempt += 1;
         live.write_by = by;
         let role = self.roster.role(server, &self.config.module);
@@ -59,15 +60,15 @@
         }
         let until =
             if timeout == 0 { live.give_up_at } else { live.give_up_at.min(now.saturating_add(timeout)) };
-        let stage = if role == Some(Role::Read) { Stage::Read } else { Stage::Write };
+        let stage = if role == Some(Role::Prefill) { Stage::Read } else { Stage::Write };
         let timer = self.timers.set(until, Timer::Attempt(id, no));
         live.attempt = Some(Attempt { no, server, stage, sent_at: now, begun: false, waits: false, timer });
         live.step_begins(server, stage, now);
-        if let Some(before) = live.last_status.filter(|status| *status != Status::Read) {
+        if let Some(before) = live.last_status.filter(|status| *status != AttemptStatus::Prefilled) {
             self.reasons.retries.count(before.name());
         }
         let Some(link) = self.engines.get_mut(&server) else {
-            return self.close_by(id, no, Status::ConnectFailed);
+            return self.close_by(id, no, AttemptStatus::ConnectFailed);
         };
         link.tally.attempts += 1;
         if link.is_up() {
@@ -79,7 +80,7 @@
             let until = now.saturating_add(self.config.module.connect_timeout).min(by);
             self.timers.set(until, Timer::Connect(id, no));
         } else {
-            self.close_by(id, no, Status::ConnectFailed);
+            self.close_by(id, no, AttemptStatus::ConnectFailed);
         }
     }
 
@@ -87,7 +88,7 @@
     fn may_send(&self, id: RequestId, server: ServerId, by: Nanos) -> Result<(), Denial> {
         let Some(live) = self.live.get(&id) else { return Err(Denial::Answered) };
         let settings = &self.config.module;
-        let reads = self.roster.role(server, settings) == Some(Role::Read);
+        let reads = self.roster.role(server, settings) == Some(Role::Prefill);
         let class = settings.classes.get(live.ask.class.0);
         let (zone, cell) = self.roster.place(server);
         // A read has no effect.
@@ -98,7 +99,7 @@
             write_by: by,
             answered: live.ended,
             client_left: false,
-            another_out: live.attempt.is_some() && !settings.second_copies,
+            another_out: live.attempt.is_some() && !settings.can_hedge,
             attempts_used: live.next_attempt >= settings.max_attempts,
             server_ready: self.roster.ready(server),
             repeat: ran.map(|(ran, class)| Repeat { class, ran, zone, cell }),
@@ -114,8 +115,8 @@
     }
 
     /// A refusal; where one would promise too much, a failure, which promises nothing.
-    fn refuse(&mut self, id: RequestId, retry_after: Nanos, why: Why, out: &mut Vec<Output>) {
-        let (cause, waited_for) = (why.reason.into(), why.held_by.map(Into::into));
+    fn refuse(&mut self, id: RequestId, retry_after: Nanos, why: GiveUpCause, out: &mut Vec<Output>) {
+        let (cause, waited_for) = (why.reason.into(), why.queueing_reason.map(Into::into));
         let answer = match self.may_refuse(id) {
             Ok(()) => ToClient::Refused { retry_after, cause, waited_for },
             Err(denial) => {
@@ -127,28 +128,29 @@
         self.forget_if_done(id);
     }
 
-    pub(super) fn moot(&mut self, id: RequestId, attempt: AttemptNo, server: ServerId, closed: bool) {
-        self.not_sent(id, attempt, server, Status::Moot, closed);
+    pub(super) fn moot(&mut self, id: RequestId, attempt: AttemptNumber, server: ServerId, closed: bool) {
+        self.not_sent(id, attempt, server, AttemptStatus::Expired, closed);
     }
 
     /// A send of the module that was not made.
     fn not_sent(
         &mut self,
         id: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         server: ServerId,
-        status: Status,
+        status: AttemptStatus,
         closed: bool,
     ) {
         self.counts.moot += 1;
-        self.events.push_back(Event::Outcome(Outcome {
+        self.events.push_back(Event::AttemptFinished(AttemptOutcome {
             id,
             attempt,
             server,
             status,
             latency: 0,
-            closed,
-            note: 0,
+            request_finished: closed,
+            cached_prompt_tokens: 0,
+            kv_cache_missing: false,
             report: None,
         }));
     }
@@ -160,7 +162,7 @@
         if self.now >= live.write_by {
             // The connection took too long: sent now it would be no repeat any more.
             let no = attempt.no;
-            return self.close_by(id, no, Status::Moot);
+            return self.close_by(id, no, AttemptStatus::Expired);
         }
         attempt.waits = false;
         let attempt = *attempt;
@@ -176,11 +178,11 @@
         }
     }
 
-    pub(super) fn cancel(&mut self, id: RequestId, no: AttemptNo) {
+    pub(super) fn cancel(&mut self, id: RequestId, no: AttemptNumber) {
         let attempt = self.live.get(&id).and_then(|l| l.attempt).filter(|a| a.no == no && !a.begun);
         let Some(attempt) = attempt else { return };
         self.call_off(id, attempt);
-        self.close(id, attempt, Status::Cancelled, 0, None);
+        self.close(id, attempt, AttemptStatus::Cancelled, 0, None);
     }
 
     /// Tells the engine that nobody waits.
@@ -238,7 +240,7 @@
         let nonce = self.next_nonce;
         let now = self.now;
         let Some(link) = self.engines.get_mut(&server) else {
-            return self.probed(server, 0, Status::ConnectFailed, None);
+            return self.probed(server, 0, AttemptStatus::ConnectFailed, None);
         };
         if link.is_up() {
             link.probes.insert(nonce, now);
@@ -246,7 +248,7 @@
             self.timers
                 .set(now.saturating_add(self.config.attempts.probe_timeout), Timer::Probe(server, nonce));
         } else {
-            self.probed(server, 0, Status::ConnectFailed, None);
+            self.probed(server, 0, AttemptStatus::ConnectFailed, None);
         }
     }
 
@@ -254,9 +256,9 @@
         &mut self,
         server: ServerId,
         latency: Nanos,
-        status: Status,
-        report: Option<Report>,
+        status: AttemptStatus,
+        report: Option<LoadReport>,
     ) {
-        self.events.push_back(Event::Probed { server, status, latency, report });
+        self.events.push_back(Event::ProbeFinished { server, status, latency, report });
     }
 }
--- a/crates/gaparch-router/src/core/attempts.rs
+++ b/crates/gaparch-router/src/core/attempts.rs
@@ -5,22 +5,37 @@
 use super::{Core, Output, ToClient};
 use gaparch_protocol::engine::EngineFrame;
 use gaparch_protocol::ops::ending::Cause;
-use gaparch_scheduler::api::{AttemptNo, Event, Outcome, Report, RequestId, Status};
+use gaparch_scheduler::api::{
+    AttemptNumber, AttemptOutcome, AttemptStatus, Event, LoadReport, OutcomeNote, RequestId,
+};
 use gaparch_scheduler::state::MayHaveRun;
 
 /// Whether a read that ended so may have ended well all the same, and left its state behind.
-fn may_have_read(status: Status) -> bool {
-    matches!(status, Status::Error | Status::Reset | Status::Unknown | Status::Timeout | Status::Cancelled)
+fn may_have_read(status: AttemptStatus) -> bool {
+    matches!(
+        status,
+        AttemptStatus::Error
+            | AttemptStatus::Reset
+            | AttemptStatus::Unknown
+            | AttemptStatus::Timeout
+            | AttemptStatus::Cancelled
+    )
 }
 
 /// Whether a write that ended so is known not to have run.
-fn has_not_run(status: Status) -> bool {
-    matches!(status, Status::Full | Status::ConnectFailed | Status::NoSocket | Status::Moot)
+fn has_not_run(status: AttemptStatus) -> bool {
+    matches!(
+        status,
+        AttemptStatus::Rejected
+            | AttemptStatus::ConnectFailed
+            | AttemptStatus::NoSocket
+            | AttemptStatus::Expired
+    )
 }
 
 impl Core {
     /// Ends the attempt that is out, if it is that one, with what the router itself has seen.
-    pub(super) fn close_by(&mut self, id: RequestId, no: AttemptNo, status: Status) {
+    pub(super) fn close_by(&mut self, id: RequestId, no: AttemptNumber, status: AttemptStatus) {
         if let Some(attempt) = self.live.get(&id).and_then(|l| l.attempt).filter(|a| a.no == no) {
             self.close(id, attempt, status, 0, None);
         }
@@ -31,9 +46,9 @@
         &mut self,
         id: RequestId,
         attempt: Attempt,
-        status: Status,
+        status: AttemptStatus,
         note: u64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let (zone, cell) = self.roster.place(attempt.server);
         let Some(live) = self.live.get_mut(&id) else { return };
@@ -45,18 +60,21 @@
         }
         live.step_ends(status, self.now);
         live.last_status = Some(status);
-        if !matches!(status, Status::Ok | Status::Read) {
+        if !matches!(status, AttemptStatus::Ok | AttemptStatus::Prefilled) {
             self.reasons.attempts.count(status.name());
         }
         if let Some(link) = self.engines.get_mut(&attempt.server) {
             link.attempts.remove(&id);
             match status {
-                Status::Ok | Status::Read | Status::Moot | Status::NoSocket => {}
-                Status::Cancelled => link.tally.called_off += 1,
+                AttemptStatus::Ok
+                | AttemptStatus::Prefilled
+                | AttemptStatus::Expired
+                | AttemptStatus::NoSocket => {}
+                AttemptStatus::Cancelled => link.tally.called_off += 1,
                 _ => link.tally.failed += 1,
             }
         }
-        if status == Status::Read {
+        if status == AttemptStatus::Prefilled {
             live.state_at = Some(attempt.server);
             live.held_since = Some(self.now);
             live.hold(attempt.server);
@@ -68,14 +86,15 @@
         let Some(live) = self.live.get(&id) else { return };
         let closed = live.ended;
         self.may_leave(attempt.server);
-        self.events.push_back(Event::Outcome(Outcome {
+        self.events.push_back(Event::AttemptFinished(AttemptOutcome {
             id,
             attempt: attempt.no,
             server: attempt.server,
             status,
             latency: self.now.saturating_sub(attempt.sent_at),
-            closed,
-            note,
+            request_finished: closed,
+            cached_prompt_tokens: OutcomeNote(note).cached_prompt_tokens(status),
+            kv_cache_missing: OutcomeNote(note).kv_cache_missing(status),
             report,
         }));
         self.forget_if_done(id);
@@ -86,27 +105,27 @@
         &mut self,
         id: RequestId,
         attempt: Attempt,
-        status: Status,
+        status: AttemptStatus,
         out: &mut Vec<Output>,
     ) {
-        let cause = if status == Status::Timeout { Cause::Stalled } else { Cause::BrokeOff };
+        let cause = if status == AttemptStatus::Timeout { Cause::Stalled } else { Cause::BrokeOff };
         self.answer(id, ToClient::Failed { why: "the answer broke off", cause }, out);
         self.close(id, attempt, status, 0, None);
     }
 
     pub(super) fn on_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
         match timer {
-            Timer::Module(token) => self.events.push_back(Event::Timer(token)),
+            Timer::Module(token) => self.events.push_back(Event::TimerFired(token)),
             Timer::Attempt(id, no) => {
                 let attempt = self.live.get(&id).and_then(|l| l.attempt);
                 let Some(attempt) = attempt.filter(|a| a.no == no && !a.begun) else { return };
                 self.call_off(id, attempt);
-                self.close(id, attempt, Status::Timeout, 0, None);
+                self.close(id, attempt, AttemptStatus::Timeout, 0, None);
             }
             Timer::Connect(id, no) => {
                 let waits = self.live.get(&id).and_then(|l| l.attempt).is_some_and(|a| a.no == no && a.waits);
                 if waits {
-                    self.close_by(id, no, Status::ConnectFailed);
+                    self.close_by(id, no, AttemptStatus::ConnectFailed);
                 }
             }
             Timer::Overdue(id) => self.on_overdue(id, out),
@@ -114,7 +133,7 @@
             Timer::Probe(server, nonce) => {
                 let sent = self.engines.get_mut(&server).and_then(|l| l.probes.remove(&nonce));
                 if let Some(sent) = sent {
-                    self.probed(server, self.now.saturating_sub(sent), Status::Timeout, None);
+                    self.probed(server, self.now.saturating_sub(sent), AttemptStatus::Timeout, None);
                 }
             }
             Timer::Reconnect(server) => self.connect(server, out),
@@ -130,7 +149,7 @@
         }
         self.counts.overdue += 1;
         self.answer(id, ToClient::Failed { why: "it was not ended in time", cause: Cause::Overdue }, out);
-        self.events.push_back(Event::Gone(id));
+        self.events.push_back(Event::ClientDisconnected(id));
         self.forget_if_done(id);
     }
 
@@ -145,6 +164,6 @@
         }
         let attempt = *attempt;
         self.call_off(id, attempt);
-        self.break_stream(id, attempt, Status::Timeout, out);
+        self.break_stream(id, attempt, AttemptStatus::Timeout, out);
     }
 }
--- a/crates/gaparch-router/src/core/clients.rs
+++ b/crates/gaparch-router/src/core/clients.rs
@@ -5,7 +5,7 @@
 use super::{Core, Output, ToClient};
 use gaparch_ops::limits::OPEN_REQUESTS;
 use gaparch_protocol::ops::ending::Cause;
-use gaparch_scheduler::api::{Event, RequestId, Status};
+use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Core {
     pub(super) fn on_ask(&mut self, id: RequestId, ask: Accepted, out: &mut Vec<Output>) {
@@ -25,20 +25,20 @@
         self.owed += 1;
         if let Some(cause) = closed {
             // The module never hears of it: it is not accepted.
-            self.live.insert(id, Live::new(ask, request.give_up_at, self.now));
+            self.live.insert(id, Live::new(ask, request.deadline_at, self.now));
             self.answer(id, self.closed(cause), out);
             return self.forget_if_done(id);
         }
-        let overdue = request.give_up_at.saturating_add(self.config.module.answer_slack);
+        let overdue = request.deadline_at.saturating_add(self.config.module.answer_grace);
         let overdue = self.timers.set(overdue, Timer::Overdue(id));
-        let live = Live::new(ask, request.give_up_at, self.now);
+        let live = Live::new(ask, request.deadline_at, self.now);
         self.live.insert(id, Live { overdue: Some(overdue), ..live });
-        self.events.push_back(Event::Request(request));
+        self.events.push_back(Event::RequestArrived(request));
     }
 
     /// The refusal of what is not accepted.
     pub(super) fn closed(&self, cause: Cause) -> ToClient {
-        let retry_after = self.config.module.come_back_after();
+        let retry_after = self.config.module.advertised_retry_after();
         ToClient::Refused { retry_after, cause, waited_for: None }
     }
 
@@ -50,11 +50,11 @@
         self.note_ending(id, None, out);
         let Some(live) = self.live.get(&id) else { return };
         let begun = live.attempt.filter(|a| a.begun);
-        self.events.push_back(Event::Gone(id));
+        self.events.push_back(Event::ClientDisconnected(id));
         // Nobody reads the stream: it ends, and the module hears of its attempt.
         if let Some(attempt) = begun {
             self.call_off(id, attempt);
-            self.close(id, attempt, Status::Cancelled, 0, None);
+            self.close(id, attempt, AttemptStatus::Cancelled, 0, None);
         }
         self.forget_if_done(id);
     }
@@ -103,10 +103,10 @@
                 false => ToClient::Failed { why: "the router was stopped", cause: Cause::Stopping },
             };
             self.answer(id, answer, out);
-            self.events.push_back(Event::Gone(id));
+            self.events.push_back(Event::ClientDisconnected(id));
             if let Some(attempt) = self.live.get(&id).and_then(|l| l.attempt) {
                 self.call_off(id, attempt);
-                self.close(id, attempt, Status::Cancelled, 0, None);
+                self.close(id, attempt, AttemptStatus::Cancelled, 0, None);
             }
         }
     }
--- a/crates/gaparch-router/src/core/engines.rs
+++ b/crates/gaparch-router/src/core/engines.rs
@@ -1,7 +1,7 @@
 //! The one connection to each engine.
 
 use gaparch_config::Attempts;
-use gaparch_scheduler::api::{Nanos, Report, RequestId};
+use gaparch_scheduler::api::{LoadReport, Nanos, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One connection that was asked for; the next one to the same engine has another number.
@@ -32,7 +32,7 @@
     /// Probes out, by nonce, with when they were sent.
     pub probes: BTreeMap<u64, Nanos>,
     /// The last report that came by itself.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     pub tally: Tally,
 }
 
--- a/crates/gaparch-router/src/core/following.rs
+++ b/crates/gaparch-router/src/core/following.rs
@@ -5,20 +5,23 @@
 use super::roster::ListUpdate;
 use super::{Core, Output};
 use gaparch_config::Links;
-use gaparch_scheduler::api::{Event, ListKind, RequestId, ServerId, Status};
+use gaparch_scheduler::api::{AttemptStatus, EndpointUpdate, Event, RequestId, ServerId};
 use std::collections::BTreeSet;
 
 impl Core {
     pub(super) fn on_list_up(&mut self, out: &mut Vec<Output>) {
         // Where it must be asked, the module asks.
-        if !self.config.module.ask {
+        if !self.config.module.poll_endpoints {
             out.push(Output::Watch(true));
         }
     }
 
     pub(super) fn on_list_down(&mut self) {
-        if self.config.module.ask {
-            self.events.push_back(Event::Members { kind: ListKind::Failed, entries: Vec::new().into() });
+        if self.config.module.poll_endpoints {
+            self.events.push_back(Event::EndpointsChanged {
+                update: EndpointUpdate::Failed,
+                endpoints: Vec::new().into(),
+            });
         }
     }
 
@@ -28,8 +31,9 @@
             // A change was missed: the whole list tells.
             return out.push(Output::Fetch);
         };
-        let changed = (kind == ListKind::Delta).then(|| entries.iter().map(|entry| entry.server).collect());
-        self.events.push_back(Event::Members { kind, entries: entries.into() });
+        let changed =
+            (kind == EndpointUpdate::Delta).then(|| entries.iter().map(|entry| entry.server).collect());
+        self.events.push_back(Event::EndpointsChanged { update: kind, endpoints: entries.into() });
         match changed {
             Some(changed) => self.follow_engines(changed, out),
             None => self.follow_roster(out),
@@ -70,7 +74,7 @@
         let waiting: Vec<(RequestId, Attempt)> =
             self.live.iter().filter_map(|(id, l)| Some((*id, waits(l)?))).collect();
         for (id, attempt) in waiting {
-            self.close(id, attempt, Status::ConnectFailed, 0, None);
+            self.close(id, attempt, AttemptStatus::ConnectFailed, 0, None);
         }
     }
 
--- a/crates/gaparch-router/src/core/links.rs
+++ b/crates/gaparch-router/src/core/links.rs
@@ -8,7 +8,9 @@
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::{AttemptKey, EngineFacts, EngineFrame};
 use gaparch_protocol::ops::ending::Cause;
-use gaparch_scheduler::api::{AttemptNo, Event, ListKind, Nanos, Report, RequestId, ServerId, Status};
+use gaparch_scheduler::api::{
+    AttemptNumber, AttemptStatus, EndpointUpdate, Event, LoadReport, Nanos, RequestId, ServerId,
+};
 
 impl Core {
     pub(super) fn connect(&mut self, engine: ServerId, out: &mut Vec<Output>) {
@@ -35,7 +37,10 @@
             return self.violate(engine, reason, out);
         }
         if let Some(entry) = self.roster.started(engine, facts.started_at, self.now, &mut self.counts) {
-            self.events.push_back(Event::Members { kind: ListKind::Delta, entries: vec![entry].into() });
+            self.events.push_back(Event::EndpointsChanged {
+                update: EndpointUpdate::Delta,
+                endpoints: vec![entry].into(),
+            });
         }
         let waits = |l: &Live| l.attempt.is_some_and(|a| a.server == engine && a.waits);
         let waiting: Vec<RequestId> = self.live.iter().filter(|(_, l)| waits(l)).map(|(id, _)| *id).collect();
@@ -51,20 +56,20 @@
             self.timers.set(self.now.saturating_add(down.retry_after), Timer::Reconnect(engine));
         }
         for (_, sent) in down.probes {
-            self.probed(engine, self.now.saturating_sub(sent), Status::ConnectFailed, None);
+            self.probed(engine, self.now.saturating_sub(sent), AttemptStatus::ConnectFailed, None);
         }
         if down.was_up {
             // The module hears of a lost connection even if nothing of it was out there.
-            self.probed(engine, 0, Status::ConnectFailed, None);
+            self.probed(engine, 0, AttemptStatus::ConnectFailed, None);
         }
         let of = |l: &Live| l.attempt.filter(|a| a.server == engine);
         let hit: Vec<(RequestId, Attempt)> =
             self.live.iter().filter_map(|(id, l)| Some((*id, of(l)?))).collect();
         for (id, attempt) in hit {
             match attempt {
-                Attempt { begun: true, .. } => self.break_stream(id, attempt, Status::Reset, out),
-                Attempt { waits: true, .. } => self.close(id, attempt, Status::ConnectFailed, 0, None),
-                _ => self.close(id, attempt, Status::Reset, 0, None),
+                Attempt { begun: true, .. } => self.break_stream(id, attempt, AttemptStatus::Reset, out),
+                Attempt { waits: true, .. } => self.close(id, attempt, AttemptStatus::ConnectFailed, 0, None),
+                _ => self.close(id, attempt, AttemptStatus::Reset, 0, None),
             }
         }
         // What it held for this router went with the connection.
@@ -107,7 +112,7 @@
                 let sent = self.engines.get_mut(&engine).and_then(|l| l.probes.remove(&nonce));
                 let report = clean(report, &mut self.counts);
                 if let Some(sent) = sent {
-                    self.probed(engine, self.now.saturating_sub(sent), Status::Ok, report);
+                    self.probed(engine, self.now.saturating_sub(sent), AttemptStatus::Ok, report);
                 }
             }
             EngineFrame::Report(report) => {
@@ -121,7 +126,7 @@
         }
     }
 
-    pub(super) fn on_probed(&mut self, engine: ServerId, nonce: u64, status: Status) {
+    pub(super) fn on_probed(&mut self, engine: ServerId, nonce: u64, status: AttemptStatus) {
         let sent = self.engines.get_mut(&engine).and_then(|l| l.probes.remove(&nonce));
         if let Some(sent) = sent {
             self.probed(engine, self.now.saturating_sub(sent), status, None);
@@ -136,7 +141,7 @@
         out: &mut Vec<Output>,
     ) {
         let id = RequestId(key.request);
-        let no = AttemptNo(key.attempt);
+        let no = AttemptNumber(key.attempt);
         let live = self.live.get(&id);
         if live.is_some_and(|l| no.0 >= l.next_attempt) {
             return self.violate(engine, "an attempt that was never made", out);
@@ -146,7 +151,12 @@
             let asked = live.is_some_and(|l| l.held_at.contains(&engine));
             let out = live.and_then(|l| l.attempt).is_some_and(|a| a.no == no);
             return match asked && out {
-                true => self.events.push_back(Event::Note { id, attempt: no, server: engine, held }),
+                true => self.events.push_back(Event::ReservationAnswered {
+                    id,
+                    attempt: no,
+                    server: engine,
+                    reserved: held,
+                }),
                 false => self.counts.late_frames += 1,
             };
         }
@@ -161,7 +171,7 @@
                 if let Some(live) = self.live.get_mut(&id) {
                     live.usage.kept = kept;
                 }
-                self.close(id, attempt, Status::Read, u64::from(kept), report);
+                self.close(id, attempt, AttemptStatus::Prefilled, u64::from(kept), report);
             }
             EngineFrame::Tokens { from, count, text, .. } if attempt.stage == Stage::Write => {
                 self.on_tokens(id, attempt, from, count, text, out);
@@ -173,7 +183,7 @@
         }
     }
 
-    pub(super) fn report(&mut self, engine: ServerId, report: Option<Report>) -> Option<Report> {
+    pub(super) fn report(&mut self, engine: ServerId, report: Option<LoadReport>) -> Option<LoadReport> {
         let own = clean(report, &mut self.counts);
         own.or_else(|| self.engines.get_mut(&engine).and_then(|l| l.report.take()))
     }
@@ -228,7 +238,7 @@
             }
             self.may_leave(server);
         }
-        self.events.push_back(Event::First {
+        self.events.push_back(Event::FirstToken {
             id,
             attempt: attempt.no,
             server: attempt.server,
@@ -241,18 +251,18 @@
         &mut self,
         id: RequestId,
         attempt: Attempt,
-        status: Status,
+        status: AttemptStatus,
         note: u64,
         produced: u32,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         out: &mut Vec<Output>,
     ) {
         let report = self.report(attempt.server, report);
         let Some(live) = self.live.get(&id) else { return };
-        if status == Status::Ok && attempt.stage == Stage::Read {
+        if status == AttemptStatus::Ok && attempt.stage == Stage::Read {
             return self.violate(attempt.server, "an answer to a read", out);
         }
-        if status != Status::Ok {
+        if status != AttemptStatus::Ok {
             return match attempt.begun {
                 true => {
                     let cause = Cause::BrokeOff;
@@ -277,6 +287,6 @@
         let reason =
             if usage.output >= live.ask.max_out { StopReason::MaxTokens } else { StopReason::Finished };
         self.answer(id, ToClient::Finished { usage, reason }, out);
-        self.close(id, attempt, Status::Ok, note, report);
+        self.close(id, attempt, AttemptStatus::Ok, note, report);
     }
 }
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -27,7 +27,7 @@
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, RouterRun, StateAt};
 use gaparch_protocol::ops::ending::{Cause, Ending, Evidence, WaitedFor};
 use gaparch_protocol::ops::intent::Taken;
-use gaparch_scheduler::api::{Event, ListKind, Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::api::{AttemptStatus, EndpointUpdate, Event, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::permits::Denials;
 use gaparch_scheduler::policy::Policy;
 use request::Live;
@@ -71,7 +71,7 @@
     Probed {
         engine: ServerId,
         nonce: u64,
-        status: Status,
+        status: AttemptStatus,
     },
     /// A message of another router, by its number.
     Peer {
@@ -247,7 +247,8 @@
         };
         core.set_quotas();
         let entries = core.roster.take_settings(&core.config, &core.book, now);
-        core.events.push_back(Event::Members { kind: ListKind::Cached, entries: entries.into() });
+        core.events
+            .push_back(Event::EndpointsChanged { update: EndpointUpdate::Cached, endpoints: entries.into() });
         core.follow_roster(out);
         core.pump(out);
         core
@@ -328,8 +329,8 @@
             Input::ListDown => self.on_list_down(),
             Input::List(update) => self.on_list(update, out),
             Input::Probed { engine, nonce, status } => self.on_probed(engine, nonce, status),
-            Input::Peer { from, data } => self.events.push_back(Event::Peer { from, data }),
-            Input::Routers(routers) => self.events.push_back(Event::Routers(routers)),
+            Input::Peer { from, data } => self.events.push_back(Event::GossipReceived { from, data }),
+            Input::Routers(routers) => self.events.push_back(Event::RouterCountChanged(routers)),
             Input::Taken(taken) => self.on_taken(taken, out),
             Input::StopAt(at) => self.stop_at(at),
             Input::StopNow => self.stop_now(out),
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -13,8 +13,10 @@
     Avoid, EngineRole, EngineState, EngineView, Figures, LiveView, PartRest, Phase, Setting,
 };
 use gaparch_protocol::ops::Order;
-use gaparch_scheduler::api::{Event, ListKind, Nanos, RequestId, Role, ServerId, ServerState, TenantId};
-use gaparch_scheduler::view::{Avoided, ServerView};
+use gaparch_scheduler::api::{
+    EndpointUpdate, Event, Idempotency, Nanos, RequestId, Role, ServerId, ServerState, TenantId,
+};
+use gaparch_scheduler::view::{AvoidReason, ServerView};
 use std::collections::BTreeMap;
 
 /// Evidence younger than this is used again: requests given up together saw the same.
@@ -26,7 +28,7 @@
     match state {
         ServerState::Ready => EngineState::Ready,
         ServerState::Draining => EngineState::Draining,
-        ServerState::Gone => EngineState::Gone,
+        ServerState::Removed => EngineState::Gone,
     }
 }
 
@@ -34,26 +36,26 @@
     match state {
         EngineState::Ready => ServerState::Ready,
         EngineState::Draining => ServerState::Draining,
-        EngineState::Gone => ServerState::Gone,
+        EngineState::Gone => ServerState::Removed,
     }
 }
 
 fn role(role: Role) -> EngineRole {
     match role {
-        Role::Read => EngineRole::Read,
-        Role::Write => EngineRole::Write,
-        Role::Both => EngineRole::Both,
+        Role::Prefill => EngineRole::Read,
+        Role::Decode => EngineRole::Write,
+        Role::Mixed => EngineRole::Both,
     }
 }
 
-fn avoid(avoided: Avoided) -> Avoid {
+fn avoid(avoided: AvoidReason) -> Avoid {
     match avoided {
-        Avoided::NotReady => Avoid::NotReady,
-        Avoided::Unreachable => Avoid::Unreachable,
-        Avoided::Resting { .. } => Avoid::Resting,
-        Avoided::Slow => Avoid::Slow,
-        Avoided::Cold => Avoid::Cold,
-        Avoided::Full => Avoid::Full,
+        AvoidReason::NotReady => Avoid::NotReady,
+        AvoidReason::Unreachable => Avoid::Unreachable,
+        AvoidReason::Ejected { .. } => Avoid::Resting,
+        AvoidReason::Outlier => Avoid::Slow,
+        AvoidReason::WarmingUp => Avoid::Cold,
+        AvoidReason::Saturated => Avoid::Full,
     }
 }
 
@@ -115,7 +117,7 @@
             engines: self.engine_views().into_iter().map(standing).collect(),
             held: figures.held,
             reading: figures.reading,
-            self_prefill: self.config.module.self_prefill,
+            self_prefill: self.config.module.decode_workers_can_prefill,
             limits: self.limits(),
         }
     }
@@ -134,7 +136,7 @@
         let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
         let of_tenant = |(name, tenant): (&String, &gaparch_scheduler::api::Tenant)| {
             let unit = "requests a second, 0: not bounded";
-            limit(tenant_limit(name), tenant.quota_per_s, 0.0, MOST_PER_S, unit)
+            limit(tenant_limit(name), tenant.quota_per_second, 0.0, MOST_PER_S, unit)
         };
         let open = limit(OPEN_REQUESTS.to_owned(), most, 1.0, most, "requests");
         std::iter::once(open).chain(tenants.map(of_tenant)).collect()
@@ -144,7 +146,7 @@
     pub(super) fn set_quotas(&mut self) {
         for (n, name) in self.config.names.tenants.iter().enumerate() {
             if let Some(per_s) = self.book.limit(&tenant_limit(name)) {
-                self.events.push_back(Event::Quota { tenant: TenantId(n), per_s });
+                self.events.push_back(Event::QuotaChanged { tenant: TenantId(n), quota_per_second: per_s });
             }
         }
     }
@@ -156,7 +158,10 @@
             Change::Hold { engine, .. } | Change::Free { engine } => {
                 if let Some(entry) = self.roster.hold_changed(&engine, &self.book) {
                     let entries = vec![entry].into();
-                    self.events.push_back(Event::Members { kind: ListKind::Delta, entries });
+                    self.events.push_back(Event::EndpointsChanged {
+                        update: EndpointUpdate::Delta,
+                        endpoints: entries,
+                    });
                     self.follow_roster(out);
                 }
             }
@@ -164,9 +169,10 @@
                 let tenant = limited_tenant(&name);
                 let tenant = tenant.and_then(|t| self.config.names.tenants.iter().position(|n| n == t));
                 if let Some(tenant) = tenant.map(TenantId) {
-                    let by_settings = self.config.module.tenants.get(tenant.0).map_or(0.0, |t| t.quota_per_s);
+                    let by_settings =
+                        self.config.module.tenants.get(tenant.0).map_or(0.0, |t| t.quota_per_second);
                     let per_s = value.unwrap_or(by_settings);
-                    self.events.push_back(Event::Quota { tenant, per_s });
+                    self.events.push_back(Event::QuotaChanged { tenant, quota_per_second: per_s });
                 }
             }
             // Looked at where requests come in; the shell stops.
@@ -186,7 +192,7 @@
             let seen = seen.get(id)?;
             let link = self.engines.get(id);
             let tally = link.map(|l| l.tally).unwrap_or_default();
-            let part = |rest: &gaparch_scheduler::view::PartRest| PartRest {
+            let part = |rest: &gaparch_scheduler::view::PartialEjection| PartRest {
                 class: self.config.names.classes.get(rest.class.0).cloned().unwrap_or_default(),
                 tenant: self.tenant_name(rest.tenant).to_owned(),
                 until: rest.until,
@@ -200,17 +206,17 @@
                 listed: listed_state(known.listed.state),
                 state: listed_state(known.entry.state),
                 connected: link.is_some_and(|l| l.is_up()),
-                avoided: seen.avoided.map(avoid),
-                rests: seen.part_rests.iter().map(part).collect(),
-                waiting: seen.unbegun,
+                avoided: seen.avoid_reason.map(avoid),
+                rests: seen.partial_ejections.iter().map(part).collect(),
+                waiting: seen.awaiting_first_token,
                 streaming: streaming.get(id).copied().unwrap_or(0),
-                unread: seen.unread,
-                memory: seen.memory,
-                memory_said: seen.memory_reported,
-                pace: seen.pace,
-                cold_budget: seen.cold_budget,
-                started_at: known.entry.ready_at,
-                heard_at: seen.heard_at,
+                unread: seen.queued_prompt_tokens,
+                memory: seen.memory_utilization,
+                memory_said: seen.reported_memory_utilization,
+                pace: seen.latency_ratio,
+                cold_budget: seen.slow_start_budget,
+                started_at: known.entry.started_at,
+                heard_at: seen.last_response_at,
                 attempts: tally.attempts,
                 failed: tally.failed,
                 called_off: tally.called_off,
@@ -355,13 +361,13 @@
             }
         }
         let mut views: Vec<ServerView> = self.policy.views().collect();
-        views.sort_by_key(|v| v.avoided.is_none());
+        views.sort_by_key(|v| v.avoid_reason.is_none());
         let one = |view: &ServerView| Evidence {
             engine: self.roster.name(view.server).to_owned(),
-            avoided: view.avoided.map(|a| avoid(a).word().to_owned()).unwrap_or_default(),
-            memory: view.memory,
-            unread: view.unread,
-            pace: view.pace,
+            avoided: view.avoid_reason.map(|a| avoid(a).word().to_owned()).unwrap_or_default(),
+            memory: view.memory_utilization,
+            unread: view.queued_prompt_tokens,
+            pace: view.latency_ratio,
         };
         let evidence: Vec<Evidence> = views.iter().take(MAX_EVIDENCE).map(one).collect();
         self.evidence = Some((self.now, evidence.clone()));
@@ -372,13 +378,20 @@
     pub fn settings(&self) -> Vec<Setting> {
         let module = &self.config.module;
         let mut all = vec![
-            ("router", format!("{}, {} of {}", self.config.router, module.me, module.routers)),
+            ("router", format!("{}, {} of {}", self.config.router, module.router_index, module.router_count)),
             ("drain grace", Span(module.drain_grace).to_string()),
-            ("release within", Span(module.release_within).to_string()),
-            ("cold", format!("{} from {} of full speed", Span(module.cold), module.cold_from)),
+            ("release within", Span(module.kv_release_within).to_string()),
+            (
+                "cold",
+                format!(
+                    "{} from {} of full speed",
+                    Span(module.slow_start_duration),
+                    module.slow_start_speed
+                ),
+            ),
             ("attempts at most", module.max_attempts.to_string()),
-            ("calls off attempts", module.cancel.to_string()),
-            ("probes", module.probes.to_string()),
+            ("calls off attempts", module.can_cancel.to_string()),
+            ("probes", module.can_probe.to_string()),
             ("retry-after at most", Span(module.max_retry_after).to_string()),
         ]
         .into_iter()
@@ -386,14 +399,23 @@
         .collect::<Vec<_>>();
         for (name, class) in self.config.names.classes.iter().zip(&module.classes) {
             let value = format!(
-                "{:?}, aim {}, deadline {}, worth {}",
-                class.effect,
-                Span(class.aim),
+                "{}, aim {}, deadline {}, worth {}",
+                idempotency_setting(class.idempotency),
+                Span(class.latency_objective),
                 Span(class.deadline),
-                class.worth
+                class.priority_weight
             );
             all.push(Setting { name: format!("class {name}"), value: value.to_lowercase() });
         }
         all
     }
 }
+
+/// The word of the settings file for a class's idempotency, as operators' tools have always printed it.
+fn idempotency_setting(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "safe",
+        Idempotency::WithKey => "keyed",
+        Idempotency::NotIdempotent => "unsafe",
+    }
+}
--- a/crates/gaparch-router/src/core/reasons.rs
+++ b/crates/gaparch-router/src/core/reasons.rs
@@ -2,7 +2,7 @@
 //! request holds something for how long.
 
 use super::Core;
-use gaparch_scheduler::api::{Nanos, RequestId, ServerId, Status};
+use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, ServerId};
 use gaparch_scheduler::counts::write_counts;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -56,7 +56,7 @@
     }
 
     /// How the last attempt of a request has ended, if one has.
-    pub fn last_status(&self, id: RequestId) -> Option<Status> {
+    pub fn last_status(&self, id: RequestId) -> Option<AttemptStatus> {
         self.live.get(&id)?.last_status
     }
 
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -6,7 +6,8 @@
 use gaparch_protocol::engine::{AttemptKey, Job};
 use gaparch_protocol::ops::ending::{StepEnd, MAX_STEPS};
 use gaparch_scheduler::api::{
-    AttemptNo, ClassId, Key, Nanos, Request, RequestId, ServerId, Settings, Status, TenantId,
+    AffinityKey, AttemptNumber, AttemptStatus, ClassId, Nanos, Request, RequestId, ServerId, Settings,
+    TenantId,
 };
 use gaparch_scheduler::state::MayHaveRun;
 
@@ -15,8 +16,8 @@
 pub struct Accepted {
     pub class: ClassId,
     pub tenant: Option<TenantId>,
-    pub session: Option<Key>,
-    pub prefix: Option<Key>,
+    pub session: Option<AffinityKey>,
+    pub prefix: Option<AffinityKey>,
     /// Tokens; 0 where not told.
     pub prompt_len: u32,
     pub prefix_len: u32,
@@ -37,15 +38,17 @@
     /// How soon its first token is wanted, by what its client has told.
     pub(super) fn aim(&self, settings: &Settings) -> Nanos {
         let class = settings.classes.get(self.class.0);
-        let (aim, per_token) = class.map_or((0, 0.0), |c| (c.aim, c.aim_per_token));
+        let (aim, per_token) =
+            class.map_or((0, 0.0), |c| (c.latency_objective, c.latency_objective_per_prompt_token));
         aim.saturating_add((per_token * f64::from(self.prompt_len)) as Nanos)
     }
 
     /// As the module is told of it. Where the client does not say, the deadline grows twice as much with the prompt as the aim does.
     pub(super) fn request(&self, id: RequestId, settings: &Settings, now: Nanos) -> Request {
         let class = settings.classes.get(self.class.0);
-        let (deadline, per_token, token_aim) =
-            class.map_or((0, 0.0, 0), |c| (c.deadline, c.aim_per_token, c.token_aim));
+        let (deadline, per_token, token_aim) = class.map_or((0, 0.0, 0), |c| {
+            (c.deadline, c.latency_objective_per_prompt_token, c.token_latency_objective)
+        });
         let longer = 2.0 * per_token * f64::from(self.prompt_len);
         Request {
             id,
@@ -53,19 +56,22 @@
             tenant: self.tenant,
             session: self.session,
             prefix: self.prefix,
-            prompt_len: f64::from(self.prompt_len),
-            prefix_len: f64::from(self.prefix_len),
-            max_out: f64::from(self.max_out),
-            hint: self.hint.map(|tokens| Nanos::from(tokens).saturating_mul(token_aim)).filter(|h| *h > 0),
-            give_up_at: self
+            prompt_tokens: f64::from(self.prompt_len),
+            prefix_tokens: f64::from(self.prefix_len),
+            max_output_tokens: f64::from(self.max_out),
+            expected_duration: self
+                .hint
+                .map(|tokens| Nanos::from(tokens).saturating_mul(token_aim))
+                .filter(|h| *h > 0),
+            deadline_at: self
                 .give_up_at
                 .unwrap_or_else(|| now.saturating_add(deadline).saturating_add(longer as Nanos)),
-            retry: self.repeat,
-            again: self.again,
+            client_retry: self.repeat,
+            client_reconnect: self.again,
         }
     }
 
-    pub(super) fn job(&self, id: RequestId, no: AttemptNo, give_up_at: Nanos, now: Nanos) -> Job {
+    pub(super) fn job(&self, id: RequestId, no: AttemptNumber, give_up_at: Nanos, now: Nanos) -> Job {
         let patience_ms = give_up_at.saturating_sub(now) / 1_000_000;
         Job {
             key: AttemptKey { request: id.0, attempt: no.0 },
@@ -91,7 +97,7 @@
 /// The attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Attempt {
-    pub no: AttemptNo,
+    pub no: AttemptNumber,
     pub server: ServerId,
     pub stage: Stage,
     pub sent_at: Nanos,
@@ -131,7 +137,7 @@
     /// When the read of that state ended.
     pub held_since: Option<Nanos>,
     /// How its last attempt ended.
-    pub last_status: Option<Status>,
+    pub last_status: Option<AttemptStatus>,
     /// Engines that hold something for it.
     pub held_at: Vec<ServerId>,
     /// The final answer is given: only the books are still open.
@@ -187,18 +193,18 @@
     }
 
     /// Notes how the last attempt ended.
-    pub fn step_ends(&mut self, status: Status, now: Nanos) {
+    pub fn step_ends(&mut self, status: AttemptStatus, now: Nanos) {
         let out = self.steps.last_mut().filter(|s| s.end == StepEnd::Out);
         if let Some(step) = out {
             step.took = now.saturating_sub(step.from);
             step.end = match status {
-                Status::Ok | Status::Read => StepEnd::Done,
-                Status::Error | Status::Unknown | Status::Moot => StepEnd::Error,
-                Status::Full => StepEnd::Full,
-                Status::Timeout => StepEnd::Timeout,
-                Status::ConnectFailed | Status::NoSocket => StepEnd::ConnectFailed,
-                Status::Reset => StepEnd::Reset,
-                Status::Cancelled => StepEnd::CalledOff,
+                AttemptStatus::Ok | AttemptStatus::Prefilled => StepEnd::Done,
+                AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => StepEnd::Error,
+                AttemptStatus::Rejected => StepEnd::Full,
+                AttemptStatus::Timeout => StepEnd::Timeout,
+                AttemptStatus::ConnectFailed | AttemptStatus::NoSocket => StepEnd::ConnectFailed,
+                AttemptStatus::Reset => StepEnd::Reset,
+                AttemptStatus::Cancelled => StepEnd::CalledOff,
             };
         }
     }
--- a/crates/gaparch-router/src/core/roster.rs
+++ b/crates/gaparch-router/src/core/roster.rs
@@ -7,7 +7,9 @@
 use gaparch_ops::combine::combine;
 use gaparch_protocol::engine::{EngineFacts, StateAt};
 use gaparch_protocol::list::{ListEntry, Scope};
-use gaparch_scheduler::api::{CellId, Entry, ListKind, Nanos, Role, ServerId, ServerState, Settings, ZoneId};
+use gaparch_scheduler::api::{
+    CellId, Endpoint, EndpointUpdate, Nanos, Role, ServerId, ServerState, Settings, ZoneId,
+};
 use gaparch_scheduler::policy::start_times::{self, ListedStart};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,7 +36,7 @@
     pub listed: ListEntry,
     pub address: SocketAddr,
     /// As the module is told: with the operators' word.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// What its process says of its start, by its own clock.
     said: Option<u64>,
     /// When it was last not there, or could not be reached, by the clock here: where a change of the list first named it,
@@ -63,7 +65,7 @@
 }
 
 impl Roster {
-    pub fn take_settings(&mut self, config: &Config, book: &Book, now: Nanos) -> Vec<Entry> {
+    pub fn take_settings(&mut self, config: &Config, book: &Book, now: Nanos) -> Vec<Endpoint> {
         let mut counts = Counts::default();
         for engine in &config.engines {
             let listed = ListEntry {
@@ -89,29 +91,29 @@
         book: &Book,
         now: Nanos,
         counts: &mut Counts,
-    ) -> Option<(ListKind, Vec<Entry>)> {
+    ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
         let delta = update.scope == Scope::Delta;
         if delta && self.version != Some(update.after) {
             // One that is known already says nothing new.
             let stale = self.version.is_some_and(|v| update.version <= v);
-            return stale.then_some((ListKind::Delta, Vec::new()));
+            return stale.then_some((EndpointUpdate::Delta, Vec::new()));
         }
         self.version = Some(update.version);
         if !delta {
             // What a whole list does not name is gone.
             for known in self.known.values_mut() {
-                (known.listed.state, known.entry.state) = (ServerState::Gone, ServerState::Gone);
+                (known.listed.state, known.entry.state) = (ServerState::Removed, ServerState::Removed);
             }
         }
         let mut entries = Vec::new();
         for timed in self.timed(update.entries, !delta, config, now) {
             entries.extend(self.take(timed, config, book, now, counts));
         }
-        Some((if delta { ListKind::Delta } else { ListKind::Full }, entries))
+        Some((if delta { EndpointUpdate::Delta } else { EndpointUpdate::Full }, entries))
     }
 
     /// An operator has changed his word on an engine; the entry to tell of, if the engine is known.
-    pub fn hold_changed(&mut self, engine: &str, book: &Book) -> Option<Entry> {
+    pub fn hold_changed(&mut self, engine: &str, book: &Book) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|k| k.listed.engine == engine)?;
         known.entry.state = state_of(&known.listed, book);
         Some(known.entry.clone())
@@ -136,16 +138,16 @@
             told: listed.started_at,
             known: before(listed)
                 .filter(|known| known.listed.started_at == listed.started_at)
-                .and_then(|known| known.entry.ready_at),
+                .and_then(|known| known.entry.started_at),
         };
         let starts: Vec<ListedStart> = entries.iter().map(start).collect();
         let began = match whole {
-            true => start_times::of_whole_list(now, config.module.cold, &starts),
+            true => start_times::of_whole_list(now, config.module.slow_start_duration, &starts),
             false => start_times::of_change(now, &starts),
         };
         let after_the_last = |listed: &ListEntry, start: &ListedStart, began: Option<Nanos>| {
             let last =
-                before(listed).filter(|_| start.known.is_none()).and_then(|known| known.entry.ready_at);
+                before(listed).filter(|_| start.known.is_none()).and_then(|known| known.entry.started_at);
             began.map(|began| last.map_or(began, |last| began.max(last + 1))).or(last)
         };
         let entries = entries.into_iter().zip(starts).zip(began);
@@ -164,7 +166,7 @@
         book: &Book,
         now: Nanos,
         counts: &mut Counts,
-    ) -> Option<Entry> {
+    ) -> Option<Endpoint> {
         let server = server_id(&listed.engine);
         let kind = config.names.kind(&listed.kind);
         // An engine says itself what it is; without a word from it, one of an unknown kind may be asked for all.
@@ -181,14 +183,14 @@
         counts.dropped_figures +=
             u64::from(listed.started_at.is_some_and(|at| at > now.saturating_add(CLOCKS_APART)));
         let (said, away_at) = known.map_or((None, if joins { now } else { 0 }), |k| (k.said, k.away_at));
-        let entry = Entry {
+        let entry = Endpoint {
             server,
             zone: config.names.zone(&listed.zone),
             kind,
             cell: config.names.cell(&listed.zone, &listed.rack),
             state: state_of(&listed, book),
             weight,
-            ready_at: began,
+            started_at: began,
         };
         self.known.insert(server, Known { listed, address, entry: entry.clone(), said, away_at });
         Some(entry)
@@ -204,17 +206,23 @@
     /// Its clock is another machine's, and may be hours off: a process that speaks has begun by now, and one that was
     /// not there before began after the time at which it was not. Believed as it stands, a start told by a clock behind
     /// ours makes a cold engine look warm, and one ahead of ours keeps it cold.
-    pub fn started(&mut self, server: ServerId, at: u64, now: Nanos, counts: &mut Counts) -> Option<Entry> {
+    pub fn started(
+        &mut self,
+        server: ServerId,
+        at: u64,
+        now: Nanos,
+        counts: &mut Counts,
+    ) -> Option<Endpoint> {
         let known = self.known.get_mut(&server)?;
         counts.dropped_figures += u64::from(at > now.saturating_add(CLOCKS_APART));
         if known.said.replace(at) == Some(at) {
             return None;
         }
         let began = at.min(now).max(known.away_at);
-        if known.entry.ready_at.is_some_and(|ready| ready >= began) {
+        if known.entry.started_at.is_some_and(|ready| ready >= began) {
             return None;
         }
-        known.entry.ready_at = Some(began);
+        known.entry.started_at = Some(began);
         Some(known.entry.clone())
     }
 
@@ -232,16 +240,16 @@
 
     /// Drops those that are gone and of which nothing is kept elsewhere.
     pub fn forget_gone(&mut self, kept: impl Fn(ServerId) -> bool) {
-        self.known.retain(|id, known| known.entry.state != ServerState::Gone || kept(*id));
+        self.known.retain(|id, known| known.entry.state != ServerState::Removed || kept(*id));
     }
 
     pub fn engines(&self) -> Vec<ServerId> {
-        self.known.iter().filter(|(_, k)| k.entry.state != ServerState::Gone).map(|(id, _)| *id).collect()
+        self.known.iter().filter(|(_, k)| k.entry.state != ServerState::Removed).map(|(id, _)| *id).collect()
     }
 
     /// It is to be connected to.
     pub fn wanted(&self, server: ServerId) -> bool {
-        self.known.get(&server).is_some_and(|k| k.entry.state != ServerState::Gone)
+        self.known.get(&server).is_some_and(|k| k.entry.state != ServerState::Removed)
     }
 
     pub fn ready(&self, server: ServerId) -> bool {
@@ -258,13 +266,13 @@
     }
 
     pub fn contact(&self, server: ServerId) -> Option<(String, String)> {
-        let known = self.known.get(&server).filter(|k| k.entry.state != ServerState::Gone)?;
+        let known = self.known.get(&server).filter(|k| k.entry.state != ServerState::Removed)?;
         Some((known.listed.engine.clone(), known.listed.address.clone()))
     }
 
     /// Where an engine is, and when its process began; 0: long ago.
     pub fn process(&self, server: ServerId) -> Option<(SocketAddr, Nanos)> {
-        self.known.get(&server).map(|k| (k.address, k.entry.ready_at.unwrap_or(0)))
+        self.known.get(&server).map(|k| (k.address, k.entry.started_at.unwrap_or(0)))
     }
 
     pub fn address(&self, server: ServerId) -> Option<StateAt> {
--- a/crates/gaparch-router/src/core/timers.rs
+++ b/crates/gaparch-router/src/core/timers.rs
@@ -1,15 +1,15 @@
 //! Timers of the core, in order of time and then of setting.
 
-use gaparch_scheduler::api::{AttemptNo, Nanos, RequestId, ServerId, TimerToken};
+use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId, ServerId, TimerToken};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     Module(TimerToken),
     /// An attempt's time-out.
-    Attempt(RequestId, AttemptNo),
+    Attempt(RequestId, AttemptNumber),
     /// An attempt that waits for its connection.
-    Connect(RequestId, AttemptNo),
+    Connect(RequestId, AttemptNumber),
     /// The client's time is up.
     Overdue(RequestId),
     /// A begun stream may have gone on or been silent for too long.
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -9,7 +9,7 @@
 use gaparch_protocol::client::{parse_request, Answer, Ask, ClientEvent, Dialect, ErrorKind, Usage};
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::ops::ending::{RequestName, WaitedFor};
-use gaparch_scheduler::api::{ClassId, Key, Nanos, RequestId, TenantId};
+use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, RequestId, TenantId};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Frame, Incoming};
@@ -51,7 +51,7 @@
 impl Shared {
     /// Refuses a request that the owner never hears of.
     fn turn_away(&self, id: RequestId, ask: &Accepted) -> Refusal {
-        let retry_after = self.config.module.come_back_after();
+        let retry_after = self.config.module.advertised_retry_after();
         if let Some(door) = &self.door {
             let names = &self.config.names;
             let class = names.classes.get(ask.class.0).map_or("", String::as_str);
@@ -266,8 +266,8 @@
     Accepted {
         class,
         tenant,
-        session: ask.session.as_deref().map(Key::of),
-        prefix: ask.prefix.as_deref().map(Key::of),
+        session: ask.session.as_deref().map(AffinityKey::from_text),
+        prefix: ask.prefix.as_deref().map(AffinityKey::from_text),
         prompt_len: ask.prompt_tokens,
         prefix_len: ask.prefix_tokens,
         max_out: ask.max_tokens,
@@ -284,7 +284,7 @@
 fn fingerprint(ask: &Ask, class: ClassId, tenant: Option<TenantId>) -> u64 {
     let session = ask.session.as_deref().unwrap_or_default();
     let of_whom = format!("{session}/{}/{}", class.0, tenant.map_or(0, |t| t.0 + 1));
-    Key::of(&ask.prompt).0 ^ Key::of(&of_whom).0.rotate_left(32)
+    AffinityKey::from_text(&ask.prompt).0 ^ AffinityKey::from_text(&of_whom).0.rotate_left(32)
 }
 
 /// A request that the owner has, or will have. Dropped before its last event, its client has left.
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -220,7 +220,7 @@
         run: run.0,
         incarnation: kept.saturating_add(1),
         seeds: fleet.seeds.clone(),
-        routers: config.module.routers,
+        routers: config.module.router_count,
         period: fleet.period,
         hold: fleet.hold,
         seed: config.module.seed,
@@ -229,7 +229,7 @@
     let mut out = Vec::new();
     let core = Membership::new(settings, clock.now(), &mut out);
     let (asks, asks_in) = mpsc::channel(ASKED);
-    let (routers, routers_in) = watch::channel(config.module.routers);
+    let (routers, routers_in) = watch::channel(config.module.router_count);
     let (incarnation, incarnation_in) = watch::channel(0);
     let (adopt, adopt_in) = watch::channel(Adopt::default());
     let follow = fleet.confirm.map(|confirm| {
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -214,8 +214,9 @@
                 let follows = fleet.is_some() && settings.confirm.is_some();
                 let confirm = settings.confirm.unwrap_or(0);
                 record = follows.then(|| sent.clone());
-                versions =
-                    follows.then(|| versions::Versions::new(config.module.ask, confirm, cell, issued, sent));
+                versions = follows.then(|| {
+                    versions::Versions::new(config.module.poll_endpoints, confirm, cell, issued, sent)
+                });
             }
             let asker = fleet.as_ref().map(fleet::Running::asker);
             let channels = ops::Channels { control: control.clone(), news, fleet: asker };
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -9,7 +9,7 @@
 use gaparch_protocol::ops::view::EngineState;
 use gaparch_protocol::ops::Order;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, Phase, ToClient};
-use gaparch_scheduler::api::{Nanos, RequestId, Role, ServerId, ServerState, Status};
+use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, Role, ServerId, ServerState};
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
@@ -27,7 +27,7 @@
     fn new() -> Bench {
         let mut bench = Bench::connecting();
         for engine in Config::parse(EXAMPLE).expect("sound").engines {
-            let role = if engine.kind == "reader" { Role::Read } else { Role::Write };
+            let role = if engine.kind == "reader" { Role::Prefill } else { Role::Decode };
             bench.up(&engine.name, role, 1);
         }
         bench
@@ -138,7 +138,7 @@
     EngineFrame::Tokens { key, from, count: 1, text: "x".to_owned() }
 }
 
-fn outcome(key: AttemptKey, status: Status, produced: u32) -> EngineFrame {
+fn outcome(key: AttemptKey, status: AttemptStatus, produced: u32) -> EngineFrame {
     EngineFrame::Outcome { key, status, note: 0, produced, report: None }
 }
 
@@ -162,7 +162,7 @@
     bench.frame(writer, tokens(key, 0));
     assert_eq!(bench.core.phase(RequestId(1)), Some(Phase::Streaming));
     bench.frame(writer, tokens(key, 1));
-    bench.frame(writer, outcome(key, Status::Ok, 2));
+    bench.frame(writer, outcome(key, AttemptStatus::Ok, 2));
     assert_eq!(bench.core.phase(RequestId(1)), None);
     assert!(matches!(answers(&bench.seen, 1)[..], [ToClient::Finished { .. }]));
 }
@@ -172,9 +172,9 @@
     let mut bench = Bench::new();
     let (writer, key) = bench.read(1);
     bench.frame(writer, tokens(key, 0));
-    bench.frame(writer, outcome(key, Status::Ok, 1));
+    bench.frame(writer, outcome(key, AttemptStatus::Ok, 1));
     let before = bench.core.counts();
-    assert_eq!(bench.frame(writer, outcome(key, Status::Ok, 1)), vec![]);
+    assert_eq!(bench.frame(writer, outcome(key, AttemptStatus::Ok, 1)), vec![]);
     assert_eq!(bench.core.counts().late_frames, before.late_frames + 1);
     let (reader, key) = bench.ask(2);
     bench.pass(20 * S);
@@ -192,7 +192,7 @@
 fn frames_that_make_no_sense_close_their_connection_and_cost_only_its_requests() {
     type Wrong = fn(AttemptKey) -> EngineFrame;
     let cases: [(&str, Wrong); 6] = [
-        ("an attempt never made", |k| outcome(AttemptKey { attempt: 9, ..k }, Status::Ok, 0)),
+        ("an attempt never made", |k| outcome(AttemptKey { attempt: 9, ..k }, AttemptStatus::Ok, 0)),
         ("tokens missing", |k| tokens(k, 5)),
         ("a read's end for a write", |k| EngineFrame::ReadDone {
             key: k,
@@ -200,7 +200,7 @@
             prompt_len: 1,
             report: None,
         }),
-        ("an end that lost tokens", |k| outcome(k, Status::Ok, 7)),
+        ("an end that lost tokens", |k| outcome(k, AttemptStatus::Ok, 7)),
         ("a router's frame", |_| EngineFrame::Release { request: 1 }),
         ("a read for the router", |k| EngineFrame::Cancel(k)),
     ];
@@ -226,7 +226,7 @@
     bench.input(Input::EngineDown { engine, conn });
     bench.pass(S);
     assert_ne!(bench.conns[&engine], conn, "it is connected to again");
-    bench.up("read-1", Role::Write, 1);
+    bench.up("read-1", Role::Decode, 1);
     assert_eq!(bench.core.counts().violations, 1);
 }
 
@@ -234,12 +234,12 @@
 fn figures_of_engines_and_the_list_that_make_no_sense_are_dropped_and_counted() {
     let mut bench = Bench::new();
     let (reader, key) = bench.ask(1);
-    let report = gaparch_scheduler::api::Report {
-        inflight: Some(f64::NAN),
-        queue: Some(-1.0),
-        util: Some(1e300),
-        memory: Some(f64::INFINITY),
-        unread_k: Some(1.0),
+    let report = gaparch_scheduler::api::LoadReport {
+        in_flight: Some(f64::NAN),
+        queued: Some(-1.0),
+        slot_utilization: Some(1e300),
+        memory_utilization: Some(f64::INFINITY),
+        pending_prefill_kilotokens: Some(1.0),
     };
     let done = EngineFrame::ReadDone { key, kept: 0, prompt_len: 5, report: Some(report) };
     assert!(sent(&bench.frame(reader, done)).is_some());
@@ -300,8 +300,8 @@
     assert_eq!(sent(&bench.seen), None, "no connection is up");
     let entries = readers(ServerState::Draining);
     bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 4, after: 3, entries }));
-    bench.up("read-1", Role::Read, 1);
-    bench.up("read-2", Role::Read, 1);
+    bench.up("read-1", Role::Prefill, 1);
+    bench.up("read-2", Role::Prefill, 1);
     assert_eq!(sent(&bench.seen), None, "sent to a drained reader");
 }
 
@@ -328,7 +328,7 @@
     let entries = vec![entry("read-9")];
     bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 4, after: 3, entries }));
     bench.pass(10 * MS);
-    bench.up("read-9", Role::Read, 1);
+    bench.up("read-9", Role::Prefill, 1);
     let began = bench.core.process(server_id("read-9")).map(|(_, began)| began);
     assert_eq!(began, Some(joined));
 }
@@ -415,7 +415,7 @@
             kind: "reader".to_owned(),
             zone: "north".to_owned(),
             rack: "n1".to_owned(),
-            state: if version == 2 { ServerState::Gone } else { ServerState::Ready },
+            state: if version == 2 { ServerState::Removed } else { ServerState::Ready },
             weight: None,
             started_at: None,
         };
@@ -515,7 +515,7 @@
         bench.input(Input::EngineDown { engine: reader, conn });
         let away = bench.now;
         bench.pass(5 * S);
-        bench.up("read-1", Role::Read, started_at);
+        bench.up("read-1", Role::Prefill, started_at);
         (away, bench.core.process(reader).expect("listed").1)
     };
     let (_, began) = again(&mut bench, 1);
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -6,7 +6,7 @@
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
-use gaparch_scheduler::api::{Nanos, RequestId, ServerId, ServerState, Status};
+use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, ServerId, ServerState};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
@@ -37,7 +37,7 @@
     fn new() -> Bench {
         let mut config = Config::parse(EXAMPLE).expect("sound");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
-        config.module.probes = false;
+        config.module.can_probe = false;
         let mut out = Vec::new();
         let core = Core::new(config, Book::default(), RouterRun(1), 1000 * S, &mut out);
         let mut bench = Bench { core, now: 1000 * S, out };
@@ -71,8 +71,8 @@
         let ask = Accepted {
             class: gaparch_scheduler::api::ClassId(0),
             tenant: None,
-            session: Some(gaparch_scheduler::api::Key(id)),
-            prefix: Some(gaparch_scheduler::api::Key(id)),
+            session: Some(gaparch_scheduler::api::AffinityKey(id)),
+            prefix: Some(gaparch_scheduler::api::AffinityKey(id)),
             prompt_len: 100,
             prefix_len: 50,
             max_out: 20,
@@ -106,7 +106,7 @@
 #[test]
 fn an_engine_that_a_change_names_is_asked_from_then_on() {
     let mut bench = Bench::new();
-    let gone = |name: &str| entry(name, ServerState::Gone);
+    let gone = |name: &str| entry(name, ServerState::Removed);
     let entries = vec![gone("r-1"), gone("r-2"), entry("r-3", ServerState::Ready)];
     bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 6, after: 5, entries }));
     for id in 1..=20 {
@@ -129,12 +129,12 @@
         let out = bench.frame(writer, begun);
         let opened = |o: &Output| matches!(o, Output::Client { event: ToClient::Opened { .. }, .. });
         assert_eq!(out.iter().filter(|o| opened(o)).count(), 1);
-        let ok = EngineFrame::Outcome { key, status: Status::Ok, note: 0, produced: 0, report: None };
+        let ok = EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced: 0, report: None };
         bench.frame(writer, ok);
         bench.pass(5 * MS);
         if id % 10 == 0 {
             let (new, old) = (format!("w-new-{id}"), format!("w-new-{}", id - 10));
-            let entries = vec![entry(&new, ServerState::Ready), entry(&old, ServerState::Gone)];
+            let entries = vec![entry(&new, ServerState::Ready), entry(&old, ServerState::Removed)];
             let update =
                 ListUpdate { scope: Scope::Delta, version: 5 + id, after: bench_version(id), entries };
             assert_eq!(sent(&bench.input(Input::List(update))), None);
@@ -159,10 +159,10 @@
 
 #[test]
 fn what_a_broken_read_may_have_left_is_let_go_of_even_if_its_engine_is_gone() {
-    for status in [Status::Reset, Status::Error, Status::Unknown] {
+    for status in [AttemptStatus::Reset, AttemptStatus::Error, AttemptStatus::Unknown] {
         let mut bench = Bench::new();
         let (reader, key) = bench.ask(1);
-        let gone: Vec<ListEntry> = ["r-1", "r-2"].map(|name| entry(name, ServerState::Gone)).to_vec();
+        let gone: Vec<ListEntry> = ["r-1", "r-2"].map(|name| entry(name, ServerState::Removed)).to_vec();
         bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 6, after: 5, entries: gone }));
         let broken = EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None };
         assert_eq!(releases(&bench.frame(reader, broken), 1), 1, "{status:?}");
@@ -170,7 +170,7 @@
     // One that was never sent has left nothing.
     let mut bench = Bench::new();
     let (reader, key) = bench.ask(1);
-    let status = Status::ConnectFailed;
+    let status = AttemptStatus::ConnectFailed;
     let broken = EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None };
     assert_eq!(releases(&bench.frame(reader, broken), 1), 0);
 }
@@ -182,7 +182,7 @@
     // Another read at the same engine.
     let two =
         (2..100).find_map(|id| Some(bench.ask(id)).filter(|(server, _)| *server == first)).expect("one");
-    let status = Status::Reset;
+    let status = AttemptStatus::Reset;
     let broken = EngineFrame::Outcome { key: one, status, note: 0, produced: 0, report: None };
     let out = bench.frame(first, broken);
     assert!(!out.iter().any(|o| matches!(o, Output::Connect { .. } | Output::Disconnect { .. })));
@@ -195,7 +195,7 @@
 fn an_engine_that_was_never_known_leaves_nothing_when_it_goes_and_no_start_is_yet_to_come() {
     let mut bench = Bench::new();
     for n in 0..20_000u64 {
-        let entries = vec![entry(&format!("w-{n}-x"), ServerState::Gone)];
+        let entries = vec![entry(&format!("w-{n}-x"), ServerState::Removed)];
         bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 6 + n, after: 5 + n, entries }));
     }
     // The list has room for 10,000: had they stayed, the next one would be dropped.
@@ -226,7 +226,7 @@
         "{out:?}"
     );
     assert_eq!(bench.core.held_states().count(), 0);
-    let ended = EngineFrame::Outcome { key, status: Status::Ok, note: 0, produced: 0, report: None };
+    let ended = EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced: 0, report: None };
     bench.input(Input::EngineFrame { engine: writer, conn: ConnNo::EXCHANGES, frame: ended });
     assert_eq!(bench.core.phase(RequestId(1)), None);
 }
--- a/crates/gaparch-router/tests/long_lists.rs
+++ b/crates/gaparch-router/tests/long_lists.rs
@@ -80,7 +80,7 @@
     assert_eq!(bench.listed().len(), 1);
     assert_eq!(bench.core.counts().dropped_entries, 1);
     // What is said of the second does not touch the first.
-    bench.tell(Scope::Delta, vec![entry(&second, ServerState::Gone)]);
+    bench.tell(Scope::Delta, vec![entry(&second, ServerState::Removed)]);
     assert_eq!(bench.listed().len(), 1);
     assert_eq!(bench.core.counts().dropped_entries, 2);
 }
@@ -103,7 +103,7 @@
     let mut bench = Bench::new();
     bench.tell(Scope::Full, names.iter().map(|name| entry(name, ServerState::Ready)).collect());
     for name in names.iter().step_by(100) {
-        bench.tell(Scope::Delta, vec![entry(name, ServerState::Gone)]);
+        bench.tell(Scope::Delta, vec![entry(name, ServerState::Removed)]);
     }
     let left: BTreeSet<ServerId> =
         names.iter().enumerate().filter(|(at, _)| at % 100 != 0).map(|(_, name)| server_id(name)).collect();
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -41,7 +41,7 @@
     fn start(offset: i64, entries: Vec<ListEntry>) -> Router {
         let mut config = Config::parse(EXAMPLE).expect("sound");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
-        config.module.cold = 14 * S;
+        config.module.slow_start_duration = 14 * S;
         let at = Router::clock(offset, 0);
         let core = Core::new(config, Book::default(), RouterRun(1), at, &mut Vec::new());
         let mut router = Router { core, offset, version: 0 };
--- a/crates/gaparch-setup/src/doctor.rs
+++ b/crates/gaparch-setup/src/doctor.rs
@@ -1,7 +1,7 @@
 //! What is wrong around a router, in plain words, each with what to do.
 
 use gaparch_config::Config;
-use gaparch_scheduler::api::{Effect, Nanos, Role};
+use gaparch_scheduler::api::{Idempotency, Nanos, Role};
 use std::fmt;
 
 /// Room on a disk below this will not last.
@@ -138,21 +138,21 @@
     let mut all = Vec::new();
     let mut say = |level, what: String, to_do: &str| all.push(finding(level, what, to_do));
     for (name, class) in config.names.classes.iter().zip(&module.classes) {
-        if class.effect == Effect::Keyed && class.window < class.deadline {
+        if class.idempotency == Idempotency::WithKey && class.deduplication_window < class.deadline {
             // The module makes no attempt after the window, so no rule is at stake.
             let what = format!("class {name}: repeats are dropped for a shorter time than a client waits");
             let to_do =
                 "what has failed after the window is not tried again: make `window` at least `deadline`";
             say(Level::Advice, what, to_do);
         }
-        if class.effect != Effect::Safe && module.max_attempts < 3 {
+        if class.idempotency != Idempotency::Idempotent && module.max_attempts < 3 {
             let what = format!(
                 "class {name} may be tried again, but {} attempts are a read and a write",
                 module.max_attempts
             );
             say(Level::Advice, what, "allow more attempts in <attempts most>");
         }
-        if class.aim.saturating_mul(2) > class.deadline {
+        if class.latency_objective.saturating_mul(2) > class.deadline {
             let what = format!("class {name}: the deadline leaves little time after the aim");
             say(Level::Advice, what, "requests that miss their aim have hardly time to be tried again: make `deadline` twice `aim`");
         }
@@ -161,7 +161,7 @@
         let what = format!("a drain must be kept within {} ms", module.drain_grace / 1_000_000);
         say(Level::Trouble, what, "an engine that takes no bytes is noticed after 100 ms at the earliest: make <rules drain-grace> 200ms or more");
     }
-    if !module.retry_after {
+    if !module.can_send_retry_after {
         say(
             Level::Advice,
             "refused clients are not told when to come back".to_owned(),
@@ -173,10 +173,10 @@
         module.kind(kind).map(|(role, _)| role)
     };
     let count = |one: Role| {
-        config.engines.iter().filter(|e| role(e).is_some_and(|r| r == one || r == Role::Both)).count()
+        config.engines.iter().filter(|e| role(e).is_some_and(|r| r == one || r == Role::Mixed)).count()
     };
     if config.list.is_none() {
-        for (one, word) in [(Role::Read, "reads"), (Role::Write, "writes")] {
+        for (one, word) in [(Role::Prefill, "reads"), (Role::Decode, "writes")] {
             if count(one) == 1 {
                 let what = format!("one engine alone {word}");
                 say(
@@ -295,7 +295,7 @@
         ),
         EngineSeen::Answers { role, .. } if Some(*role) != wanted => finding(
             Level::Trouble,
-            format!("engine {name} says it is made to {role:?}, the settings say otherwise"),
+            format!("engine {name} reports the role {role:?}, the settings say otherwise"),
             "correct its kind: the router does not use it so",
         ),
         EngineSeen::Answers { started_at, .. } if *started_at > now.saturating_add(CLOCKS) => finding(
--- a/crates/gaparch-setup/tests/setup.rs
+++ b/crates/gaparch-setup/tests/setup.rs
@@ -94,9 +94,9 @@
     let engine = |seen| Seen { engines: vec![("read-1".to_owned(), seen)], ..base() };
     one(engine(EngineSeen::Silent("refused".to_owned())), "read-1 at 127.0.0.1:7101 does not answer");
     let says = |name: &str, role, started_at| EngineSeen::Answers { name: name.to_owned(), role, started_at };
-    one(engine(says("read-7", Role::Read, 0)), "says it is read-7");
-    one(engine(says("read-1", Role::Write, 0)), "the settings say otherwise");
-    one(engine(says("read-1", Role::Read, u64::MAX)), "began in the future");
+    one(engine(says("read-7", Role::Prefill, 0)), "says it is read-7");
+    one(engine(says("read-1", Role::Decode, 0)), "the settings say otherwise");
+    one(engine(says("read-1", Role::Prefill, u64::MAX)), "began in the future");
     one(Seen { list: Some(Err("refused".to_owned())), ..base() }, "list service does not answer");
     one(Seen { room: Some(1 << 20), ..base() }, "1 MiB are free");
     let sound = |damaged, last_event_at| StateSeen::Sound { orders: 2, damaged, last_event_at };
--- a/crates/gaparch-simulator-adapter/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{self, need, Batch, Parsed, RawEntry};
 use gaparch_platform_settings::{whole, Site};
-use gaparch_scheduler::api::{Event, ListKind};
+use gaparch_scheduler::api::{EndpointUpdate, Event};
 use gaparch_scheduler::policy::Policy;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -64,12 +64,15 @@
 
 fn members(event: &Value, site: &Site, tables: &BTreeMap<u64, Vec<RawEntry>>) -> Parsed<Event> {
     let kind = wire::list_kind(event)?;
-    if kind == ListKind::Failed {
-        return Ok(Event::Members { kind, entries: Arc::from([]) });
+    if kind == EndpointUpdate::Failed {
+        return Ok(Event::EndpointsChanged { update: kind, endpoints: Arc::from([]) });
     }
     let table = need(event, "table", whole)?;
     let entries = tables.get(&table).ok_or_else(|| format!("rosterChange: list {table} was never given"))?;
-    Ok(Event::Members { kind, entries: entries.iter().map(|e| wire::entry(e, site)).collect() })
+    Ok(Event::EndpointsChanged {
+        update: kind,
+        endpoints: entries.iter().map(|e| wire::entry(e, site)).collect(),
+    })
 }
 
 fn object(value: &Value) -> Option<&Value> {
--- a/crates/gaparch-simulator-adapter/src/wire.rs
+++ b/crates/gaparch-simulator-adapter/src/wire.rs
@@ -2,8 +2,9 @@
 
 use gaparch_platform_settings::{index, number, whole, Site};
 use gaparch_scheduler::api::{
-    Action, AttemptNo, CellId, ClassId, Entry, Event, Key, KindId, ListKind, Nanos, Outcome, Report, Request,
-    RequestId, ServerId, ServerState, Status, TenantId, TimerToken, ZoneId,
+    Action, AffinityKey, AttemptNumber, AttemptOutcome, AttemptStatus, CellId, ClassId, Endpoint,
+    EndpointUpdate, Event, KindId, LoadReport, Nanos, OutcomeNote, Request, RequestId, ServerId, ServerState,
+    TenantId, TimerToken, ZoneId,
 };
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -51,7 +52,7 @@
         cell: whole(&entry["cohort"]).map(CellId),
         state: match entry["status"].as_str() {
             Some("up") => ServerState::Ready,
-            Some("removed") => ServerState::Gone,
+            Some("removed") => ServerState::Removed,
             _ => ServerState::Draining,
         },
         weight: number(&entry["scale"]),
@@ -59,24 +60,24 @@
     })
 }
 
-pub fn entry(raw: &RawEntry, site: &Site) -> Entry {
-    Entry {
+pub fn entry(raw: &RawEntry, site: &Site) -> Endpoint {
+    Endpoint {
         server: raw.server,
         zone: index(&site.zones, &raw.zone).map(ZoneId),
         kind: index(&site.kinds, &raw.kind).map(KindId),
         cell: raw.cell,
         state: raw.state,
         weight: raw.weight,
-        ready_at: raw.ready_at,
+        started_at: raw.ready_at,
     }
 }
 
-pub fn list_kind(event: &Value) -> Parsed<ListKind> {
+pub fn list_kind(event: &Value) -> Parsed<EndpointUpdate> {
     need(event, "scope", |v| match v.as_str()? {
-        "delta" => Some(ListKind::Delta),
-        "full" => Some(ListKind::Full),
-        "cached" => Some(ListKind::Cached),
-        "failed" => Some(ListKind::Failed),
+        "delta" => Some(EndpointUpdate::Delta),
+        "full" => Some(EndpointUpdate::Full),
+        "cached" => Some(EndpointUpdate::Cached),
+        "failed" => Some(EndpointUpdate::Failed),
         _ => None,
     })
 }
@@ -84,65 +85,72 @@
 /// An event of one instance, but for `init`, `teardown` and `rosterChange`. None: a kind not known here.
 pub fn event(value: &Value, site: &Site) -> Parsed<Option<Event>> {
     Ok(Some(match name(value) {
-        "submit" => Event::Request(Request {
+        "submit" => Event::RequestArrived(Request {
             id: need(value, "msgId", request)?,
             // A class that the settings lack is the module's to answer.
             class: need(value, "priority", |v| {
                 v.as_str().map(|_| ClassId(index(&site.classes, v).unwrap_or(usize::MAX)))
             })?,
             tenant: index(&site.tenants, &value["clientGroup"]).map(TenantId),
-            session: value["session"].as_str().map(Key::of),
-            prefix: value["prefixId"].as_str().map(Key::of),
-            prompt_len: number(&value["inputLen"]).unwrap_or(0.0),
-            prefix_len: number(&value["nPrefix"]).unwrap_or(0.0),
-            max_out: number(&value["nMax"]).unwrap_or(0.0),
-            hint: whole(&value["workHintNs"]).filter(|h| *h > 0),
-            give_up_at: need(value, "giveUpAtNs", whole_or_past)?,
-            retry: value["isRetry"].as_bool().unwrap_or(false),
-            again: value["again"].as_bool().unwrap_or(false),
+            session: value["session"].as_str().map(AffinityKey::from_text),
+            prefix: value["prefixId"].as_str().map(AffinityKey::from_text),
+            prompt_tokens: number(&value["inputLen"]).unwrap_or(0.0),
+            prefix_tokens: number(&value["nPrefix"]).unwrap_or(0.0),
+            max_output_tokens: number(&value["nMax"]).unwrap_or(0.0),
+            expected_duration: whole(&value["workHintNs"]).filter(|h| *h > 0),
+            deadline_at: need(value, "giveUpAtNs", whole_or_past)?,
+            client_retry: value["isRetry"].as_bool().unwrap_or(false),
+            client_reconnect: value["again"].as_bool().unwrap_or(false),
         }),
         // A timer's name that is none of ours can't be the module's: nothing to tell it.
         "tickDue" => match need(value, "name", Value::as_str)?.parse() {
-            Ok(token) => Event::Timer(TimerToken(token)),
+            Ok(token) => Event::TimerFired(TimerToken(token)),
             Err(_) => return Ok(None),
         },
-        "datagram" => Event::Peer {
+        "datagram" => Event::GossipReceived {
             from: need(value, "neighbour", whole)? as u32,
             data: need(value, "content", |v| unhex(v.as_str()?))?,
         },
-        "begun" => Event::First {
+        "begun" => Event::FirstToken {
             id: need(value, "msgId", request)?,
             attempt: need(value, "sendNo", attempt)?,
             server: need(value, "worker", server)?,
             latency: whole(&value["durationNs"]).unwrap_or(0),
         },
-        "reserved" => Event::Note {
+        "reserved" => Event::ReservationAnswered {
             id: need(value, "msgId", request)?,
             attempt: need(value, "sendNo", attempt)?,
             server: need(value, "worker", server)?,
-            held: need(value, "sort", whole)? == 1,
+            reserved: need(value, "sort", whole)? == 1,
         },
-        "withdrawn" => Event::Gone(need(value, "msgId", request)?),
-        "health" => Event::Probed {
+        "withdrawn" => Event::ClientDisconnected(need(value, "msgId", request)?),
+        "health" => Event::ProbeFinished {
             server: need(value, "worker", server)?,
             status: status(need(value, "outcome", whole)?),
             latency: whole(&value["durationNs"]).unwrap_or(0),
             report: report(&value["stats"], site),
         },
-        "closedAttempt" => Event::Outcome(Outcome {
-            id: need(value, "msgId", request)?,
-            attempt: need(value, "sendNo", attempt)?,
-            server: need(value, "worker", server)?,
-            status: status(need(value, "outcome", whole)?),
-            latency: whole(&value["durationNs"]).unwrap_or(0),
-            closed: value["ended"].as_bool().unwrap_or(false),
-            note: whole(&value["info"]).unwrap_or(0),
-            report: report(&value["stats"], site),
-        }),
+        "closedAttempt" => Event::AttemptFinished(outcome(value, site)?),
         _ => return Ok(None),
     }))
 }
 
+fn outcome(value: &Value, site: &Site) -> Parsed<AttemptOutcome> {
+    let status = status(need(value, "outcome", whole)?);
+    let note = OutcomeNote(whole(&value["info"]).unwrap_or(0));
+    Ok(AttemptOutcome {
+        id: need(value, "msgId", request)?,
+        attempt: need(value, "sendNo", attempt)?,
+        server: need(value, "worker", server)?,
+        status,
+        latency: whole(&value["durationNs"]).unwrap_or(0),
+        request_finished: value["ended"].as_bool().unwrap_or(false),
+        cached_prompt_tokens: note.cached_prompt_tokens(status),
+        kv_cache_missing: note.kv_cache_missing(status),
+        report: report(&value["stats"], site),
+    })
+}
+
 fn request(value: &Value) -> Option<RequestId> {
     whole(value).map(RequestId)
 }
@@ -151,8 +159,8 @@
     u32::try_from(whole(value)?).ok().map(ServerId)
 }
 
-fn attempt(value: &Value) -> Option<AttemptNo> {
-    u32::try_from(whole(value)?).ok().map(AttemptNo)
+fn attempt(value: &Value) -> Option<AttemptNumber> {
+    u32::try_from(whole(value)?).ok().map(AttemptNumber)
 }
 
 /// A time; one before the clock's zero is long past.
@@ -160,31 +168,31 @@
     whole(value).or_else(|| value.as_f64().map(|_| 0))
 }
 
-fn status(code: u64) -> Status {
+fn status(code: u64) -> AttemptStatus {
     match code {
-        100 => Status::Ok,
-        102 => Status::Read,
-        301 => Status::Error,
-        302 => Status::Full,
-        303 => Status::Timeout,
-        304 => Status::ConnectFailed,
-        305 => Status::Reset,
-        306 => Status::Cancelled,
-        307 => Status::Moot,
-        _ => Status::Unknown,
+        100 => AttemptStatus::Ok,
+        102 => AttemptStatus::Prefilled,
+        301 => AttemptStatus::Error,
+        302 => AttemptStatus::Rejected,
+        303 => AttemptStatus::Timeout,
+        304 => AttemptStatus::ConnectFailed,
+        305 => AttemptStatus::Reset,
+        306 => AttemptStatus::Cancelled,
+        307 => AttemptStatus::Expired,
+        _ => AttemptStatus::Unknown,
     }
 }
 
-fn report(value: &Value, site: &Site) -> Option<Report> {
+fn report(value: &Value, site: &Site) -> Option<LoadReport> {
     let values = value.as_array()?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (field, value) in site.report.iter().zip(values) {
         let slot = match field.as_str() {
-            "concurrent" => &mut report.inflight,
-            "depth" => &mut report.queue,
-            "load_share" => &mut report.util,
-            "x0" => &mut report.memory,
-            "x1" => &mut report.unread_k,
+            "concurrent" => &mut report.in_flight,
+            "depth" => &mut report.queued,
+            "load_share" => &mut report.slot_utilization,
+            "x0" => &mut report.memory_utilization,
+            "x1" => &mut report.pending_prefill_kilotokens,
             _ => continue,
         };
         *slot = number(value);
@@ -195,31 +203,31 @@
 pub fn action(action: &Action, who: u64) -> Value {
     match action {
         // Nothing waits for a connection on this wire: what is sent is out at once.
-        Action::Send { id, server, timeout, by: _ } => {
+        Action::Send { id, server, timeout, send_by: _ } => {
             json!({"t": "transmit", "who": who, "msgId": id.0, "worker": server.0, "giveUpAfterNs": timeout})
         }
         Action::Cancel { id, attempt } => {
             json!({"t": "recall", "who": who, "msgId": id.0, "sendNo": attempt.0})
         }
-        Action::Refuse { id, retry_after, .. } => {
+        Action::Reject { id, retry_after, .. } => {
             json!({"t": "decline", "who": who, "msgId": id.0, "waitNs": retry_after})
         }
         Action::Fail { id, .. } => json!({"t": "error", "who": who, "msgId": id.0}),
-        Action::Release(id) => json!({"t": "letGo", "who": who, "msgId": id.0}),
-        Action::Ahead { id, server } => {
+        Action::ReleaseKv(id) => json!({"t": "letGo", "who": who, "msgId": id.0}),
+        Action::ReserveKv { id, server } => {
             json!({"t": "earmark", "who": who, "msgId": id.0, "worker": server.0})
         }
-        Action::Move(id) => json!({"t": "goAway", "who": who, "msgId": id.0}),
+        Action::Migrate(id) => json!({"t": "goAway", "who": who, "msgId": id.0}),
         Action::Probe(server) => json!({"t": "healthCheck", "who": who, "worker": server.0}),
-        Action::Close(server) => json!({"t": "close", "who": who, "worker": server.0}),
-        Action::Timer { token, delay } => {
+        Action::CloseConnections(server) => json!({"t": "close", "who": who, "worker": server.0}),
+        Action::SetTimer { token, delay } => {
             json!({"t": "sleep", "who": who, "name": token.0.to_string(), "sleepForNs": delay})
         }
-        Action::Tell { peer, data } => {
+        Action::SendGossip { peer, data } => {
             json!({"t": "post", "who": who, "recipient": peer, "content": hex(data)})
         }
-        Action::Watch(on) => json!({"t": "follow", "who": who, "enable": on}),
-        Action::Fetch => json!({"t": "resolve", "who": who}),
+        Action::WatchEndpoints(on) => json!({"t": "follow", "who": who, "enable": on}),
+        Action::FetchEndpoints => json!({"t": "resolve", "who": who}),
         Action::Log(text) => json!({"t": "debug", "who": who, "reasonText": text}),
     }
 }
--- a/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
+++ b/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
@@ -1,10 +1,11 @@
 //! Every event and action of the simulator's wire, as the lines that it is written in.
 
+use gaparch_platform_settings::Site;
 use gaparch_scheduler::api::{
-    Action, AttemptNo, CellId, ClassId, Entry, Event, Holdup, Key, KindId, ListKind, Outcome, Reason, Report,
-    Request, RequestId, ServerId, ServerState, Status, TenantId, TimerToken, Why, ZoneId,
+    Action, AffinityKey, AttemptNumber, AttemptOutcome, AttemptStatus, CellId, ClassId, Endpoint,
+    EndpointUpdate, Event, GiveUpCause, GiveUpReason, KindId, LoadReport, QueueingReason, Request, RequestId,
+    ServerId, ServerState, TenantId, TimerToken, ZoneId,
 };
-use gaparch_platform_settings::Site;
 use serde_json::{json, Value};
 
 #[path = "../src/wire.rs"]
@@ -28,44 +29,47 @@
     wire::action(&action, 3).to_string()
 }
 
-fn why() -> Why {
-    Why { reason: Reason::AimLost, held_by: Some(Holdup::NoWriter) }
+fn why() -> GiveUpCause {
+    GiveUpCause {
+        reason: GiveUpReason::ObjectiveMissed,
+        queueing_reason: Some(QueueingReason::NoDecodeWorker),
+    }
 }
 
 #[test]
 fn actions_keep_their_lines() {
-    let (id, server, attempt) = (RequestId(5), ServerId(74), AttemptNo(1));
+    let (id, server, attempt) = (RequestId(5), ServerId(74), AttemptNumber(1));
     let lines = [
         (
-            Action::Send { id, server, timeout: 9, by: 11 },
+            Action::Send { id, server, timeout: 9, send_by: 11 },
             r#"{"giveUpAfterNs":9,"msgId":5,"t":"transmit","who":3,"worker":74}"#,
         ),
         (Action::Cancel { id, attempt }, r#"{"msgId":5,"sendNo":1,"t":"recall","who":3}"#),
         (
-            Action::Refuse { id, retry_after: 8, why: why() },
+            Action::Reject { id, retry_after: 8, cause: why() },
             r#"{"msgId":5,"t":"decline","waitNs":8,"who":3}"#,
         ),
-        (Action::Fail { id, why: why() }, r#"{"msgId":5,"t":"error","who":3}"#),
-        (Action::Release(id), r#"{"msgId":5,"t":"letGo","who":3}"#),
-        (Action::Ahead { id, server }, r#"{"msgId":5,"t":"earmark","who":3,"worker":74}"#),
-        (Action::Move(id), r#"{"msgId":5,"t":"goAway","who":3}"#),
+        (Action::Fail { id, cause: why() }, r#"{"msgId":5,"t":"error","who":3}"#),
+        (Action::ReleaseKv(id), r#"{"msgId":5,"t":"letGo","who":3}"#),
+        (Action::ReserveKv { id, server }, r#"{"msgId":5,"t":"earmark","who":3,"worker":74}"#),
+        (Action::Migrate(id), r#"{"msgId":5,"t":"goAway","who":3}"#),
         (Action::Probe(server), r#"{"t":"healthCheck","who":3,"worker":74}"#),
-        (Action::Close(server), r#"{"t":"close","who":3,"worker":74}"#),
+        (Action::CloseConnections(server), r#"{"t":"close","who":3,"worker":74}"#),
         (
-            Action::Timer { token: TimerToken(1), delay: 10 },
+            Action::SetTimer { token: TimerToken(1), delay: 10 },
             r#"{"name":"1","sleepForNs":10,"t":"sleep","who":3}"#,
         ),
         (
-            Action::Tell { peer: None, data: vec![0, 171] },
+            Action::SendGossip { peer: None, data: vec![0, 171] },
             r#"{"content":"00ab","recipient":null,"t":"post","who":3}"#,
         ),
         (
-            Action::Tell { peer: Some(2), data: Vec::new() },
+            Action::SendGossip { peer: Some(2), data: Vec::new() },
             r#"{"content":"","recipient":2,"t":"post","who":3}"#,
         ),
-        (Action::Watch(true), r#"{"enable":true,"t":"follow","who":3}"#),
-        (Action::Watch(false), r#"{"enable":false,"t":"follow","who":3}"#),
-        (Action::Fetch, r#"{"t":"resolve","who":3}"#),
+        (Action::WatchEndpoints(true), r#"{"enable":true,"t":"follow","who":3}"#),
+        (Action::WatchEndpoints(false), r#"{"enable":false,"t":"follow","who":3}"#),
+        (Action::FetchEndpoints, r#"{"t":"resolve","who":3}"#),
         (Action::Log("text".to_owned()), r#"{"reasonText":"text","t":"debug","who":3}"#),
     ];
     for (action, line) in lines {
@@ -83,17 +87,17 @@
         id: RequestId(5),
         class: ClassId(0),
         tenant: Some(TenantId(0)),
-        session: Some(Key(263_480_876_586_342_458)),
-        prefix: Some(Key(17_768_663_265_832_689_632)),
-        prompt_len: 1800.0,
-        prefix_len: 1200.0,
-        max_out: 256.0,
-        hint: Some(77),
-        give_up_at: 99,
-        retry: true,
-        again: true,
+        session: Some(AffinityKey(263_480_876_586_342_458)),
+        prefix: Some(AffinityKey(17_768_663_265_832_689_632)),
+        prompt_tokens: 1800.0,
+        prefix_tokens: 1200.0,
+        max_output_tokens: 256.0,
+        expected_duration: Some(77),
+        deadline_at: 99,
+        client_retry: true,
+        client_reconnect: true,
     };
-    assert_eq!(event, Event::Request(request));
+    assert_eq!(event, Event::RequestArrived(request));
 }
 
 #[test]
@@ -105,82 +109,88 @@
         tenant: None,
         session: None,
         prefix: None,
-        prompt_len: 0.0,
-        prefix_len: 0.0,
-        max_out: 0.0,
-        hint: None,
-        give_up_at: 0,
-        retry: false,
-        again: false,
+        prompt_tokens: 0.0,
+        prefix_tokens: 0.0,
+        max_output_tokens: 0.0,
+        expected_duration: None,
+        deadline_at: 0,
+        client_retry: false,
+        client_reconnect: false,
     };
-    assert_eq!(event, Event::Request(request));
+    assert_eq!(event, Event::RequestArrived(request));
 }
 
 #[test]
 fn the_other_events_keep_their_lines() {
-    let (id, server, attempt) = (RequestId(5), ServerId(74), AttemptNo(1));
-    assert_eq!(parsed(r#"{"t":"tickDue","name":"1"}"#), Event::Timer(TimerToken(1)));
+    let (id, server, attempt) = (RequestId(5), ServerId(74), AttemptNumber(1));
+    assert_eq!(parsed(r#"{"t":"tickDue","name":"1"}"#), Event::TimerFired(TimerToken(1)));
     assert_eq!(
         parsed(r#"{"t":"datagram","neighbour":2,"content":"00aB"}"#),
-        Event::Peer { from: 2, data: vec![0, 171] }
+        Event::GossipReceived { from: 2, data: vec![0, 171] }
     );
     assert_eq!(
         parsed(r#"{"t":"begun","msgId":5,"sendNo":1,"worker":74,"durationNs":6}"#),
-        Event::First { id, attempt, server, latency: 6 }
+        Event::FirstToken { id, attempt, server, latency: 6 }
     );
     for (sort, held) in [(0, false), (1, true), (2, false)] {
         let line = format!(r#"{{"t":"reserved","msgId":5,"sendNo":1,"worker":74,"sort":{sort}}}"#);
-        assert_eq!(parsed(&line), Event::Note { id, attempt, server, held });
+        assert_eq!(parsed(&line), Event::ReservationAnswered { id, attempt, server, reserved: held });
     }
-    assert_eq!(parsed(r#"{"t":"withdrawn","msgId":5}"#), Event::Gone(id));
+    assert_eq!(parsed(r#"{"t":"withdrawn","msgId":5}"#), Event::ClientDisconnected(id));
 }
 
 #[test]
 fn reports_keep_the_order_of_the_settings() {
     let event =
         parsed(r#"{"t":"health","worker":74,"outcome":100,"durationNs":6,"stats":[1,2,0.25,0.5,3,99]}"#);
-    let report = Report {
-        inflight: Some(1.0),
-        queue: Some(2.0),
-        util: Some(0.25),
-        memory: Some(0.5),
-        unread_k: Some(3.0),
+    let report = LoadReport {
+        in_flight: Some(1.0),
+        queued: Some(2.0),
+        slot_utilization: Some(0.25),
+        memory_utilization: Some(0.5),
+        pending_prefill_kilotokens: Some(3.0),
+    };
+    let probed = Event::ProbeFinished {
+        server: ServerId(74),
+        status: AttemptStatus::Ok,
+        latency: 6,
+        report: Some(report),
     };
-    let probed = Event::Probed { server: ServerId(74), status: Status::Ok, latency: 6, report: Some(report) };
     assert_eq!(event, probed);
 }
 
 #[test]
 fn outcome_codes_keep_their_meaning() {
     let codes = [
-        (100, Status::Ok),
-        (102, Status::Read),
-        (301, Status::Error),
-        (302, Status::Full),
-        (303, Status::Timeout),
-        (304, Status::ConnectFailed),
-        (305, Status::Reset),
-        (306, Status::Cancelled),
-        (307, Status::Moot),
-        (0, Status::Unknown),
-        (101, Status::Unknown),
-        (308, Status::Unknown),
+        (100, AttemptStatus::Ok),
+        (102, AttemptStatus::Prefilled),
+        (301, AttemptStatus::Error),
+        (302, AttemptStatus::Rejected),
+        (303, AttemptStatus::Timeout),
+        (304, AttemptStatus::ConnectFailed),
+        (305, AttemptStatus::Reset),
+        (306, AttemptStatus::Cancelled),
+        (307, AttemptStatus::Expired),
+        (0, AttemptStatus::Unknown),
+        (101, AttemptStatus::Unknown),
+        (308, AttemptStatus::Unknown),
     ];
     for (code, status) in codes {
         let line = format!(
             r#"{{"t":"closedAttempt","msgId":5,"sendNo":1,"worker":74,"outcome":{code},"durationNs":6,"ended":true,"info":1}}"#
         );
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             id: RequestId(5),
-            attempt: AttemptNo(1),
+            attempt: AttemptNumber(1),
             server: ServerId(74),
             status,
             latency: 6,
-            closed: true,
-            note: 1,
+            request_finished: true,
+            cached_prompt_tokens: u64::from(matches!(status, AttemptStatus::Ok | AttemptStatus::Prefilled)),
+            kv_cache_missing: status == AttemptStatus::Rejected,
             report: None,
         };
-        assert_eq!(parsed(&line), Event::Outcome(outcome));
+        assert_eq!(parsed(&line), Event::AttemptFinished(outcome));
     }
 }
 
@@ -192,27 +202,27 @@
         {"worker":90,"az":"nowhere","kind":"other","status":"draining"}]}"#;
     let pool: Value = serde_json::from_str(line).expect("JSON");
     let site = site();
-    let entries: Vec<Entry> =
+    let entries: Vec<Endpoint> =
         wire::pool(&pool).expect("a list").iter().map(|raw| wire::entry(raw, &site)).collect();
-    let up = Entry {
+    let up = Endpoint {
         server: ServerId(51),
         zone: Some(ZoneId(0)),
         kind: Some(KindId(0)),
         cell: Some(CellId(4)),
         state: ServerState::Ready,
         weight: Some(1.5),
-        ready_at: Some(8),
+        started_at: Some(8),
     };
-    let removed = Entry {
+    let removed = Endpoint {
         server: ServerId(74),
         zone: Some(ZoneId(1)),
         kind: Some(KindId(1)),
         cell: None,
-        state: ServerState::Gone,
+        state: ServerState::Removed,
         weight: None,
-        ready_at: None,
+        started_at: None,
     };
-    let draining = Entry {
+    let draining = Endpoint {
         server: ServerId(90),
         zone: None,
         kind: None,
@@ -225,10 +235,10 @@
 #[test]
 fn scopes_of_lists_keep_their_words() {
     let scopes = [
-        ("delta", ListKind::Delta),
-        ("full", ListKind::Full),
-        ("cached", ListKind::Cached),
-        ("failed", ListKind::Failed),
+        ("delta", EndpointUpdate::Delta),
+        ("full", EndpointUpdate::Full),
+        ("cached", EndpointUpdate::Cached),
+        ("failed", EndpointUpdate::Failed),
     ];
     for (scope, kind) in scopes {
         assert_eq!(wire::list_kind(&json!({"t": "rosterChange", "scope": scope})), Ok(kind));
--- a/crates/gaparch-testbed/src/badday.rs
+++ b/crates/gaparch-testbed/src/badday.rs
@@ -81,7 +81,7 @@
         (0.30, list(&drained, ServerState::Draining)),
         (0.31, engine(&drained, Fault::Drain(1_500_000_000))),
         (0.36, engine(&slow, Fault::Slow(1.0))),
-        (0.38, list(&drained, ServerState::Gone)),
+        (0.38, list(&drained, ServerState::Removed)),
         (0.42, Trouble::KillRouter(router)),
         (0.44, engine(&drained, Fault::Start)),
         (0.45, list(&drained, ServerState::Ready)),
--- a/crates/gaparch-testbed/src/fleet/rig.rs
+++ b/crates/gaparch-testbed/src/fleet/rig.rs
@@ -310,7 +310,7 @@
             DeedKind::List => {
                 let state = match deed.state {
                     Some(Listed::Draining) => ServerState::Draining,
-                    Some(Listed::Gone) => ServerState::Gone,
+                    Some(Listed::Gone) => ServerState::Removed,
                     Some(Listed::Ready) | None => ServerState::Ready,
                 };
                 let engine = deed.engine.as_deref().unwrap_or_default();
--- a/crates/gaparch-testbed/src/list_service.rs
+++ b/crates/gaparch-testbed/src/list_service.rs
@@ -64,7 +64,7 @@
             self.history.remove(0);
         }
         match entry.state {
-            ServerState::Gone => drop(self.entries.remove(&entry.engine)),
+            ServerState::Removed => drop(self.entries.remove(&entry.engine)),
             _ => drop(self.entries.insert(entry.engine.clone(), entry)),
         }
     }
--- a/crates/gaparch-testbed/src/plain_relay.rs
+++ b/crates/gaparch-testbed/src/plain_relay.rs
@@ -7,7 +7,7 @@
 use gaparch_protocol::client::{parse_request, ClientEvent, Dialect, StopReason, Usage};
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job, Peer, RouterRun, StateAt, VERSION};
 use gaparch_protocol::DEFAULT_MAX_FRAME;
-use gaparch_scheduler::api::{Role, Status};
+use gaparch_scheduler::api::{AttemptStatus, Role};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Frame, Incoming};
@@ -109,7 +109,7 @@
         for spec in &site.plan().engines {
             let Some(handle) = site.engines.get(&spec.name) else { continue };
             let engine = Engine::connect(&spec.name, handle.address()).await?;
-            if spec.role == Role::Read { &mut readers } else { &mut writers }.push(engine);
+            if spec.role == Role::Prefill { &mut readers } else { &mut writers }.push(engine);
         }
         let dialect = Dialect::builtin("own").ok_or(io::ErrorKind::InvalidInput)?;
         let shared = Arc::new(Shared { readers, writers, dialect, next: AtomicU64::new(1 << 32) });
@@ -203,7 +203,7 @@
                 self.usage.output += u32::from(count);
                 dialect.encode(&ClientEvent::Part { text }, out);
             }
-            EngineFrame::Outcome { status: Status::Ok, .. } => {
+            EngineFrame::Outcome { status: AttemptStatus::Ok, .. } => {
                 let reason = StopReason::Finished;
                 dialect.encode(&ClientEvent::Usage { usage: self.usage, reason }, out);
                 dialect.encode(&ClientEvent::Closed { reason }, out);
--- a/crates/gaparch-testbed/src/record.rs
+++ b/crates/gaparch-testbed/src/record.rs
@@ -182,8 +182,8 @@
             EngineFrame::Tokens { key, count, .. } => Seen::Tokens { key: *key, count: *count },
             EngineFrame::Outcome { key, status, .. } => Seen::Outcome {
                 key: *key,
-                ok: *status == gaparch_scheduler::api::Status::Ok,
-                not_run: *status == gaparch_scheduler::api::Status::Full,
+                ok: *status == gaparch_scheduler::api::AttemptStatus::Ok,
+                not_run: *status == gaparch_scheduler::api::AttemptStatus::Rejected,
             },
             _ => return,
         };
--- a/crates/gaparch-testbed/src/scale/decision.rs
+++ b/crates/gaparch-testbed/src/scale/decision.rs
@@ -3,7 +3,7 @@
 use super::hollow::{list, play, settings, Day, Shape};
 use super::report::{Figure, Point, Way};
 use super::{target, Row};
-use gaparch_scheduler::api::{Entry, Event, ListKind, Nanos, ServerState, ZoneId};
+use gaparch_scheduler::api::{Endpoint, EndpointUpdate, Event, Nanos, ServerState, ZoneId};
 use gaparch_scheduler::policy::Policy;
 use std::time::Instant;
 
@@ -57,23 +57,23 @@
 
 fn time_lists(shape: &Shape) -> ListTimes {
     let entries = list(shape);
-    let with_state = |of: &[Entry], state| -> Vec<Entry> {
-        of.iter().map(|entry| Entry { state, ..entry.clone() }).collect()
+    let with_state = |of: &[Endpoint], state| -> Vec<Endpoint> {
+        of.iter().map(|entry| Endpoint { state, ..entry.clone() }).collect()
     };
-    let in_zone: Vec<Entry> = entries.iter().filter(|e| e.zone == Some(ZoneId(0))).cloned().collect();
+    let in_zone: Vec<Endpoint> = entries.iter().filter(|e| e.zone == Some(ZoneId(0))).cloned().collect();
     let (mut whole, mut zone_gone, mut change) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..TURNS {
         let mut module = Policy::new(settings(shape, 0));
-        whole.push(time(&mut module, ListKind::Full, entries.clone()));
+        whole.push(time(&mut module, EndpointUpdate::Full, entries.clone()));
         let one = with_state(&entries[entries.len() / 2..=entries.len() / 2], ServerState::Draining);
-        change.push(time(&mut module, ListKind::Delta, one));
-        zone_gone.push(time(&mut module, ListKind::Delta, with_state(&in_zone, ServerState::Gone)));
+        change.push(time(&mut module, EndpointUpdate::Delta, one));
+        zone_gone.push(time(&mut module, EndpointUpdate::Delta, with_state(&in_zone, ServerState::Removed)));
     }
     ListTimes { whole: median(whole), zone_gone: median(zone_gone), change: median(change) }
 }
 
-fn time(module: &mut Policy, kind: ListKind, entries: Vec<Entry>) -> f64 {
-    let event = Event::Members { kind, entries: entries.into() };
+fn time(module: &mut Policy, kind: EndpointUpdate, entries: Vec<Endpoint>) -> f64 {
+    let event = Event::EndpointsChanged { update: kind, endpoints: entries.into() };
     let began = Instant::now();
     module.handle(100 * S, event);
     began.elapsed().as_secs_f64() * 1e3
--- a/crates/gaparch-testbed/src/scale/hollow/choosers.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/choosers.rs
@@ -3,7 +3,7 @@
 use super::super::layout::is_reader;
 use super::entries::server_of;
 use super::fleet::{Chooser, Fleet};
-use gaparch_scheduler::api::{Event, RequestId, Status};
+use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Fleet {
     fn lot(&mut self, below: usize) -> usize {
@@ -52,10 +52,10 @@
         if !self.wanted(&event) {
             return;
         }
-        let Event::Outcome(outcome) = event else { return };
+        let Event::AttemptFinished(outcome) = event else { return };
         match outcome.status {
-            Status::Read => self.choose_writer(outcome.id),
-            Status::Ok => drop(self.open.remove(&outcome.id.0)),
+            AttemptStatus::Prefilled => self.choose_writer(outcome.id),
+            AttemptStatus::Ok => drop(self.open.remove(&outcome.id.0)),
             // Neither tries again.
             _ => self.give_up(outcome.id, true),
         }
--- a/crates/gaparch-testbed/src/scale/hollow/entries.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/entries.rs
@@ -1,7 +1,7 @@
 //! The list and the settings of a hollow fleet.
 
 use super::super::{layout, settings as platform_settings, target};
-use gaparch_scheduler::api::{CellId, Entry, KindId, ServerId, ServerState, Settings, ZoneId};
+use gaparch_scheduler::api::{CellId, Endpoint, KindId, ServerId, ServerState, Settings, ZoneId};
 
 /// Size and seed of a hollow fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,20 +33,20 @@
     ServerId(layout::digest(number))
 }
 
-fn entry(number: usize, zones: usize) -> Entry {
-    Entry {
+fn entry(number: usize, zones: usize) -> Endpoint {
+    Endpoint {
         server: server_of(number),
         zone: Some(ZoneId(layout::zone_of(number, zones))),
         kind: Some(KindId(layout::kind_of(number))),
         cell: Some(CellId(layout::cell_of(number) as u64)),
         state: ServerState::Ready,
         weight: Some(1.0),
-        ready_at: None,
+        started_at: None,
     }
 }
 
 /// The whole list.
-pub fn list(shape: &Shape) -> Vec<Entry> {
+pub fn list(shape: &Shape) -> Vec<Endpoint> {
     (0..shape.workers).map(|number| entry(number, shape.zones)).collect()
 }
 
