--- a/crates/gaparch-testbed/src/scale/hollow/fleet.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/fleet.rs
@@ -154,7 +154,7 @@
     asked_at: Nanos,
     pub(super) prompt: f64,
     pub(super) shared: f64,
-    pub(super) beginning: Option<Key>,
+    pub(super) beginning: Option<AffinityKey>,
     answer: f64,
     attempts: u32,
     /// The attempt whose answers are still wanted.
@@ -208,9 +208,12 @@
             lots: seed ^ 0x5851_f42d_4c95_7f2d,
             played: Played { reads: vec![0; workers], writes: vec![0; workers], ..Played::default() },
         };
-        let entries: std::sync::Arc<[Entry]> = list(&day.shape).into();
+        let entries: std::sync::Arc<[Endpoint]> = list(&day.shape).into();
         for router in 0..fleet.modules.len() {
-            fleet.tell(router, Event::Members { kind: ListKind::Full, entries: entries.clone() });
+            fleet.tell(
+                router,
+                Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: entries.clone() },
+            );
         }
         fleet.at(START + MS, Due::Ask);
         fleet.at(day.fault_at(), Due::Fault);
@@ -273,10 +276,13 @@
         }
         let mut entries = list(&self.day.shape);
         entries.retain(|entry| self.day.struck().map(server_of).contains(&entry.server));
-        entries.iter_mut().for_each(|entry| entry.ready_at = Some(self.now));
-        let entries: std::sync::Arc<[Entry]> = entries.into();
+        entries.iter_mut().for_each(|entry| entry.started_at = Some(self.now));
+        let entries: std::sync::Arc<[Endpoint]> = entries.into();
         for router in 0..self.modules.len() {
-            self.tell(router, Event::Members { kind: ListKind::Delta, entries: entries.clone() });
+            self.tell(
+                router,
+                Event::EndpointsChanged { update: EndpointUpdate::Delta, endpoints: entries.clone() },
+            );
         }
     }
 
@@ -289,8 +295,8 @@
         let open = Open {
             router,
             asked_at: self.now,
-            prompt: request.prompt_len,
-            shared: request.prefix_len,
+            prompt: request.prompt_tokens,
+            shared: request.prefix_tokens,
             beginning: request.prefix,
             answer,
             attempts: 0,
@@ -301,7 +307,7 @@
         let id = request.id;
         self.open.insert(id.0, open);
         match self.day.chooser {
-            Chooser::Module => self.tell(router, Event::Request(request)),
+            Chooser::Module => self.tell(router, Event::RequestArrived(request)),
             Chooser::SeesAll | Chooser::Random => self.choose_reader(id),
         }
     }
@@ -314,9 +320,9 @@
             return;
         }
         let module = &mut self.modules[router];
-        let list = matches!(event, Event::Members { .. });
+        let list = matches!(event, Event::EndpointsChanged { .. });
         let ended = match &event {
-            Event::Outcome(o) if o.closed => Some(o.id),
+            Event::AttemptFinished(o) if o.request_finished => Some(o.id),
             _ => None,
         };
         let began = Instant::now();
@@ -338,13 +344,13 @@
 
     fn act(&mut self, router: usize, action: Action) {
         match action {
-            Action::Timer { token, delay } => {
-                self.at(self.now + delay, Due::Tell(router, Event::Timer(token)))
+            Action::SetTimer { token, delay } => {
+                self.at(self.now + delay, Due::Tell(router, Event::TimerFired(token)))
             }
             Action::Send { id, server, .. } => self.send(id, server),
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
             Action::Probe(server) => self.probe(router, server),
-            Action::Refuse { id, .. } => self.give_up(id, true),
+            Action::Reject { id, .. } => self.give_up(id, true),
             Action::Fail { id, .. } => self.give_up(id, false),
             _ => {}
         }
@@ -361,13 +367,13 @@
         }
     }
 
-    fn cancel(&mut self, id: RequestId, attempt: AttemptNo) {
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         let Some(open) = self.open.get_mut(&id.0) else { return };
         // The worker goes on with it; nobody hears of what comes of that.
         open.out = None;
         let router = open.router;
-        let outcome = outcome(id, attempt, ServerId(0), Status::Cancelled, 0);
-        self.at(self.now, Due::Tell(router, Event::Outcome(outcome)));
+        let outcome = outcome(id, attempt, ServerId(0), AttemptStatus::Cancelled, 0);
+        self.at(self.now, Due::Tell(router, Event::AttemptFinished(outcome)));
     }
 
     fn probe(&mut self, router: usize, server: ServerId) {
@@ -375,11 +381,11 @@
         let worker = self.numbers[&server];
         let waits = self.readers[worker].would_end(self.now, 0.0, 0.0) - self.now;
         let (status, latency) = match PROBE + waits {
-            _ if self.is_dead(worker) => (Status::ConnectFailed, REFUSED),
-            latency if latency < PROBE_TIMEOUT => (Status::Ok, latency),
-            _ => (Status::Timeout, PROBE_TIMEOUT),
+            _ if self.is_dead(worker) => (AttemptStatus::ConnectFailed, REFUSED),
+            latency if latency < PROBE_TIMEOUT => (AttemptStatus::Ok, latency),
+            _ => (AttemptStatus::Timeout, PROBE_TIMEOUT),
         };
-        let probed = Event::Probed { server, status, latency, report: None };
+        let probed = Event::ProbeFinished { server, status, latency, report: None };
         self.at(self.now + latency, Due::Tell(router, probed));
     }
 
@@ -392,34 +398,37 @@
             self.played.struck.push(StruckAttempt { after_s, router, reads: is_reader(worker) });
         }
         let Some(open) = self.open.get_mut(&id.0) else { return };
-        let attempt = AttemptNo(open.attempts);
+        let attempt = AttemptNumber(open.attempts);
         open.attempts += 1;
         open.out = Some(attempt.0);
         let (router, prompt) = (open.router, open.prompt);
         if dead {
-            let refused = outcome(id, attempt, server, Status::ConnectFailed, REFUSED);
-            return self.at(now + REFUSED, Due::Tell(router, Event::Outcome(refused)));
+            let refused = outcome(id, attempt, server, AttemptStatus::ConnectFailed, REFUSED);
+            return self.at(now + REFUSED, Due::Tell(router, Event::AttemptFinished(refused)));
         }
         if is_reader(worker) {
             open.reader = worker;
             let read = self.readers[worker].read(now, open.beginning, prompt, open.shared, slower);
-            let done = Outcome {
-                note: read.kept as u64,
-                ..outcome(id, attempt, server, Status::Read, read.done_at - now)
+            let done = AttemptOutcome {
+                cached_prompt_tokens: read.kept as u64,
+                ..outcome(id, attempt, server, AttemptStatus::Prefilled, read.done_at - now)
             };
-            return self.at(read.done_at, Due::Tell(router, Event::Outcome(done)));
+            return self.at(read.done_at, Due::Tell(router, Event::AttemptFinished(done)));
         }
         let (need, near) = (prompt + open.answer, same_cell(worker, open.reader));
         self.played.writes[worker] += 1;
         let Some(write) = self.writers[worker].write(need, open.answer, near, slower) else {
-            let full = outcome(id, attempt, server, Status::Full, MS);
-            return self.at(now + MS, Due::Tell(router, Event::Outcome(full)));
+            let full = outcome(id, attempt, server, AttemptStatus::Rejected, MS);
+            return self.at(now + MS, Due::Tell(router, Event::AttemptFinished(full)));
         };
-        let first = Event::First { id, attempt, server, latency: write.first_after };
+        let first = Event::FirstToken { id, attempt, server, latency: write.first_after };
         self.at(now + write.first_after, Due::Tell(router, first));
-        let done = Outcome { closed: true, ..outcome(id, attempt, server, Status::Ok, write.done_after) };
+        let done = AttemptOutcome {
+            request_finished: true,
+            ..outcome(id, attempt, server, AttemptStatus::Ok, write.done_after)
+        };
         self.at(now + write.done_after, Due::StreamEnds { writer: worker, need });
-        self.at(now + write.done_after, Due::Tell(router, Event::Outcome(done)));
+        self.at(now + write.done_after, Due::Tell(router, Event::AttemptFinished(done)));
     }
 }
 
@@ -427,14 +436,14 @@
     /// Books a first token; whether the event is one of an attempt that is still wanted.
     pub(super) fn wanted(&mut self, event: &Event) -> bool {
         let (id, attempt) = match event {
-            Event::First { id, attempt, .. } => (id, attempt),
-            Event::Outcome(o) if o.status != Status::Cancelled => (&o.id, &o.attempt),
+            Event::FirstToken { id, attempt, .. } => (id, attempt),
+            Event::AttemptFinished(o) if o.status != AttemptStatus::Cancelled => (&o.id, &o.attempt),
             _ => return true,
         };
         let Some(open) = self.open.get_mut(&id.0).filter(|open| open.out == Some(attempt.0)) else {
             return false;
         };
-        if let Event::Outcome(_) = event {
+        if let Event::AttemptFinished(_) = event {
             open.out = None;
         } else if open.counted {
             let took = self.now - open.asked_at;
@@ -447,6 +456,22 @@
     }
 }
 
-fn outcome(id: RequestId, attempt: AttemptNo, server: ServerId, status: Status, latency: Nanos) -> Outcome {
-    Outcome { id, attempt, server, status, latency, closed: false, note: 0, report: None }
+fn outcome(
+    id: RequestId,
+    attempt: AttemptNumber,
+    server: ServerId,
+    status: AttemptStatus,
+    latency: Nanos,
+) -> AttemptOutcome {
+    AttemptOutcome {
+        id,
+        attempt,
+        server,
+        status,
+        latency,
+        request_finished: false,
+        cached_prompt_tokens: 0,
+        kv_cache_missing: false,
+        report: None,
+    }
 }
--- a/crates/gaparch-testbed/src/scale/hollow/traffic.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/traffic.rs
@@ -2,7 +2,7 @@
 //! turns, and answers of the target's length.
 
 use super::super::target;
-use gaparch_scheduler::api::{ClassId, Key, Nanos, Request, RequestId, TenantId};
+use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, Request, RequestId, TenantId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -56,15 +56,15 @@
             id: RequestId(self.next),
             class: ClassId(0),
             tenant: Some(TenantId(tenant)),
-            session: Some(Key(self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15))),
-            prefix: Some(Key(rank.wrapping_mul(0x1234_5677_1234_5677))),
-            prompt_len: BEGINNING_TOKENS + rest,
-            prefix_len: BEGINNING_TOKENS,
-            max_out: answer * 2.0,
-            hint: None,
-            give_up_at: now + PATIENCE,
-            retry: false,
-            again: false,
+            session: Some(AffinityKey(self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15))),
+            prefix: Some(AffinityKey(rank.wrapping_mul(0x1234_5677_1234_5677))),
+            prompt_tokens: BEGINNING_TOKENS + rest,
+            prefix_tokens: BEGINNING_TOKENS,
+            max_output_tokens: answer * 2.0,
+            expected_duration: None,
+            deadline_at: now + PATIENCE,
+            client_retry: false,
+            client_reconnect: false,
         };
         Asked { router, request, answer }
     }
--- a/crates/gaparch-testbed/src/scale/hollow/workers.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/workers.rs
@@ -3,7 +3,7 @@
 
 use super::super::layout::cell_of;
 use super::super::settings::MEMORY;
-use gaparch_scheduler::api::{Key, Nanos};
+use gaparch_scheduler::api::{AffinityKey, Nanos};
 use std::collections::HashMap;
 
 const MS: f64 = 1e6;
@@ -24,7 +24,7 @@
 pub(super) struct Reader {
     /// Until when it has work.
     busy_until: Nanos,
-    kept: HashMap<Key, Nanos>,
+    kept: HashMap<AffinityKey, Nanos>,
     /// Reads that it was asked for.
     pub asked: u64,
 }
@@ -41,7 +41,7 @@
     }
 
     /// Tokens of a beginning that need not be read again.
-    pub fn keeps(&self, beginning: Option<Key>, tokens: f64) -> f64 {
+    pub fn keeps(&self, beginning: Option<AffinityKey>, tokens: f64) -> f64 {
         let known = beginning.is_some_and(|key| self.kept.contains_key(&key));
         if known {
             tokens
@@ -59,7 +59,7 @@
     pub fn read(
         &mut self,
         now: Nanos,
-        beginning: Option<Key>,
+        beginning: Option<AffinityKey>,
         prompt: f64,
         shared: f64,
         slower: f64,
@@ -74,7 +74,7 @@
         Read { done_at, kept }
     }
 
-    fn keep(&mut self, beginning: Key, at: Nanos) {
+    fn keep(&mut self, beginning: AffinityKey, at: Nanos) {
         self.kept.insert(beginning, at);
         if self.kept.len() > KEPT {
             let oldest = self.kept.iter().min_by_key(|(key, at)| (**at, key.0)).map(|(key, _)| *key);
--- a/crates/gaparch-testbed/src/scale/knowledge.rs
+++ b/crates/gaparch-testbed/src/scale/knowledge.rs
@@ -121,7 +121,7 @@
 /// what chance may add.
 pub fn cold_share(played: &Played, day: &Day) -> f64 {
     let set = settings(&day.shape, 0);
-    let window = set.fall as f64 / 1e9;
+    let window = set.overload_window as f64 / 1e9;
     let mean = |all: &[u64]| all.iter().sum::<u64>() as f64 / all.len().max(1) as f64 / day.counted;
     let mut worst: f64 = 0.0;
     for (reads, warm) in [(true, mean(&played.reads)), (false, mean(&played.writes))] {
@@ -129,9 +129,9 @@
         for (last, at) in times.iter().enumerate() {
             let from = (at - window).max(0.0);
             let calls = times[..=last].iter().filter(|time| **time >= from).count() as f64;
-            let age = from / (set.cold as f64 / 1e9);
-            let share = set.cold_from + (1.0 - set.cold_from) * age.clamp(0.0, 1.0);
-            worst = worst.max(calls / cold_bound(set.fall_multiple * share * warm * window));
+            let age = from / (set.slow_start_duration as f64 / 1e9);
+            let share = set.slow_start_speed + (1.0 - set.slow_start_speed) * age.clamp(0.0, 1.0);
+            worst = worst.max(calls / cold_bound(set.overload_factor * share * warm * window));
         }
     }
     worst
--- a/crates/gaparch-testbed/src/site.rs
+++ b/crates/gaparch-testbed/src/site.rs
@@ -228,9 +228,9 @@
             router + 1,
             self.addresses[router],
             plan.dialect,
-            memory(Role::Read),
-            memory(Role::Write),
-            memory(Role::Both),
+            memory(Role::Prefill),
+            memory(Role::Decode),
+            memory(Role::Mixed),
         );
         for class in &plan.classes {
             let _ = write!(xml, r#"<class id="{}" {}/>"#, class.name, class.attributes);
@@ -484,9 +484,9 @@
 
 fn kind(role: Role) -> &'static str {
     match role {
-        Role::Read => "read",
-        Role::Write => "write",
-        Role::Both => "both",
+        Role::Prefill => "read",
+        Role::Decode => "write",
+        Role::Mixed => "both",
     }
 }
 
--- a/crates/gaparch-testbed/tests/hard_cases.rs
+++ b/crates/gaparch-testbed/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 use gaparch_engine::{EngineSpec, Fault};
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job};
-use gaparch_scheduler::api::{ServerState, Status};
+use gaparch_scheduler::api::{AttemptStatus, ServerState};
 use gaparch_testbed::checker::Effect;
 use gaparch_testbed::load::{Answered, Patience, Question};
 use gaparch_testbed::record::{Ask, End};
@@ -261,16 +261,17 @@
     EngineFrame::ReadDone { key, kept: 0, prompt_len: 400, report: None }
 }
 
-fn outcome(key: AttemptKey, status: Status) -> EngineFrame {
+fn outcome(key: AttemptKey, status: AttemptStatus) -> EngineFrame {
     EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_breaks_the_protocol_costs_only_its_own_requests() {
     let twice: Script =
-        |job: &Job| vec![read_done(job.key), read_done(job.key), outcome(job.key, Status::Error)];
-    let never_made: Script = |job: &Job| vec![outcome(AttemptKey { attempt: 77, ..job.key }, Status::Ok)];
-    let wrong_end: Script = |job: &Job| vec![outcome(job.key, Status::Ok)];
+        |job: &Job| vec![read_done(job.key), read_done(job.key), outcome(job.key, AttemptStatus::Error)];
+    let never_made: Script =
+        |job: &Job| vec![outcome(AttemptKey { attempt: 77, ..job.key }, AttemptStatus::Ok)];
+    let wrong_end: Script = |job: &Job| vec![outcome(job.key, AttemptStatus::Ok)];
     let silent: Script = |_: &Job| vec![];
     // The first says in no time that it has read and never has the state: beside it the honest reader looks slow
     // to the module, so that no answer is promised here; but each request has its one end.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -8,40 +8,45 @@
 impl Policy {
     pub(super) fn on_request(&mut self, request: Request) {
         let Some(class) = self.set.classes.get(request.class.0).cloned() else {
-            return self.out.push(Action::Fail { id: request.id, why: Reason::UnknownClass.into() });
+            return self.out.push(Action::Fail { id: request.id, cause: GiveUpReason::UnknownClass.into() });
         };
-        let prompt = if request.prompt_len > 0.0 { request.prompt_len } else { PROMPT_UNKNOWN };
+        let prompt = if request.prompt_tokens > 0.0 { request.prompt_tokens } else { PROMPT_UNKNOWN };
         // The design's guess of a stream's memory: the hint, else half of what is allowed.
-        let answer = match request.hint {
-            Some(hint) if class.token_aim > 0 => hint as f64 / class.token_aim as f64,
-            _ => request.max_out / 2.0,
+        let answer = match request.expected_duration {
+            Some(hint) if class.token_latency_objective > 0 => {
+                hint as f64 / class.token_latency_objective as f64
+            }
+            _ => request.max_output_tokens / 2.0,
         };
-        let answer = if request.max_out > 0.0 { answer.min(request.max_out) } else { answer };
+        let answer =
+            if request.max_output_tokens > 0.0 { answer.min(request.max_output_tokens) } else { answer };
         let over_share = self.over_share(request.tenant);
         self.purses = self.purses.map(|purse| (purse + NEWS_WORTH).min(NEWS_WORTH * 100.0));
         let home = self.home(&request);
         self.prompts[request.class.0].add(prompt, GAIN);
         self.answers[request.class.0].add(answer, GAIN);
         self.note_untold();
-        let (id, give_up_at) = (request.id, request.give_up_at);
-        let aim = class.aim.saturating_add((class.aim_per_token * prompt) as Nanos);
-        let aim_at = if class.aim > 0 { self.now.saturating_add(aim) } else { give_up_at };
-        let request = Request { prompt_len: prompt, ..request };
+        let (id, give_up_at) = (request.id, request.deadline_at);
+        let aim = class
+            .latency_objective
+            .saturating_add((class.latency_objective_per_prompt_token * prompt) as Nanos);
+        let aim_at = if class.latency_objective > 0 { self.now.saturating_add(aim) } else { give_up_at };
+        let request = Request { prompt_tokens: prompt, ..request };
         self.works.insert(id, Work::new(request, self.now, self.set.seed, home, over_share, aim_at, answer));
         if give_up_at <= self.last_call() {
-            return self.give_up(id, Reason::Deadline);
+            return self.give_up(id, GiveUpReason::DeadlineExceeded);
         }
         self.hold(id);
     }
 
     pub(super) fn hold(&mut self, id: RequestId) {
         let Some(work) = self.works.get(&id) else { return };
-        self.waiting.insert(id, work, work.request.give_up_at.min(self.repeat_by(work)));
+        self.waiting.insert(id, work, work.request.deadline_at.min(self.repeat_by(work)));
     }
 
     /// The longest that a look at deadlines may take to come: a site's own steps may be longer than ours.
     pub(super) fn look_within(&self) -> Nanos {
-        TICK.max(self.set.tick.saturating_mul(2))
+        TICK.max(self.set.step.saturating_mul(2))
     }
 
     /// Whose client leaves by then is answered now.
@@ -61,7 +66,8 @@
     /// Whether this request is beyond its tenant's share, of which each router takes an even part.
     fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant.filter(|t| t.0 < self.shares.len()) else { return false };
-        let rate = self.set.tenants[tenant.0].quota_per_s / f64::from(self.set.routers) * SHARE_SLACK;
+        let rate =
+            self.set.tenants[tenant.0].quota_per_second / f64::from(self.set.router_count) * SHARE_SLACK;
         rate > 0.0 && !self.shares[tenant.0].take(self.now, rate, rate * SHARE_BURST + 1.0)
     }
 
@@ -129,7 +135,7 @@
     /// False only if no reader can have room for what has so little to read and so long an aim: `start`
     /// would find the same, one reader after the other.
     fn reader_may_have_room(&self, wants: Wants) -> bool {
-        let any = self.averages.places.readers.is_empty() || self.set.self_prefill;
+        let any = self.averages.places.readers.is_empty() || self.set.decode_workers_can_prefill;
         let room = |s: &Server| !s.full_within(self.now, RECENTLY) && !self.long(s, wants.aim);
         any || self.servers.at(&self.averages.places.readers).any(room)
     }
--- a/src/policy/arrivals.rs
+++ b/src/policy/arrivals.rs
@@ -79,10 +79,10 @@
 
 /// `released`: it was let go of beside the write. `server_runs`: the server has answered something that was
 /// sent after the write, and so had it: the state stayed for it.
-pub fn state_after(status: Status, released: bool, server_runs: bool) -> StateAfter {
+pub fn state_after(status: AttemptStatus, released: bool, server_runs: bool) -> StateAfter {
     match () {
         () if status.is_answer() || released && server_runs => StateAfter::HeldAnew,
-        () if released && !status.never_left() => StateAfter::Gone,
+        () if released && !status.was_never_sent() => StateAfter::Gone,
         () => StateAfter::Held,
     }
 }
@@ -114,18 +114,22 @@
             now: self.now,
             sent_at: sent.at,
             held_since,
-            release_within: self.set.release_within,
+            release_within: self.set.kv_release_within,
             server_runs: server.is_some_and(|s| s.runs_since(sent.at)),
             probed_at: server.and_then(|s| s.asked_at),
-            may_probe: self.set.probes,
+            may_probe: self.set.can_probe,
         })
     }
 
     /// A second attempt does no harm, and another writer has room for it.
     fn may_leave(&self, id: RequestId, sent: &Sent) -> bool {
         let Some(work) = self.works.get(&id) else { return false };
-        let safe = self.set.classes.get(work.request.class.0).is_some_and(|c| c.effect == Effect::Safe);
-        let allowed = self.set.cancel && !sent.cancelled;
+        let safe = self
+            .set
+            .classes
+            .get(work.request.class.0)
+            .is_some_and(|c| c.idempotency == Idempotency::Idempotent);
+        let allowed = self.set.can_cancel && !sent.cancelled;
         let attempts_left = work.attempts < self.set.max_attempts;
         let room = |s: &&Server| s.id != sent.server && self.has_room(s, work.need());
         safe && allowed && attempts_left && self.candidates(false, work).iter().any(room)
@@ -136,22 +140,24 @@
         let sent = self.works.get_mut(&id).and_then(|work| work.sent.as_mut());
         if let Some(sent) = sent.filter(|sent| !sent.released) {
             sent.released = true;
-            self.out.push(Action::Release(id));
+            self.out.push(Action::ReleaseKv(id));
         }
     }
 
     /// Books what has become of a state with the end of an attempt.
-    pub(super) fn settle_state(&mut self, outcome: &Outcome, sent: &Sent) {
+    pub(super) fn settle_state(&mut self, outcome: &AttemptOutcome, sent: &Sent) {
         let now = self.now;
         let runs = self.servers.get(&outcome.server).is_some_and(|s| s.runs_since(sent.at));
         let Some(work) = self.works.get_mut(&outcome.id) else { return };
         match (&mut work.state, state_after(outcome.status, sent.released, runs)) {
-            (state @ None, _) if outcome.status == Status::Read => *state = Some((outcome.server, now)),
+            (state @ None, _) if outcome.status == AttemptStatus::Prefilled => {
+                *state = Some((outcome.server, now))
+            }
             (Some((_, since)), StateAfter::HeldAnew) => *since = now,
             (state @ Some(_), StateAfter::Gone) => {
                 *state = None;
                 // At its end everything is let go of anyway.
-                self.out.extend((!work.ended).then_some(Action::Release(outcome.id)));
+                self.out.extend((!work.ended).then_some(Action::ReleaseKv(outcome.id)));
             }
             _ => {}
         }
--- a/src/policy/connecting.rs
+++ b/src/policy/connecting.rs
@@ -11,7 +11,7 @@
 //! stops the time in which it has to be let go of. Its send goes out on a connection that has just come up;
 //! all others may use a kept one.
 
-use crate::api::{Nanos, Status};
+use crate::api::{AttemptStatus, Nanos};
 
 /// Between two tries where this machine had nothing to connect with.
 pub const TRY_AGAIN: Nanos = 5_000_000;
@@ -69,10 +69,10 @@
     }
 
     /// What is told of an attempt or a probe that had no connection.
-    pub fn status(self) -> Status {
+    pub fn status(self) -> AttemptStatus {
         match self {
-            ConnectFailure::Local => Status::NoSocket,
-            ConnectFailure::NoRoute | ConnectFailure::Remote => Status::ConnectFailed,
+            ConnectFailure::Local => AttemptStatus::NoSocket,
+            ConnectFailure::NoRoute | ConnectFailure::Remote => AttemptStatus::ConnectFailed,
         }
     }
 }
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -29,15 +29,17 @@
         let late = self.now.saturating_add(self.to_first.value as Nanos) > work.aim_at;
         match work.sent {
             Some(sent) if sent.begun => {}
-            _ if self.last_call() >= work.request.give_up_at => self.give_up(id, Reason::Deadline),
+            _ if self.last_call() >= work.request.deadline_at => {
+                self.give_up(id, GiveUpReason::DeadlineExceeded)
+            }
             Some(sent) => {
                 if !self.check_arrival(id, &sent) {
                     self.check_overdue(id, sent);
                 }
             }
-            None if self.spent(work) => self.give_up(id, Reason::MayHaveRun),
+            None if self.spent(work) => self.give_up(id, GiveUpReason::MayHaveRun),
             // Held, it can't make its aim any more: it ends now, so that others can.
-            None if late && work.state.is_none() => self.give_up(id, Reason::AimLost),
+            None if late && work.state.is_none() => self.give_up(id, GiveUpReason::ObjectiveMissed),
             None => self.place(id),
         }
     }
@@ -59,21 +61,22 @@
         if !heard || age < patience || sent.cancelled {
             return;
         }
-        if silent && self.set.probes && !s.unreachable {
+        if silent && self.set.can_probe && !s.unreachable {
             (s.unreachable, s.probe_at) = (true, self.now);
         }
         // A reader that answers a probe at once has left the read unanswered; one that does not may be busy.
         if reads && s.quick_at <= sent.at && age < 2 * patience {
             return;
         }
-        let safe = sent.stage == Stage::Read || self.set.classes[work.request.class.0].effect == Effect::Safe;
+        let safe = sent.stage == Stage::Read
+            || self.set.classes[work.request.class.0].idempotency == Idempotency::Idempotent;
         let room = |s: &Server| self.has_room(s, work.need());
         let better = |s: &&Server| {
             s.id != sent.server
                 && !self.ill(s, Some(work.part()))
                 && (reads || room(s) && (near || silent || s.cell == cell))
         };
-        let left = work.attempts + ATTEMPTS_KEPT <= self.set.max_attempts && self.set.cancel;
+        let left = work.attempts + ATTEMPTS_KEPT <= self.set.max_attempts && self.set.can_cancel;
         if !safe || !left || self.call_offs < 1.0 || !self.candidates(reads, work).iter().any(better) {
             return;
         }
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -46,7 +46,7 @@
     fn may_go_to(&self, work: &Work, s: &Server) -> bool {
         let Some(ran) = work.may_have_run else { return true };
         let (zone, cell) = (s.zone, s.cell);
-        let dropped = |class: &Class| may_repeat(self.now, &Repeat { class, ran, zone, cell });
+        let dropped = |class: &TrafficClass| may_repeat(self.now, &Repeat { class, ran, zone, cell });
         !self.spent(work) && self.set.classes.get(work.request.class.0).is_some_and(dropped)
     }
 
@@ -55,12 +55,14 @@
         let Some(ran) = work.may_have_run else { return false };
         let Some(class) = self.set.classes.get(work.request.class.0) else { return true };
         let over = self.now.saturating_add(TICK) >= self.repeat_by(work);
-        class.effect == Effect::Unsafe || class.group.of(ran.zone, ran.cell).is_none() || over
+        class.idempotency == Idempotency::NotIdempotent
+            || class.deduplication_scope.domain(ran.zone, ran.cell).is_none()
+            || over
     }
 
     /// When the last byte of its next send has to be out: a keyed one is a repeat only within its window.
     pub(super) fn repeat_by(&self, work: &Work) -> Nanos {
         let ran = work.may_have_run.zip(self.set.classes.get(work.request.class.0));
-        ran.map_or(Nanos::MAX, |(ran, class)| ran.at.saturating_add(class.window))
+        ran.map_or(Nanos::MAX, |(ran, class)| ran.at.saturating_add(class.deduplication_window))
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -80,9 +80,11 @@
             shares: vec![Bucket::default(); set.tenants.len()],
             prompts: vec![Mean::default(); set.classes.len()],
             answers: vec![Mean::default(); set.classes.len()],
-            usual: vec![(Lagged::default(), 1.0); set.roles.len() + 1],
+            usual: vec![(Lagged::default(), 1.0); set.kinds.len() + 1],
             call_offs: 1.0,
-            reads: Reads::guessed(set.classes.iter().map(|c| c.aim_per_token).fold(0.0, f64::max)),
+            reads: Reads::guessed(
+                set.classes.iter().map(|c| c.latency_objective_per_prompt_token).fold(0.0, f64::max),
+            ),
             set,
             ..Policy::default()
         }
@@ -92,7 +94,7 @@
         // A clock that went back would make ages of less than nothing.
         self.now = now.max(self.now);
         let now = self.now;
-        if let Event::Peer { from, data } = event {
+        if let Event::GossipReceived { from, data } = event {
             self.told.hear(now, from, held_from_bytes(&data));
             return Vec::new();
         }
@@ -100,23 +102,25 @@
         self.averages.news(now, every, NEWS_FOR, &mut self.servers, &mut self.told);
         self.note_untold();
         match event {
-            Event::Members { kind, entries } => self.on_members(kind, &entries),
-            Event::Request(request) => self.on_request(request),
-            Event::Timer(TICK_TIMER) => self.on_tick(),
-            Event::Timer(ASK_TIMER) => self.out.push(Action::Watch(true)),
-            Event::First { id, attempt, latency, .. } => self.on_first(id, attempt, latency),
-            Event::Outcome(outcome) => self.on_outcome(outcome),
-            Event::Gone(id) => self.end(id, None),
-            Event::Quota { tenant, per_s } => self.set.quota(tenant, per_s),
-            Event::Routers(routers) => self.set.routers = routers.max(1),
-            Event::Probed { server: s, status, latency: l, report } => self.on_probed(s, status, l, report),
-            Event::Timer(_) | Event::Note { .. } | Event::Peer { .. } => {}
+            Event::EndpointsChanged { update: kind, endpoints: entries } => self.on_members(kind, &entries),
+            Event::RequestArrived(request) => self.on_request(request),
+            Event::TimerFired(TICK_TIMER) => self.on_tick(),
+            Event::TimerFired(ASK_TIMER) => self.out.push(Action::WatchEndpoints(true)),
+            Event::FirstToken { id, attempt, latency, .. } => self.on_first(id, attempt, latency),
+            Event::AttemptFinished(outcome) => self.on_outcome(outcome),
+            Event::ClientDisconnected(id) => self.end(id, None),
+            Event::QuotaChanged { tenant, quota_per_second: per_s } => self.set.set_quota(tenant, per_s),
+            Event::RouterCountChanged(routers) => self.set.router_count = routers.max(1),
+            Event::ProbeFinished { server: s, status, latency: l, report } => {
+                self.on_probed(s, status, l, report)
+            }
+            Event::TimerFired(_) | Event::ReservationAnswered { .. } | Event::GossipReceived { .. } => {}
         }
         self.admit();
         let unbegun = !self.waiting.is_empty() || !self.works.active().is_empty();
         if !self.ticking && (unbegun || self.servers.values().any(|s| s.unreachable)) {
             self.ticking = true;
-            self.out.push(Action::Timer { token: TICK_TIMER, delay: TICK });
+            self.out.push(Action::SetTimer { token: TICK_TIMER, delay: TICK });
         }
         std::mem::take(&mut self.out)
     }
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -5,7 +5,7 @@
 //! since a client may have left, a drain may have been told or a time may have run out in between. What is
 //! denied is counted by its reason.
 
-use crate::api::{CellId, Class, Effect, Group, Nanos, Status, ZoneId};
+use crate::api::{AttemptStatus, CellId, DeduplicationScope, Idempotency, Nanos, TrafficClass, ZoneId};
 use crate::counts::write_counts;
 use crate::state::MayHaveRun;
 
@@ -33,7 +33,7 @@
 /// A send of a request of which an earlier attempt may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeat<'a> {
-    pub class: &'a Class,
+    pub class: &'a TrafficClass,
     pub ran: MayHaveRun,
     /// Where this one goes to.
     pub zone: Option<ZoneId>,
@@ -76,10 +76,10 @@
     ];
 
     /// What a send that was denied has come to, for whoever decides what follows. Nothing has run.
-    pub fn status(self) -> Status {
+    pub fn status(self) -> AttemptStatus {
         match self {
-            Denial::NotReady => Status::ConnectFailed,
-            _ => Status::Moot,
+            Denial::NotReady => AttemptStatus::ConnectFailed,
+            _ => AttemptStatus::Expired,
         }
     }
 
@@ -123,14 +123,14 @@
 /// window.
 pub fn may_repeat(now: Nanos, repeat: &Repeat<'_>) -> bool {
     let Repeat { class, ran, zone, cell } = repeat;
-    match class.effect {
-        Effect::Safe => true,
-        Effect::Unsafe => false,
-        Effect::Keyed => {
-            let first = class.group.of(ran.zone, ran.cell);
+    match class.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::NotIdempotent => false,
+        Idempotency::WithKey => {
+            let first = class.deduplication_scope.domain(ran.zone, ran.cell);
             first.is_some()
-                && first == class.group.of(*zone, *cell)
-                && now < ran.at.saturating_add(class.window)
+                && first == class.deduplication_scope.domain(*zone, *cell)
+                && now < ran.at.saturating_add(class.deduplication_window)
         }
     }
 }
@@ -140,11 +140,11 @@
 ///
 /// # Errors
 /// When it would promise too much: the request has to fail.
-pub fn may_refuse(class: &Class, may_run: bool) -> Result<(), Denial> {
-    let harmless = match class.effect {
-        Effect::Safe => true,
-        Effect::Keyed => !may_run || class.group == Group::All,
-        Effect::Unsafe => !may_run,
+pub fn may_refuse(class: &TrafficClass, may_run: bool) -> Result<(), Denial> {
+    let harmless = match class.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::WithKey => !may_run || class.deduplication_scope == DeduplicationScope::All,
+        Idempotency::NotIdempotent => !may_run,
     };
     harmless.then_some(()).ok_or(Denial::NotHarmless)
 }
--- a/src/policy/reading.rs
+++ b/src/policy/reading.rs
@@ -25,24 +25,24 @@
             return self.start_at_writer(id);
         }
         let writers = near.places.mixed.is_empty() || self.writers_have_room(work);
-        readers.retain(|s| if s.role == Role::Both { self.has_room(s, work.need()) } else { writers });
+        readers.retain(|s| if s.role == Role::Mixed { self.has_room(s, work.need()) } else { writers });
         let homes = self.homes_of(work, &readers, &near.fade(&self.servers));
         let Some(home) = homes.first().copied() else { return false };
         let at_home = |s: &Server| homes.iter().any(|h| h.id == s.id);
-        let kept = |s: &Server| if at_home(s) { work.request.prefix_len } else { 0.0 };
-        let unread = |s: &Server| READ_BASE + (work.request.prompt_len - kept(s)).max(0.0);
+        let kept = |s: &Server| if at_home(s) { work.request.prefix_tokens } else { 0.0 };
+        let unread = |s: &Server| READ_BASE + (work.request.prompt_tokens - kept(s)).max(0.0);
         let cost = |s: &Server| self.read_cost(s, unread(s));
         let room = |s: &&Server| !s.full_within(self.now, RECENTLY) && !self.long(s, work.aim());
         let costs = readers.iter().filter(|s| room(s)).map(|s| (cost(s), *s));
         let Some((_, least)) = least_by_lot(costs, work.lot) else { return false };
         // A cold one that may be asked is likely idle: no router sends it much.
         let others = readers.iter().filter(|s| s.id != home.id);
-        let other = others.max_by_key(|s| (self.cold(s), at_home(s), work.lot.rank(s.id)));
+        let other = others.max_by_key(|s| (self.cold(s), at_home(s), work.lot.rendezvous_rank(s.id)));
         let look_at: Vec<ServerId> = [home].iter().chain(other).map(|s| s.id).collect();
         let home = Some(home).filter(room).unwrap_or(least);
         let margin = self.reads.size.value.max(unread(home)) / self.speed(home);
         let chosen = if cost(home) > cost(least) + margin { least } else { home };
-        let stage = if chosen.role == Role::Both { Stage::Whole } else { Stage::Read };
+        let stage = if chosen.role == Role::Mixed { Stage::Whole } else { Stage::Read };
         let (unread, queued, behind) =
             (unread(chosen), cost(chosen), chosen.asked_before(self.now, LOOK_FOR));
         let (chosen, cell, until) = (chosen.id, chosen.cell, work.look_until.unwrap_or(self.now + LOOK_FOR));
@@ -67,18 +67,19 @@
     /// Its beginning's homes by rendezvous hashing, its session's first, last whom they yield to; the same on
     /// all routers. Homes are spread as writers that take states without a move, the last as who has room.
     fn homes_of<'s>(&self, work: &Work, readers: &[&'s Server], fade: &Fade) -> Vec<&'s Server> {
-        let session = work.request.session.unwrap_or(Key(work.request.id.0));
-        let by = |key: Key| move |s: &&Server| -key.draw(s.id).ln() / (s.home * fade.of(s.id));
+        let session = work.request.session.unwrap_or(AffinityKey(work.request.id.0));
+        let by =
+            |key: AffinityKey| move |s: &&Server| -key.unit_interval(s.id).ln() / (s.home * fade.of(s.id));
         let first = work.request.prefix.unwrap_or(session);
         let homes = least_by(readers.to_vec(), work.homes, by(first));
         let others = readers.iter().copied().filter(|s| homes.iter().all(|h| h.id != s.id)).collect();
-        let spare = |s: &&Server| -first.draw(s.id).ln() / (HOME_MOST * s.weight - s.home).max(1e-3);
+        let spare = |s: &&Server| -first.unit_interval(s.id).ln() / (HOME_MOST * s.weight - s.home).max(1e-3);
         least_by(homes, usize::MAX, by(session)).into_iter().chain(least_by(others, 1, spare)).collect()
     }
 
     /// Worth a probe, where probes are allowed.
     fn unheard(&self, s: &Server) -> bool {
-        self.set.probes && s.asked_at.is_none() && s.heard_at + RECENTLY < self.now
+        self.set.can_probe && s.asked_at.is_none() && s.heard_at + RECENTLY < self.now
     }
 
     /// Probes those not heard from lately, as many routers hear too seldom; whether an answer is awaited.
@@ -96,7 +97,7 @@
     pub(super) fn price_of_probe(&self) -> f64 {
         let gap = || self.seen.gap(self.now, SEEN_SPAN).max(1.0);
         let least = if self.averages.has_many() { NEWS_WORTH * 1e9 / (gap() * PROBES) } else { 0.0 };
-        self.set.probe_price.max(least)
+        self.set.probe_cost.max(least)
     }
 
     /// Probes a server, as far as there is something left to spend on it.
@@ -118,8 +119,10 @@
 
     /// With no reader at all a writer that reads by itself takes the request whole.
     fn start_at_writer(&mut self, id: RequestId) -> bool {
-        let Some(work) = self.works.get(&id).filter(|_| self.set.self_prefill) else { return false };
-        let unread = READ_BASE + work.request.prompt_len;
+        let Some(work) = self.works.get(&id).filter(|_| self.set.decode_workers_can_prefill) else {
+            return false;
+        };
+        let unread = READ_BASE + work.request.prompt_tokens;
         let Some(server) = self.pick_writer(work, false) else { return false };
         self.send(id, Sent { unread, queued: unread, ..Sent::to(server, Stage::Whole) });
         true
--- a/src/policy/writing.rs
+++ b/src/policy/writing.rs
@@ -26,7 +26,7 @@
     /// Ties go to the least guessed memory, then by lot, or many routers that know little pick the same one.
     fn least_loaded<'s>(&self, w: &Work, all: impl Iterator<Item = &'s Server>) -> Option<&'s Server> {
         all.min_by(|a, b| {
-            let lot = || w.lot.rank(a.id).cmp(&w.lot.rank(b.id));
+            let lot = || w.lot.rendezvous_rank(a.id).cmp(&w.lot.rendezvous_rank(b.id));
             self.load(a).total_cmp(&self.load(b)).then(a.held.total_cmp(&b.held)).then_with(lot)
         })
     }
@@ -62,7 +62,7 @@
     /// The part of that which is the same for all servers; it changes with each event's news and requests.
     pub(super) fn note_untold(&mut self) {
         let (all, heard) = (&self.averages, self.told.routers());
-        let unheard = (f64::from(self.set.routers) - 1.0 - heard).max(0.0);
+        let unheard = (f64::from(self.set.router_count) - 1.0 - heard).max(0.0);
         let streams = all.known / (mean(&self.prompts) + mean(&self.answers)).max(1.0);
         let sure = 1.0 - streams.max(1.0).sqrt().recip();
         self.untold = unheard * sure * all.known_mean / (1.0 + heard);
@@ -77,20 +77,20 @@
         let mean = self.averages.weight[s.role as usize];
         let relative = if mean > 0.0 { s.weight / mean } else { 1.0 };
         let relative = if s.pace_ratio >= SLOW_FROM { relative / s.pace_ratio } else { relative };
-        relative.max(0.02) * if self.cold(s) { self.set.cold_from.clamp(0.1, 1.0) } else { 1.0 }
+        relative.max(0.02) * if self.cold(s) { self.set.slow_start_speed.clamp(0.1, 1.0) } else { 1.0 }
     }
 
     /// A state waits: send it on, let it wait a little, or let it go when the release time runs out.
     pub(super) fn place(&mut self, id: RequestId) {
         let Some(work) = self.works.get(&id) else { return };
         let Some((_, since)) = work.state.filter(|_| work.sent.is_none()) else { return };
-        let patience = (self.set.release_within as f64 * RELEASE_SHARE) as Nanos;
+        let patience = (self.set.kv_release_within as f64 * RELEASE_SHARE) as Nanos;
         let must = self.now.saturating_add(self.look_within()) >= since.saturating_add(patience);
-        let over = self.now > since && self.now >= work.release_by(self.set.release_within);
+        let over = self.now > since && self.now >= work.release_by(self.set.kv_release_within);
         if let Some(server) = self.pick_writer(work, must).filter(|_| !over) {
             self.send(id, Sent::to(server, Stage::Write));
         } else if must {
-            self.give_up(id, Reason::ReleaseTime);
+            self.give_up(id, GiveUpReason::KvReleaseTimeout);
         } else {
             self.look_further(id);
         }
--- a/src/state/averages.rs
+++ b/src/state/averages.rs
@@ -77,12 +77,12 @@
         servers.retain(|s| !s.gone || s.unbegun > 0 || s.held >= 1.0);
         self.cells.clear();
         // Mixed servers get states from readers only where there are no writers.
-        let split = servers.values().any(|s| s.ready && s.role == Role::Write);
-        self.writes = if split { Role::Write } else { Role::Both };
+        let split = servers.values().any(|s| s.ready && s.role == Role::Decode);
+        self.writes = if split { Role::Decode } else { Role::Mixed };
         self.places = Places {
-            readers: servers.places(|s| s.ready && s.role != Role::Write),
+            readers: servers.places(|s| s.ready && s.role != Role::Decode),
             writers: servers.places(|s| s.ready && s.role == self.writes),
-            mixed: servers.places(|s| s.ready && split && s.role == Role::Both),
+            mixed: servers.places(|s| s.ready && split && s.role == Role::Mixed),
         };
         self.many = self.places.readers.len() + self.places.writers.len() > most;
         if self.many {
@@ -90,7 +90,7 @@
         } else {
             self.ring = Ring::default();
         }
-        for role in [Role::Read, Role::Write, Role::Both] {
+        for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             let ready = || servers.values().filter(|s| s.ready && s.role == role);
             self.weight[role as usize] = average(ready().map(|s| s.weight)).unwrap_or(1.0);
             let whole = ready().map(|s| s.weight).sum::<f64>();
@@ -147,7 +147,7 @@
                 let add = |sum: &mut (f64, f64), value: f64| *sum = (sum.0 + value, sum.1 + 1.0);
                 s.others.into_iter().for_each(|v| add(&mut others[s.role as usize], v / s.memory.max(1.0)));
                 s.others_unread.into_iter().for_each(|v| add(&mut unread[s.role as usize], v));
-                if s.role != Role::Read {
+                if s.role != Role::Prefill {
                     (writers, held) = (writers + 1.0, held + s.held);
                 }
             }
--- a/src/state/choice.rs
+++ b/src/state/choice.rs
@@ -1,7 +1,7 @@
 //! The least of some, and rounding.
 
 use super::Server;
-use crate::api::{Key, ServerId};
+use crate::api::{AffinityKey, ServerId};
 
 /// Those with the least values, least first; among equals the order stays.
 pub fn least_by<T>(all: Vec<T>, most: usize, value: impl Fn(&T) -> f64) -> Vec<T> {
@@ -15,14 +15,23 @@
 }
 
 /// The least value, and of equals the first by lot.
-pub fn least_by_lot<'s>(all: impl Iterator<Item = (f64, &'s Server)>, lot: Key) -> Option<(f64, &'s Server)> {
-    all.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| lot.rank(a.1.id).cmp(&lot.rank(b.1.id))))
+pub fn least_by_lot<'s>(
+    all: impl Iterator<Item = (f64, &'s Server)>,
+    lot: AffinityKey,
+) -> Option<(f64, &'s Server)> {
+    all.min_by(|a, b| {
+        a.0.total_cmp(&b.0).then_with(|| lot.rendezvous_rank(a.1.id).cmp(&lot.rendezvous_rank(b.1.id)))
+    })
 }
 
 /// So many of them, by lot.
-pub fn first_by_lot<'s>(all: impl Iterator<Item = &'s Server>, most: usize, lot: Key) -> Vec<ServerId> {
+pub fn first_by_lot<'s>(
+    all: impl Iterator<Item = &'s Server>,
+    most: usize,
+    lot: AffinityKey,
+) -> Vec<ServerId> {
     let mut ids: Vec<ServerId> = all.map(|s| s.id).collect();
-    ids.sort_by_key(|id| lot.rank(*id));
+    ids.sort_by_key(|id| lot.rendezvous_rank(*id));
     ids.truncate(most);
     ids
 }
--- a/src/state/pace.rs
+++ b/src/state/pace.rs
@@ -25,7 +25,7 @@
     if all.len() <= walked {
         return;
     }
-    for role in [Role::Read, Role::Write, Role::Both] {
+    for role in [Role::Prefill, Role::Decode, Role::Mixed] {
         compare_paces(all, role, enough);
     }
 }
--- a/src/state/ring.rs
+++ b/src/state/ring.rs
@@ -6,7 +6,7 @@
 //! Where those near have no room, the way on goes past every cell once.
 
 use super::{Server, Servers};
-use crate::api::{CellId, Key, Role, ServerId};
+use crate::api::{AffinityKey, CellId, Role, ServerId};
 use std::borrow::Cow;
 use std::collections::HashMap;
 
@@ -49,7 +49,8 @@
             Group::Cell(cell) => (cell.0, 0x9e37_79b9_7f4a_7c15),
             Group::Alone(server) => (u64::from(server.0), 0xc2b2_ae3d_27d4_eb4f),
         };
-        Key(Key(key ^ salt).rank(ServerId(number))).rank(ServerId(number))
+        AffinityKey(AffinityKey(key ^ salt).rendezvous_rank(ServerId(number)))
+            .rendezvous_rank(ServerId(number))
     }
 }
 
@@ -161,13 +162,13 @@
                 }
             };
             let places = &mut self.slots[slot];
-            if server.role != Role::Write {
+            if server.role != Role::Decode {
                 places.readers.push(place);
             }
             if server.role == writes {
                 places.writers.push(place);
             }
-            if mixed && server.role == Role::Both {
+            if mixed && server.role == Role::Mixed {
                 places.mixed.push(place);
             }
         }
--- a/src/state/seen.rs
+++ b/src/state/seen.rs
@@ -1,7 +1,7 @@
 //! Requests seen lately, all and by shared beginning.
 
 use super::Recent;
-use crate::api::{Key, Nanos};
+use crate::api::{AffinityKey, Nanos};
 use std::collections::BTreeMap;
 
 /// Requests seen lately, all and by shared beginning.
@@ -10,7 +10,7 @@
     since: Nanos,
     adds: u32,
     all: Recent,
-    by_prefix: BTreeMap<Key, Recent>,
+    by_prefix: BTreeMap<AffinityKey, Recent>,
 }
 
 impl Seen {
@@ -20,7 +20,7 @@
     }
 
     /// How many there were before this one, of its beginning and in all.
-    pub fn add(&mut self, now: Nanos, prefix: Option<Key>, span: Nanos) -> (f64, f64) {
+    pub fn add(&mut self, now: Nanos, prefix: Option<AffinityKey>, span: Nanos) -> (f64, f64) {
         let all = self.all.get(now, span);
         self.since = if self.since == 0 { now } else { self.since };
         self.all.add(now, 1.0, span);
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -2,7 +2,7 @@
 
 use super::{Bucket, Lagged, Mean, Recent, Sent};
 use crate::api::{
-    CellId, ClassId, Entry, KindId, Nanos, Report, Role, ServerId, ServerState, TenantId, ZoneId,
+    CellId, ClassId, Endpoint, KindId, LoadReport, Nanos, Role, ServerId, ServerState, TenantId, ZoneId,
 };
 use std::collections::BTreeMap;
 
@@ -163,28 +163,28 @@
 
     /// A report counts own work too, as it was a while ago; what is left is the others'. `size`: tokens to
     /// read for a request.
-    pub fn note_report(&mut self, now: Nanos, lag: Nanos, report: Option<Report>, size: f64) {
+    pub fn note_report(&mut self, now: Nanos, lag: Nanos, report: Option<LoadReport>, size: f64) {
         let Some(report) = report else { return };
         self.follow(now, lag);
         self.news_at = now;
-        self.share = report.memory;
-        if let Some(share) = report.memory.filter(|_| self.role != Role::Read) {
+        self.share = report.memory_utilization;
+        if let Some(share) = report.memory_utilization.filter(|_| self.role != Role::Prefill) {
             self.others = Some((share * self.memory - self.held_seen.value).max(0.0));
         }
-        let requests = report.inflight.or(report.queue).map(|n| (n - self.unbegun_seen.value) * size);
-        let waiting = report.unread_k.map(|k| k * 1000.0 - self.unread).or(requests);
-        if let Some(tokens) = waiting.filter(|_| self.role != Role::Write) {
+        let requests = report.in_flight.or(report.queued).map(|n| (n - self.unbegun_seen.value) * size);
+        let waiting = report.pending_prefill_kilotokens.map(|k| k * 1000.0 - self.unread).or(requests);
+        if let Some(tokens) = waiting.filter(|_| self.role != Role::Decode) {
             self.others_unread = Some(tokens.max(0.0));
         }
     }
 
     /// What the list says of it; a new process begins with its cold budget in debt.
-    pub fn listed(&mut self, now: Nanos, e: &Entry, debt: f64) {
+    pub fn listed(&mut self, now: Nanos, e: &Endpoint, debt: f64) {
         (self.zone, self.cell, self.kind) = (e.zone, e.cell, e.kind);
         self.weight = e.weight.filter(|w| *w > 0.0).unwrap_or(1.0);
-        (self.ready, self.gone) = (e.state == ServerState::Ready, e.state == ServerState::Gone);
-        if e.ready_at.unwrap_or(0) != self.ready_at {
-            self.restarted(now, e.ready_at.unwrap_or(0), debt);
+        (self.ready, self.gone) = (e.state == ServerState::Ready, e.state == ServerState::Removed);
+        if e.started_at.unwrap_or(0) != self.ready_at {
+            self.restarted(now, e.started_at.unwrap_or(0), debt);
         }
     }
 
--- a/src/state/work.rs
+++ b/src/state/work.rs
@@ -1,13 +1,13 @@
 //! One request in progress, and its attempt that is out.
 
 use super::{Part, Position};
-use crate::api::{AttemptNo, CellId, Key, Nanos, Request, ServerId, ZoneId};
+use crate::api::{AffinityKey, AttemptNumber, CellId, Nanos, Request, ServerId, ZoneId};
 
 /// The attempt of a request that is out.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub server: ServerId,
-    pub no: AttemptNo,
+    pub no: AttemptNumber,
     pub at: Nanos,
     pub stage: Stage,
     pub unread: f64,
@@ -27,7 +27,7 @@
     pub fn to(server: ServerId, stage: Stage) -> Sent {
         Sent {
             server,
-            no: AttemptNo(0),
+            no: AttemptNumber(0),
             at: 0,
             stage,
             unread: 0.0,
@@ -69,10 +69,10 @@
     /// One that is at home at so many readers. Of more than `near` there is a point for each `near` of them, and sessions
     /// are spread over the points.
     pub fn of(request: &Request, readers: usize, near: usize) -> Home {
-        let session = request.session.unwrap_or(Key(request.id.0));
+        let session = request.session.unwrap_or(AffinityKey(request.id.0));
         let points = readers.div_ceil(near).max(1) as u64;
-        let number = ServerId((session.rank(ServerId(0)) % points) as u32);
-        Home { readers, position: Position::Key(request.prefix.unwrap_or(session).rank(number)) }
+        let number = ServerId((session.rendezvous_rank(ServerId(0)) % points) as u32);
+        Home { readers, position: Position::Key(request.prefix.unwrap_or(session).rendezvous_rank(number)) }
     }
 }
 
@@ -81,7 +81,7 @@
     pub request: Request,
     pub over_share: bool,
     /// An order of servers that differs for each request and router.
-    pub lot: Key,
+    pub lot: AffinityKey,
     pub asked_at: Nanos,
     /// Readers that its shared beginning is at home at.
     pub homes: usize,
@@ -120,7 +120,7 @@
         answer: f64,
     ) -> Work {
         Work {
-            lot: Key(request.id.0 ^ seed),
+            lot: AffinityKey(request.id.0 ^ seed),
             homes: home.readers,
             position: home.position,
             asked_at: now,
@@ -166,6 +166,6 @@
 
     /// Guessed tokens of memory at a writer.
     pub fn need(&self) -> f64 {
-        self.request.prompt_len + self.answer
+        self.request.prompt_tokens + self.answer
     }
 }
--- a/src/state/works.rs
+++ b/src/state/works.rs
@@ -168,7 +168,7 @@
         let plain = work.avoid.is_empty() && work.may_have_run.is_none();
         let part = plain.then(|| work.part());
         let turn = (work.over_share, work.aim_at, id);
-        let unread = (work.request.prompt_len - work.request.prefix_len).max(0.0);
+        let unread = (work.request.prompt_tokens - work.request.prefix_tokens).max(0.0);
         let wants = Wants { need: work.need(), unread, aim: work.aim() };
         self.groups.entry(part).or_default().add(turn, wants);
         self.by_end.insert((end, id));
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::draws::Draws;
-use common::{class, entry, settings, MS, S};
+use common::{class, entry, kinds, settings, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
@@ -78,24 +78,25 @@
 }
 
 fn site(routers: usize, me: usize) -> Settings {
-    let heavy = Class { worth: 3.0, ..class(Effect::Safe, Group::All) };
+    let heavy =
+        TrafficClass { priority_weight: 3.0, ..class(Idempotency::Idempotent, DeduplicationScope::All) };
     Settings {
         seed: 7 + me as u64,
-        me: me as u32,
-        routers: routers as u32,
-        classes: vec![class(Effect::Safe, Group::All), heavy],
-        memory: vec![600_000.0; 3],
-        probes: true,
-        probe_price: 0.003,
+        router_index: me as u32,
+        router_count: routers as u32,
+        classes: vec![class(Idempotency::Idempotent, DeduplicationScope::All), heavy],
+        kinds: kinds([600_000.0; 3]),
+        can_probe: true,
+        probe_cost: 0.003,
         ..settings()
     }
 }
 
-fn list(cold: bool, lost: u32) -> Vec<Entry> {
+fn list(cold: bool, lost: u32) -> Vec<Endpoint> {
     let kinds = (lost..READERS).map(|s| (s, 0)).chain((lost..WRITERS).map(|s| (100 + s, 1)));
-    let mut all: Vec<Entry> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 3))).collect();
+    let mut all: Vec<Endpoint> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 3))).collect();
     for (server, kind) in COLD.into_iter().zip(0..).filter(|_| cold) {
-        all.push(Entry { ready_at: Some(START), ..entry(server, kind, 0) });
+        all.push(Endpoint { started_at: Some(START), ..entry(server, kind, 0) });
     }
     all
 }
@@ -117,13 +118,18 @@
         };
         fleet.share_out();
         for router in 0..day.routers {
-            let known = Event::Members { kind: ListKind::Cached, entries: list(false, 0).into() };
+            let known =
+                Event::EndpointsChanged { update: EndpointUpdate::Cached, endpoints: list(false, 0).into() };
             fleet.at(S, router, What::Tell(known));
             let late = (fleet.draws.next() * day.told_late as f64) as Nanos;
-            let news = Event::Members { kind: ListKind::Full, entries: list(true, 0).into() };
+            let news =
+                Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: list(true, 0).into() };
             fleet.at(START + late, router, What::Tell(news));
             if day.lost.1 > 0 {
-                let news = Event::Members { kind: ListKind::Full, entries: list(true, day.lost.1).into() };
+                let news = Event::EndpointsChanged {
+                    update: EndpointUpdate::Full,
+                    endpoints: list(true, day.lost.1).into(),
+                };
                 fleet.at(START + day.lost.0, router, What::Tell(news));
             }
             if day.restarts && router % 2 == 0 {
@@ -160,7 +166,10 @@
                 Some(What::Tell(event)) => self.tell(now, router, event),
                 Some(What::Restart) => {
                     self.routers[router] = Policy::new(site(self.day.routers, router));
-                    let known = Event::Members { kind: ListKind::Cached, entries: list(false, 0).into() };
+                    let known = Event::EndpointsChanged {
+                        update: EndpointUpdate::Cached,
+                        endpoints: list(false, 0).into(),
+                    };
                     self.tell(now, router, known);
                 }
                 None => {}
@@ -190,33 +199,33 @@
             id: RequestId(id),
             class: ClassId(usize::from(heavy)),
             tenant: None,
-            session: Some(Key(self.asked.wrapping_mul(0x9e37_79b9))),
-            prefix: Some(Key(rank.wrapping_mul(0x1234_5677_1234_5677))),
-            prompt_len: prompt,
-            prefix_len: 400.0,
-            max_out: 200.0,
-            hint: None,
-            give_up_at: now + 5 * S,
-            retry: false,
-            again: false,
+            session: Some(AffinityKey(self.asked.wrapping_mul(0x9e37_79b9))),
+            prefix: Some(AffinityKey(rank.wrapping_mul(0x1234_5677_1234_5677))),
+            prompt_tokens: prompt,
+            prefix_tokens: 400.0,
+            max_output_tokens: 200.0,
+            expected_duration: None,
+            deadline_at: now + 5 * S,
+            client_retry: false,
+            client_reconnect: false,
         };
-        self.tell(now, router, Event::Request(request));
+        self.tell(now, router, Event::RequestArrived(request));
     }
 
     fn tell(&mut self, now: Nanos, router: usize, event: Event) {
         for action in self.routers[router].handle(now, event) {
             match action {
-                Action::Timer { token, delay } => {
-                    self.at(now + delay, router, What::Tell(Event::Timer(token)))
+                Action::SetTimer { token, delay } => {
+                    self.at(now + delay, router, What::Tell(Event::TimerFired(token)))
                 }
                 Action::Send { id, server, .. } => self.send(now, router, id, server),
                 Action::Cancel { id, attempt } => {
-                    let gone = outcome(id, attempt, ServerId(0), Status::Cancelled, 0);
-                    self.at(now + MS, router, What::Tell(Event::Outcome(gone)));
+                    let gone = outcome(id, attempt, ServerId(0), AttemptStatus::Cancelled, 0);
+                    self.at(now + MS, router, What::Tell(Event::AttemptFinished(gone)));
                 }
                 Action::Probe(server) => {
-                    let (status, latency) = (Status::Ok, MS);
-                    let probed = Event::Probed { server, status, latency, report: None };
+                    let (status, latency) = (AttemptStatus::Ok, MS);
+                    let probed = Event::ProbeFinished { server, status, latency, report: None };
                     self.at(now + MS, router, What::Tell(probed));
                 }
                 _ => {}
@@ -226,7 +235,7 @@
 
     fn send(&mut self, now: Nanos, router: usize, id: RequestId, server: ServerId) {
         let no = self.attempts.entry((router, id.0)).or_default();
-        let attempt = AttemptNo(*no);
+        let attempt = AttemptNumber(*no);
         *no += 1;
         let prompt = self.prompts.get(&(router, id.0)).copied().unwrap_or(0.0);
         let reads = server.0 < 100;
@@ -235,13 +244,16 @@
         let spread = 0.7 + 0.6 * self.draws.next();
         let took = ((20.0 + if reads { prompt / 40.0 } else { 10.0 }) * spread) as Nanos * MS;
         if reads {
-            let read = outcome(id, attempt, server, Status::Read, took);
-            self.at(now + took, router, What::Tell(Event::Outcome(read)));
+            let read = outcome(id, attempt, server, AttemptStatus::Prefilled, took);
+            self.at(now + took, router, What::Tell(Event::AttemptFinished(read)));
         } else {
-            let first = Event::First { id, attempt, server, latency: took };
+            let first = Event::FirstToken { id, attempt, server, latency: took };
             self.at(now + took, router, What::Tell(first));
-            let end = Outcome { closed: true, ..outcome(id, attempt, server, Status::Ok, took + 500 * MS) };
-            self.at(now + took + 500 * MS, router, What::Tell(Event::Outcome(end)));
+            let end = AttemptOutcome {
+                request_finished: true,
+                ..outcome(id, attempt, server, AttemptStatus::Ok, took + 500 * MS)
+            };
+            self.at(now + took + 500 * MS, router, What::Tell(Event::AttemptFinished(end)));
         }
     }
 
@@ -255,8 +267,24 @@
     }
 }
 
-fn outcome(id: RequestId, attempt: AttemptNo, server: ServerId, status: Status, latency: Nanos) -> Outcome {
-    Outcome { id, attempt, server, status, latency, closed: false, note: 0, report: None }
+fn outcome(
+    id: RequestId,
+    attempt: AttemptNumber,
+    server: ServerId,
+    status: AttemptStatus,
+    latency: Nanos,
+) -> AttemptOutcome {
+    AttemptOutcome {
+        id,
+        attempt,
+        server,
+        status,
+        latency,
+        request_finished: false,
+        cached_prompt_tokens: 0,
+        kv_cache_missing: false,
+        report: None,
+    }
 }
 
 /// What one cold server got.
@@ -281,26 +309,27 @@
 fn play(day: Day, seed: u64) -> [Ramp; 2] {
     let set = settings();
     let mut fleet = Fleet::new(day, seed);
-    fleet.run(START + set.cold);
+    fleet.run(START + set.slow_start_duration);
     COLD.map(|server| {
         // What a server bears is told by what its warm peers carried before.
-        let carried = fleet.warm(server, set.cold) / LOADED;
+        let carried = fleet.warm(server, set.slow_start_duration) / LOADED;
         let share = |at: Nanos| {
-            let age = at.saturating_sub(START) as f64 / set.cold as f64;
-            set.cold_from + (1.0 - set.cold_from) * age.clamp(0.0, 1.0)
+            let age = at.saturating_sub(START) as f64 / set.slow_start_duration as f64;
+            set.slow_start_speed + (1.0 - set.slow_start_speed) * age.clamp(0.0, 1.0)
         };
         let got = fleet.sent.get(&server).cloned().unwrap_or_default();
-        let window = set.fall;
+        let window = set.overload_window;
         let mut worst: f64 = 0.0;
         for (last, (at, _)) in got.iter().enumerate() {
             let from = at.saturating_sub(window).max(START);
             let work: f64 = got[..=last].iter().filter(|(t, _)| *t > from || *t == START).map(|g| g.1).sum();
-            let budget = set.fall_multiple * share(from) * carried * (window as f64 / 1e9);
+            let budget = set.overload_factor * share(from) * carried * (window as f64 / 1e9);
             worst = worst.max(work / bound(budget));
         }
         let all: f64 = got.iter().map(|g| g.1).sum();
-        let mean = (set.cold_from + 1.0) / 2.0;
-        let most = (set.fall_multiple * mean).min(1.0) * carried * LOADED * set.cold as f64 / 1e9;
+        let mean = (set.slow_start_speed + 1.0) / 2.0;
+        let most =
+            (set.overload_factor * mean).min(1.0) * carried * LOADED * set.slow_start_duration as f64 / 1e9;
         Ramp { worst, used: all / most }
     })
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,56 +9,62 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Effect, group: Group) -> Class {
-    Class {
-        effect,
-        group,
-        window: 2 * S,
-        aim: S,
-        aim_per_token: 0.0,
+pub fn class(effect: Idempotency, group: DeduplicationScope) -> TrafficClass {
+    TrafficClass {
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 2 * S,
+        latency_objective: S,
+        latency_objective_per_prompt_token: 0.0,
         deadline: 5 * S,
-        token_aim: 50 * MS,
-        worth: 1.0,
-        late_worth: 0.1,
+        token_latency_objective: 50 * MS,
+        priority_weight: 1.0,
+        late_priority_weight: 0.1,
         streamed: true,
     }
 }
 
+/// A prefill, a decode and a mixed kind, with their KV capacities in tokens.
+pub fn kinds(capacities: [f64; 3]) -> Vec<ServerKind> {
+    let roles = [Role::Prefill, Role::Decode, Role::Mixed];
+    let kind = |(role, kv_capacity_tokens)| ServerKind { role: Some(role), kv_capacity_tokens };
+    roles.into_iter().zip(capacities).map(kind).collect()
+}
+
 pub fn settings() -> Settings {
     Settings {
-        routers: 2,
-        classes: vec![class(Effect::Safe, Group::All)],
-        roles: vec![Role::Read, Role::Write, Role::Both],
-        memory: vec![100_000.0, 100_000.0, 100_000.0],
-        release_within: 500 * MS,
-        cancel: true,
-        probes: false,
+        router_count: 2,
+        classes: vec![class(Idempotency::Idempotent, DeduplicationScope::All)],
+        kinds: kinds([100_000.0; 3]),
+        kv_release_within: 500 * MS,
+        can_cancel: true,
+        can_probe: false,
         max_attempts: 5,
         drain_grace: 500 * MS,
-        cold_from: 0.3,
-        cold: 10 * S,
-        fall_multiple: 2.5,
-        fall: 2 * S,
-        answer_slack: 8 * MS,
-        tick: 2 * MS,
+        slow_start_speed: 0.3,
+        slow_start_duration: 10 * S,
+        overload_factor: 2.5,
+        overload_window: 2 * S,
+        answer_grace: 8 * MS,
+        step: 2 * MS,
         ..Settings::default()
     }
 }
 
-pub fn entry(server: u32, kind: usize, cell: u64) -> Entry {
-    Entry {
+pub fn entry(server: u32, kind: usize, cell: u64) -> Endpoint {
+    Endpoint {
         server: ServerId(server),
         zone: Some(ZoneId(cell as usize)),
         kind: Some(KindId(kind)),
         cell: Some(CellId(cell)),
         state: ServerState::Ready,
         weight: None,
-        ready_at: None,
+        started_at: None,
     }
 }
 
 /// Readers 1 and 2, writers 11 and 12, a cell for each pair.
-pub fn pairs() -> Vec<Entry> {
+pub fn pairs() -> Vec<Endpoint> {
     vec![entry(1, 0, 0), entry(2, 0, 1), entry(11, 1, 0), entry(12, 1, 1)]
 }
 
@@ -73,7 +79,7 @@
 }
 
 impl Router {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Router {
+    pub fn new(settings: Settings, entries: Vec<Endpoint>) -> Router {
         let mut router = Router {
             policy: Policy::new(settings),
             now: 100 * S,
@@ -82,7 +88,7 @@
             timers: Vec::new(),
             step: 1,
         };
-        router.members(ListKind::Cached, entries);
+        router.members(EndpointUpdate::Cached, entries);
         router
     }
 
@@ -90,20 +96,21 @@
         let actions = self.policy.handle(self.now, event);
         for action in &actions {
             match action {
-                Action::Timer { token, delay } => {
+                Action::SetTimer { token, delay } => {
                     self.timers.push(((self.now + delay).next_multiple_of(self.step), *token))
                 }
                 Action::Send { id, .. } => *self.attempts.entry(id.0).or_default() += 1,
                 _ => {}
             }
         }
-        let rest: Vec<Action> = actions.into_iter().filter(|a| !matches!(a, Action::Timer { .. })).collect();
+        let rest: Vec<Action> =
+            actions.into_iter().filter(|a| !matches!(a, Action::SetTimer { .. })).collect();
         self.log.extend(rest.iter().cloned());
         rest
     }
 
-    pub fn members(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries: entries.into() })
+    pub fn members(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::EndpointsChanged { update: kind, endpoints: entries.into() })
     }
 
     /// Lets time pass, with the timers that fall due; returns what was done.
@@ -114,7 +121,7 @@
             let index = self.timers.iter().position(|t| t.0 == at).unwrap_or(0);
             let (at, token) = self.timers.remove(index);
             self.now = at;
-            done.extend(self.event(Event::Timer(token)));
+            done.extend(self.event(Event::TimerFired(token)));
         }
         self.now = until;
         done
@@ -125,38 +132,39 @@
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
-            session: Some(Key(id)),
+            session: Some(AffinityKey(id)),
             prefix: None,
-            prompt_len: 1000.0,
-            prefix_len: 0.0,
-            max_out: 200.0,
-            hint: None,
-            give_up_at: self.now + 5 * S,
-            retry: false,
-            again: false,
+            prompt_tokens: 1000.0,
+            prefix_tokens: 0.0,
+            max_output_tokens: 200.0,
+            expected_duration: None,
+            deadline_at: self.now + 5 * S,
+            client_retry: false,
+            client_reconnect: false,
         }
     }
 
     pub fn ask(&mut self, id: u64) -> Vec<Action> {
         let request = self.request(id);
-        self.event(Event::Request(request))
+        self.event(Event::RequestArrived(request))
     }
 
-    pub fn outcome_with(&mut self, id: u64, server: u32, status: Status, note: u64) -> Vec<Action> {
-        let attempt = AttemptNo(self.attempts.get(&id).map_or(0, |n| n - 1));
-        self.event(Event::Outcome(Outcome {
+    pub fn outcome_with(&mut self, id: u64, server: u32, status: AttemptStatus, note: u64) -> Vec<Action> {
+        let attempt = AttemptNumber(self.attempts.get(&id).map_or(0, |n| n - 1));
+        self.event(Event::AttemptFinished(AttemptOutcome {
             id: RequestId(id),
             attempt,
             server: ServerId(server),
             status,
             latency: 10 * MS,
-            closed: status == Status::Ok,
-            note,
+            request_finished: status == AttemptStatus::Ok,
+            cached_prompt_tokens: OutcomeNote(note).cached_prompt_tokens(status),
+            kv_cache_missing: OutcomeNote(note).kv_cache_missing(status),
             report: None,
         }))
     }
 
-    pub fn outcome(&mut self, id: u64, server: u32, status: Status) -> Vec<Action> {
+    pub fn outcome(&mut self, id: u64, server: u32, status: AttemptStatus) -> Vec<Action> {
         self.outcome_with(id, server, status, 0)
     }
 
@@ -165,8 +173,8 @@
     }
 
     pub fn first_after(&mut self, id: u64, server: u32, latency: Nanos) -> Vec<Action> {
-        let attempt = AttemptNo(self.attempts.get(&id).map_or(0, |n| n - 1));
-        self.event(Event::First { id: RequestId(id), attempt, server: ServerId(server), latency })
+        let attempt = AttemptNumber(self.attempts.get(&id).map_or(0, |n| n - 1));
+        self.event(Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), latency })
     }
 
     /// The same where probes come first; they are answered at once.
@@ -181,11 +189,12 @@
             let reader = sent_to(&done);
             done = self.pass(2 * MS);
             for server in probes {
-                let ok = Event::Probed { server, status: Status::Ok, latency: 2 * MS, report: None };
+                let ok =
+                    Event::ProbeFinished { server, status: AttemptStatus::Ok, latency: 2 * MS, report: None };
                 done.extend(self.event(ok));
             }
             if let Some(reader) = reader {
-                let writer = sent_to(&self.outcome(id, reader, Status::Read)).expect("a write");
+                let writer = sent_to(&self.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
                 self.first(id, writer);
                 return (reader, writer);
             }
@@ -196,7 +205,7 @@
     /// Asks, reads and begins to write; returns the reader and the writer.
     pub fn stream(&mut self, id: u64) -> (u32, u32) {
         let reader = sent_to(&self.ask(id)).expect("a read");
-        let writer = sent_to(&self.outcome(id, reader, Status::Read)).expect("a write");
+        let writer = sent_to(&self.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         self.first(id, writer);
         (reader, writer)
     }
@@ -212,14 +221,14 @@
 
 pub fn answers(actions: &[Action], id: u64) -> usize {
     let of = |a: &&Action| match a {
-        Action::Refuse { id: i, .. } | Action::Fail { id: i, .. } => i.0 == id,
+        Action::Reject { id: i, .. } | Action::Fail { id: i, .. } => i.0 == id,
         _ => false,
     };
     actions.iter().filter(of).count()
 }
 
 pub fn released(actions: &[Action], id: u64) -> bool {
-    actions.contains(&Action::Release(RequestId(id)))
+    actions.contains(&Action::ReleaseKv(RequestId(id)))
 }
 
 pub fn failed(actions: &[Action], id: u64) -> bool {
@@ -227,13 +236,15 @@
 }
 
 pub fn refused(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if i.0 == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
 /// Why that request was refused or failed.
-pub fn why(actions: &[Action], id: u64) -> Option<Why> {
+pub fn why(actions: &[Action], id: u64) -> Option<GiveUpCause> {
     actions.iter().find_map(|a| match a {
-        Action::Refuse { id: i, why, .. } | Action::Fail { id: i, why } if i.0 == id => Some(*why),
+        Action::Reject { id: i, cause: why, .. } | Action::Fail { id: i, cause: why } if i.0 == id => {
+            Some(*why)
+        }
         _ => None,
     })
 }
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::draws::Draws;
-use common::{class, entry, settings, MS, S};
+use common::{class, entry, kinds, settings, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
@@ -45,7 +45,7 @@
     /// The last token of a stream.
     Done {
         id: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         server: ServerId,
     },
 }
@@ -75,13 +75,25 @@
 
 fn site(change: impl FnOnce(&mut Settings)) -> Settings {
     let mut site = Settings {
-        routers: 1,
+        router_count: 1,
         classes: vec![
-            Class { aim: S, aim_per_token: 60_000.0, ..class(Effect::Safe, Group::All) },
-            Class { aim: 2 * S, aim_per_token: 40_000.0, worth: 3.0, ..class(Effect::Safe, Group::All) },
+            TrafficClass {
+                latency_objective: S,
+                latency_objective_per_prompt_token: 60_000.0,
+                ..class(Idempotency::Idempotent, DeduplicationScope::All)
+            },
+            TrafficClass {
+                latency_objective: 2 * S,
+                latency_objective_per_prompt_token: 40_000.0,
+                priority_weight: 3.0,
+                ..class(Idempotency::Idempotent, DeduplicationScope::All)
+            },
         ],
-        tenants: vec![Tenant { share: 0.5, quota_per_s: 30.0 }, Tenant { share: 0.5, quota_per_s: 30.0 }],
-        memory: vec![WRITER_MEMORY; 3],
+        tenants: vec![
+            Tenant { quota_share: 0.5, quota_per_second: 30.0 },
+            Tenant { quota_share: 0.5, quota_per_second: 30.0 },
+        ],
+        kinds: kinds([WRITER_MEMORY; 3]),
         ..settings()
     };
     change(&mut site);
@@ -104,8 +116,8 @@
             held: BTreeMap::new(),
         };
         let kinds = (0..READERS).map(|s| (s, 0)).chain((0..WRITERS).map(|s| (FIRST_WRITER + s, 1)));
-        let entries: Vec<Entry> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 2))).collect();
-        world.tell(Event::Members { kind: ListKind::Full, entries: entries.into() });
+        let entries: Vec<Endpoint> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 2))).collect();
+        world.tell(Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: entries.into() });
         world.after(MS, What::Ask);
         while let Some(Reverse((at, number))) = world.queue.pop() {
             world.now = at;
@@ -146,18 +158,18 @@
             id,
             class: ClassId(usize::from(second)),
             tenant: Some(TenantId(tenant)),
-            session: Some(Key(session * 2 + u64::from(second))),
+            session: Some(AffinityKey(session * 2 + u64::from(second))),
             prefix: None,
-            prompt_len: prompt,
-            prefix_len: 0.0,
-            max_out: 100.0,
-            hint: None,
-            give_up_at: self.now + 5 * S,
-            retry: false,
-            again: false,
+            prompt_tokens: prompt,
+            prefix_tokens: 0.0,
+            max_output_tokens: 100.0,
+            expected_duration: None,
+            deadline_at: self.now + 5 * S,
+            client_retry: false,
+            client_reconnect: false,
         };
         self.asked.insert(id, Asked { request: request.clone(), at: self.since_start(), answered: false });
-        self.tell(Event::Request(request));
+        self.tell(Event::RequestArrived(request));
     }
 
     fn tell(&mut self, event: Event) {
@@ -168,12 +180,12 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Timer { token, delay } => self.after(delay, What::Tell(Event::Timer(token))),
+            Action::SetTimer { token, delay } => self.after(delay, What::Tell(Event::TimerFired(token))),
             Action::Send { id, server, .. } => self.send(id, server),
             // The work goes on all the same.
             Action::Cancel { id, attempt } => {
                 let server = ServerId(0);
-                self.outcome(MS, id, attempt, server, Status::Cancelled);
+                self.outcome(MS, id, attempt, server, AttemptStatus::Cancelled);
             }
             _ => {}
         }
@@ -181,36 +193,43 @@
 
     fn send(&mut self, id: RequestId, server: ServerId) {
         let number = self.attempts.entry(id).or_default();
-        let attempt = AttemptNo(*number);
+        let attempt = AttemptNumber(*number);
         *number += 1;
-        let prompt = self.asked[&id].request.prompt_len;
+        let prompt = self.asked[&id].request.prompt_tokens;
         if server.0 < FIRST_WRITER {
             let from = self.busy_until.get(&server).copied().unwrap_or(0).max(self.now);
             let until = from + (prompt / READ_PACE * 1e9) as Nanos;
             self.busy_until.insert(server, until);
-            return self.outcome(until - self.now + MS, id, attempt, server, Status::Read);
+            return self.outcome(until - self.now + MS, id, attempt, server, AttemptStatus::Prefilled);
         }
         let need = prompt + 100.0;
         let held = self.held.entry(server).or_default();
         if *held + need > WRITER_MEMORY {
-            return self.outcome(2 * MS, id, attempt, server, Status::Full);
+            return self.outcome(2 * MS, id, attempt, server, AttemptStatus::Rejected);
         }
         *held += need;
         let latency = 20 * MS;
-        self.after(latency, What::Tell(Event::First { id, attempt, server, latency }));
+        self.after(latency, What::Tell(Event::FirstToken { id, attempt, server, latency }));
         let asked = self.asked.get_mut(&id).expect("it was asked");
-        asked.answered = self.now + latency < asked.request.give_up_at;
+        asked.answered = self.now + latency < asked.request.deadline_at;
         self.after(latency + 100 * TOKEN_TIME, What::Done { id, attempt, server });
     }
 
-    fn done(&mut self, id: RequestId, attempt: AttemptNo, server: ServerId) {
-        let need = self.asked[&id].request.prompt_len + 100.0;
+    fn done(&mut self, id: RequestId, attempt: AttemptNumber, server: ServerId) {
+        let need = self.asked[&id].request.prompt_tokens + 100.0;
         *self.held.entry(server).or_default() -= need;
-        let done = self.outcome_of(id, attempt, server, Status::Ok, 100 * TOKEN_TIME);
+        let done = self.outcome_of(id, attempt, server, AttemptStatus::Ok, 100 * TOKEN_TIME);
         self.tell(done);
     }
 
-    fn outcome(&mut self, after: Nanos, id: RequestId, attempt: AttemptNo, server: ServerId, status: Status) {
+    fn outcome(
+        &mut self,
+        after: Nanos,
+        id: RequestId,
+        attempt: AttemptNumber,
+        server: ServerId,
+        status: AttemptStatus,
+    ) {
         let outcome = self.outcome_of(id, attempt, server, status, after);
         self.after(after, What::Tell(outcome));
     }
@@ -218,13 +237,23 @@
     fn outcome_of(
         &self,
         id: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         server: ServerId,
-        status: Status,
+        status: AttemptStatus,
         latency: Nanos,
     ) -> Event {
-        let closed = status == Status::Ok;
-        Event::Outcome(Outcome { id, attempt, server, status, latency, closed, note: 0, report: None })
+        let closed = status == AttemptStatus::Ok;
+        Event::AttemptFinished(AttemptOutcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_finished: closed,
+            cached_prompt_tokens: 0,
+            kv_cache_missing: false,
+            report: None,
+        })
     }
 }
 
@@ -242,7 +271,7 @@
 /// The prompt length from which the longest tenth of a class begins.
 fn longest_tenth(day: &[Asked], class: usize) -> f64 {
     let of_class = day.iter().filter(|asked| asked.request.class.0 == class);
-    let mut lengths: Vec<f64> = of_class.map(|asked| asked.request.prompt_len).collect();
+    let mut lengths: Vec<f64> = of_class.map(|asked| asked.request.prompt_tokens).collect();
     lengths.sort_by(f64::total_cmp);
     lengths[lengths.len() * 9 / 10]
 }
@@ -273,7 +302,7 @@
             for class in [0, 1] {
                 let from = longest_tenth(day, class);
                 let share = answered(day, |asked| asked.request.class.0 == class);
-                let long = |a: &Asked| a.request.class.0 == class && a.request.prompt_len >= from;
+                let long = |a: &Asked| a.request.class.0 == class && a.request.prompt_tokens >= from;
                 let long = answered(day, long);
                 assert!(long >= least * share, "{seed}: class {class} {long} of {share}");
             }
@@ -297,7 +326,7 @@
 #[test]
 fn on_a_quiet_day_no_session_is_refused_throughout() {
     each(QUIET, |seed, day| {
-        let mut sessions: BTreeMap<Key, Vec<bool>> = BTreeMap::new();
+        let mut sessions: BTreeMap<AffinityKey, Vec<bool>> = BTreeMap::new();
         for asked in day {
             sessions.entry(asked.request.session.expect("it has one")).or_default().push(asked.answered);
         }
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, settings, Router, MS, S};
+use common::{class, kinds, settings, Router, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::state::{new_server, Averages, Nearness, Position, Server, Servers};
 use proptest::prelude::*;
@@ -16,21 +16,21 @@
 const WRITER: usize = 1;
 
 /// A fleet of cells of this many servers, one of three a reader.
-fn fleet(servers: u32, cell: u32) -> Vec<Entry> {
+fn fleet(servers: u32, cell: u32) -> Vec<Endpoint> {
     (0..servers)
         .map(|number| server(number, if number % 3 == 0 { READER } else { WRITER }, number / cell))
         .collect()
 }
 
-fn server(number: u32, kind: usize, cell: u32) -> Entry {
-    Entry {
+fn server(number: u32, kind: usize, cell: u32) -> Endpoint {
+    Endpoint {
         server: ServerId((number + 1).wrapping_mul(2_654_435_761)),
         zone: Some(ZoneId((cell % 3) as usize)),
         kind: Some(KindId(kind)),
         cell: Some(CellId(u64::from(cell))),
         state: ServerState::Ready,
         weight: None,
-        ready_at: None,
+        started_at: None,
     }
 }
 
@@ -41,14 +41,14 @@
 }
 
 impl Listed {
-    fn of(entries: &[Entry]) -> Listed {
+    fn of(entries: &[Endpoint]) -> Listed {
         let mut listed = Listed { servers: Servers::default(), averages: Averages::default() };
         listed.tell(entries);
         listed
     }
 
-    fn tell(&mut self, entries: &[Entry]) {
-        let role = |e: &Entry| if e.kind == Some(KindId(READER)) { Role::Read } else { Role::Write };
+    fn tell(&mut self, entries: &[Endpoint]) {
+        let role = |e: &Endpoint| if e.kind == Some(KindId(READER)) { Role::Prefill } else { Role::Decode };
         self.servers.insert_missing(entries.iter().map(|e| new_server(e.server, role(e), 1e5)));
         for entry in entries {
             self.servers.get_mut(&entry.server).expect("made").listed(0, entry, 0.0);
@@ -74,14 +74,14 @@
     fn home(&self, key: u64) -> ServerId {
         let near = self.averages.near(Some(position(key)), None, NEARNESS);
         let fade = near.fade(&self.servers);
-        let distance = |s: &&Server| -Key(key).draw(s.id).ln() / (s.home * fade.of(s.id));
+        let distance = |s: &&Server| -AffinityKey(key).unit_interval(s.id).ln() / (s.home * fade.of(s.id));
         let home = self.servers.at(&near.places.readers).min_by(|a, b| distance(a).total_cmp(&distance(b)));
         home.expect("there are readers").id
     }
 }
 
 fn position(key: u64) -> Position {
-    Position::Key(Key(key).rank(ServerId(0)))
+    Position::Key(AffinityKey(key).rendezvous_rank(ServerId(0)))
 }
 
 /// Homes of many keys that differ between two lists, as a share.
@@ -114,7 +114,7 @@
 /// Cells of any size, one role far scarcer than the other, servers without a cell: all are borne.
 #[test]
 fn uneven_fleets_are_borne() {
-    let scarce = |servers: u32| -> Vec<Entry> {
+    let scarce = |servers: u32| -> Vec<Endpoint> {
         (0..servers).map(|n| server(n, if n % 50 == 0 { READER } else { WRITER }, n / 10)).collect()
     };
     let listed = Listed::of(&scarce(5_000));
@@ -124,12 +124,12 @@
     }
     let listed = Listed::of(&scarce(1_000));
     assert_eq!(listed.near(3)[0].len(), 20, "of so few readers all are chosen among");
-    let alone: Vec<Entry> = fleet(2_000, 12).into_iter().map(|e| Entry { cell: None, ..e }).collect();
+    let alone: Vec<Endpoint> = fleet(2_000, 12).into_iter().map(|e| Endpoint { cell: None, ..e }).collect();
     let listed = Listed::of(&alone);
     for key in 0..200 {
         assert!(listed.near(key).iter().all(|role| (NEAR..4 * NEAR).contains(&role.len())));
     }
-    let one_cell: Vec<Entry> = fleet(2_000, 2_000);
+    let one_cell: Vec<Endpoint> = fleet(2_000, 2_000);
     assert_eq!(Listed::of(&one_cell).near(1)[0].len(), 667);
 }
 
@@ -184,17 +184,17 @@
         let mut entries = fleet(servers, cell);
         let whole = Listed::of(&entries);
         let mut in_pieces = Listed { servers: Servers::default(), averages: Averages::default() };
-        let reversed: Vec<Entry> = entries.iter().rev().cloned().collect();
+        let reversed: Vec<Endpoint> = entries.iter().rev().cloned().collect();
         reversed.chunks(reversed.len().div_ceil(pieces)).for_each(|piece| in_pieces.tell(piece));
         for key in 0..50 {
             prop_assert_eq!(whole.near(key), in_pieces.near(key));
         }
         for number in gone {
             let at = (number % servers) as usize;
-            entries[at].state = if number % 2 == 0 { ServerState::Gone } else { ServerState::Draining };
+            entries[at].state = if number % 2 == 0 { ServerState::Removed } else { ServerState::Draining };
         }
         in_pieces.tell(&entries);
-        let ready: Vec<Entry> = entries.into_iter().filter(|e| e.state == ServerState::Ready).collect();
+        let ready: Vec<Endpoint> = entries.into_iter().filter(|e| e.state == ServerState::Ready).collect();
         let whole = Listed::of(&ready);
         for key in 0..50 {
             prop_assert_eq!(whole.near(key), in_pieces.near(key));
@@ -206,8 +206,8 @@
     fn few_homes_move_as_the_list_changes(servers in 1_000u32..4_000, percent in 1u32..8, salt in any::<u32>()) {
         let entries = fleet(servers, 12);
         let old = Listed::of(&entries);
-        let changes = |e: &&Entry| (e.server.0 ^ salt).wrapping_mul(0x9e37_79b9) % 100 < percent;
-        let kept: Vec<Entry> = entries.iter().filter(|e| !changes(e)).cloned().collect();
+        let changes = |e: &&Endpoint| (e.server.0 ^ salt).wrapping_mul(0x9e37_79b9) % 100 < percent;
+        let kept: Vec<Endpoint> = entries.iter().filter(|e| !changes(e)).cloned().collect();
         let changed = 1.0 - kept.len() as f64 / entries.len() as f64;
         let new = Listed::of(&kept);
         // Homes of those that are gone move; and where others come near, some to these.
@@ -217,7 +217,11 @@
 }
 
 fn site() -> Settings {
-    Settings { classes: vec![class(Effect::Safe, Group::All)], memory: vec![100_000.0; 3], ..settings() }
+    Settings {
+        classes: vec![class(Idempotency::Idempotent, DeduplicationScope::All)],
+        kinds: kinds([100_000.0; 3]),
+        ..settings()
+    }
 }
 
 /// Sends of a request, and of the writes after its read.
@@ -233,24 +237,24 @@
 fn what_has_no_room_near_its_key_goes_further() {
     let entries = fleet(1_200, 12);
     let near = Listed::of(&entries).near(5);
-    let without = |state: ServerState, ready_at: Option<Nanos>| -> Vec<Entry> {
-        let is_near = |e: &Entry| near.iter().any(|role| role.contains(&e.server));
-        let changed = |e: &Entry| Entry { state, ready_at, ..e.clone() };
+    let without = |state: ServerState, ready_at: Option<Nanos>| -> Vec<Endpoint> {
+        let is_near = |e: &Endpoint| near.iter().any(|role| role.contains(&e.server));
+        let changed = |e: &Endpoint| Endpoint { state, started_at: ready_at, ..e.clone() };
         entries.iter().map(|e| if is_near(e) { changed(e) } else { e.clone() }).collect()
     };
     let cold = Some(100 * S - MS);
     for list in [
         without(ServerState::Draining, None),
-        without(ServerState::Gone, None),
+        without(ServerState::Removed, None),
         without(ServerState::Ready, cold),
     ] {
         let mut router = Router::new(site(), list);
-        let request = Request { prefix: Some(Key(5)), ..router.request(1) };
-        let mut actions = router.event(Event::Request(request));
+        let request = Request { prefix: Some(AffinityKey(5)), ..router.request(1) };
+        let mut actions = router.event(Event::RequestArrived(request));
         actions.extend(router.pass(300 * MS));
         let server = sent(&actions).expect("it is sent");
         assert!(!near[READER].contains(&server), "{server:?} is near");
-        assert!(!actions.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })));
+        assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })));
     }
 }
 
@@ -292,18 +296,22 @@
 fn the_last_room_of_a_fleet_is_found() {
     let entries = fleet(1_200, 12);
     // So many that a cold server's part comes to nothing.
-    let site = Settings { routers: 1_000_000, ..site() };
+    let site = Settings { router_count: 1_000_000, ..site() };
     let left = CellId(57);
-    let list: Vec<Entry> = entries
+    let list: Vec<Endpoint> = entries
         .iter()
-        .map(
-            |e| if e.cell == Some(left) { e.clone() } else { Entry { ready_at: Some(100 * S), ..e.clone() } },
-        )
+        .map(|e| {
+            if e.cell == Some(left) {
+                e.clone()
+            } else {
+                Endpoint { started_at: Some(100 * S), ..e.clone() }
+            }
+        })
         .collect();
     for id in 1..=20 {
         let mut router = Router::new(site.clone(), list.clone());
-        let request = Request { prefix: Some(Key(id * 977)), ..router.request(id) };
-        let mut actions = router.event(Event::Request(request));
+        let request = Request { prefix: Some(AffinityKey(id * 977)), ..router.request(id) };
+        let mut actions = router.event(Event::RequestArrived(request));
         actions.extend(router.pass(S));
         let server = sent(&actions).expect("it is sent");
         let cell = entries.iter().find(|e| e.server == server).and_then(|e| e.cell);
@@ -315,14 +323,24 @@
 #[test]
 fn routers_whose_lists_differ_a_little_agree_on_homes() {
     let entries = fleet(3_000, 12);
-    let fewer: Vec<Entry> = entries.iter().skip(24).cloned().collect();
+    let fewer: Vec<Endpoint> = entries.iter().skip(24).cloned().collect();
     let part = moved(&Listed::of(&entries), &Listed::of(&fewer));
     assert!(part < 0.03, "{part} of the homes differ, 0.008 of the list");
 }
 
-fn outcome(id: u64, attempt: u32, server: ServerId, status: Status) -> Outcome {
-    let (id, attempt) = (RequestId(id), AttemptNo(attempt));
-    Outcome { id, attempt, server, status, latency: MS, closed: false, note: 0, report: None }
+fn outcome(id: u64, attempt: u32, server: ServerId, status: AttemptStatus) -> AttemptOutcome {
+    let (id, attempt) = (RequestId(id), AttemptNumber(attempt));
+    AttemptOutcome {
+        id,
+        attempt,
+        server,
+        status,
+        latency: MS,
+        request_finished: false,
+        cached_prompt_tokens: 0,
+        kv_cache_missing: false,
+        report: None,
+    }
 }
 
 /// Sends among these actions.
@@ -340,8 +358,8 @@
     let mut router = Router::new(site(), fleet(1_200, 12));
     let mut readers = BTreeSet::new();
     for id in 1..=2_000 {
-        let request = Request { prefix: Some(Key(5)), ..router.request(id) };
-        readers.extend(sends(&router.event(Event::Request(request))));
+        let request = Request { prefix: Some(AffinityKey(5)), ..router.request(id) };
+        readers.extend(sends(&router.event(Event::RequestArrived(request))));
     }
     assert!(readers.len() > 3 * NEAR, "{} readers", readers.len());
 }
@@ -354,8 +372,8 @@
     const REQUESTS: u64 = 14_000;
     let mut sent = 0;
     for id in 1..=REQUESTS {
-        let request = Request { prefix: Some(Key(id * 977)), ..router.request(id) };
-        sent += sends(&router.event(Event::Request(request))).len() as u64;
+        let request = Request { prefix: Some(AffinityKey(id * 977)), ..router.request(id) };
+        sent += sends(&router.event(Event::RequestArrived(request))).len() as u64;
     }
     assert_eq!(sent, REQUESTS, "none is held while all writers together have room");
 }
@@ -371,17 +389,18 @@
     let mut ids = 1..=50;
     while written.len() < 5 {
         let id = ids.next().expect("each writer gets one");
-        let read = sends(&router.event(Event::Request(router.request(id))))[0];
-        let write = sends(&router.event(Event::Outcome(outcome(id, 0, read, Status::Read))))[0];
+        let read = sends(&router.event(Event::RequestArrived(router.request(id))))[0];
+        let write =
+            sends(&router.event(Event::AttemptFinished(outcome(id, 0, read, AttemptStatus::Prefilled))))[0];
         written.insert(write);
-        let (id, attempt) = (RequestId(id), AttemptNo(1));
-        router.event(Event::First { id, attempt, server: write, latency: MS });
+        let (id, attempt) = (RequestId(id), AttemptNumber(1));
+        router.event(Event::FirstToken { id, attempt, server: write, latency: MS });
     }
     for id in 100..130 {
-        let large = Request { prompt_len: 95_000.0, ..router.request(id) };
-        assert!(sends(&router.event(Event::Request(large))).is_empty(), "there is no room for it");
+        let large = Request { prompt_tokens: 95_000.0, ..router.request(id) };
+        assert!(sends(&router.event(Event::RequestArrived(large))).is_empty(), "there is no room for it");
     }
-    let mut actions = router.event(Event::Request(router.request(500)));
+    let mut actions = router.event(Event::RequestArrived(router.request(500)));
     actions.extend(router.pass(200 * MS));
     assert_eq!(sends(&actions).len(), 1, "the small one is sent");
 }
@@ -389,19 +408,26 @@
 /// What may have run in one cell may be repeated there alone: it does not wait until the way on comes past that cell.
 #[test]
 fn a_repeat_that_is_bound_to_a_cell_goes_there_as_soon_as_that_has_room() {
-    let class = Class { effect: Effect::Keyed, window: 4 * S, ..class(Effect::Keyed, Group::Cell) };
-    let site = Settings { classes: vec![class], release_within: 3 * S, ..site() };
+    let class = TrafficClass {
+        idempotency: Idempotency::WithKey,
+        deduplication_window: 4 * S,
+        ..class(Idempotency::WithKey, DeduplicationScope::Cell)
+    };
+    let site = Settings { classes: vec![class], kv_release_within: 3 * S, ..site() };
     // A reader and two writers a cell.
     let mut router = Router::new(site, fleet(10_000, 3));
-    let read = sends(&router.event(Event::Request(router.request(1))))[0];
+    let read = sends(&router.event(Event::RequestArrived(router.request(1))))[0];
     let cell = |of: ServerId| (0..10_000).find(|n| server(*n, 0, 0).server == of).expect("it is one") / 3;
     let own = (0..3).map(|n| 3 * cell(read) + n).filter(|n| n % 3 != 0);
-    let drained = |n| Entry { state: ServerState::Draining, ..server(n, WRITER, cell(read)) };
-    router.members(ListKind::Delta, own.map(drained).collect());
-    let mut at = sends(&router.event(Event::Outcome(outcome(1, 0, read, Status::Read))))[0];
+    let drained = |n| Endpoint { state: ServerState::Draining, ..server(n, WRITER, cell(read)) };
+    router.members(EndpointUpdate::Delta, own.map(drained).collect());
+    let mut at =
+        sends(&router.event(Event::AttemptFinished(outcome(1, 0, read, AttemptStatus::Prefilled))))[0];
     let ran = cell(at);
-    for (attempt, status) in [(1, Status::Error), (2, Status::Full), (3, Status::Full)] {
-        let actions = router.event(Event::Outcome(outcome(1, attempt, at, status)));
+    for (attempt, status) in
+        [(1, AttemptStatus::Error), (2, AttemptStatus::Rejected), (3, AttemptStatus::Rejected)]
+    {
+        let actions = router.event(Event::AttemptFinished(outcome(1, attempt, at, status)));
         if attempt < 3 {
             at = sends(&actions)[0];
             assert_eq!(cell(at), ran, "attempt {attempt}");
@@ -418,14 +444,19 @@
     let mut router = Router::new(site(), fleet(300, 12));
     let slow = server(0, READER, 0).server;
     for id in 1..=1_500 {
-        let read = sends(&router.event(Event::Request(router.request(id))))[0];
+        let read = sends(&router.event(Event::RequestArrived(router.request(id))))[0];
         let latency = if read == slow { 100 * MS } else { 10 * MS };
-        let done = Outcome { latency, ..outcome(id, 0, read, Status::Read) };
-        let write = sends(&router.event(Event::Outcome(done)))[0];
-        router.event(Event::Outcome(Outcome { closed: true, ..outcome(id, 1, write, Status::Ok) }));
+        let done = AttemptOutcome { latency, ..outcome(id, 0, read, AttemptStatus::Prefilled) };
+        let write = sends(&router.event(Event::AttemptFinished(done)))[0];
+        router.event(Event::AttemptFinished(AttemptOutcome {
+            request_finished: true,
+            ..outcome(id, 1, write, AttemptStatus::Ok)
+        }));
         router.pass(MS);
     }
-    let pace = |of: ServerId| router.policy.views().find(|view| view.server == of).expect("it is known").pace;
+    let pace = |of: ServerId| {
+        router.policy.views().find(|view| view.server == of).expect("it is known").latency_ratio
+    };
     let peer = pace(server(3, READER, 0).server);
     assert!(pace(slow) > 2.0 && (0.5..1.5).contains(&peer), "{} beside {peer}", pace(slow));
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -6,11 +6,11 @@
 
 fn reads(r: &mut Router, ids: std::ops::Range<u64>, prefix: u64) -> Vec<u32> {
     ids.map(|id| {
-        let request = Request { prefix: Some(Key(prefix)), prefix_len: 800.0, ..r.request(id) };
-        let reader = sent_to(&r.event(Event::Request(request))).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let request = Request { prefix: Some(AffinityKey(prefix)), prefix_tokens: 800.0, ..r.request(id) };
+        let reader = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         reader
     })
     .collect()
@@ -19,7 +19,7 @@
 #[test]
 fn one_prefix_is_read_at_one_home_on_every_router() {
     let rounds = |seed| {
-        let mut r = Router::new(Settings { me: seed as u32, seed, ..settings() }, pairs());
+        let mut r = Router::new(Settings { router_index: seed as u32, seed, ..settings() }, pairs());
         let round = |n: u64| (0..20).map(|p| reads(&mut r, n * 20 + p..n * 20 + p + 1, p)[0]).collect();
         (1..9).map(round).collect::<Vec<Vec<u32>>>()
     };
@@ -31,17 +31,18 @@
 /// Found at the size of many routers: a few hot beginnings swamped their readers and the writers near them.
 #[test]
 fn a_hot_prefix_gets_several_homes_and_keeps_each_session_at_one() {
-    let list: Vec<Entry> =
+    let list: Vec<Endpoint> =
         (0..8).flat_map(|n| [entry(n + 1, 0, n.into()), entry(n + 11, 1, n.into())]).collect();
     let mut r = Router::new(settings(), list);
     let mut at: std::collections::BTreeMap<u64, Vec<u32>> = Default::default();
     for id in 1..400 {
         let session = id % 10;
-        let request = Request { prefix: Some(Key(7)), session: Some(Key(session)), ..r.request(id) };
-        let reader = sent_to(&r.event(Event::Request(request))).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let request =
+            Request { prefix: Some(AffinityKey(7)), session: Some(AffinityKey(session)), ..r.request(id) };
+        let reader = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         r.pass(20 * MS);
         at.entry(session).or_default().push(reader);
     }
@@ -55,7 +56,7 @@
 #[test]
 fn homes_follow_the_writers_of_their_cell() {
     let writers = (11..16).map(|n| entry(n, 1, 0)).chain([entry(16, 1, 1)]);
-    let list: Vec<Entry> = [entry(1, 0, 0), entry(2, 0, 1)].into_iter().chain(writers).collect();
+    let list: Vec<Endpoint> = [entry(1, 0, 0), entry(2, 0, 1)].into_iter().chain(writers).collect();
     let mut r = Router::new(settings(), list);
     let homes: Vec<u32> = (0..60).map(|p| reads(&mut r, p * 10..p * 10 + 1, p)[0]).collect();
     let at_first = homes.iter().filter(|s| **s == 1).count();
@@ -75,8 +76,8 @@
     let mut r = Router::new(settings(), pairs());
     let readers: Vec<u32> = (1..30)
         .filter_map(|id| {
-            let long = Request { prefix: Some(Key(7)), prompt_len: 2000.0, ..r.request(id) };
-            sent_to(&r.event(Event::Request(long)))
+            let long = Request { prefix: Some(AffinityKey(7)), prompt_tokens: 2000.0, ..r.request(id) };
+            sent_to(&r.event(Event::RequestArrived(long)))
         })
         .collect();
     assert_eq!(readers[0], readers[1], "one more is not clearly busier");
@@ -90,12 +91,12 @@
         let done = r.ask(id);
         let sends = done.iter().filter(|a| matches!(a, Action::Send { .. })).count();
         assert_eq!(sends, 1, "no place is held ahead");
-        assert!(!done.iter().any(|a| matches!(a, Action::Ahead { .. })));
+        assert!(!done.iter().any(|a| matches!(a, Action::ReserveKv { .. })));
         let reader = sent_to(&done).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         assert_eq!(writer, reader + 10, "cells pair 1 with 11 and 2 with 12");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
     }
 }
 
@@ -104,9 +105,9 @@
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(12, 1, 1)]);
     let mut far = 0;
     for id in 1..60 {
-        let request = Request { prefix: Some(Key(7)), ..r.request(id) };
-        let Some(reader) = sent_to(&r.event(Event::Request(request))) else { break };
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let request = Request { prefix: Some(AffinityKey(7)), ..r.request(id) };
+        let Some(reader) = sent_to(&r.event(Event::RequestArrived(request))) else { break };
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
         far += usize::from(writer != reader + 10);
     }
@@ -115,7 +116,7 @@
 
 #[test]
 fn requests_wait_before_their_read_while_all_writers_look_full_and_leave_as_one_frees() {
-    let mut r = Router::new(Settings { routers: 1, ..settings() }, pairs());
+    let mut r = Router::new(Settings { router_count: 1, ..settings() }, pairs());
     let mut streams = Vec::new();
     let mut held = None;
     for id in 1..400 {
@@ -123,7 +124,7 @@
             held = Some(id);
             break;
         };
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
         streams.push((id, writer));
     }
@@ -131,7 +132,7 @@
     // 1,000 tokens of prompt and half of 200 allowed, in two memories of 100,000.
     assert!((140..200).contains(&streams.len()), "{}", streams.len());
     let (id, writer) = streams[0];
-    let done = r.outcome(id, writer, Status::Ok);
+    let done = r.outcome(id, writer, AttemptStatus::Ok);
     assert!(done.iter().any(|a| matches!(a, Action::Send { id, .. } if id.0 == held)));
 }
 
@@ -141,9 +142,14 @@
         let mut r = Router::new(settings(), pairs());
         (1..1000)
             .take_while(|id| {
-                let request = Request { hint, max_out: 4000.0, prompt_len: 100.0, ..r.request(*id) };
-                let Some(reader) = sent_to(&r.event(Event::Request(request))) else { return false };
-                let writer = sent_to(&r.outcome(*id, reader, Status::Read)).expect("a write");
+                let request = Request {
+                    expected_duration: hint,
+                    max_output_tokens: 4000.0,
+                    prompt_tokens: 100.0,
+                    ..r.request(*id)
+                };
+                let Some(reader) = sent_to(&r.event(Event::RequestArrived(request))) else { return false };
+                let writer = sent_to(&r.outcome(*id, reader, AttemptStatus::Prefilled)).expect("a write");
                 r.first(*id, writer);
                 true
             })
@@ -157,8 +163,8 @@
 fn a_writer_that_answered_full_is_left_alone_for_a_second() {
     let mut r = Router::new(settings(), pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let full = sent_to(&r.outcome(1, reader, Status::Read)).expect("a write");
-    let other = sent_to(&r.outcome(1, full, Status::Full)).expect("another writer");
+    let full = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
+    let other = sent_to(&r.outcome(1, full, AttemptStatus::Rejected)).expect("another writer");
     assert_ne!(full, other);
     r.first(1, other);
     for id in 2..10 {
@@ -174,7 +180,7 @@
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0)]);
     r.ask(1);
     // A reader has no state to fetch: the note says nothing there.
-    assert_eq!(sent_to(&r.outcome_with(1, 1, Status::Full, 1)), None);
+    assert_eq!(sent_to(&r.outcome_with(1, 1, AttemptStatus::Rejected, 1)), None);
     let sends: usize = (2..20).filter(|id| sent_to(&r.ask(*id)).is_some()).count();
     assert_eq!(sends, 0);
     assert!(sent_to(&r.pass(1100 * MS)).is_some() || answers(&r.log, 1) == 1);
@@ -183,11 +189,11 @@
 #[test]
 fn a_full_report_closes_a_writer_until_the_next() {
     let mut r = Router::new(settings(), pairs());
-    let report = |server, memory| Event::Probed {
+    let report = |server, memory| Event::ProbeFinished {
         server: ServerId(server),
-        status: Status::Ok,
+        status: AttemptStatus::Ok,
         latency: MS,
-        report: Some(Report { memory: Some(memory), ..Report::default() }),
+        report: Some(LoadReport { memory_utilization: Some(memory), ..LoadReport::default() }),
     };
     r.event(report(12, 0.1));
     r.event(report(11, 0.97));
@@ -207,12 +213,12 @@
         if server == 21 {
             whole += 1;
             assert_eq!(sent_to(&r.first(id, 21)), None);
-            assert_eq!(sent_to(&r.outcome(id, 21, Status::Ok)), None);
+            assert_eq!(sent_to(&r.outcome(id, 21, AttemptStatus::Ok)), None);
         } else {
-            let writer = sent_to(&r.outcome(id, server, Status::Read));
+            let writer = sent_to(&r.outcome(id, server, AttemptStatus::Prefilled));
             assert_eq!(writer, Some(11));
             r.first(id, 11);
-            r.outcome(id, 11, Status::Ok);
+            r.outcome(id, 11, AttemptStatus::Ok);
         }
     }
     assert!((5..35).contains(&whole), "{whole}");
@@ -221,7 +227,8 @@
 #[test]
 fn writers_that_read_by_themselves_serve_without_any_reader() {
     let only_writers = vec![entry(11, 1, 0)];
-    let mut r = Router::new(Settings { self_prefill: true, ..settings() }, only_writers.clone());
+    let mut r =
+        Router::new(Settings { decode_workers_can_prefill: true, ..settings() }, only_writers.clone());
     assert_eq!(sent_to(&r.ask(1)), Some(11));
     let mut r = Router::new(settings(), only_writers);
     assert_eq!(sent_to(&r.ask(1)), None);
@@ -235,12 +242,12 @@
         let mut reader = sent_to(&r.ask(id)).expect("a read");
         if reader == 1 {
             to_failing += 1;
-            reader = sent_to(&r.outcome(id, 1, Status::Error)).expect("another reader");
+            reader = sent_to(&r.outcome(id, 1, AttemptStatus::Error)).expect("another reader");
         }
         assert_eq!(reader, 2);
-        let writer = sent_to(&r.outcome(id, 2, Status::Read)).expect("a write");
+        let writer = sent_to(&r.outcome(id, 2, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         r.pass(50 * MS);
     }
     assert!((3..15).contains(&to_failing), "{to_failing}");
@@ -251,9 +258,9 @@
     let mut r = Router::new(settings(), pairs());
     for id in 1..40 {
         let reader = sent_to(&r.ask(id)).expect("a read");
-        let other = sent_to(&r.outcome(id, reader, Status::Error)).expect("another reader");
-        r.outcome(id, other, Status::Error);
-        r.event(Event::Gone(RequestId(id)));
+        let other = sent_to(&r.outcome(id, reader, AttemptStatus::Error)).expect("another reader");
+        r.outcome(id, other, AttemptStatus::Error);
+        r.event(Event::ClientDisconnected(RequestId(id)));
         r.pass(20 * MS);
     }
     assert!(sent_to(&r.ask(100)).is_some());
@@ -261,38 +268,41 @@
 
 #[test]
 fn a_silent_reader_is_probed_and_the_read_goes_elsewhere() {
-    let mut r = Router::new(Settings { probes: true, ..settings() }, pairs());
+    let mut r = Router::new(Settings { can_probe: true, ..settings() }, pairs());
     r.ask(1);
     let reader = sent_to(&r.pass(50 * MS)).expect("a read, though no probe is answered");
     let done = r.pass(S);
     assert!(done.contains(&Action::Probe(ServerId(reader))));
-    assert!(done.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptNo(0) }));
-    let other = sent_to(&r.outcome(1, reader, Status::Cancelled)).expect("another reader");
+    assert!(done.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptNumber(0) }));
+    let other = sent_to(&r.outcome(1, reader, AttemptStatus::Cancelled)).expect("another reader");
     assert_ne!(reader, other);
 }
 
 #[test]
 fn held_requests_that_cannot_make_their_aim_are_refused_and_told_when_to_come_back() {
-    let settings = Settings { retry_after: true, max_retry_after: 700 * MS, ..settings() };
+    let settings = Settings { can_send_retry_after: true, max_retry_after: 700 * MS, ..settings() };
     let mut r = Router::new(settings, vec![entry(1, 0, 0)]);
     r.ask(1);
     let done = r.pass(1100 * MS);
-    let after = |a: &Action| matches!(a, Action::Refuse { id: RequestId(1), retry_after, .. } if *retry_after == 700 * MS);
+    let after = |a: &Action| matches!(a, Action::Reject { id: RequestId(1), retry_after, .. } if *retry_after == 700 * MS);
     assert!(done.iter().any(after));
 }
 
 #[test]
 fn within_its_share_a_tenant_leaves_the_queue_before_one_beyond() {
-    let tenants = vec![Tenant { share: 0.5, quota_per_s: 2.0 }, Tenant { share: 0.5, quota_per_s: 100.0 }];
+    let tenants = vec![
+        Tenant { quota_share: 0.5, quota_per_second: 2.0 },
+        Tenant { quota_share: 0.5, quota_per_second: 100.0 },
+    ];
     let mut r = Router::new(Settings { tenants, ..settings() }, vec![entry(1, 0, 0)]);
     for id in 1..20 {
         let request = Request { tenant: Some(TenantId(0)), ..r.request(id) };
-        r.event(Event::Request(request));
+        r.event(Event::RequestArrived(request));
     }
     let request = Request { tenant: Some(TenantId(1)), ..r.request(50) };
-    r.event(Event::Request(request));
+    r.event(Event::RequestArrived(request));
     let writer = entry(11, 1, 0);
-    let done = r.members(ListKind::Delta, vec![writer]);
+    let done = r.members(EndpointUpdate::Delta, vec![writer]);
     let order: Vec<u64> = done
         .iter()
         .filter_map(|a| match a {
@@ -308,11 +318,16 @@
 
 #[test]
 fn missing_and_odd_numbers_get_a_default() {
-    let mut r = Router::new(Settings { memory: vec![], ..settings() }, pairs());
+    let mut r = Router::new(Settings { kinds: kinds([0.0; 3]), ..settings() }, pairs());
     for (id, prompt_len) in [(1, 0.0), (2, 1e12), (3, 1.0)] {
-        let request =
-            Request { session: None, prompt_len, max_out: 0.0, give_up_at: r.now + 5 * S, ..r.request(id) };
-        let done = r.event(Event::Request(request));
+        let request = Request {
+            session: None,
+            prompt_tokens: prompt_len,
+            max_output_tokens: 0.0,
+            deadline_at: r.now + 5 * S,
+            ..r.request(id)
+        };
+        let done = r.event(Event::RequestArrived(request));
         assert!(sent_to(&done).is_some() || answers(&r.pass(6 * S), id) == 1);
     }
     assert!(sent_to(&r.ask(4)).is_some() || answers(&r.pass(6 * S), 4) == 1);
@@ -326,7 +341,7 @@
             let reader = sent_to(&r.ask(id));
             r.pass(7 * MS);
             if let Some(reader) = reader {
-                let status = if id % 7 == 0 { Status::Error } else { Status::Read };
+                let status = if id % 7 == 0 { AttemptStatus::Error } else { AttemptStatus::Prefilled };
                 if let Some(server) = sent_to(&r.outcome(id, reader, status)) {
                     r.first(id, server);
                 }
@@ -340,7 +355,7 @@
 
 fn tells(r: &Router) -> Vec<Vec<u8>> {
     let data = |a: &Action| match a {
-        Action::Tell { peer: None, data } => Some(data.clone()),
+        Action::SendGossip { peer: None, data } => Some(data.clone()),
         _ => None,
     };
     r.log.iter().filter_map(data).collect()
@@ -348,7 +363,7 @@
 
 #[test]
 fn without_reports_what_other_routers_told_makes_writers_look_full() {
-    let with_peers = || Settings { peers: true, ..settings() };
+    let with_peers = || Settings { can_gossip: true, ..settings() };
     let mut busy = Router::new(with_peers(), pairs());
     for id in 1..70 {
         busy.stream(id);
@@ -359,7 +374,7 @@
     let admitted = |told: Option<Vec<u8>>| {
         let mut r = Router::new(with_peers(), pairs());
         if let Some(data) = told {
-            r.event(Event::Peer { from: 1, data });
+            r.event(Event::GossipReceived { from: 1, data });
             r.pass(20 * MS);
         }
         (1..300).filter(|id| sent_to(&r.ask(*id)).is_some()).count()
@@ -372,10 +387,15 @@
 #[test]
 fn nothing_is_told_where_servers_report_or_routers_may_not() {
     for (peers, reported) in [(false, false), (true, true)] {
-        let mut r = Router::new(Settings { peers, ..settings() }, pairs());
+        let mut r = Router::new(Settings { can_gossip: peers, ..settings() }, pairs());
         if reported {
-            let report = Some(Report { memory: Some(0.2), ..Report::default() });
-            r.event(Event::Probed { server: ServerId(11), status: Status::Ok, latency: MS, report });
+            let report = Some(LoadReport { memory_utilization: Some(0.2), ..LoadReport::default() });
+            r.event(Event::ProbeFinished {
+                server: ServerId(11),
+                status: AttemptStatus::Ok,
+                latency: MS,
+                report,
+            });
         }
         r.stream(1);
         r.pass(2 * S);
@@ -390,20 +410,21 @@
     for id in 1..60 {
         let reader = sent_to(&r.ask(id)).expect("a read");
         let latency = if reader == 1 { 900 * MS } else { 60 * MS };
-        let attempt = AttemptNo(0);
-        let done = r.event(Event::Outcome(Outcome {
+        let attempt = AttemptNumber(0);
+        let done = r.event(Event::AttemptFinished(AttemptOutcome {
             id: RequestId(id),
             attempt,
             server: ServerId(reader),
-            status: Status::Read,
+            status: AttemptStatus::Prefilled,
             latency,
-            closed: false,
-            note: 0,
+            request_finished: false,
+            cached_prompt_tokens: 0,
+            kv_cache_missing: false,
             report: None,
         }));
         let writer = sent_to(&done).expect("a write");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
     }
     let at_slow = (100..106).filter(|id| sent_to(&r.ask(*id)) == Some(1)).count();
     assert!(at_slow <= 1, "{at_slow}");
@@ -414,21 +435,26 @@
 fn a_write_that_waits_out_of_its_cell_is_not_called_off_for_another_far_one() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(12, 1, 1), entry(13, 1, 2)]);
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, Status::Read)).expect("a write");
+    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
     r.ask(2);
     r.pass(300 * MS);
     // The writer answers others meanwhile: it lives.
-    let report = Some(Report::default());
-    r.event(Event::Probed { server: ServerId(writer), status: Status::Ok, latency: MS, report });
+    let report = Some(LoadReport::default());
+    r.event(Event::ProbeFinished {
+        server: ServerId(writer),
+        status: AttemptStatus::Ok,
+        latency: MS,
+        report,
+    });
     let done = r.pass(1200 * MS);
-    assert!(!done.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptNo(1) }));
+    assert!(!done.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptNumber(1) }));
 }
 
 /// Found at the size of many routers: all took the same server where they knew nothing of any.
 #[test]
 fn routers_that_know_nothing_do_not_all_pick_the_same_writer() {
     let list = || (1..9).map(|n| entry(10 + n, 1, 0)).chain([entry(1, 0, 0)]).collect::<Vec<_>>();
-    let first = |seed| Router::new(Settings { seed, routers: 200, ..settings() }, list()).stream(1).1;
+    let first = |seed| Router::new(Settings { seed, router_count: 200, ..settings() }, list()).stream(1).1;
     let picked: std::collections::BTreeSet<u32> = (0..40).map(first).collect();
     assert!(picked.len() >= 6, "{picked:?}");
 }
@@ -437,13 +463,13 @@
 #[test]
 fn old_news_of_a_server_is_forgotten() {
     let mut r = Router::new(settings(), pairs());
-    let full = Some(Report { memory: Some(0.97), ..Report::default() });
+    let full = Some(LoadReport { memory_utilization: Some(0.97), ..LoadReport::default() });
     for server in [11, 12] {
-        let (status, latency, report) = (Status::Ok, MS, full);
-        r.event(Event::Probed { server: ServerId(server), status, latency, report });
+        let (status, latency, report) = (AttemptStatus::Ok, MS, full);
+        r.event(Event::ProbeFinished { server: ServerId(server), status, latency, report });
     }
     assert_eq!(sent_to(&r.ask(1)), None);
-    r.event(Event::Gone(RequestId(1)));
+    r.event(Event::ClientDisconnected(RequestId(1)));
     r.pass(4 * S);
     assert!(sent_to(&r.ask(2)).is_some());
 }
@@ -452,14 +478,14 @@
 #[test]
 fn messages_cost_no_more_than_their_worth() {
     let told = |routers, peer_price| {
-        let set = Settings { routers, peers: true, peer_price, ..settings() };
+        let set = Settings { router_count: routers, can_gossip: true, gossip_cost: peer_price, ..settings() };
         let mut r = Router::new(set, pairs());
         for id in 1..40 {
             let reader = sent_to(&r.ask(id)).expect("a read");
-            let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+            let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
             r.pass(50 * MS);
             r.first(id, writer);
-            r.outcome(id, writer, Status::Ok);
+            r.outcome(id, writer, AttemptStatus::Ok);
         }
         tells(&r).len()
     };
@@ -471,14 +497,14 @@
 /// Found at the size of many routers: none hears often enough from a server to know how busy it is.
 #[test]
 fn a_home_whose_probe_is_late_yields_and_news_saves_the_probe() {
-    let mut r = Router::new(Settings { probes: true, ..settings() }, pairs());
+    let mut r = Router::new(Settings { can_probe: true, ..settings() }, pairs());
     let done = r.ask(1000);
     let asked: Vec<u32> =
         done.iter().filter_map(|a| if let Action::Probe(s) = a { Some(s.0) } else { None }).collect();
     assert_eq!(asked.len(), 2, "home and another reader");
-    let ok = |server, latency| Event::Probed {
+    let ok = |server, latency| Event::ProbeFinished {
         server: ServerId(server),
-        status: Status::Ok,
+        status: AttemptStatus::Ok,
         latency,
         report: None,
     };
@@ -493,7 +519,7 @@
 /// Found at the size of many routers: reads taken for dead were read again elsewhere, until all readers jammed.
 #[test]
 fn call_offs_are_a_small_part_of_sends() {
-    let list: Vec<Entry> = (1..21).map(|n| entry(n, 0, 0)).chain([entry(31, 1, 0)]).collect();
+    let list: Vec<Endpoint> = (1..21).map(|n| entry(n, 0, 0)).chain([entry(31, 1, 0)]).collect();
     let mut r = Router::new(Settings { max_attempts: 20, ..settings() }, list);
     for id in 1..101 {
         r.ask(id);
@@ -508,20 +534,23 @@
 /// Seen with servers that refuse one class or tenant while they serve the rest.
 #[test]
 fn a_server_that_refuses_a_part_of_the_traffic_keeps_serving_the_rest() {
-    let classes = vec![class(Effect::Safe, Group::All), class(Effect::Safe, Group::All)];
+    let classes = vec![
+        class(Idempotency::Idempotent, DeduplicationScope::All),
+        class(Idempotency::Idempotent, DeduplicationScope::All),
+    ];
     let mut r = Router::new(Settings { classes, ..settings() }, pairs());
     let mut sent = [[0; 2]; 2];
     for id in 1..400 {
         let request = Request { class: ClassId(id as usize % 2), ..r.request(id) };
         let part = request.class.0;
-        let mut reader = sent_to(&r.event(Event::Request(request))).expect("a read");
+        let mut reader = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
         sent[part][usize::from(reader == 1)] += 1;
         if reader == 1 && part == 0 {
-            reader = sent_to(&r.outcome(id, 1, Status::Full)).expect("the other reader");
+            reader = sent_to(&r.outcome(id, 1, AttemptStatus::Rejected)).expect("the other reader");
         }
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         r.pass(50 * MS);
     }
     assert!(sent[0][1] < 12, "{sent:?}");
@@ -542,19 +571,20 @@
             r.pass(50 * MS);
             sends += open.len();
             for (id, reader) in open.drain(..) {
-                let (id, attempt, server) = (RequestId(id), AttemptNo(0), ServerId(reader));
-                let (status, closed, note, report) = (Status::Read, false, 0, None);
-                r.event(Event::Outcome(Outcome {
+                let (id, attempt, server) = (RequestId(id), AttemptNumber(0), ServerId(reader));
+                let (status, closed, report) = (AttemptStatus::Prefilled, false, None);
+                r.event(Event::AttemptFinished(AttemptOutcome {
                     id,
                     attempt,
                     server,
                     status,
                     latency,
-                    closed,
-                    note,
+                    request_finished: closed,
+                    cached_prompt_tokens: 0,
+                    kv_cache_missing: false,
                     report,
                 }));
-                r.event(Event::Gone(id));
+                r.event(Event::ClientDisconnected(id));
             }
         }
         sends
@@ -568,12 +598,16 @@
     // Readers in a cell without writers are home to nothing, and have the room.
     let idle = [entry(31, 0, 7), entry(32, 0, 7)];
     let list = [pairs(), idle.to_vec()].concat();
-    let settings = Settings { probes: true, probe_price: 0.0001, ..settings() };
+    let settings = Settings { can_probe: true, probe_cost: 0.0001, ..settings() };
     let mut r = Router::new(settings, list);
     let read = |r: &mut Router, id: u64, probe: Option<Nanos>, took: Nanos| {
-        let request =
-            Request { prefix: Some(Key(77)), prompt_len: 6000.0, prefix_len: 5000.0, ..r.request(id) };
-        let mut done = r.event(Event::Request(request));
+        let request = Request {
+            prefix: Some(AffinityKey(77)),
+            prompt_tokens: 6000.0,
+            prefix_tokens: 5000.0,
+            ..r.request(id)
+        };
+        let mut done = r.event(Event::RequestArrived(request));
         let mut told = 0;
         // Writers answer their probes in any case.
         for _ in 0..8 {
@@ -583,7 +617,8 @@
                 let Action::Probe(server) = action else { continue };
                 if probe.is_some() || (11..13).contains(&server.0) {
                     let latency = probe.unwrap_or(2 * MS);
-                    let probed = Event::Probed { server, status: Status::Ok, latency, report: None };
+                    let probed =
+                        Event::ProbeFinished { server, status: AttemptStatus::Ok, latency, report: None };
                     done.extend(r.event(probed));
                 }
             }
@@ -593,19 +628,20 @@
             done.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None });
         let server = sent.unwrap_or_else(|| panic!("{id} is not read: {done:?}"));
         r.now += took;
-        let read = Outcome {
+        let read = AttemptOutcome {
             id: RequestId(id),
-            attempt: AttemptNo(0),
+            attempt: AttemptNumber(0),
             server,
-            status: Status::Read,
+            status: AttemptStatus::Prefilled,
             latency: took,
-            closed: false,
-            note: 5000,
+            request_finished: false,
+            cached_prompt_tokens: 5000,
+            kv_cache_missing: false,
             report: None,
         };
-        let writer = sent_to(&r.event(Event::Outcome(read))).expect("a write");
+        let writer = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
         r.first(id, writer);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         r.pass(2 * S);
         server.0
     };
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -8,13 +8,13 @@
 #[test]
 fn where_time_comes_in_coarse_steps_the_answer_still_comes_in_time() {
     for step in [20 * MS, 40 * MS, 150 * MS] {
-        let set = Settings { tick: step, cancel: false, ..settings() };
-        let slack = set.answer_slack;
+        let set = Settings { step, can_cancel: false, ..settings() };
+        let slack = set.answer_grace;
         let mut r = Router::new(set, pairs());
         r.step = step;
         let give_up_at = r.now + 5 * S + step * 3 / 4;
-        let request = Request { give_up_at, ..r.request(1) };
-        r.event(Event::Request(request));
+        let request = Request { deadline_at: give_up_at, ..r.request(1) };
+        r.event(Event::RequestArrived(request));
         let mut answered_at = None;
         while r.now < give_up_at + S {
             if answers(&r.pass(step), 1) > 0 {
@@ -31,12 +31,12 @@
 
 #[test]
 fn where_time_comes_in_coarse_steps_a_state_is_still_let_go_in_time() {
-    let set = Settings { tick: 100 * MS, release_within: 90 * MS, ..settings() };
+    let set = Settings { step: 100 * MS, kv_release_within: 90 * MS, ..settings() };
     let mut r = Router::new(set, vec![entry(1, 0, 0), entry(11, 1, 0)]);
     r.step = 100 * MS;
     let reader = sent_to(&r.ask(1)).expect("a read");
-    r.members(ListKind::Delta, vec![Entry { state: ServerState::Gone, ..entry(11, 1, 0) }]);
-    r.outcome(1, reader, Status::Read);
+    r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..entry(11, 1, 0) }]);
+    r.outcome(1, reader, AttemptStatus::Prefilled);
     r.pass(90 * MS);
     assert!(released(&r.log, 1));
 }
@@ -44,28 +44,27 @@
 /// Found by reading: a small server that starts was given its part of what large peers of its role carry.
 #[test]
 fn a_cold_server_is_measured_by_servers_of_its_own_size() {
-    let kinds = vec![Role::Read, Role::Write, Role::Write];
     // Told by their kinds, or by their weights where the kind is the same.
     for (small, weight) in [(2, None), (1, Some(0.1))] {
-        let memory = vec![100_000.0, 100_000.0, if small == 2 { 10_000.0 } else { 100_000.0 }];
-        let mut r =
-            Router::new(Settings { roles: kinds.clone(), memory, ..settings() }, vec![entry(1, 0, 0)]);
-        let large = |id| Entry { weight: weight.map(|_| 1.0), ..entry(id, 1, 0) };
-        let little = |id| Entry { weight, ..entry(id, small, 0) };
-        r.members(ListKind::Delta, vec![large(11), large(12), large(13), little(14)]);
+        let mut kinds = kinds([100_000.0, 100_000.0, if small == 2 { 10_000.0 } else { 100_000.0 }]);
+        kinds[2].role = Some(Role::Decode);
+        let mut r = Router::new(Settings { kinds, ..settings() }, vec![entry(1, 0, 0)]);
+        let large = |id| Endpoint { weight: weight.map(|_| 1.0), ..entry(id, 1, 0) };
+        let little = |id| Endpoint { weight, ..entry(id, small, 0) };
+        r.members(EndpointUpdate::Delta, vec![large(11), large(12), large(13), little(14)]);
         let (mut warm, mut cold, mut wrote) = (0, 0, Vec::new());
         for id in 1..1200 {
             if id == 600 {
-                r.members(ListKind::Delta, vec![Entry { ready_at: Some(r.now), ..little(15) }]);
+                r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..little(15) }]);
             }
-            let short = Request { prompt_len: 300.0, ..r.request(id) };
-            let reader = sent_to(&r.event(Event::Request(short))).expect("a read");
-            let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+            let short = Request { prompt_tokens: 300.0, ..r.request(id) };
+            let reader = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
+            let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
             r.first(id, writer);
             r.pass(10 * MS);
             wrote.push(writer);
             if id > 20 {
-                r.outcome(id - 20, wrote[id as usize - 21], Status::Ok);
+                r.outcome(id - 20, wrote[id as usize - 21], AttemptStatus::Ok);
             }
             if id >= 600 {
                 (warm, cold) = (warm + u32::from(writer == 14), cold + u32::from(writer == 15));
@@ -84,7 +83,7 @@
     let whole = (1..200).filter(|id| {
         let server = sent_to(&r.ask(*id)).expect("a send");
         r.first(*id, server);
-        r.outcome(*id, server, Status::Ok);
+        r.outcome(*id, server, AttemptStatus::Ok);
         server == 21
     });
     let whole = whole.count();
@@ -98,8 +97,8 @@
     let reads: Vec<u32> = (1..300)
         .map(|id| {
             let server = sent_to(&r.ask(id)).expect("a send");
-            r.event(Event::Gone(RequestId(id)));
-            r.outcome(id, server, Status::Cancelled);
+            r.event(Event::ClientDisconnected(RequestId(id)));
+            r.outcome(id, server, AttemptStatus::Cancelled);
             server
         })
         .collect();
@@ -109,14 +108,16 @@
 
 #[test]
 fn a_server_that_neither_reads_nor_writes_is_sent_nothing() {
-    let set = Settings { neither: vec![KindId(2)], ..settings() };
+    let mut set = settings();
+    set.kinds[2].role = None;
     let mut r = Router::new(set, [pairs(), vec![entry(21, 2, 0), entry(22, 2, 1)]].concat());
     for id in 1..50 {
         let (reader, writer) = r.stream(id);
         assert!(reader < 3 && (11..13).contains(&writer));
     }
-    let others: Vec<Entry> = pairs().into_iter().map(|e| Entry { state: ServerState::Gone, ..e }).collect();
-    r.members(ListKind::Delta, others);
+    let others: Vec<Endpoint> =
+        pairs().into_iter().map(|e| Endpoint { state: ServerState::Removed, ..e }).collect();
+    r.members(EndpointUpdate::Delta, others);
     assert_eq!(sent_to(&r.ask(100)), None);
 }
 
@@ -124,11 +125,11 @@
 #[test]
 fn a_server_that_comes_back_as_another_kind_does_what_that_does() {
     let mut r = Router::new(settings(), pairs());
-    r.members(ListKind::Delta, vec![Entry { ready_at: Some(1), ..entry(11, 0, 1) }]);
+    r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(1), ..entry(11, 0, 1) }]);
     let reads = (1..60).filter(|id| {
         let (reader, writer) = r.stream(*id);
         assert_eq!(writer, 12);
-        r.outcome(*id, writer, Status::Ok);
+        r.outcome(*id, writer, AttemptStatus::Ok);
         reader == 11
     });
     assert!(reads.count() > 0);
@@ -136,14 +137,15 @@
 
 #[test]
 fn a_class_without_an_aim_is_served_while_its_client_waits() {
-    let class = Class { aim: 0, ..class(Effect::Safe, Group::All) };
+    let class =
+        TrafficClass { latency_objective: 0, ..class(Idempotency::Idempotent, DeduplicationScope::All) };
     let mut r = Router::new(Settings { classes: vec![class], ..settings() }, pairs());
     // All writers drain for a second: it waits, and is served when one is back.
-    let state = |state| vec![Entry { state, ..entry(11, 1, 0) }, Entry { state, ..entry(12, 1, 1) }];
-    r.members(ListKind::Delta, state(ServerState::Draining));
+    let state = |state| vec![Endpoint { state, ..entry(11, 1, 0) }, Endpoint { state, ..entry(12, 1, 1) }];
+    r.members(EndpointUpdate::Delta, state(ServerState::Draining));
     r.ask(1);
     assert_eq!(answers(&r.pass(S), 1), 0);
-    assert!(sent_to(&r.members(ListKind::Delta, state(ServerState::Ready))).is_some());
+    assert!(sent_to(&r.members(EndpointUpdate::Delta, state(ServerState::Ready))).is_some());
 }
 
 #[test]
@@ -157,12 +159,16 @@
 /// Found by reading: where attempts can't be called off each read got 1.5 s, whatever reads take at a site.
 #[test]
 fn where_nothing_can_be_called_off_an_attempt_gets_the_time_that_they_take_there() {
-    let class = Class { aim: 20 * S, deadline: 60 * S, ..class(Effect::Safe, Group::All) };
-    let mut r = Router::new(Settings { cancel: false, classes: vec![class], ..settings() }, pairs());
+    let class = TrafficClass {
+        latency_objective: 20 * S,
+        deadline: 60 * S,
+        ..class(Idempotency::Idempotent, DeduplicationScope::All)
+    };
+    let mut r = Router::new(Settings { can_cancel: false, classes: vec![class], ..settings() }, pairs());
     let mut last = 0;
     for id in 1..20 {
-        let request = Request { give_up_at: r.now + 60 * S, prompt_len: 60_000.0, ..r.request(id) };
-        let done = r.event(Event::Request(request));
+        let request = Request { deadline_at: r.now + 60 * S, prompt_tokens: 60_000.0, ..r.request(id) };
+        let done = r.event(Event::RequestArrived(request));
         let Some(Action::Send { server, timeout, .. }) =
             done.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
         else {
@@ -170,12 +176,22 @@
         };
         last = timeout;
         r.pass(3 * S);
-        let (status, latency, attempt) = (Status::Read, 3 * S, AttemptNo(0));
+        let (status, latency, attempt) = (AttemptStatus::Prefilled, 3 * S, AttemptNumber(0));
         let report = None;
         let id = RequestId(id);
-        let read = Outcome { id, attempt, server, status, latency, closed: false, note: 0, report };
-        let writer = sent_to(&r.event(Event::Outcome(read))).expect("a write");
-        r.outcome(id.0, writer, Status::Ok);
+        let read = AttemptOutcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_finished: false,
+            cached_prompt_tokens: 0,
+            kv_cache_missing: false,
+            report,
+        };
+        let writer = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
+        r.outcome(id.0, writer, AttemptStatus::Ok);
         r.pass(S);
     }
     assert!(last > 3 * S, "{last}");
@@ -186,28 +202,33 @@
 /// Found by reading: past its window, or with no group known to stay in, it was held until its aim was lost.
 #[test]
 fn a_keyed_request_that_can_go_nowhere_any_more_fails_at_once() {
-    let site = |group, window, entries: Vec<Entry>| {
-        let class = Class { aim: 4 * S, window, ..class(Effect::Keyed, group) };
+    let site = |group, window, entries: Vec<Endpoint>| {
+        let class = TrafficClass {
+            latency_objective: 4 * S,
+            deduplication_window: window,
+            ..class(Idempotency::WithKey, group)
+        };
         Router::new(Settings { classes: vec![class], ..settings() }, entries)
     };
     let mixed = vec![entry(21, 2, 0), entry(22, 2, 1)];
     // No zones or cells are told here.
-    let bare: Vec<Entry> = mixed.iter().map(|e| Entry { zone: None, cell: None, ..e.clone() }).collect();
-    for group in [Group::Zone, Group::Cell] {
+    let bare: Vec<Endpoint> =
+        mixed.iter().map(|e| Endpoint { zone: None, cell: None, ..e.clone() }).collect();
+    for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let mut r = site(group, 2 * S, bare.clone());
         let server = sent_to(&r.ask(1)).expect("a send");
-        assert!(failed(&r.outcome(1, server, Status::Error), 1), "{group:?}");
+        assert!(failed(&r.outcome(1, server, AttemptStatus::Error), 1), "{group:?}");
     }
     // Its window ends while it is out, or while it waits for the only other one of its group.
-    let mut r = site(Group::Cell, 2 * S, mixed.clone());
+    let mut r = site(DeduplicationScope::Cell, 2 * S, mixed.clone());
     let server = sent_to(&r.ask(1)).expect("a send");
     r.pass(2 * S);
-    assert!(failed(&r.outcome(1, server, Status::Error), 1));
-    let mut r = site(Group::Cell, 2 * S, mixed);
+    assert!(failed(&r.outcome(1, server, AttemptStatus::Error), 1));
+    let mut r = site(DeduplicationScope::Cell, 2 * S, mixed);
     let server = sent_to(&r.ask(1)).expect("a send");
     let gone = entry(server, 2, u64::from(server - 21));
-    r.members(ListKind::Delta, vec![Entry { state: ServerState::Draining, ..gone }]);
-    assert_eq!(answers(&r.outcome(1, server, Status::Error), 1), 0);
+    r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..gone }]);
+    assert_eq!(answers(&r.outcome(1, server, AttemptStatus::Error), 1), 0);
     let done = r.pass(2 * S + 50 * MS);
     assert!(failed(&done, 1), "{done:?}");
 }
@@ -216,42 +237,42 @@
 /// which it is settled: a client that may come back is not kept, and is told when.
 #[test]
 fn what_is_given_up_is_answered_at_once_and_told_when_to_come_back() {
-    let site = |class: Class, max_attempts| {
-        let classes = vec![Class { aim: 2 * S, ..class }];
-        let set = Settings { classes, max_attempts, retry_after: true, max_retry_after: S, ..settings() };
+    let site = |class: TrafficClass, max_attempts| {
+        let classes = vec![TrafficClass { latency_objective: 2 * S, ..class }];
+        let set =
+            Settings { classes, max_attempts, can_send_retry_after: true, max_retry_after: S, ..settings() };
         Router::new(set, pairs())
     };
-    let safe = class(Effect::Safe, Group::All);
-    let told = |done: &[Action], reason: Reason| {
-        let refusal =
-            |a: &Action| matches!(a, Action::Refuse { retry_after: S, why, .. } if why.reason == reason);
+    let safe = class(Idempotency::Idempotent, DeduplicationScope::All);
+    let told = |done: &[Action], reason: GiveUpReason| {
+        let refusal = |a: &Action| matches!(a, Action::Reject { retry_after: S, cause: why, .. } if why.reason == reason);
         assert!(done.iter().any(refusal), "{reason:?}: {done:?}");
     };
     // The last attempt has failed.
     let mut r = site(safe.clone(), 2);
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, Status::Read)).expect("a write");
-    told(&r.outcome(1, writer, Status::Error), Reason::AttemptsUsed);
+    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
+    told(&r.outcome(1, writer, AttemptStatus::Error), GiveUpReason::AttemptsExhausted);
     // No writer is left: the aim ends the wait, three seconds before the client leaves.
     let mut r = site(safe.clone(), 5);
-    r.members(ListKind::Full, vec![entry(1, 0, 0)]);
+    r.members(EndpointUpdate::Full, vec![entry(1, 0, 0)]);
     let asked = r.now;
     r.ask(1);
     while answers(&r.log, 1) == 0 && r.now < asked + 5 * S {
         r.pass(10 * MS);
     }
-    told(&r.log, Reason::AimLost);
+    told(&r.log, GiveUpReason::ObjectiveMissed);
     assert!(r.now <= asked + 2 * S + 20 * MS, "{}", r.now - asked);
     // The state can't wait any longer.
     let mut r = site(safe.clone(), 5);
     let reader = sent_to(&r.ask(1)).expect("a read");
-    r.members(ListKind::Full, vec![entry(1, 0, 0), entry(2, 0, 1)]);
-    r.outcome(1, reader, Status::Read);
-    told(&r.pass(400 * MS), Reason::ReleaseTime);
+    r.members(EndpointUpdate::Full, vec![entry(1, 0, 0), entry(2, 0, 1)]);
+    r.outcome(1, reader, AttemptStatus::Prefilled);
+    told(&r.pass(400 * MS), GiveUpReason::KvReleaseTimeout);
     // A send that was too late.
     let mut r = site(safe, 5);
     let reader = sent_to(&r.ask(1)).expect("a read");
-    told(&r.outcome(1, reader, Status::Moot), Reason::TooLate);
+    told(&r.outcome(1, reader, AttemptStatus::Expired), GiveUpReason::TooLate);
 }
 
 // Servers that do both.
@@ -263,10 +284,10 @@
     for id in 1..60 {
         let server = sent_to(&r.ask(id)).expect("a send");
         r.first_after(id, server, if server == 21 { 300 * MS } else { 30 * MS });
-        r.outcome(id, server, Status::Ok);
+        r.outcome(id, server, AttemptStatus::Ok);
         r.pass(S);
     }
-    let pace = |id| r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.pace);
+    let pace = |id| r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.latency_ratio);
     assert!(pace(21) > 3.0 && pace(22) < 2.0, "{} {}", pace(21), pace(22));
 }
 
@@ -280,20 +301,20 @@
         id += 1;
         let server = sent_to(&r.ask(id)).expect("a send");
         if server == 1 {
-            let writer = sent_to(&r.outcome(id, 1, Status::Read)).expect("a write");
-            r.outcome(id, writer, Status::Full);
+            let writer = sent_to(&r.outcome(id, 1, AttemptStatus::Prefilled)).expect("a write");
+            r.outcome(id, writer, AttemptStatus::Rejected);
             break;
         }
         r.first(id, server);
-        r.outcome(id, server, Status::Ok);
+        r.outcome(id, server, AttemptStatus::Ok);
     }
     for next in id + 1..id + 20 {
         assert_eq!(sent_to(&r.ask(next)), Some(21));
         r.first(next, 21);
-        r.outcome(next, 21, Status::Ok);
+        r.outcome(next, 21, AttemptStatus::Ok);
     }
     // One without room holds them as before.
-    r.event(Event::Request(Request { max_out: 190_000.0, ..r.request(900) }));
+    r.event(Event::RequestArrived(Request { max_output_tokens: 190_000.0, ..r.request(900) }));
     r.first(900, 21);
     assert_eq!(sent_to(&r.ask(901)), None);
 }
@@ -302,8 +323,8 @@
 fn a_state_goes_to_a_mixed_server_where_no_writer_is_left() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(21, 2, 0)]);
     let id = (1..).find(|id| sent_to(&r.ask(*id)) == Some(1)).expect("a read");
-    r.outcome(id, 1, Status::Read);
-    assert_eq!(sent_to(&r.outcome(id, 11, Status::ConnectFailed)), Some(21));
+    r.outcome(id, 1, AttemptStatus::Prefilled);
+    assert_eq!(sent_to(&r.outcome(id, 11, AttemptStatus::ConnectFailed)), Some(21));
 }
 
 // Signals that never come.
@@ -312,14 +333,15 @@
 #[test]
 fn where_answers_do_not_stream_a_silent_writer_is_no_late_one() {
     for cancel in [true, false] {
-        let classes = vec![Class { streamed: false, ..class(Effect::Safe, Group::All) }];
-        let mut r = Router::new(Settings { classes, cancel, ..settings() }, pairs());
+        let classes =
+            vec![TrafficClass { streamed: false, ..class(Idempotency::Idempotent, DeduplicationScope::All) }];
+        let mut r = Router::new(Settings { classes, can_cancel: cancel, ..settings() }, pairs());
         let reader = sent_to(&r.ask(1)).expect("a read");
-        let done = r.outcome(1, reader, Status::Read);
+        let done = r.outcome(1, reader, AttemptStatus::Prefilled);
         let Some(Action::Send { server, timeout: 0, .. }) = done.first().cloned() else { panic!("{done:?}") };
         assert!(r.pass(3 * S).iter().all(|a| !matches!(a, Action::Cancel { .. })));
         let view = r.policy.views().find(|v| v.server == server).expect("it is listed");
-        assert_eq!(view.avoided, None);
+        assert_eq!(view.avoid_reason, None);
         // Its end is still due in time.
         assert_eq!(answers(&r.pass(2 * S), 1), 1);
     }
@@ -328,7 +350,7 @@
 /// Found by reading: a writer whose probe was never answered looked full for ever.
 #[test]
 fn a_probe_that_is_never_answered_is_forgotten() {
-    let set = Settings { probes: true, ..settings() };
+    let set = Settings { can_probe: true, ..settings() };
     let mut r = Router::new(set, vec![entry(1, 0, 0), entry(11, 1, 0)]);
     let mut served = 0;
     for id in 1..200 {
@@ -338,10 +360,10 @@
         // Whatever is sent is answered, whenever it was asked for: only probes are not.
         while let Some(Action::Send { id, server, .. }) = done.pop() {
             if server == ServerId(1) {
-                done.extend(r.outcome(id.0, 1, Status::Read));
+                done.extend(r.outcome(id.0, 1, AttemptStatus::Prefilled));
             } else {
                 r.first(id.0, server.0);
-                r.outcome(id.0, server.0, Status::Ok);
+                r.outcome(id.0, server.0, AttemptStatus::Ok);
                 served += u32::from(r.now > 105 * S);
             }
             done.retain(|a| matches!(a, Action::Send { .. }));
@@ -355,23 +377,25 @@
 /// Found by reading: a message has room for 42 servers, and named those of the lowest ids.
 #[test]
 fn a_message_names_the_servers_where_most_is_held() {
-    let set = Settings { peers: true, peer_price: 0.0, ..settings() };
+    let set = Settings { can_gossip: true, gossip_cost: 0.0, ..settings() };
     let writers = (100..160).map(|id| entry(id, 1, 0));
     let mut r = Router::new(set, [vec![entry(1, 0, 0)], writers.collect()].concat());
     for id in 1..61 {
         let reader = sent_to(&r.ask(id)).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
     }
-    let held = |r: &Router, id| r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.memory);
-    let heavy = Request { max_out: 100_000.0, ..r.request(61) };
-    let reader = sent_to(&r.event(Event::Request(heavy))).expect("a read");
-    let writer = sent_to(&r.outcome(61, reader, Status::Read)).expect("a write");
+    let held = |r: &Router, id| {
+        r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.memory_utilization)
+    };
+    let heavy = Request { max_output_tokens: 100_000.0, ..r.request(61) };
+    let reader = sent_to(&r.event(Event::RequestArrived(heavy))).expect("a read");
+    let writer = sent_to(&r.outcome(61, reader, AttemptStatus::Prefilled)).expect("a write");
     assert!(held(&r, writer) > 0.4);
     r.log.clear();
     r.pass(S);
     let told = r.log.iter().rev().find_map(|a| match a {
-        Action::Tell { data, .. } => Some(data.clone()),
+        Action::SendGossip { data, .. } => Some(data.clone()),
         _ => None,
     });
     let told = told.expect("a message");
@@ -384,42 +408,44 @@
 /// Found on the full fleet: two of three messages said nothing, and were paid for all the same.
 #[test]
 fn a_router_that_holds_nothing_tells_nothing() {
-    let set = Settings { peers: true, peer_price: 0.0, cancel: false, ..settings() };
+    let set = Settings { can_gossip: true, gossip_cost: 0.0, can_cancel: false, ..settings() };
     let mut r = Router::new(set, pairs());
     // Its read is out, and nothing is written yet.
     r.ask(1);
     let done = r.pass(3 * S);
-    assert!(done.iter().all(|a| !matches!(a, Action::Tell { .. })), "{done:?}");
+    assert!(done.iter().all(|a| !matches!(a, Action::SendGossip { .. })), "{done:?}");
     r.stream(2);
-    assert!(r.pass(S).iter().any(|a| matches!(a, Action::Tell { data, .. } if !data.is_empty())));
+    assert!(r.pass(S).iter().any(|a| matches!(a, Action::SendGossip { data, .. } if !data.is_empty())));
 }
 
 /// Found on the full fleet: while most readers were new, they stood idle beside the jammed old ones, since each router
 /// seldom met one of the few that it might ask.
 #[test]
 fn beside_its_home_a_cold_reader_that_may_be_asked_is_looked_at() {
-    let set = Settings { probes: true, routers: 300, ..settings() };
+    let set = Settings { can_probe: true, router_count: 300, ..settings() };
     let mut r = Router::new(set, [pairs(), (3..9).map(|id| entry(id, 0, u64::from(id))).collect()].concat());
     for id in 1..40 {
         let (_, writer) = r.stream_after_probes(id);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         r.pass(50 * MS);
     }
-    r.members(ListKind::Delta, vec![Entry { ready_at: Some(r.now), ..entry(20, 0, 1) }]);
+    r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..entry(20, 0, 1) }]);
     // Its budget, which begins in debt, is paid off some time before it is warm.
     let mut looked = 0;
     for id in 100..180 {
-        let allowed =
-            r.policy.views().any(|v| v.server == ServerId(20) && v.cold_budget.is_some_and(|b| b >= 0.0));
+        let allowed = r
+            .policy
+            .views()
+            .any(|v| v.server == ServerId(20) && v.slow_start_budget.is_some_and(|b| b >= 0.0));
         r.log.clear();
         let (reader, writer) = r.stream_after_probes(id);
         if allowed && reader != 20 {
             looked += 1;
             assert!(r.log.contains(&Action::Probe(ServerId(20))), "{:?}", r.log);
         }
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         r.pass(1100 * MS);
-        if r.policy.views().any(|v| v.server == ServerId(20) && v.cold_budget.is_none()) {
+        if r.policy.views().any(|v| v.server == ServerId(20) && v.slow_start_budget.is_none()) {
             break;
         }
     }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,22 +1,24 @@
 //! The rules as one place decides them, one after the other.
 
-use gaparch_scheduler::api::{CellId, Class, Effect, Group, Nanos, Status, ZoneId};
+use gaparch_scheduler::api::{
+    AttemptStatus, CellId, DeduplicationScope, Idempotency, Nanos, TrafficClass, ZoneId,
+};
 use gaparch_scheduler::policy::permits::{may_refuse, may_send, Denial, Denials, Repeat, SendFacts};
 use gaparch_scheduler::state::MayHaveRun;
 
 const NOW: Nanos = 1_000_000;
 
-fn class(effect: Effect, group: Group) -> Class {
-    Class {
-        effect,
-        group,
-        window: 500,
-        aim: 0,
-        aim_per_token: 0.0,
+fn class(effect: Idempotency, group: DeduplicationScope) -> TrafficClass {
+    TrafficClass {
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 500,
+        latency_objective: 0,
+        latency_objective_per_prompt_token: 0.0,
         deadline: 0,
-        token_aim: 0,
-        worth: 1.0,
-        late_worth: 0.0,
+        token_latency_objective: 0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
         streamed: true,
     }
 }
@@ -50,7 +52,7 @@
     for (facts, denial) in denied {
         assert_eq!(may_send(&facts), Err(denial));
         // A drained worker is no reason to end the request, the others are.
-        assert_eq!(denial.status() == Status::ConnectFailed, denial == Denial::NotReady);
+        assert_eq!(denial.status() == AttemptStatus::ConnectFailed, denial == Denial::NotReady);
     }
 }
 
@@ -64,13 +66,22 @@
         let repeat = Some(Repeat { class: &class, ran, zone, cell });
         may_send(&SendFacts { repeat, ..allowed() }).is_ok()
     };
-    assert!(goes(Effect::Safe, Group::Cell, 2, 8, 10_000));
-    assert!(!goes(Effect::Unsafe, Group::All, 1, 7, 0));
-    assert!(goes(Effect::Keyed, Group::All, 2, 8, 499) && !goes(Effect::Keyed, Group::All, 1, 7, 500));
-    assert!(goes(Effect::Keyed, Group::Zone, 1, 8, 0) && !goes(Effect::Keyed, Group::Zone, 2, 7, 0));
-    assert!(goes(Effect::Keyed, Group::Cell, 2, 7, 0) && !goes(Effect::Keyed, Group::Cell, 1, 8, 0));
+    assert!(goes(Idempotency::Idempotent, DeduplicationScope::Cell, 2, 8, 10_000));
+    assert!(!goes(Idempotency::NotIdempotent, DeduplicationScope::All, 1, 7, 0));
+    assert!(
+        goes(Idempotency::WithKey, DeduplicationScope::All, 2, 8, 499)
+            && !goes(Idempotency::WithKey, DeduplicationScope::All, 1, 7, 500)
+    );
+    assert!(
+        goes(Idempotency::WithKey, DeduplicationScope::Zone, 1, 8, 0)
+            && !goes(Idempotency::WithKey, DeduplicationScope::Zone, 2, 7, 0)
+    );
+    assert!(
+        goes(Idempotency::WithKey, DeduplicationScope::Cell, 2, 7, 0)
+            && !goes(Idempotency::WithKey, DeduplicationScope::Cell, 1, 8, 0)
+    );
     // Nobody knows which group it ran in.
-    let class = class(Effect::Keyed, Group::Cell);
+    let class = class(Idempotency::WithKey, DeduplicationScope::Cell);
     let ran = MayHaveRun { cell: None, ..ran };
     let repeat = Some(Repeat { class: &class, ran, zone: None, cell: None });
     assert_eq!(may_send(&SendFacts { repeat, ..allowed() }), Err(Denial::MayHaveRun));
@@ -79,11 +90,11 @@
 #[test]
 fn a_refusal_promises_only_what_holds() {
     for (effect, group, harmless_after_a_run) in [
-        (Effect::Safe, Group::Cell, true),
-        (Effect::Keyed, Group::All, true),
-        (Effect::Keyed, Group::Zone, false),
-        (Effect::Keyed, Group::Cell, false),
-        (Effect::Unsafe, Group::All, false),
+        (Idempotency::Idempotent, DeduplicationScope::Cell, true),
+        (Idempotency::WithKey, DeduplicationScope::All, true),
+        (Idempotency::WithKey, DeduplicationScope::Zone, false),
+        (Idempotency::WithKey, DeduplicationScope::Cell, false),
+        (Idempotency::NotIdempotent, DeduplicationScope::All, false),
     ] {
         let class = class(effect, group);
         assert!(may_refuse(&class, false).is_ok());
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,6 +1,6 @@
 //! Bytes and names that others read, held as they are: messages between routers, and the names in logs and counters.
 
-use gaparch_scheduler::api::{ServerId, Status};
+use gaparch_scheduler::api::{AttemptStatus, ServerId};
 use gaparch_scheduler::policy::permits::{Denial, Denials};
 use gaparch_scheduler::state::{held_from_bytes, held_to_bytes};
 use std::collections::BTreeMap;
@@ -34,17 +34,17 @@
 #[test]
 fn statuses_keep_their_names() {
     let names = [
-        (Status::Ok, "ok"),
-        (Status::Read, "read"),
-        (Status::Error, "error"),
-        (Status::Full, "full"),
-        (Status::Timeout, "timeout"),
-        (Status::ConnectFailed, "connect_failed"),
-        (Status::NoSocket, "no_socket"),
-        (Status::Reset, "reset"),
-        (Status::Cancelled, "cancelled"),
-        (Status::Moot, "moot"),
-        (Status::Unknown, "unknown"),
+        (AttemptStatus::Ok, "ok"),
+        (AttemptStatus::Prefilled, "read"),
+        (AttemptStatus::Error, "error"),
+        (AttemptStatus::Rejected, "full"),
+        (AttemptStatus::Timeout, "timeout"),
+        (AttemptStatus::ConnectFailed, "connect_failed"),
+        (AttemptStatus::NoSocket, "no_socket"),
+        (AttemptStatus::Reset, "reset"),
+        (AttemptStatus::Cancelled, "cancelled"),
+        (AttemptStatus::Expired, "moot"),
+        (AttemptStatus::Unknown, "unknown"),
     ];
     for (status, name) in names {
         assert_eq!(status.name(), name);
