--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -86,9 +86,11 @@
             shares: vec![Bucket::default(); set.tenants.len()],
             prompts: vec![Mean::default(); set.classes.len()],
             answers: vec![Mean::default(); set.classes.len()],
-            usual: vec![(Lagged::default(), 1.0); set.roles.len() + 1],
+            usual: vec![(Lagged::default(), 1.0); set.kinds.len() + 1],
             call_offs: 1.0,
-            reads: Reads::guessed(set.classes.iter().map(|c| c.aim_per_token).fold(0.0, f64::max)),
+            reads: Reads::guessed(
+                set.classes.iter().map(|c| c.latency_objective_per_prompt_token).fold(0.0, f64::max),
+            ),
             set,
             ..Policy::default()
         }
@@ -96,30 +98,30 @@
 
     pub fn handle(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         self.now = now;
-        if let Event::Peer { from, data } = event {
+        if let Event::GossipReceived { from, data } = event {
             self.told.hear(now, from, held_from_bytes(&data));
             return Vec::new();
         }
         self.averages.news(now, TICK, NEWS_FOR, &mut self.servers, &mut self.told);
         match event {
-            Event::Members { kind, entries } => self.on_members(kind, &entries),
-            Event::Request(request) => self.on_request(request),
-            Event::Timer(TICK_TIMER) => self.on_tick(),
-            Event::Timer(ASK_TIMER) => self.out.push(Action::Watch(true)),
-            Event::First { id, attempt, latency, .. } => self.on_first(id, attempt, latency),
-            Event::Outcome(outcome) => self.on_outcome(outcome),
-            Event::Gone(id) => self.end(id, None),
-            Event::Probed { server: s, status, latency, report } => {
+            Event::EndpointsChanged { update: kind, endpoints: entries } => self.on_members(kind, &entries),
+            Event::RequestArrived(request) => self.on_request(request),
+            Event::TimerFired(TICK_TIMER) => self.on_tick(),
+            Event::TimerFired(ASK_TIMER) => self.out.push(Action::WatchEndpoints(true)),
+            Event::FirstToken { id, attempt, latency, .. } => self.on_first(id, attempt, latency),
+            Event::AttemptFinished(outcome) => self.on_outcome(outcome),
+            Event::ClientDisconnected(id) => self.end(id, None),
+            Event::ProbeFinished { server: s, status, latency, report } => {
                 self.on_probed(s, status, latency, report)
             }
-            Event::Timer(_) | Event::Note { .. } | Event::Peer { .. } => {}
-            Event::Quota { .. } | Event::Routers(_) => {}
+            Event::TimerFired(_) | Event::ReservationAnswered { .. } | Event::GossipReceived { .. } => {}
+            Event::QuotaChanged { .. } | Event::RouterCountChanged(_) => {}
         }
         self.admit();
         let awake = self.works.values().any(Work::unbegun) || self.servers.values().any(|s| s.unreachable);
         if !self.ticking && awake {
             self.ticking = true;
-            self.out.push(Action::Timer { token: TICK_TIMER, delay: TICK });
+            self.out.push(Action::SetTimer { token: TICK_TIMER, delay: TICK });
         }
         std::mem::take(&mut self.out)
     }
@@ -128,23 +130,27 @@
 
     fn on_request(&mut self, request: Request) {
         let Some(class) = self.set.classes.get(request.class.0).cloned() else {
-            return self.out.push(Action::Fail { id: request.id, why: Reason::UnknownClass.into() });
+            return self.out.push(Action::Fail { id: request.id, cause: GiveUpReason::UnknownClass.into() });
         };
-        let prompt = if request.prompt_len > 0.0 { request.prompt_len } else { PROMPT_UNKNOWN };
+        let prompt = if request.prompt_tokens > 0.0 { request.prompt_tokens } else { PROMPT_UNKNOWN };
         // The design's guess of a stream's memory: the hint, else half of what is allowed.
-        let answer = match request.hint {
-            Some(hint) if class.token_aim > 0 => hint as f64 / class.token_aim as f64,
-            _ => request.max_out / 2.0,
+        let answer = match request.expected_duration {
+            Some(hint) if class.token_latency_objective > 0 => {
+                hint as f64 / class.token_latency_objective as f64
+            }
+            _ => request.max_output_tokens / 2.0,
         };
-        let answer = if request.max_out > 0.0 { answer.min(request.max_out) } else { answer };
+        let answer =
+            if request.max_output_tokens > 0.0 { answer.min(request.max_output_tokens) } else { answer };
         let over_share = self.over_share(request.tenant);
         self.purses = self.purses.map(|purse| (purse + NEWS_WORTH).min(NEWS_WORTH * 100.0));
         let homes = self.homes(request.prefix);
         self.prompts[request.class.0].add(prompt, GAIN);
         self.answers[request.class.0].add(answer, GAIN);
-        let (id, give_up_at) = (request.id, request.give_up_at);
-        let aim_at = self.now + class.aim + (class.aim_per_token * prompt) as Nanos;
-        let request = Request { prompt_len: prompt, ..request };
+        let (id, give_up_at) = (request.id, request.deadline_at);
+        let aim_at =
+            self.now + class.latency_objective + (class.latency_objective_per_prompt_token * prompt) as Nanos;
+        let request = Request { prompt_tokens: prompt, ..request };
         self.works.insert(id, Work::new(request, self.now, self.set.seed, homes, over_share, aim_at, answer));
         if give_up_at <= self.now + LAST_CALL {
             return self.give_up(id);
@@ -154,8 +160,8 @@
 
     /// Readers that a shared beginning is at home at: more where it surely is more than a reader's part of
     /// all requests, by what this router saw. Else it swamps one home and its cell. Coarse: sessions stay.
-    fn homes(&mut self, prefix: Option<Key>) -> usize {
-        let readers = self.servers.values().filter(|s| s.ready && s.role != Role::Write).count();
+    fn homes(&mut self, prefix: Option<AffinityKey>) -> usize {
+        let readers = self.servers.values().filter(|s| s.ready && s.role != Role::Decode).count();
         let (same, all) = self.seen.add(self.now, prefix, SEEN_SPAN);
         let sure = (same - same.sqrt()).max(0.0) / all.max(1.0);
         power_of_four((sure * HOMES * readers as f64) as usize)
@@ -164,7 +170,8 @@
     /// Whether this request is beyond its tenant's share, of which each router takes an even part.
     fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant.filter(|t| t.0 < self.shares.len()) else { return false };
-        let rate = self.set.tenants[tenant.0].quota_per_s / f64::from(self.set.routers) * SHARE_SLACK;
+        let rate =
+            self.set.tenants[tenant.0].quota_per_second / f64::from(self.set.router_count) * SHARE_SLACK;
         rate > 0.0 && !self.shares[tenant.0].take(self.now, rate, rate * SHARE_BURST + 1.0)
     }
 
@@ -200,17 +207,18 @@
             return self.start_at_writer(id);
         }
         let writers = self.mixed().is_empty() || self.writers_have_room(work);
-        readers.retain(|s| if s.role == Role::Both { self.has_room(s, work.need()) } else { writers });
+        readers.retain(|s| if s.role == Role::Mixed { self.has_room(s, work.need()) } else { writers });
         let homes = self.homes_of(work, &readers);
         let Some(home) = homes.first().copied() else { return false };
-        let kept = |s: &Server| homes.iter().find(|h| h.id == s.id).map_or(0.0, |_| work.request.prefix_len);
-        let unread = |s: &Server| READ_BASE + (work.request.prompt_len - kept(s)).max(0.0);
+        let kept =
+            |s: &Server| homes.iter().find(|h| h.id == s.id).map_or(0.0, |_| work.request.prefix_tokens);
+        let unread = |s: &Server| READ_BASE + (work.request.prompt_tokens - kept(s)).max(0.0);
         let cost = |s: &Server| (s.unread + self.others_unread(s) + unread(s)) / self.speed(s);
         // A reader with a long wait looks full, but one with nothing of ours is tried all the same.
         let wait = |s: &Server| (s.unread + self.others_unread(s)) / self.speed(s);
         let long = |s: &Server| s.unbegun > 0 && wait(s) * self.reads.best > READ_WAIT * work.aim();
         let room = |s: &&&Server| !s.full_within(self.now, RECENTLY) && !long(s);
-        let lot = |s: &Server| work.lot.rank(s.id);
+        let lot = |s: &Server| work.lot.rendezvous_rank(s.id);
         let order = |a: &&&Server, b: &&&Server| cost(a).total_cmp(&cost(b)).then(lot(a).cmp(&lot(b)));
         let Some(least) = readers.iter().filter(room).min_by(order) else { return false };
         let at_home = |s: &Server| homes.iter().any(|h| h.id == s.id);
@@ -220,7 +228,7 @@
         let home = Some(home).filter(|s| room(&s)).unwrap_or(least);
         let margin = self.reads.size.value.max(unread(home)) / self.speed(home);
         let chosen = if cost(home) > cost(least) + margin { least } else { home };
-        let stage = if chosen.role == Role::Both { Stage::Whole } else { Stage::Read };
+        let stage = if chosen.role == Role::Mixed { Stage::Whole } else { Stage::Read };
         let (unread, queued, behind) =
             (unread(chosen), cost(chosen), chosen.asked_before(self.now, LOOK_FOR));
         let (chosen, cell, until) = (chosen.id, chosen.cell, work.look_until.unwrap_or(self.now + LOOK_FOR));
@@ -231,7 +239,7 @@
         let Some(work) = self.works.get(&id) else { return true };
         let mut near = self.candidates(false, work);
         near.retain(|s| s.cell.is_some() && s.cell == cell);
-        near.sort_by_key(|s| work.lot.rank(s.id));
+        near.sort_by_key(|s| work.lot.rendezvous_rank(s.id));
         let near: Vec<ServerId> = near.iter().take(LOOK_WRITERS).map(|s| s.id).collect();
         self.throttle.take(self.now, PEER_SPAN);
         self.send(id, Sent { unread, queued, behind, ..Sent::to(chosen, stage) });
@@ -242,27 +250,28 @@
     /// The homes of its shared beginning by rendezvous hashing, the one of its session first; the same on all
     /// routers. They are spread as the writers are that can take the states without a move out of the cell.
     fn homes_of<'s>(&self, work: &Work, readers: &[&'s Server]) -> Vec<&'s Server> {
-        let split = self.servers.values().any(|s| s.ready && s.role == Role::Write);
-        let writes = if split { Role::Write } else { Role::Both } as usize;
+        let split = self.servers.values().any(|s| s.ready && s.role == Role::Decode);
+        let writes = if split { Role::Decode } else { Role::Mixed } as usize;
         let weight = |s: &Server| {
-            let cell = s.cell.filter(|_| s.role == Role::Read).and_then(|c| self.averages.cells.get(&c));
-            let near = cell.map_or(1.0, |of| of[writes] / of[Role::Read as usize].max(1e-9));
+            let cell = s.cell.filter(|_| s.role == Role::Prefill).and_then(|c| self.averages.cells.get(&c));
+            let near = cell.map_or(1.0, |of| of[writes] / of[Role::Prefill as usize].max(1e-9));
             s.weight * near.clamp(1e-3, HOME_MOST)
         };
-        let session = work.request.session.unwrap_or(Key(work.request.id.0));
-        let by = |key: Key| move |s: &&Server| -key.draw(s.id).ln() / weight(s);
+        let session = work.request.session.unwrap_or(AffinityKey(work.request.id.0));
+        let by = |key: AffinityKey| move |s: &&Server| -key.unit_interval(s.id).ln() / weight(s);
         let first = work.request.prefix.unwrap_or(session);
         let mut homes = sorted_by(readers.to_vec(), by(first));
         let others = homes.split_off(work.homes.min(homes.len()));
-        let spare = |s: &&Server| -first.draw(s.id).ln() / (HOME_MOST * s.weight - weight(s)).max(1e-3);
+        let spare =
+            |s: &&Server| -first.unit_interval(s.id).ln() / (HOME_MOST * s.weight - weight(s)).max(1e-3);
         let next = sorted_by(others, spare).into_iter().next();
         sorted_by(homes, by(session)).into_iter().chain(next).collect()
     }
 
     /// Probes those not heard from lately, as many routers hear too seldom; whether an answer is awaited.
     fn look(&mut self, at: &[ServerId]) -> bool {
-        let (now, price) = (self.now, self.set.probe_price);
-        for id in at.iter().filter(|_| self.set.probes) {
+        let (now, price) = (self.now, self.set.probe_cost);
+        for id in at.iter().filter(|_| self.set.can_probe) {
             let Some(s) = self.servers.get_mut(id) else { continue };
             if s.asked_at.is_none() && s.heard_at + RECENTLY < now && self.purses[1] >= price {
                 self.purses[1] -= price;
@@ -283,8 +292,10 @@
 
     /// With no reader at all a writer that reads by itself takes the request whole.
     fn start_at_writer(&mut self, id: RequestId) -> bool {
-        let Some(work) = self.works.get(&id).filter(|_| self.set.self_prefill) else { return false };
-        let unread = READ_BASE + work.request.prompt_len;
+        let Some(work) = self.works.get(&id).filter(|_| self.set.decode_workers_can_prefill) else {
+            return false;
+        };
+        let unread = READ_BASE + work.request.prompt_tokens;
         let Some(server) = self.pick_writer(work, false) else { return false };
         self.send(id, Sent { unread, queued: unread, ..Sent::to(server, Stage::Whole) });
         true
@@ -312,7 +323,7 @@
     /// Ties go to the least guessed memory, then by lot, or many routers that know little pick the same one.
     fn least_loaded<'s>(&self, w: &Work, all: impl Iterator<Item = &'s Server>) -> Option<&'s Server> {
         all.min_by(|a, b| {
-            let lot = || w.lot.rank(a.id).cmp(&w.lot.rank(b.id));
+            let lot = || w.lot.rendezvous_rank(a.id).cmp(&w.lot.rendezvous_rank(b.id));
             self.load(a).total_cmp(&self.load(b)).then(a.held.total_cmp(&b.held)).then_with(lot)
         })
     }
@@ -340,7 +351,7 @@
     fn told(&self, s: &Server) -> f64 {
         let all = &self.averages;
         let heard = self.told.routers();
-        let unheard = (f64::from(self.set.routers) - 1.0 - heard).max(0.0);
+        let unheard = (f64::from(self.set.router_count) - 1.0 - heard).max(0.0);
         let streams = all.known / (mean(&self.prompts) + mean(&self.answers)).max(1.0);
         let sure = 1.0 - streams.max(1.0).sqrt().recip();
         self.told.all.get(&s.id).map_or(0.0, |t| *t) + unheard * sure * all.known_mean / (1.0 + heard)
@@ -355,16 +366,16 @@
         let mean = self.averages.weight[s.role as usize];
         let relative = if mean > 0.0 { s.weight / mean } else { 1.0 };
         let relative = if s.pace_ratio >= SLOW_FROM { relative / s.pace_ratio } else { relative };
-        relative.max(0.02) * if self.cold(s) { self.set.cold_from.clamp(0.1, 1.0) } else { 1.0 }
+        relative.max(0.02) * if self.cold(s) { self.set.slow_start_speed.clamp(0.1, 1.0) } else { 1.0 }
     }
 
     /// A state waits: send it on, let it wait a little, or let it go when the release time runs out.
     fn place(&mut self, id: RequestId) {
         let Some(work) = self.works.get(&id) else { return };
         let Some((_, since)) = work.state.filter(|_| work.sent.is_none()) else { return };
-        let patience = (self.set.release_within as f64 * RELEASE_SHARE) as Nanos;
+        let patience = (self.set.kv_release_within as f64 * RELEASE_SHARE) as Nanos;
         let must = self.now + TICK >= since + patience;
-        let over = self.now > since && self.now >= since + self.set.release_within;
+        let over = self.now > since && self.now >= since + self.set.kv_release_within;
         if let Some(server) = self.pick_writer(work, must).filter(|_| !over) {
             self.send(id, Sent::to(server, Stage::Write));
         } else if must {
@@ -374,11 +385,11 @@
 
     /// Servers of one stage that may be sent to now, leaving out ill ones while enough others are left.
     fn candidates(&self, reads: bool, work: &Work) -> Vec<&Server> {
-        let split = self.servers.values().any(|s| s.ready && s.role == Role::Write);
+        let split = self.servers.values().any(|s| s.ready && s.role == Role::Decode);
         let fits = |s: &&Server| match s.role {
-            Role::Read => reads,
-            Role::Write => !reads,
-            Role::Both => reads || !split,
+            Role::Prefill => reads,
+            Role::Decode => !reads,
+            Role::Mixed => reads || !split,
         };
         let may = |s: &&Server| s.ready && self.cold_budget_allows(s) && self.may_go_to(work, s);
         let mut open: Vec<&Server> = self.servers.values().filter(may).filter(fits).collect();
@@ -398,15 +409,20 @@
     /// Rule 2 for keyed requests that may have run: same group, within the window.
     fn may_go_to(&self, work: &Work, s: &Server) -> bool {
         let Some(ran) = work.may_have_run else { return true };
-        let same = |class: &Class| class.group.of(ran.zone, ran.cell) == class.group.of(s.zone, s.cell);
+        let same = |class: &TrafficClass| {
+            class.deduplication_scope.domain(ran.zone, ran.cell)
+                == class.deduplication_scope.domain(s.zone, s.cell)
+        };
         !self.spent(work) && self.set.classes.get(work.request.class.0).is_some_and(same)
     }
 
     fn spent(&self, work: &Work) -> bool {
         let Some(ran) = work.may_have_run else { return false };
         let Some(class) = self.set.classes.get(work.request.class.0) else { return true };
-        let over = self.now + TICK >= ran.at + class.window;
-        class.effect == Effect::Unsafe || class.group.of(ran.zone, ran.cell).is_none() || over
+        let over = self.now + TICK >= ran.at + class.deduplication_window;
+        class.idempotency == Idempotency::NotIdempotent
+            || class.deduplication_scope.domain(ran.zone, ran.cell).is_none()
+            || over
     }
 
     fn send(&mut self, id: RequestId, plan: Sent) {
@@ -418,7 +434,7 @@
         let patience = self.works.get(&id).map_or(0, |w| self.patience(w, &plan));
         let (Some(work), Some(s)) = (self.works.get_mut(&id), self.servers.get_mut(&server)) else { return };
         let held = if stage == Stage::Read { 0.0 } else { work.need() };
-        let sent = Sent { no: AttemptNo(work.attempts), at: now, held, ..plan };
+        let sent = Sent { no: AttemptNumber(work.attempts), at: now, held, ..plan };
         s.take(now, REPORT_LAG, &sent);
         s.sent.add(now, cost, PEER_SPAN);
         s.budget.level -= cost;
@@ -426,22 +442,24 @@
         work.attempts += 1;
         work.read_at = work.read_at.or(Some(now));
         work.sent = Some(sent);
-        let safe = stage == Stage::Read || self.set.classes[work.request.class.0].effect == Effect::Safe;
-        let timeout = if self.set.cancel || !safe { 0 } else { BLIND_PATIENCE.max(patience) };
-        let ran =
-            work.may_have_run.map(|ran| ran.at.saturating_add(self.set.classes[work.request.class.0].window));
-        let within = self.set.release_within.max(2 * self.set.tick).max(TICK);
+        let safe = stage == Stage::Read
+            || self.set.classes[work.request.class.0].idempotency == Idempotency::Idempotent;
+        let timeout = if self.set.can_cancel || !safe { 0 } else { BLIND_PATIENCE.max(patience) };
+        let ran = work
+            .may_have_run
+            .map(|ran| ran.at.saturating_add(self.set.classes[work.request.class.0].deduplication_window));
+        let within = self.set.kv_release_within.max(2 * self.set.step).max(TICK);
         let state = self.works.get(&id).and_then(|w| w.state);
         let release_by = state.map_or(Nanos::MAX, |(_, since)| since.saturating_add(within));
         let by = ran.unwrap_or(Nanos::MAX).min(release_by);
-        self.out.push(Action::Send { id, server, timeout, by });
+        self.out.push(Action::Send { id, server, timeout, send_by: by });
     }
 
     fn patience(&self, work: &Work, sent: &Sent) -> Nanos {
         (READ_WAIT * work.aim() + sent.queued * self.reads.late(DEVIATIONS)) as Nanos
     }
 
-    fn on_first(&mut self, id: RequestId, attempt: AttemptNo, latency: Nanos) {
+    fn on_first(&mut self, id: RequestId, attempt: AttemptNumber, latency: Nanos) {
         let now = self.now;
         let Some(work) = self.works.get_mut(&id) else { return };
         let cell = work.state.take().and_then(|(reader, _)| self.servers.get(&reader)?.cell);
@@ -459,65 +477,71 @@
             self.reads.add(per_token, GAIN, BEST_GAIN);
         }
         let pace = if sent.stage == Stage::Write { latency as f64 } else { per_token };
-        if (sent.stage == Stage::Write) != (s.role == Role::Both) {
+        if (sent.stage == Stage::Write) != (s.role == Role::Mixed) {
             learn_pace(&mut self.servers, sent.server, pace, PACE_GAIN, SAMPLES);
         }
     }
 
     /// Ready mixed servers beside writers.
     fn mixed(&self) -> Vec<&Server> {
-        let split = self.servers.values().any(|s| s.ready && s.role == Role::Write);
-        self.servers.values().filter(|s| split && s.ready && s.role == Role::Both).collect()
+        let split = self.servers.values().any(|s| s.ready && s.role == Role::Decode);
+        self.servers.values().filter(|s| split && s.ready && s.role == Role::Mixed).collect()
     }
 
     fn mixed_room(&self, need: f64) -> bool {
         self.mixed().into_iter().any(|s| self.has_room(s, need))
     }
 
-    fn on_outcome(&mut self, o: Outcome) {
+    fn on_outcome(&mut self, o: AttemptOutcome) {
         self.note_health(&o);
         let Some(work) = self.works.get_mut(&o.id) else { return };
         let Some(sent) = work.sent.take_if(|s| s.no == o.attempt) else { return };
-        work.ended |= o.closed;
-        let prompt = work.request.prompt_len;
+        work.ended |= o.request_finished;
+        let prompt = work.request.prompt_tokens;
         let aim = work.aim();
         if let Some(s) = self.servers.get_mut(&o.server) {
             s.close(self.now, REPORT_LAG, &sent);
             s.note_report(self.now, REPORT_LAG, o.report, self.reads.size.value);
         }
-        if sent.stage == Stage::Read && o.status == Status::Read {
-            let read = READ_BASE + (prompt - o.note as f64).max(0.0);
+        if sent.stage == Stage::Read && o.status == AttemptStatus::Prefilled {
+            let read = READ_BASE + (prompt - o.cached_prompt_tokens as f64).max(0.0);
             let per_token = self.reads.done(&sent, o.latency, read, GAIN, BEST_GAIN);
             learn_pace(&mut self.servers, o.server, per_token, PACE_GAIN, SAMPLES);
         }
-        let reads = sent.stage != Stage::Write && o.status == Status::Read;
+        let reads = sent.stage != Stage::Write && o.status == AttemptStatus::Prefilled;
         if reads && o.latency as f64 > READ_LATE * aim {
             self.throttle.cut(self.now, READS_CUT, PEER_SPAN, RECENTLY);
         }
         self.settle(o, sent);
     }
 
-    fn settle(&mut self, o: Outcome, sent: Sent) {
+    fn settle(&mut self, o: AttemptOutcome, sent: Sent) {
         self.settle_state(&o, &sent);
         let Some(work) = self.works.get_mut(&o.id) else { return };
         let read = sent.stage == Stage::Read;
         if work.ended {
-            self.out.extend((!sent.begun).then_some(Action::Release(o.id)));
+            self.out.extend((!sent.begun).then_some(Action::ReleaseKv(o.id)));
             self.works.remove(&o.id);
             return;
         }
-        let effect = self.set.classes[work.request.class.0].effect;
-        let not_run = matches!(o.status, Status::Full | Status::ConnectFailed | Status::Moot | Status::Read);
-        if !read && !not_run && effect != Effect::Safe && work.may_have_run.is_none() {
+        let effect = self.set.classes[work.request.class.0].idempotency;
+        let not_run = matches!(
+            o.status,
+            AttemptStatus::Rejected
+                | AttemptStatus::ConnectFailed
+                | AttemptStatus::Expired
+                | AttemptStatus::Prefilled
+        );
+        if !read && !not_run && effect != Idempotency::Idempotent && work.may_have_run.is_none() {
             let (zone, cell) = self.servers.get(&o.server).map_or((None, None), |s| (s.zone, s.cell));
             work.may_have_run = Some(MayHaveRun { zone, cell, at: sent.at });
         }
-        let no_state = o.status == Status::Full && o.note == 1 && !read;
+        let no_state = o.kv_cache_missing && !read;
         if no_state {
             // Out of the writer's reach is not gone: a cut-off reader holds it still, and it must be let go.
             work.state = None;
-            self.out.push(Action::Release(o.id));
-        } else if o.status != Status::Read && !work.avoid.contains(&o.server) {
+            self.out.push(Action::ReleaseKv(o.id));
+        } else if o.status != AttemptStatus::Prefilled && !work.avoid.contains(&o.server) {
             work.avoid.push(o.server);
         }
         // A way on needs one send with a state, two without.
@@ -525,7 +549,7 @@
         let (state, turn) = (work.state, (work.over_share, work.aim_at, o.id));
         let used = work.attempts + steps > self.set.max_attempts.max(steps);
         let spent = self.works.get(&o.id).is_some_and(|w| self.spent(w));
-        if spent || o.status == Status::Moot || used {
+        if spent || o.status == AttemptStatus::Expired || used {
             return self.give_up(o.id);
         }
         match state {
@@ -539,18 +563,21 @@
         let Some(work) = self.works.get(&id) else { return };
         let Some(class) = self.set.classes.get(work.request.class.0) else { return };
         // A read has no effect, but one that is out and can't be cancelled may not have ended yet.
-        let runs = |s: Sent| s.stage != Stage::Read || !self.set.cancel;
+        let runs = |s: Sent| s.stage != Stage::Read || !self.set.can_cancel;
         let ran = work.may_have_run.is_some() || work.sent.is_some_and(runs);
-        let harmless = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => !ran || class.group == Group::All,
-            Effect::Unsafe => !ran,
+        let harmless = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => !ran || class.deduplication_scope == DeduplicationScope::All,
+            Idempotency::NotIdempotent => !ran,
         };
-        let retry_after = if self.set.retry_after { self.set.max_retry_after } else { 0 };
+        let retry_after = if self.set.can_send_retry_after { self.set.max_retry_after } else { 0 };
         // It says no reasons; the comparison leaves them out.
-        let why = Reason::Deadline.into();
-        let answer =
-            if harmless { Action::Refuse { id, retry_after, why } } else { Action::Fail { id, why } };
+        let why = GiveUpReason::DeadlineExceeded.into();
+        let answer = if harmless {
+            Action::Reject { id, retry_after, cause: why }
+        } else {
+            Action::Fail { id, cause: why }
+        };
         self.end(id, Some(answer));
     }
 
@@ -560,18 +587,18 @@
         work.ended = true;
         self.waiting.remove(&(work.over_share, work.aim_at, id));
         match work.sent {
-            Some(sent) if self.set.cancel && !sent.begun && !sent.cancelled => {
+            Some(sent) if self.set.can_cancel && !sent.begun && !sent.cancelled => {
                 self.out.push(Action::Cancel { id, attempt: sent.no });
                 self.out.extend(answer);
             }
             Some(_) => {
                 self.out.extend(answer);
                 let held = work.state.is_some() && !work.sent.is_some_and(|sent| sent.released);
-                self.out.extend(held.then_some(Action::Release(id)));
+                self.out.extend(held.then_some(Action::ReleaseKv(id)));
             }
             None => {
                 self.out.extend(answer);
-                self.out.extend(work.state.map(|_| Action::Release(id)));
+                self.out.extend(work.state.map(|_| Action::ReleaseKv(id)));
                 self.works.remove(&id);
             }
         }
@@ -592,35 +619,46 @@
         self.servers.entry(server).and_modify(|s| s.rest(self.now, part, least, REST_MOST));
     }
 
-    fn note_health(&mut self, o: &Outcome) {
+    fn note_health(&mut self, o: &AttemptOutcome) {
         let now = self.now;
         let part = self.works.get(&o.id).map(Work::part);
         let Some(s) = self.servers.get_mut(&o.server) else { return };
-        let unheard = [Status::Timeout, Status::Cancelled, Status::ConnectFailed, Status::Moot];
+        let unheard = [
+            AttemptStatus::Timeout,
+            AttemptStatus::Cancelled,
+            AttemptStatus::ConnectFailed,
+            AttemptStatus::Expired,
+        ];
         s.heard_at = if unheard.contains(&o.status) { s.heard_at } else { now };
         if o.status.is_answer() {
             s.answered(now, o.latency);
         }
         match o.status {
-            Status::Ok | Status::Read => {
+            AttemptStatus::Ok | AttemptStatus::Prefilled => {
                 (s.unreachable, s.lost) = (false, false);
                 part.into_iter().for_each(|part| s.served(part));
             }
-            Status::Error | Status::Unknown => self.rest(o.server, None),
-            Status::Full if o.note != 1 || s.role == Role::Read => {
+            AttemptStatus::Error | AttemptStatus::Unknown => self.rest(o.server, None),
+            AttemptStatus::Rejected if !o.kv_cache_missing || s.role == Role::Prefill => {
                 s.full_at = Some(now);
                 self.rest(o.server, part);
             }
-            Status::Timeout => self.rest(o.server, part),
+            AttemptStatus::Timeout => self.rest(o.server, part),
             // Dead, cut off, or with all connections taken: a probe tells when it is back.
-            Status::ConnectFailed | Status::Reset => {
-                (s.unreachable, s.lost, s.probe_at) = (true, s.lost || o.status != Status::Reset, now);
+            AttemptStatus::ConnectFailed | AttemptStatus::Reset => {
+                (s.unreachable, s.lost, s.probe_at) = (true, s.lost || o.status != AttemptStatus::Reset, now);
             }
             _ => {}
         }
     }
 
-    fn on_probed(&mut self, server: ServerId, status: Status, latency: Nanos, report: Option<Report>) {
+    fn on_probed(
+        &mut self,
+        server: ServerId,
+        status: AttemptStatus,
+        latency: Nanos,
+        report: Option<LoadReport>,
+    ) {
         let (now, waits) = (self.now, self.reads.tokens(latency));
         let Some(s) = self.servers.get_mut(&server) else { return };
         s.note_report(now, REPORT_LAG, report, self.reads.size.value);
@@ -628,20 +666,20 @@
         if status.is_answer() {
             s.answered(now, latency);
         }
-        if matches!(status, Status::Ok | Status::Timeout) {
+        if matches!(status, AttemptStatus::Ok | AttemptStatus::Timeout) {
             s.others_unread = Some((waits - s.unread).max(0.0));
             s.news_at = now;
-            if s.role != Role::Read && latency >= LOOK_LATE {
+            if s.role != Role::Prefill && latency >= LOOK_LATE {
                 s.full_at = Some(now);
             }
         }
-        if status == Status::ConnectFailed {
+        if status == AttemptStatus::ConnectFailed {
             (s.unreachable, s.lost, s.probe_at) = (true, true, now + PROBE_EVERY);
-        } else if status == Status::Ok {
+        } else if status == AttemptStatus::Ok {
             if s.lost {
                 // It may be a new process that the list has not told of: cold, or all routers pour onto it.
                 s.back_at = now;
-                s.budget = Bucket::owing(now, Key(self.set.seed).draw(server));
+                s.budget = Bucket::owing(now, AffinityKey(self.set.seed).unit_interval(server));
             }
             (s.unreachable, s.lost) = (false, false);
             (s.heard_at, s.quick_at) = (now, if latency < LOOK_LATE { now } else { s.quick_at });
@@ -649,7 +687,7 @@
     }
 
     fn cold(&self, s: &Server) -> bool {
-        s.began_at() > 0 && self.now < s.began_at() + self.set.cold
+        s.began_at() > 0 && self.now < s.began_at() + self.set.slow_start_duration
     }
 
     /// Rule 4, kept by each router alone: a part of what it sends itself to a warm peer. It begins in debt,
@@ -660,9 +698,10 @@
 
     fn fill_cold_budgets(&mut self) {
         let (now, span_s) = (self.now, PEER_SPAN as f64 / 1e9);
-        let floor = COLD_FLOOR / (self.set.fall as f64 / 1e9).max(0.1) / f64::from(self.set.routers);
-        let part = (self.set.fall_multiple * self.set.cold_from).min(1.0);
-        let kinds = (0..self.set.roles.len()).map(|kind| Some(KindId(kind))).chain([None]);
+        let floor =
+            COLD_FLOOR / (self.set.overload_window as f64 / 1e9).max(0.1) / f64::from(self.set.router_count);
+        let part = (self.set.overload_factor * self.set.slow_start_speed).min(1.0);
+        let kinds = (0..self.set.kinds.len()).map(|kind| Some(KindId(kind))).chain([None]);
         let mut all = std::mem::take(&mut self.usual);
         for (kind, (usual, weight)) in kinds.zip(&mut all) {
             let warm = || self.servers.values().filter(|p| p.ready && p.kind == kind && !self.cold(p));
@@ -678,19 +717,22 @@
         self.usual = all;
     }
 
-    fn on_members(&mut self, kind: ListKind, entries: &[Entry]) {
-        if kind == ListKind::Failed {
-            return self.out.push(Action::Timer { token: ASK_TIMER, delay: RECENTLY });
+    fn on_members(&mut self, kind: EndpointUpdate, entries: &[Endpoint]) {
+        if kind == EndpointUpdate::Failed {
+            return self.out.push(Action::SetTimer { token: ASK_TIMER, delay: RECENTLY });
         }
-        self.out.extend((kind == ListKind::Cached && self.set.ask).then_some(Action::Watch(true)));
-        if kind != ListKind::Delta {
+        self.out.extend(
+            (kind == EndpointUpdate::Cached && self.set.poll_endpoints)
+                .then_some(Action::WatchEndpoints(true)),
+        );
+        if kind != EndpointUpdate::Delta {
             self.servers.values_mut().for_each(|s| s.ready = false);
         }
         for e in entries {
             let Some((role, memory)) = self.set.kind(e.kind) else { continue };
             let s = self.servers.entry(e.server).or_insert_with(|| new_server(e.server, role, memory));
             // Nothing new goes to a draining or gone server from now on: rule 3 with its grace unused.
-            s.listed(self.now, e, Key(self.set.seed).draw(e.server));
+            s.listed(self.now, e, AffinityKey(self.set.seed).unit_interval(e.server));
         }
         self.averages.list(&self.servers);
         self.averages.news(self.now, 0, NEWS_FOR, &mut self.servers, &mut self.told);
@@ -712,7 +754,7 @@
         let late = self.now + self.to_first.value as Nanos > work.aim_at;
         match work.sent {
             Some(sent) if sent.begun => {}
-            _ if self.now + LAST_CALL >= work.request.give_up_at => self.give_up(id),
+            _ if self.now + LAST_CALL >= work.request.deadline_at => self.give_up(id),
             Some(sent) => {
                 if !self.check_arrival(id, &sent) {
                     self.check_overdue(id, sent);
@@ -736,15 +778,15 @@
             now: self.now,
             sent_at: sent.at,
             held_since,
-            release_within: self.set.release_within,
+            release_within: self.set.kv_release_within,
             server_runs: server.is_some_and(|s| s.ran_at > sent.at),
             probed_at: server.and_then(|s| s.asked_at),
-            may_probe: self.set.probes,
+            may_probe: self.set.can_probe,
         };
         let work = &self.works[&id];
-        let safe = self.set.classes[work.request.class.0].effect == Effect::Safe;
+        let safe = self.set.classes[work.request.class.0].idempotency == Idempotency::Idempotent;
         let left = work.attempts < self.set.max_attempts;
-        let may = safe && left && self.set.cancel && !sent.cancelled;
+        let may = safe && left && self.set.can_cancel && !sent.cancelled;
         let room = |s: &&Server| s.id != sent.server && self.has_room(s, work.need());
         let leaves = write.is_silent() && may && self.candidates(false, work).iter().any(room);
         match write.next_step() {
@@ -757,11 +799,11 @@
             }
             NextStep::LetGo => {
                 self.works.entry(id).and_modify(|w| w.sent = Some(Sent { released: true, ..*sent }));
-                self.out.push(Action::Release(id));
+                self.out.push(Action::ReleaseKv(id));
             }
-            NextStep::Probe if self.purses[1] >= self.set.probe_price => {
+            NextStep::Probe if self.purses[1] >= self.set.probe_cost => {
                 let now = self.now;
-                self.purses[1] -= self.set.probe_price;
+                self.purses[1] -= self.set.probe_cost;
                 self.servers.entry(sent.server).and_modify(|s| s.asked_at = Some(now));
                 self.out.push(Action::Probe(sent.server));
             }
@@ -770,15 +812,15 @@
         false
     }
 
-    fn settle_state(&mut self, o: &Outcome, sent: &Sent) {
+    fn settle_state(&mut self, o: &AttemptOutcome, sent: &Sent) {
         let runs = self.servers.get(&o.server).is_some_and(|s| s.ran_at > sent.at);
         let Some(work) = self.works.get_mut(&o.id) else { return };
         match state_after(o.status, sent.released, runs) {
-            _ if o.status == Status::Read => work.state = Some((o.server, self.now)),
+            _ if o.status == AttemptStatus::Prefilled => work.state = Some((o.server, self.now)),
             StateAfter::HeldAnew => work.state = work.state.map(|(reader, _)| (reader, self.now)),
             StateAfter::Gone if work.state.is_some() && !work.ended => {
                 work.state = None;
-                self.out.push(Action::Release(o.id));
+                self.out.push(Action::ReleaseKv(o.id));
             }
             StateAfter::Gone | StateAfter::Held => {}
         }
@@ -802,21 +844,22 @@
         if age < patience || sent.cancelled {
             return;
         }
-        if silent && self.set.probes && !s.unreachable {
+        if silent && self.set.can_probe && !s.unreachable {
             (s.unreachable, s.probe_at) = (true, self.now);
         }
         // A reader that answers a probe at once has left the read unanswered; one that does not may be busy.
         if reads && s.quick_at <= sent.at && age < 2 * patience {
             return;
         }
-        let safe = sent.stage == Stage::Read || self.set.classes[work.request.class.0].effect == Effect::Safe;
+        let safe = sent.stage == Stage::Read
+            || self.set.classes[work.request.class.0].idempotency == Idempotency::Idempotent;
         let room = |s: &Server| self.has_room(s, work.need());
         let better = |s: &&Server| {
             s.id != sent.server
                 && !self.ill(s, work)
                 && (reads || room(s) && (near || silent || s.cell == cell))
         };
-        let left = work.attempts + ATTEMPTS_KEPT <= self.set.max_attempts && self.set.cancel;
+        let left = work.attempts + ATTEMPTS_KEPT <= self.set.max_attempts && self.set.can_cancel;
         if !safe || !left || self.call_offs < 1.0 || !self.candidates(reads, work).iter().any(better) {
             return;
         }
@@ -833,21 +876,25 @@
     /// Tells the other routers what we hold, where no server does and as often as that is worth its price.
     fn tell(&mut self) {
         let silent = self.servers.values().all(|s| s.others.is_none());
-        if !self.set.peers || self.set.routers < 2 || !silent || self.now < self.told_at + TELL_EVERY {
+        if !self.set.can_gossip
+            || self.set.router_count < 2
+            || !silent
+            || self.now < self.told_at + TELL_EVERY
+        {
             return;
         }
         let data = held_to_bytes(self.servers.values().map(|s| (s.id, s.held)));
-        let price = self.set.peer_price * f64::from(self.set.routers - 1) * data.len() as f64 / 256.0;
+        let price = self.set.gossip_cost * f64::from(self.set.router_count - 1) * data.len() as f64 / 256.0;
         if self.purses[0] >= price {
             self.purses[0] -= price;
             self.told_at = self.now;
-            self.out.push(Action::Tell { peer: None, data });
+            self.out.push(Action::SendGossip { peer: None, data });
         }
     }
 
     fn probe(&mut self) {
         for s in self.servers.values_mut().filter(|s| s.ready && s.unreachable && s.probe_at <= self.now) {
-            if self.set.probes {
+            if self.set.can_probe {
                 s.probe_at = self.now + PROBE_EVERY;
                 self.out.push(Action::Probe(s.id));
             } else if self.now >= s.probe_at + RECENTLY {
--- a/tests/plain/state.rs
+++ b/tests/plain/state.rs
@@ -1,8 +1,8 @@
 //! Bookkeeping for the decision module: the tables of servers and requests. Decides nothing.
 
 use gaparch_scheduler::api::{
-    AttemptNo, CellId, ClassId, Entry, Key, KindId, Nanos, Report, Request, Role, ServerId, ServerState,
-    TenantId, ZoneId,
+    AffinityKey, AttemptNumber, CellId, ClassId, Endpoint, KindId, LoadReport, Nanos, Request, Role,
+    ServerId, ServerState, TenantId, ZoneId,
 };
 use std::collections::BTreeMap;
 
@@ -83,7 +83,7 @@
     since: Nanos,
     adds: u32,
     all: Recent,
-    by_prefix: BTreeMap<Key, Recent>,
+    by_prefix: BTreeMap<AffinityKey, Recent>,
 }
 
 impl Seen {
@@ -93,7 +93,7 @@
     }
 
     /// How many there were before this one, of its beginning and in all.
-    pub fn add(&mut self, now: Nanos, prefix: Option<Key>, span: Nanos) -> (f64, f64) {
+    pub fn add(&mut self, now: Nanos, prefix: Option<AffinityKey>, span: Nanos) -> (f64, f64) {
         let all = self.all.get(now, span);
         self.since = if self.since == 0 { now } else { self.since };
         self.all.add(now, 1.0, span);
@@ -340,28 +340,28 @@
 
     /// A report counts own work too, as it was a while ago; what is left is the others'. `size`: tokens to
     /// read for a request.
-    pub fn note_report(&mut self, now: Nanos, lag: Nanos, report: Option<Report>, size: f64) {
+    pub fn note_report(&mut self, now: Nanos, lag: Nanos, report: Option<LoadReport>, size: f64) {
         let Some(report) = report else { return };
         self.follow(now, lag);
         self.news_at = now;
-        self.share = report.memory;
-        if let Some(share) = report.memory.filter(|_| self.role != Role::Read) {
+        self.share = report.memory_utilization;
+        if let Some(share) = report.memory_utilization.filter(|_| self.role != Role::Prefill) {
             self.others = Some((share * self.memory - self.held_seen.value).max(0.0));
         }
-        let requests = report.inflight.or(report.queue).map(|n| (n - self.unbegun_seen.value) * size);
-        let waiting = report.unread_k.map(|k| k * 1000.0 - self.unread).or(requests);
-        if let Some(tokens) = waiting.filter(|_| self.role != Role::Write) {
+        let requests = report.in_flight.or(report.queued).map(|n| (n - self.unbegun_seen.value) * size);
+        let waiting = report.pending_prefill_kilotokens.map(|k| k * 1000.0 - self.unread).or(requests);
+        if let Some(tokens) = waiting.filter(|_| self.role != Role::Decode) {
             self.others_unread = Some(tokens.max(0.0));
         }
     }
 
     /// What the list says of it; a new process begins with its cold budget in debt.
-    pub fn listed(&mut self, now: Nanos, e: &Entry, debt: f64) {
+    pub fn listed(&mut self, now: Nanos, e: &Endpoint, debt: f64) {
         (self.zone, self.cell, self.kind) = (e.zone, e.cell, e.kind);
         self.weight = e.weight.filter(|w| *w > 0.0).unwrap_or(1.0);
         self.ready = e.state == ServerState::Ready;
-        if e.ready_at.unwrap_or(0) != self.ready_at {
-            self.restarted(now, e.ready_at.unwrap_or(0), debt);
+        if e.started_at.unwrap_or(0) != self.ready_at {
+            self.restarted(now, e.started_at.unwrap_or(0), debt);
         }
     }
 
@@ -425,7 +425,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub server: ServerId,
-    pub no: AttemptNo,
+    pub no: AttemptNumber,
     pub at: Nanos,
     pub stage: Stage,
     pub unread: f64,
@@ -444,7 +444,7 @@
     pub fn to(server: ServerId, stage: Stage) -> Sent {
         Sent {
             server,
-            no: AttemptNo(0),
+            no: AttemptNumber(0),
             at: 0,
             stage,
             unread: 0.0,
@@ -479,7 +479,7 @@
     pub request: Request,
     pub over_share: bool,
     /// An order of servers that differs for each request and router.
-    pub lot: Key,
+    pub lot: AffinityKey,
     pub asked_at: Nanos,
     /// Readers that its shared beginning is at home at.
     pub homes: usize,
@@ -511,7 +511,7 @@
         answer: f64,
     ) -> Work {
         Work {
-            lot: Key(request.id.0 ^ seed),
+            lot: AffinityKey(request.id.0 ^ seed),
             homes,
             asked_at: now,
             request,
@@ -551,7 +551,7 @@
 
     /// Guessed tokens of memory at a writer.
     pub fn need(&self) -> f64 {
-        self.request.prompt_len + self.answer
+        self.request.prompt_tokens + self.answer
     }
 }
 
@@ -610,7 +610,7 @@
     /// Of what the list says.
     pub fn list(&mut self, servers: &Servers) {
         self.cells.clear();
-        for role in [Role::Read, Role::Write, Role::Both] {
+        for role in [Role::Prefill, Role::Decode, Role::Mixed] {
             let ready = || servers.values().filter(|s| s.ready && s.role == role);
             self.weight[role as usize] = average(ready().map(|s| s.weight)).unwrap_or(1.0);
             let whole = ready().map(|s| s.weight).sum::<f64>();
@@ -640,7 +640,7 @@
                 let add = |sum: &mut (f64, f64), value: f64| *sum = (sum.0 + value, sum.1 + 1.0);
                 s.others.into_iter().for_each(|v| add(&mut others[s.role as usize], v / s.memory.max(1.0)));
                 s.others_unread.into_iter().for_each(|v| add(&mut unread[s.role as usize], v));
-                if s.role != Role::Read {
+                if s.role != Role::Prefill {
                     (writers, held) = (writers + 1.0, held + s.held);
                 }
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,8 +9,8 @@
 #[test]
 fn a_deadline_already_past_gets_one_answer_at_once() {
     let mut r = Router::new(settings(), pairs());
-    let request = Request { give_up_at: r.now - S, ..r.request(1) };
-    let done = r.event(Event::Request(request));
+    let request = Request { deadline_at: r.now - S, ..r.request(1) };
+    let done = r.event(Event::RequestArrived(request));
     assert_eq!(answers(&done, 1), 1);
     assert_eq!(sent_to(&done), None);
 }
@@ -34,12 +34,12 @@
 
 #[test]
 fn an_attempt_that_never_returns_is_answered_for_before_the_client_leaves() {
-    let mut r = Router::new(Settings { probes: false, cancel: false, ..settings() }, pairs());
+    let mut r = Router::new(Settings { can_probe: false, can_cancel: false, ..settings() }, pairs());
     r.ask(1);
     r.pass(5 * S);
     assert_eq!(answers(&r.log, 1), 1);
     let after = r.log.len();
-    assert!(released(&r.outcome(1, 1, Status::Read), 1));
+    assert!(released(&r.outcome(1, 1, AttemptStatus::Prefilled), 1));
     assert_eq!(sent_to(&r.log[after..]), None);
 }
 
@@ -47,26 +47,32 @@
 fn nothing_but_a_release_follows_a_client_that_left() {
     let mut r = Router::new(settings(), pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
-    r.event(Event::Gone(RequestId(1)));
-    let done = r.outcome(1, reader, Status::Read);
-    assert_eq!(done, vec![Action::Release(RequestId(1))]);
+    r.event(Event::ClientDisconnected(RequestId(1)));
+    let done = r.outcome(1, reader, AttemptStatus::Prefilled);
+    assert_eq!(done, vec![Action::ReleaseKv(RequestId(1))]);
     assert_eq!(r.pass(6 * S), vec![]);
     // Late and unknown ones are ignored.
-    assert_eq!(r.event(Event::Gone(RequestId(1))), vec![]);
-    assert_eq!(r.event(Event::Gone(RequestId(99))), vec![]);
+    assert_eq!(r.event(Event::ClientDisconnected(RequestId(1))), vec![]);
+    assert_eq!(r.event(Event::ClientDisconnected(RequestId(99))), vec![]);
 }
 
 // 2: no double effects.
 
-fn whole_site(effect: Effect, group: Group) -> Router {
+fn whole_site(effect: Idempotency, group: DeduplicationScope) -> Router {
     let settings = Settings { classes: vec![class(effect, group)], ..settings() };
     Router::new(settings, vec![entry(21, 2, 0), entry(22, 2, 0), entry(23, 2, 1)])
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    for status in [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled, Status::Unknown] {
-        let mut r = whole_site(Effect::Unsafe, Group::All);
+    for status in [
+        AttemptStatus::Error,
+        AttemptStatus::Timeout,
+        AttemptStatus::Reset,
+        AttemptStatus::Cancelled,
+        AttemptStatus::Unknown,
+    ] {
+        let mut r = whole_site(Idempotency::NotIdempotent, DeduplicationScope::All);
         let server = sent_to(&r.ask(1)).expect("a send");
         let done = r.outcome(1, server, status);
         assert!(failed(&done, 1), "{status:?}");
@@ -76,8 +82,8 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_again() {
-    for status in [Status::Full, Status::ConnectFailed] {
-        let mut r = whole_site(Effect::Unsafe, Group::All);
+    for status in [AttemptStatus::Rejected, AttemptStatus::ConnectFailed] {
+        let mut r = whole_site(Idempotency::NotIdempotent, DeduplicationScope::All);
         let server = sent_to(&r.ask(1)).expect("a send");
         let again = sent_to(&r.outcome(1, server, status));
         assert!(again.is_some_and(|s| s != server), "{status:?}");
@@ -86,15 +92,16 @@
 
 #[test]
 fn an_unsafe_read_has_no_effect_and_is_read_again() {
-    let settings = Settings { classes: vec![class(Effect::Unsafe, Group::All)], ..settings() };
+    let settings =
+        Settings { classes: vec![class(Idempotency::NotIdempotent, DeduplicationScope::All)], ..settings() };
     let mut r = Router::new(settings, pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
-    assert!(sent_to(&r.outcome(1, reader, Status::Error)).is_some());
+    assert!(sent_to(&r.outcome(1, reader, AttemptStatus::Error)).is_some());
 }
 
 #[test]
 fn an_unsafe_request_at_a_writer_is_failed_not_refused_when_its_time_is_up() {
-    let mut r = whole_site(Effect::Unsafe, Group::All);
+    let mut r = whole_site(Idempotency::NotIdempotent, DeduplicationScope::All);
     r.ask(1);
     let done = r.pass(5 * S);
     assert!(failed(&done, 1));
@@ -103,9 +110,11 @@
 
 #[test]
 fn a_read_that_is_out_is_cancelled_before_its_request_is_refused() {
-    for (effect, group) in
-        [(Effect::Unsafe, Group::All), (Effect::Keyed, Group::Cell), (Effect::Safe, Group::All)]
-    {
+    for (effect, group) in [
+        (Idempotency::NotIdempotent, DeduplicationScope::All),
+        (Idempotency::WithKey, DeduplicationScope::Cell),
+        (Idempotency::Idempotent, DeduplicationScope::All),
+    ] {
         let settings = Settings { classes: vec![class(effect, group)], ..settings() };
         // No other reader that it would be called off for.
         let mut r = Router::new(settings, vec![entry(1, 0, 0), entry(11, 1, 0)]);
@@ -115,16 +124,23 @@
             done.iter().rposition(of).unwrap_or_else(|| panic!("{effect:?}: {done:?}"))
         };
         let cancelled = at(|a| matches!(a, Action::Cancel { .. }));
-        let answered = at(|a| matches!(a, Action::Refuse { .. }));
+        let answered = at(|a| matches!(a, Action::Reject { .. }));
         assert!(cancelled < answered, "{effect:?}: {done:?}");
     }
 }
 
 #[test]
 fn where_a_read_that_is_out_cant_be_cancelled_a_request_that_may_not_be_repeated_fails() {
-    for (effect, group) in [(Effect::Unsafe, Group::All), (Effect::Keyed, Group::Cell)] {
-        let settings =
-            Settings { classes: vec![class(effect, group)], cancel: false, probes: false, ..settings() };
+    for (effect, group) in [
+        (Idempotency::NotIdempotent, DeduplicationScope::All),
+        (Idempotency::WithKey, DeduplicationScope::Cell),
+    ] {
+        let settings = Settings {
+            classes: vec![class(effect, group)],
+            can_cancel: false,
+            can_probe: false,
+            ..settings()
+        };
         let mut r = Router::new(settings, pairs());
         r.ask(1);
         let done = r.pass(5 * S);
@@ -134,9 +150,9 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
-    let mut r = whole_site(Effect::Keyed, Group::Cell);
+    let mut r = whole_site(Idempotency::WithKey, DeduplicationScope::Cell);
     let server = sent_to(&r.ask(1)).expect("a send");
-    let again = sent_to(&r.outcome(1, server, Status::Error));
+    let again = sent_to(&r.outcome(1, server, AttemptStatus::Error));
     match server {
         21 => assert_eq!(again, Some(22)),
         22 => assert_eq!(again, Some(21)),
@@ -145,7 +161,7 @@
     // Past the window nothing is sent any more, and it is failed: its group is not all servers.
     r.pass(2 * S + 100 * MS);
     let last = again.unwrap_or(server);
-    let done = r.outcome(1, last, Status::Error);
+    let done = r.outcome(1, last, AttemptStatus::Error);
     assert_eq!(sent_to(&done), None);
     r.pass(5 * S);
     assert!(failed(&r.log, 1));
@@ -166,10 +182,10 @@
 
 #[test]
 fn a_draining_or_gone_server_gets_nothing_new() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         let mut r = Router::new(settings(), pairs());
-        r.members(ListKind::Delta, vec![Entry { state, ..entry(1, 0, 0) }]);
-        r.members(ListKind::Delta, vec![Entry { state, ..entry(11, 1, 0) }]);
+        r.members(EndpointUpdate::Delta, vec![Endpoint { state, ..entry(1, 0, 0) }]);
+        r.members(EndpointUpdate::Delta, vec![Endpoint { state, ..entry(11, 1, 0) }]);
         for id in 1..20 {
             assert_eq!(r.stream(id), (2, 12));
         }
@@ -179,7 +195,7 @@
 #[test]
 fn a_server_that_a_full_list_leaves_out_is_gone() {
     let mut r = Router::new(settings(), pairs());
-    r.members(ListKind::Full, vec![entry(2, 0, 1), entry(12, 1, 1)]);
+    r.members(EndpointUpdate::Full, vec![entry(2, 0, 1), entry(12, 1, 1)]);
     for id in 1..20 {
         assert_eq!(r.stream(id), (2, 12));
     }
@@ -187,13 +203,13 @@
 
 #[test]
 fn a_failed_call_keeps_the_list_and_asks_again() {
-    let mut r = Router::new(Settings { ask: true, ..settings() }, pairs());
-    assert!(r.log.contains(&Action::Watch(true)));
+    let mut r = Router::new(Settings { poll_endpoints: true, ..settings() }, pairs());
+    assert!(r.log.contains(&Action::WatchEndpoints(true)));
     r.log.clear();
-    r.members(ListKind::Failed, vec![]);
+    r.members(EndpointUpdate::Failed, vec![]);
     assert!(sent_to(&r.ask(1)).is_some());
     r.pass(2 * S);
-    assert!(r.log.contains(&Action::Watch(true)));
+    assert!(r.log.contains(&Action::WatchEndpoints(true)));
 }
 
 /// Found on the full fleet: in a zone cut off from the others four connections in a row did not come up, 250 ms each, and
@@ -203,13 +219,13 @@
     let writers = (11..19).map(|server| entry(server, 1, 0));
     let mut r = Router::new(settings(), [entry(1, 0, 0)].into_iter().chain(writers).collect());
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let mut writer = sent_to(&r.outcome(1, reader, Status::Read));
+    let mut writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled));
     let read_at = r.now;
     while let Some(server) = writer {
         r.pass(250 * MS);
-        let done = r.outcome(1, server, Status::ConnectFailed);
+        let done = r.outcome(1, server, AttemptStatus::ConnectFailed);
         writer = sent_to(&done);
-        let let_go = done.contains(&Action::Release(RequestId(1)));
+        let let_go = done.contains(&Action::ReleaseKv(RequestId(1)));
         assert!(writer.is_some() != let_go, "{done:?}");
     }
     // The second may still be tried in time, and a state is not given up for one connection.
@@ -217,7 +233,7 @@
 }
 
 fn send_by(done: &[Action]) -> Nanos {
-    let by = |a: &Action| if let Action::Send { by, .. } = a { Some(*by) } else { None };
+    let by = |a: &Action| if let Action::Send { send_by: by, .. } = a { Some(*by) } else { None };
     done.iter().find_map(by).expect("a send")
 }
 
@@ -227,26 +243,26 @@
     let mut r = Router::new(settings(), pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
     let read_at = r.now;
-    let written = r.outcome(1, reader, Status::Read);
+    let written = r.outcome(1, reader, AttemptStatus::Prefilled);
     assert_eq!(send_by(&written), read_at + 500 * MS);
     r.pass(400 * MS);
     // No writer was reached: the time has not begun again.
-    let again = r.outcome(1, sent_to(&written).expect("a write"), Status::ConnectFailed);
+    let again = r.outcome(1, sent_to(&written).expect("a write"), AttemptStatus::ConnectFailed);
     assert_eq!(send_by(&again), read_at + 500 * MS);
-    let too_late = r.outcome(1, sent_to(&again).expect("a write"), Status::Moot);
+    let too_late = r.outcome(1, sent_to(&again).expect("a write"), AttemptStatus::Expired);
     assert!(refused(&too_late, 1) && released(&too_late, 1), "{too_late:?}");
 }
 
 /// Found by reading: a repeat was judged when it was decided, and its connection could outlast its window.
 #[test]
 fn a_repeat_says_by_when_its_last_byte_has_to_be_out() {
-    let classes = vec![class(Effect::Keyed, Group::All)];
-    let keyed = Settings { classes, release_within: 5 * S, ..settings() };
+    let classes = vec![class(Idempotency::WithKey, DeduplicationScope::All)];
+    let keyed = Settings { classes, kv_release_within: 5 * S, ..settings() };
     let mut r = Router::new(keyed, pairs());
     let asked = r.ask(1);
     assert_eq!(send_by(&asked), Nanos::MAX, "a read has no effect");
     let reader = sent_to(&asked).expect("a read");
-    let written = r.outcome(1, reader, Status::Read);
+    let written = r.outcome(1, reader, AttemptStatus::Prefilled);
     let first = r.now;
     assert_eq!(
         send_by(&written),
@@ -254,7 +270,7 @@
         "nothing has run yet: what was read is to be let go of then"
     );
     r.pass(300 * MS);
-    let again = r.outcome(1, sent_to(&written).expect("a write"), Status::Reset);
+    let again = r.outcome(1, sent_to(&written).expect("a write"), AttemptStatus::Reset);
     assert_eq!(send_by(&again), first + 2 * S, "the window counts from the send that may have run");
 }
 
@@ -266,15 +282,15 @@
     let (mut cold, mut warm) = (0, 0);
     for id in 1..400 {
         if id == 200 {
-            let started = Entry { ready_at: Some(r.now), ..entry(1, 0, 0) };
-            r.members(ListKind::Delta, vec![started]);
+            let started = Endpoint { started_at: Some(r.now), ..entry(1, 0, 0) };
+            r.members(EndpointUpdate::Delta, vec![started]);
         }
-        let short = Request { prompt_len: 300.0, ..r.request(id) };
-        let reader = sent_to(&r.event(Event::Request(short))).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, Status::Read)).expect("a write");
+        let short = Request { prompt_tokens: 300.0, ..r.request(id) };
+        let reader = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
+        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
         r.first(id, writer);
         r.pass(20 * MS);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
         if id >= 200 {
             *(if reader == 1 { &mut cold } else { &mut warm }) += 1;
         }
@@ -286,7 +302,7 @@
 
 #[test]
 fn a_router_with_no_past_sends_a_cold_server_next_to_nothing() {
-    let started = |server, kind| Entry { ready_at: Some(100 * S), ..entry(server, kind, 0) };
+    let started = |server, kind| Endpoint { started_at: Some(100 * S), ..entry(server, kind, 0) };
     let mut r = Router::new(settings(), vec![started(1, 0), entry(11, 1, 0)]);
     for id in 1..100 {
         r.ask(id);
@@ -299,10 +315,10 @@
 #[test]
 fn what_all_routers_together_may_try_at_a_cold_server_is_divided_by_their_number() {
     let reads = |told: Option<u32>| {
-        let cold = |server, kind| Entry { ready_at: Some(100 * S), ..entry(server, kind, 0) };
-        let settings = Settings { routers: 1, cold: 60 * S, ..settings() };
+        let cold = |server, kind| Endpoint { started_at: Some(100 * S), ..entry(server, kind, 0) };
+        let settings = Settings { router_count: 1, slow_start_duration: 60 * S, ..settings() };
         let mut r = Router::new(settings, vec![cold(1, 0), entry(11, 1, 0)]);
-        told.into_iter().for_each(|routers| drop(r.event(Event::Routers(routers))));
+        told.into_iter().for_each(|routers| drop(r.event(Event::RouterCountChanged(routers))));
         for id in 1..400 {
             r.ask(id);
             r.pass(100 * MS);
@@ -318,18 +334,23 @@
 #[test]
 fn a_server_that_was_lost_counts_as_cold_when_it_answers_again() {
     // Too dear before a choice, probes still tell when a server is back.
-    let settings = Settings { probes: true, probe_price: 1.0, ..settings() };
+    let settings = Settings { can_probe: true, probe_cost: 1.0, ..settings() };
     let mut r = Router::new(settings, pairs());
     for id in 1..100 {
         let (_, writer) = r.stream(id);
         r.pass(20 * MS);
-        r.outcome(id, writer, Status::Ok);
+        r.outcome(id, writer, AttemptStatus::Ok);
     }
     let reader = sent_to(&r.ask(100)).expect("a read");
-    r.outcome(100, reader, Status::ConnectFailed);
+    r.outcome(100, reader, AttemptStatus::ConnectFailed);
     r.pass(20 * MS);
     assert!(r.log.contains(&Action::Probe(ServerId(reader))));
-    let ok = Event::Probed { server: ServerId(reader), status: Status::Ok, latency: MS, report: None };
+    let ok = Event::ProbeFinished {
+        server: ServerId(reader),
+        status: AttemptStatus::Ok,
+        latency: MS,
+        report: None,
+    };
     r.event(ok);
     let at_once = (200..220).filter(|id| sent_to(&r.ask(*id)) == Some(reader)).count();
     assert!(at_once <= 2, "{at_once}");
@@ -338,15 +359,20 @@
 /// Found on sockets: a stream that breaks off is no new process, and a worker that serves on must not be cold for it.
 #[test]
 fn a_server_that_lost_one_connection_and_answers_at_once_is_not_cold() {
-    let settings = Settings { probes: true, probe_price: 1.0, ..settings() };
+    let settings = Settings { can_probe: true, probe_cost: 1.0, ..settings() };
     let mut r = Router::new(settings, pairs());
     let reader = sent_to(&r.ask(100)).expect("a read");
-    r.outcome(100, reader, Status::Reset);
+    r.outcome(100, reader, AttemptStatus::Reset);
     r.pass(20 * MS);
     assert!(r.log.contains(&Action::Probe(ServerId(reader))));
-    r.event(Event::Probed { server: ServerId(reader), status: Status::Ok, latency: MS, report: None });
+    r.event(Event::ProbeFinished {
+        server: ServerId(reader),
+        status: AttemptStatus::Ok,
+        latency: MS,
+        report: None,
+    });
     let view = r.policy.views().find(|v| v.server == ServerId(reader)).expect("it is listed");
-    assert_eq!((view.avoided, view.cold_budget), (None, None));
+    assert_eq!((view.avoid_reason, view.slow_start_budget), (None, None));
 }
 
 /// New servers come under new ids all day: those that are gone must not stay in the books.
@@ -355,17 +381,17 @@
     let mut r = Router::new(settings(), pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
     let known = |r: &Router, server: u32| r.policy.views().any(|v| v.server == ServerId(server));
-    let gone = |server, kind| Entry { state: ServerState::Gone, ..entry(server, kind, 0) };
-    r.members(ListKind::Delta, vec![gone(reader, 0)]);
+    let gone = |server, kind| Endpoint { state: ServerState::Removed, ..entry(server, kind, 0) };
+    r.members(EndpointUpdate::Delta, vec![gone(reader, 0)]);
     assert!(known(&r, reader), "its read is out");
-    r.outcome(1, reader, Status::Reset);
+    r.outcome(1, reader, AttemptStatus::Reset);
     for next in 100..1000 {
-        r.members(ListKind::Delta, vec![entry(next, 1, 0), gone(next - 1, 1)]);
+        r.members(EndpointUpdate::Delta, vec![entry(next, 1, 0), gone(next - 1, 1)]);
     }
     assert!(!known(&r, reader));
     assert!(r.policy.views().count() <= 5, "{}", r.policy.views().count());
     // What a whole list does not name is gone too.
-    r.members(ListKind::Full, pairs());
+    r.members(EndpointUpdate::Full, pairs());
     assert_eq!(r.policy.views().count(), 4);
 }
 
@@ -375,9 +401,9 @@
 fn a_state_is_taken_or_let_go_within_the_release_time() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0)]);
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let gone = Entry { state: ServerState::Gone, ..entry(11, 1, 0) };
-    r.members(ListKind::Delta, vec![gone]);
-    r.outcome(1, reader, Status::Read);
+    let gone = Endpoint { state: ServerState::Removed, ..entry(11, 1, 0) };
+    r.members(EndpointUpdate::Delta, vec![gone]);
+    r.outcome(1, reader, AttemptStatus::Prefilled);
     let done = r.pass(490 * MS);
     assert!(released(&done, 1));
     assert_eq!(answers(&r.log, 1), 1);
@@ -387,8 +413,8 @@
 fn a_refused_or_failed_request_lets_its_state_go() {
     let mut r = Router::new(Settings { max_attempts: 2, ..settings() }, pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, Status::Read)).expect("a write");
-    let done = r.outcome(1, writer, Status::Error);
+    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
+    let done = r.outcome(1, writer, AttemptStatus::Error);
     assert_eq!(answers(&done, 1), 1);
     assert!(released(&done, 1));
 }
@@ -398,8 +424,8 @@
 fn a_state_that_a_writer_cannot_reach_is_let_go_and_read_again() {
     let mut r = Router::new(settings(), pairs());
     let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, Status::Read)).expect("a write");
-    let done = r.outcome_with(1, writer, Status::Full, 1);
+    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
+    let done = r.outcome_with(1, writer, AttemptStatus::Rejected, 1);
     assert!(released(&done, 1));
     assert!(matches!(sent_to(&done), Some(1 | 2)));
 }
@@ -408,29 +434,29 @@
 fn written(r: &mut Router) -> (u32, Nanos) {
     let reader = sent_to(&r.ask(1)).expect("a read");
     let read_at = r.now;
-    (sent_to(&r.outcome(1, reader, Status::Read)).expect("a write"), read_at)
+    (sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write"), read_at)
 }
 
 /// Reported by operators: a write that no running server had taken counted as out, and its state waited for 3.5 s.
 #[test]
 fn a_state_is_let_go_of_once_beside_a_write_that_is_not_answered() {
     for (cancel, probes) in [(true, true), (true, false), (false, true), (false, false)] {
-        for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
-            let classes = vec![class(effect, Group::All)];
-            let settings = Settings { classes, cancel, probes, ..settings() };
+        for effect in [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent] {
+            let classes = vec![class(effect, DeduplicationScope::All)];
+            let settings = Settings { classes, can_cancel: cancel, can_probe: probes, ..settings() };
             let mut r = Router::new(settings, vec![entry(1, 0, 0), entry(11, 1, 0)]);
             r.ask(1);
             r.pass(40 * MS);
-            r.outcome(1, 1, Status::Read);
+            r.outcome(1, 1, AttemptStatus::Prefilled);
             let releases =
-                |done: &[Action]| done.iter().filter(|a| **a == Action::Release(RequestId(1))).count();
+                |done: &[Action]| done.iter().filter(|a| **a == Action::ReleaseKv(RequestId(1))).count();
             assert_eq!(releases(&r.pass(400 * MS)), 0, "{effect:?}");
             let done = r.pass(100 * MS);
             assert_eq!((releases(&done), sent_to(&done), answers(&done, 1)), (1, None, 0), "{effect:?}");
             // Its answer may still come: it had arrived, and its state stayed for it.
             assert_eq!(releases(&r.pass(200 * MS)), 0, "{effect:?}");
             r.first(1, 11);
-            assert_eq!(answers(&r.outcome(1, 11, Status::Ok), 1), 0, "{effect:?}");
+            assert_eq!(answers(&r.outcome(1, 11, AttemptStatus::Ok), 1), 0, "{effect:?}");
         }
     }
 }
@@ -438,7 +464,7 @@
 /// A server that did not answer may never have heard of the write: the time of the state has not begun anew.
 #[test]
 fn the_end_of_an_unanswered_write_does_not_begin_the_release_time_anew() {
-    for status in [Status::Reset, Status::Timeout, Status::Cancelled] {
+    for status in [AttemptStatus::Reset, AttemptStatus::Timeout, AttemptStatus::Cancelled] {
         let mut r = Router::new(settings(), pairs());
         let (writer, read_at) = written(&mut r);
         r.pass(200 * MS);
@@ -446,7 +472,7 @@
         assert_eq!(send_by(&again), read_at + 500 * MS, "{status:?}");
     }
     // One that answered had it, or left it where it was.
-    for status in [Status::Full, Status::Error] {
+    for status in [AttemptStatus::Rejected, AttemptStatus::Error] {
         let mut r = Router::new(settings(), pairs());
         let (writer, read_at) = written(&mut r);
         r.pass(200 * MS);
@@ -461,7 +487,7 @@
     let mut r = Router::new(settings(), pairs());
     let (writer, _) = written(&mut r);
     assert!(released(&r.pass(600 * MS), 1));
-    let again = sent_to(&r.outcome(1, writer, Status::Reset)).expect("another send");
+    let again = sent_to(&r.outcome(1, writer, AttemptStatus::Reset)).expect("another send");
     assert!([1, 2].contains(&again), "sent to {again}");
 }
 
@@ -469,25 +495,35 @@
 #[test]
 fn a_writer_that_does_not_answer_a_probe_is_left_for_another() {
     for answers_probes in [false, true] {
-        let mut r = Router::new(Settings { probes: true, ..settings() }, pairs());
+        let mut r = Router::new(Settings { can_probe: true, ..settings() }, pairs());
         let mut done = r.ask(1);
         done.extend(r.pass(40 * MS));
         let reader = sent_to(&done).expect("a read");
         for server in [1, 2, 11, 12].map(ServerId) {
-            r.event(Event::Probed { server, status: Status::Ok, latency: 2 * MS, report: None });
+            r.event(Event::ProbeFinished {
+                server,
+                status: AttemptStatus::Ok,
+                latency: 2 * MS,
+                report: None,
+            });
         }
-        let writer = sent_to(&r.outcome(1, reader, Status::Read)).expect("a write");
+        let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
         let server = ServerId(writer);
         let probed = r.pass(200 * MS);
         assert!(probed.contains(&Action::Probe(server)), "{probed:?}");
         if answers_probes {
-            r.event(Event::Probed { server, status: Status::Ok, latency: 2 * MS, report: None });
+            r.event(Event::ProbeFinished {
+                server,
+                status: AttemptStatus::Ok,
+                latency: 2 * MS,
+                report: None,
+            });
         }
         let done = r.pass(150 * MS);
         let cancelled = done.iter().any(|a| matches!(a, Action::Cancel { .. }));
         assert_eq!(cancelled, !answers_probes, "{done:?}");
         if cancelled {
-            let other = sent_to(&r.outcome(1, writer, Status::Cancelled)).expect("a send");
+            let other = sent_to(&r.outcome(1, writer, AttemptStatus::Cancelled)).expect("a send");
             assert!([11, 12].contains(&other) && other != writer, "sent to {other}");
         }
     }
@@ -496,7 +532,7 @@
 /// A client leaves while its write is out and can't be cancelled: nobody may ever hear of the write's end.
 #[test]
 fn what_a_client_leaves_behind_a_write_is_let_go_of_at_once() {
-    let mut r = Router::new(Settings { cancel: false, ..settings() }, pairs());
+    let mut r = Router::new(Settings { can_cancel: false, ..settings() }, pairs());
     written(&mut r);
-    assert!(released(&r.event(Event::Gone(RequestId(1))), 1));
+    assert!(released(&r.event(Event::ClientDisconnected(RequestId(1))), 1));
 }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -13,10 +13,10 @@
 
 /// The plain module, older than reasons, says none.
 fn without_why(action: Action) -> Action {
-    let why = Reason::Deadline.into();
+    let why = GiveUpReason::DeadlineExceeded.into();
     match action {
-        Action::Refuse { id, retry_after, .. } => Action::Refuse { id, retry_after, why },
-        Action::Fail { id, .. } => Action::Fail { id, why },
+        Action::Reject { id, retry_after, .. } => Action::Reject { id, retry_after, cause: why },
+        Action::Fail { id, .. } => Action::Fail { id, cause: why },
         other => other,
     }
 }
@@ -45,33 +45,41 @@
         self.due.insert((self.now + after, self.number), event);
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         let memory = self.draw(110) as f64 / 100.0;
         let queue = self.draw(20) as f64;
-        self.reports.then_some(Report { queue: Some(queue), memory: Some(memory), ..Report::default() })
+        self.reports.then_some(LoadReport {
+            queued: Some(queue),
+            memory_utilization: Some(memory),
+            ..LoadReport::default()
+        })
     }
 
     fn act(&mut self, action: &Action) {
         match action {
-            Action::Timer { token, delay } => self.later(*delay, Event::Timer(*token)),
+            Action::SetTimer { token, delay } => self.later(*delay, Event::TimerFired(*token)),
             Action::Probe(server) => {
                 let latency = 1 + self.draw(200) * MS;
-                let status =
-                    [Status::Ok, Status::Ok, Status::Timeout, Status::ConnectFailed][self.draw(4) as usize];
+                let status = [
+                    AttemptStatus::Ok,
+                    AttemptStatus::Ok,
+                    AttemptStatus::Timeout,
+                    AttemptStatus::ConnectFailed,
+                ][self.draw(4) as usize];
                 let report = self.report();
-                self.later(latency, Event::Probed { server: *server, status, latency, report });
+                self.later(latency, Event::ProbeFinished { server: *server, status, latency, report });
             }
             Action::Send { id, server, .. } => self.on_send(*id, *server),
             Action::Cancel { id, attempt } => {
                 self.due.retain(|_, e| match e {
-                    Event::Outcome(o) => (o.id, o.attempt) != (*id, *attempt),
-                    Event::First { id: i, attempt: a, .. } => (*i, *a) != (*id, *attempt),
+                    Event::AttemptFinished(o) => (o.id, o.attempt) != (*id, *attempt),
+                    Event::FirstToken { id: i, attempt: a, .. } => (*i, *a) != (*id, *attempt),
                     _ => true,
                 });
                 let closed = !self.open.contains(&id.0);
-                self.outcome(0, *id, *attempt, ServerId(0), Status::Cancelled, closed);
+                self.outcome(0, *id, *attempt, ServerId(0), AttemptStatus::Cancelled, closed);
             }
-            Action::Refuse { id, .. } | Action::Fail { id, .. } => drop(self.open.remove(&id.0)),
+            Action::Reject { id, .. } | Action::Fail { id, .. } => drop(self.open.remove(&id.0)),
             _ => {}
         }
     }
@@ -80,39 +88,55 @@
         &mut self,
         after: Nanos,
         id: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         server: ServerId,
-        status: Status,
+        status: AttemptStatus,
         closed: bool,
     ) {
-        let note = if status == Status::Full { self.draw(2) } else { 0 };
+        let kv_cache_missing = status == AttemptStatus::Rejected && self.draw(2) == 1;
         let report = self.report();
-        let outcome = Outcome { id, attempt, server, status, latency: after, closed, note, report };
-        self.later(after, Event::Outcome(outcome));
+        let outcome = AttemptOutcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency: after,
+            request_finished: closed,
+            cached_prompt_tokens: 0,
+            kv_cache_missing,
+            report,
+        };
+        self.later(after, Event::AttemptFinished(outcome));
     }
 
     fn on_send(&mut self, id: RequestId, server: ServerId) {
         let no = self.attempts.entry(id.0).or_default();
-        let attempt = AttemptNo(*no);
+        let attempt = AttemptNumber(*no);
         *no += 1;
         let reader = server.0.is_multiple_of(3);
         let latency = (1 + self.draw(600)) * MS;
-        let bad = [Status::Error, Status::Full, Status::Timeout, Status::ConnectFailed, Status::Reset];
+        let bad = [
+            AttemptStatus::Error,
+            AttemptStatus::Rejected,
+            AttemptStatus::Timeout,
+            AttemptStatus::ConnectFailed,
+            AttemptStatus::Reset,
+        ];
         if self.draw(5) == 0 {
             let status = bad[self.draw(5) as usize];
             return self.outcome(latency, id, attempt, server, status, false);
         }
         if reader {
-            return self.outcome(latency, id, attempt, server, Status::Read, false);
+            return self.outcome(latency, id, attempt, server, AttemptStatus::Prefilled, false);
         }
-        self.later(latency, Event::First { id, attempt, server, latency });
+        self.later(latency, Event::FirstToken { id, attempt, server, latency });
         let whole = latency + (1 + self.draw(4000)) * MS;
-        self.outcome(whole, id, attempt, server, Status::Ok, true);
+        self.outcome(whole, id, attempt, server, AttemptStatus::Ok, true);
     }
 
-    fn entries(&mut self) -> Vec<Entry> {
+    fn entries(&mut self) -> Vec<Endpoint> {
         (1..=self.servers)
-            .map(|n| Entry {
+            .map(|n| Endpoint {
                 server: ServerId(n),
                 zone: Some(ZoneId((n % 2) as usize)),
                 kind: Some(KindId(if n % 3 == 0 {
@@ -126,7 +150,7 @@
                 state: [ServerState::Ready, ServerState::Ready, ServerState::Ready, ServerState::Draining]
                     [self.draw(4) as usize],
                 weight: Some(1.0 + (n % 3) as f64),
-                ready_at: (self.draw(6) == 0).then_some(self.now),
+                started_at: (self.draw(6) == 0).then_some(self.now),
             })
             .collect()
     }
@@ -138,52 +162,65 @@
             id: RequestId(id),
             class: ClassId(self.draw(3) as usize),
             tenant: Some(TenantId(self.draw(2) as usize)),
-            session: Some(Key(self.draw(40))),
-            prefix: (self.draw(3) > 0).then_some(Key(self.draw(5))),
-            prompt_len: (100 + self.draw(3000)) as f64,
-            prefix_len: self.draw(900) as f64,
-            max_out: (20 + self.draw(400)) as f64,
-            hint: (self.draw(2) == 0).then_some((1 + self.draw(200)) * 50 * MS),
-            give_up_at: self.now + patience,
-            retry: false,
-            again: false,
+            session: Some(AffinityKey(self.draw(40))),
+            prefix: (self.draw(3) > 0).then_some(AffinityKey(self.draw(5))),
+            prompt_tokens: (100 + self.draw(3000)) as f64,
+            prefix_tokens: self.draw(900) as f64,
+            max_output_tokens: (20 + self.draw(400)) as f64,
+            expected_duration: (self.draw(2) == 0).then_some((1 + self.draw(200)) * 50 * MS),
+            deadline_at: self.now + patience,
+            client_retry: false,
+            client_reconnect: false,
         }
     }
 }
 
 fn settings(draws: u64) -> Settings {
-    let class = |effect, aim: Nanos| Class {
-        effect,
-        group: Group::Cell,
-        window: 3 * S,
-        aim,
-        aim_per_token: 40_000.0,
+    let class = |effect, aim: Nanos| TrafficClass {
+        idempotency: effect,
+        deduplication_scope: DeduplicationScope::Cell,
+        deduplication_window: 3 * S,
+        latency_objective: aim,
+        latency_objective_per_prompt_token: 40_000.0,
         deadline: 6 * S,
-        token_aim: 50 * MS,
-        worth: 1.0,
-        late_worth: 0.2,
+        token_latency_objective: 50 * MS,
+        priority_weight: 1.0,
+        late_priority_weight: 0.2,
         streamed: true,
     };
     Settings {
         seed: draws,
-        routers: 1 + (draws % 3) as u32,
-        classes: vec![class(Effect::Safe, S), class(Effect::Keyed, 2 * S), class(Effect::Unsafe, 3 * S)],
-        tenants: vec![Tenant { share: 0.5, quota_per_s: 4.0 }, Tenant { share: 0.5, quota_per_s: 0.0 }],
-        roles: vec![Role::Read, Role::Write, Role::Both],
-        memory: vec![60_000.0, 9_000.0, if draws & 64 > 0 { 0.0 } else { 12_000.0 }],
-        self_prefill: draws & 4 > 0,
-        release_within: 500 * MS,
-        cancel: draws & 8 > 0,
-        probes: draws & 16 > 0,
-        retry_after: true,
+        router_count: 1 + (draws % 3) as u32,
+        classes: vec![
+            class(Idempotency::Idempotent, S),
+            class(Idempotency::WithKey, 2 * S),
+            class(Idempotency::NotIdempotent, 3 * S),
+        ],
+        tenants: vec![
+            Tenant { quota_share: 0.5, quota_per_second: 4.0 },
+            Tenant { quota_share: 0.5, quota_per_second: 0.0 },
+        ],
+        kinds: vec![
+            ServerKind { role: Some(Role::Prefill), kv_capacity_tokens: 60_000.0 },
+            ServerKind { role: Some(Role::Decode), kv_capacity_tokens: 9_000.0 },
+            ServerKind {
+                role: Some(Role::Mixed),
+                kv_capacity_tokens: if draws & 64 > 0 { 0.0 } else { 12_000.0 },
+            },
+        ],
+        decode_workers_can_prefill: draws & 4 > 0,
+        kv_release_within: 500 * MS,
+        can_cancel: draws & 8 > 0,
+        can_probe: draws & 16 > 0,
+        can_send_retry_after: true,
         max_retry_after: S,
         max_attempts: 5,
         drain_grace: 500 * MS,
-        cold_from: 0.3,
-        cold: 3 * S,
-        fall_multiple: 2.5,
-        fall: S,
-        probe_price: 0.001,
+        slow_start_speed: 0.3,
+        slow_start_duration: 3 * S,
+        overload_factor: 2.5,
+        overload_window: S,
+        probe_cost: 0.001,
         ..Settings::default()
     }
 }
@@ -203,20 +240,20 @@
         reports: draws & 32 > 0,
     };
     let entries = world.entries();
-    world.later(0, Event::Members { kind: ListKind::Full, entries: entries.into() });
+    world.later(0, Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: entries.into() });
     for id in 1..=requests {
         let request = world.request(id);
         let at = gap * id + world.draw(gap);
-        let request = Request { give_up_at: request.give_up_at + at, ..request };
-        world.later(at, Event::Request(request));
+        let request = Request { deadline_at: request.deadline_at + at, ..request };
+        world.later(at, Event::RequestArrived(request));
         if world.draw(9) == 0 {
             let after = at + world.draw(3000) * MS;
-            world.later(after, Event::Gone(RequestId(id)));
+            world.later(after, Event::ClientDisconnected(RequestId(id)));
         }
         if world.draw(40) == 0 {
             let entries = world.entries();
-            let kind = if world.draw(2) == 0 { ListKind::Full } else { ListKind::Delta };
-            world.later(at, Event::Members { kind, entries: entries.into() });
+            let kind = if world.draw(2) == 0 { EndpointUpdate::Full } else { EndpointUpdate::Delta };
+            world.later(at, Event::EndpointsChanged { update: kind, endpoints: entries.into() });
         }
     }
     let end = world.now + gap * requests + 20 * S;
@@ -224,13 +261,13 @@
         world.now = at;
         let event = match event {
             // The client can't leave what is answered, and what is closed is told so.
-            Event::Gone(id) if !world.open.remove(&id.0) => continue,
-            Event::Outcome(o) => {
-                let closed = o.closed || !world.open.contains(&o.id.0);
-                if o.closed {
+            Event::ClientDisconnected(id) if !world.open.remove(&id.0) => continue,
+            Event::AttemptFinished(o) => {
+                let closed = o.request_finished || !world.open.contains(&o.id.0);
+                if o.request_finished {
                     world.open.remove(&o.id.0);
                 }
-                Event::Outcome(Outcome { closed, ..o })
+                Event::AttemptFinished(AttemptOutcome { request_finished: closed, ..o })
             }
             event => event,
         };
