--- a/crates/gaparch-simhost/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -1,9 +1,9 @@
 //! Keeps the instances apart and hands each its events in order.
 
 use crate::wire::{self, need, Batch, Parsed, RawEntry};
-use gaparch::api::{Event, ListKind};
-use gaparch::policy::Policy;
-use gaparch_site::{whole, Site};
+use gaparch_platform_settings::{whole, Site};
+use gaparch_scheduler::api::{EndpointUpdate, Event};
+use gaparch_scheduler::policy::Policy;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,7 +40,8 @@
         }
         let who = need(event, "who", whole)?;
         if kind == "init" {
-            let site = gaparch_site::read(need(event, "env", object)?, need(event, "entropy", seed)?);
+            let site =
+                gaparch_platform_settings::read(need(event, "env", object)?, need(event, "entropy", seed)?);
             let policy = Policy::new(site.settings.clone());
             self.instances.insert(who, Instance { site, policy });
             return Ok(());
@@ -63,12 +64,15 @@
 
 fn members(event: &Value, site: &Site, tables: &BTreeMap<u64, Vec<RawEntry>>) -> Parsed<Event> {
     let kind = wire::list_kind(event)?;
-    if kind == ListKind::Failed {
-        return Ok(Event::Members { kind, entries: Arc::from([]) });
+    if kind == EndpointUpdate::Failed {
+        return Ok(Event::EndpointsChanged { update: kind, endpoints: Arc::from([]) });
     }
     let table = need(event, "table", whole)?;
     let entries = tables.get(&table).ok_or_else(|| format!("rosterChange: list {table} was never given"))?;
-    Ok(Event::Members { kind, entries: entries.iter().map(|e| wire::entry(e, site)).collect() })
+    Ok(Event::EndpointsChanged {
+        update: kind,
+        endpoints: entries.iter().map(|e| wire::entry(e, site)).collect(),
+    })
 }
 
 fn object(value: &Value) -> Option<&Value> {
--- a/crates/gaparch-lab/src/fleet/rig.rs
+++ b/crates/gaparch-testbed/src/fleet/rig.rs
@@ -20,13 +20,13 @@
 use crate::ports;
 use crate::record::{Ask, Record, What};
 use crate::site::{self, Plan, Site, SiteError, OFFICE_KEY};
-use gaparch::api::ServerState;
 use gaparch_engine::ConnId;
 use gaparch_net::{Credentials, OpsClient, Place};
 use gaparch_protocol::ops::intent::{Change, Hold, Intent, Subject};
 use gaparch_protocol::ops::view::{FleetView, Happening};
 use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
 use gaparch_protocol::versions::AuditFilter;
+use gaparch_scheduler::api::ServerState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -310,7 +310,7 @@
             DeedKind::List => {
                 let state = match deed.state {
                     Some(Listed::Draining) => ServerState::Draining,
-                    Some(Listed::Gone) => ServerState::Gone,
+                    Some(Listed::Gone) => ServerState::Removed,
                     Some(Listed::Ready) | None => ServerState::Ready,
                 };
                 let engine = deed.engine.as_deref().unwrap_or_default();
