--- a/crates/gaparch-cli/src/commands/doctor.rs
+++ b/crates/gaparch-cli/src/commands/doctor.rs
@@ -11,7 +11,7 @@
 use gaparch_protocol::ops::view::Happening;
 use gaparch_protocol::DEFAULT_MAX_FRAME;
 use gaparch_setup::doctor::{judge, EngineSeen, FileSeen, Level, PortSeen, Seen, StateSeen};
-use gaparch_store::{Folder, History, HistoryLimits, Journal, StoreError};
+use gaparch_store::{History, HistoryLimits, Journal, StateDirectory, StoreError};
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -108,7 +108,7 @@
 /// Looks at what is kept, if no router has it.
 fn state(folder: &Path) -> StateSeen {
     let read = || -> Result<StateSeen, StoreError> {
-        let folder = Folder::open(folder)?;
+        let folder = StateDirectory::open(folder)?;
         let (_, found) = Journal::open(folder.share(), "intents", SCHEMA)?;
         let mut last_event_at = 0;
         let take = |_, bytes: &[u8]| {
@@ -120,7 +120,9 @@
     };
     match read() {
         Ok(seen) => seen,
-        Err(StoreError::InUse { by, .. }) => StateSeen::InUse(by.unwrap_or_else(|| "unknown".to_owned())),
+        Err(StoreError::InUse { process: by, .. }) => {
+            StateSeen::InUse(by.unwrap_or_else(|| "unknown".to_owned()))
+        }
         Err(error) => StateSeen::Wrong(error.to_string()),
     }
 }
--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand};
 use gaparch_net::Clock;
 use gaparch_router::shell::{Disks, FleetDisks};
-use gaparch_store::Folder;
+use gaparch_store::StateDirectory;
 use gaparch_testbed::fleet::day::Day;
 use gaparch_testbed::fleet::lying::{Lie, LyingDisk};
 use gaparch_testbed::fleet::{days, picture, process, rig};
@@ -214,7 +214,7 @@
             let operations = config.operations.as_ref();
             let operations =
                 operations.ok_or("its settings have no <operations>: it keeps nothing on disk")?;
-            let disk = LyingDisk::new(Folder::open(&operations.state)?, lie)?;
+            let disk = LyingDisk::new(StateDirectory::open(&operations.state)?, lie)?;
             let share = || Box::new(disk.clone());
             let fleet = FleetDisks::of(|| share());
             Some(Disks { intents: share(), events: share(), endings: share(), fleet })
--- a/crates/gaparch-router/src/shell/audit.rs
+++ b/crates/gaparch-router/src/shell/audit.rs
@@ -5,7 +5,7 @@
 use gaparch_net::Clock;
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::Piece;
-use gaparch_store::{Disk, Folder, History, HistoryLimits, Journal, StoreError};
+use gaparch_store::{Disk, History, HistoryLimits, Journal, StateDirectory, StoreError};
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 const CLOSE_EVERY: Duration = Duration::from_secs(5);
 /// The records' meaning: one piece; of the mark: the number of the last piece written.
 const SCHEMA: u16 = 1;
-const LIMITS: HistoryLimits = HistoryLimits { segment: 1 << 20, segments: 16 };
+const LIMITS: HistoryLimits = HistoryLimits { segment_bytes: 1 << 20, max_segments: 16 };
 /// Marks before their journal is written anew.
 const MARKS: u64 = 1024;
 
@@ -59,7 +59,7 @@
         history.flush().map_err(|e| e.to_string())?;
         let mark = self.mark.as_mut().ok_or("the folder can't be read")?;
         let number = piece.number.to_be_bytes();
-        let written = match mark.is_broken() || mark.records() > MARKS {
+        let written = match mark.needs_rewrite() || mark.records() > MARKS {
             true => mark.rewrite([number]),
             false => mark.append(&[number]),
         };
@@ -72,7 +72,7 @@
 /// # Errors
 /// When the folder can't be had, or another has it.
 pub fn verify(folder: &Path) -> Result<Chain, StoreError> {
-    let folder = Folder::open(folder)?;
+    let folder = StateDirectory::open(folder)?;
     let mut chain = Chain::default();
     History::open(folder.share(), "audit", SCHEMA, LIMITS, |_, body| {
         from_bytes(body).iter().for_each(|piece| chain.take(piece));
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -712,7 +712,7 @@
     fn write(&mut self, incarnation: u64) -> Result<(), String> {
         let record = incarnation.to_be_bytes();
         let journal = self.journal.as_mut().ok_or_else(|| self.trouble.clone().unwrap_or_default())?;
-        let result = if journal.is_broken() || journal.records() > SLACK {
+        let result = if journal.needs_rewrite() || journal.records() > SLACK {
             journal.rewrite([record])
         } else {
             journal.append(&[record])
--- a/crates/gaparch-router/src/shell/ops/historian.rs
+++ b/crates/gaparch-router/src/shell/ops/historian.rs
@@ -38,7 +38,8 @@
         chronicle: &mut Chronicle,
         ledger: &mut Ledger,
     ) -> Result<Historian, StoreError> {
-        let limits = |bytes: u64| HistoryLimits { segment: bytes / SEGMENTS as u64, segments: SEGMENTS };
+        let limits =
+            |bytes: u64| HistoryLimits { segment_bytes: bytes / SEGMENTS as u64, max_segments: SEGMENTS };
         let take_event = |_, bytes: &[u8]| {
             from_bytes::<Happening>(bytes).into_iter().for_each(|event| chronicle.add(event));
         };
@@ -69,7 +70,7 @@
             if let Some(written) = written {
                 let _ = written.send(());
             }
-            let dropped = events.dropped() + endings.dropped();
+            let dropped = events.dropped_records() + endings.dropped_records();
             self.parts = Some((events, endings));
             let trouble = result.err().map(|e| format!("{e}; {dropped} records were left out so far"));
             if told.as_ref() != Some(&trouble) {
--- a/crates/gaparch-router/src/shell/ops/keeper.rs
+++ b/crates/gaparch-router/src/shell/ops/keeper.rs
@@ -51,7 +51,7 @@
             tracing::error!(unread, "orders on disk could not be read; the file is kept beside");
         }
         let mut behind = None;
-        if journal.is_broken() {
+        if journal.needs_rewrite() {
             behind = journal.rewrite(book.changes().iter().map(to_bytes)).err().map(|e| e.to_string());
         }
         Ok((Keeper { journal: Some(journal), book: book.clone(), behind }, book))
--- a/crates/gaparch-router/src/shell/ops/mod.rs
+++ b/crates/gaparch-router/src/shell/ops/mod.rs
@@ -31,7 +31,7 @@
 use gaparch_protocol::ops::view::{EngineView, Figures, Happening, Setting, Severity};
 use gaparch_protocol::ops::OpsRole;
 use gaparch_scheduler::api::{Nanos, RequestId};
-use gaparch_store::{Disk, Folder, StoreError};
+use gaparch_store::{Disk, StateDirectory, StoreError};
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -88,7 +88,7 @@
     /// # Errors
     /// When it can't be had, or another router has it.
     pub fn open(settings: &Operations) -> Result<Disks, StoreError> {
-        let folder = Folder::open(&settings.state)?;
+        let folder = StateDirectory::open(&settings.state)?;
         let (events, endings) = (Box::new(folder.share()), Box::new(folder.share()));
         let fleet = FleetDisks::of(|| Box::new(folder.share()));
         Ok(Disks { fleet, intents: Box::new(folder), events, endings })
--- a/crates/gaparch-store/src/faulty.rs
+++ b/crates/gaparch-store/src/faulty.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails on purpose, for tests of whatever stands on the store.
+//! A disk in memory that fails on purpose, for tests of the code that uses a store.
 
 use crate::disk::Disk;
 use std::collections::BTreeMap;
@@ -9,65 +9,70 @@
 #[derive(Clone, Debug, Default)]
 struct File {
     bytes: Vec<u8>,
-    /// So many of them are on the disk for sure.
-    synced: usize,
+    /// The first bytes, this many, survive a crash.
+    synced_bytes: usize,
 }
 
-/// What is wrong with a disk.
+/// The faults of a disk; by default there are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// The power goes in the middle of the operation of this number, counted from 0 and from now on.
+    /// The disk crashes in the middle of this operation, counted from 0 since the faults were set.
     pub crash_at: Option<u64>,
-    /// Room for so many bytes in all.
-    pub room: Option<usize>,
+    /// The most bytes of all files together.
+    pub capacity_bytes: Option<usize>,
+    /// Each operation that changes something fails.
     pub read_only: bool,
-    /// Each sync fails, and leaves what it should have kept in doubt.
+    /// Each sync fails, and the unsynced bytes may be lost in a crash.
     pub sync_fails: bool,
-    /// A rename takes effect, and fails all the same: what comes after it, as the folder's sync, went wrong.
+    /// A rename takes effect but reports an error, as if the sync of the directory had failed after it.
     pub rename_fails_late: bool,
-    /// Each write and sync takes so long.
-    pub slow: Duration,
+    /// How long each operation that changes something takes.
+    pub delay: Duration,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct DiskState {
     files: BTreeMap<String, File>,
     faults: Faults,
     operations: u64,
     crashed: bool,
 }
 
-/// Clones are the same disk.
+/// A disk in memory with [`Faults`]. Clones are the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk {
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<DiskState>>,
 }
 
-/// What is left of bytes that were written but not synced when the power went.
+/// What a crash leaves of bytes that were written but not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsynced {
+    /// None of them.
     Lost,
+    /// All of them.
     Kept,
     /// The first half of them.
     Half,
 }
 
 impl FaultyDisk {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, DiskState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn set(&self, faults: Faults) {
-        let mut inner = self.lock();
-        inner.faults = faults;
-        inner.operations = 0;
+    /// Sets the faults from now on, and counts operations from 0 again.
+    pub fn set_faults(&self, faults: Faults) {
+        let mut state = self.lock();
+        state.faults = faults;
+        state.operations = 0;
     }
 
-    /// Operations that change something, since the faults were set.
+    /// The number of operations that change something since the faults were set.
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
+    /// Whether the disk has crashed: every operation that changes something fails from then on.
     pub fn has_crashed(&self) -> bool {
         self.lock().crashed
     }
@@ -76,50 +81,51 @@
     pub fn after_crash(&self, unsynced: Unsynced) -> FaultyDisk {
         let mut files = self.lock().files.clone();
         for file in files.values_mut() {
-            let more = file.bytes.len() - file.synced;
-            let kept = match unsynced {
+            let unsynced_bytes = file.bytes.len() - file.synced_bytes;
+            let surviving_bytes = match unsynced {
                 Unsynced::Lost => 0,
-                Unsynced::Kept => more,
-                Unsynced::Half => more / 2,
+                Unsynced::Kept => unsynced_bytes,
+                Unsynced::Half => unsynced_bytes / 2,
             };
-            file.bytes.truncate(file.synced + kept);
-            file.synced = file.bytes.len();
+            file.bytes.truncate(file.synced_bytes + surviving_bytes);
+            file.synced_bytes = file.bytes.len();
         }
-        FaultyDisk { inner: Arc::new(Mutex::new(Inner { files, ..Inner::default() })) }
+        FaultyDisk { state: Arc::new(Mutex::new(DiskState { files, ..DiskState::default() })) }
     }
 
-    /// Changes bytes behind the store's back.
-    pub fn harm(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
+    /// Changes the bytes of a file without the knowledge of the store.
+    pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         if let Some(file) = self.lock().files.get_mut(name) {
             change(&mut file.bytes);
-            file.synced = file.bytes.len();
+            file.synced_bytes = file.bytes.len();
         }
     }
 
+    /// The bytes of all files together.
     pub fn bytes(&self) -> usize {
         self.lock().files.values().map(|f| f.bytes.len()).sum()
     }
 
-    /// Begins an operation that changes something; what it has to do if the power goes in the middle of it.
-    fn begin(&self) -> io::Result<(MutexGuard<'_, Inner>, bool)> {
-        let slow = self.lock().faults.slow;
-        std::thread::sleep(slow);
-        let mut inner = self.lock();
-        if inner.crashed {
-            return Err(io::Error::other("the power is off"));
+    /// Begins an operation that changes something. The flag says that the disk crashes in the middle of it.
+    fn begin(&self) -> io::Result<(MutexGuard<'_, DiskState>, bool)> {
+        let delay = self.lock().faults.delay;
+        std::thread::sleep(delay);
+        let mut state = self.lock();
+        if state.crashed {
+            return Err(io::Error::other("the disk has crashed"));
         }
-        if inner.faults.read_only {
+        if state.faults.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
-        let crashes = inner.faults.crash_at == Some(inner.operations);
-        inner.operations += 1;
-        inner.crashed = crashes;
-        Ok((inner, crashes))
+        let crashes = state.faults.crash_at == Some(state.operations);
+        state.operations += 1;
+        state.crashed = crashes;
+        Ok((state, crashes))
     }
 }
 
-fn off() -> io::Error {
-    io::Error::other("the power went")
+fn crash_error() -> io::Error {
+    io::Error::other("the disk crashed in the middle of the operation")
 }
 
 impl Disk for FaultyDisk {
@@ -132,61 +138,63 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let (mut inner, crashes) = self.begin()?;
-        let used: usize = inner.files.values().map(|f| f.bytes.len()).sum();
-        let room = inner.faults.room.map_or(usize::MAX, |room| room.saturating_sub(used));
-        let written = bytes.len().min(room).min(if crashes { bytes.len() / 2 } else { usize::MAX });
-        inner.files.entry(name.to_owned()).or_default().bytes.extend_from_slice(&bytes[..written]);
+        let (mut state, crashes) = self.begin()?;
+        let used: usize = state.files.values().map(|f| f.bytes.len()).sum();
+        let capacity = state.faults.capacity_bytes.unwrap_or(usize::MAX);
+        let free = capacity.saturating_sub(used);
+        let attempted = if crashes { bytes.len() / 2 } else { bytes.len() };
+        let written = attempted.min(free);
+        state.files.entry(name.to_owned()).or_default().bytes.extend_from_slice(&bytes[..written]);
         match (crashes, written < bytes.len()) {
-            (true, _) => Err(off()),
+            (true, _) => Err(crash_error()),
             (false, true) => Err(io::ErrorKind::StorageFull.into()),
             (false, false) => Ok(()),
         }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let (mut inner, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin()?;
         if crashes {
-            return Err(off());
+            return Err(crash_error());
         }
-        if inner.faults.sync_fails {
-            return Err(io::Error::other("an error of the device"));
+        if state.faults.sync_fails {
+            return Err(io::Error::other("device error"));
         }
-        let file = inner.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
-        file.synced = file.bytes.len();
+        let file = state.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        file.synced_bytes = file.bytes.len();
         Ok(())
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let (mut inner, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin()?;
         if crashes {
-            return Err(off());
+            return Err(crash_error());
         }
-        let file = inner.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        let file = state.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         file.bytes.truncate(usize::try_from(length).unwrap_or(usize::MAX));
-        file.synced = file.synced.min(file.bytes.len());
+        file.synced_bytes = file.synced_bytes.min(file.bytes.len());
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let (mut inner, crashes) = self.begin()?;
-        // It is atomic: the power goes before it.
+        let (mut state, crashes) = self.begin()?;
+        // A rename is atomic: the crash comes before it.
         if crashes {
-            return Err(off());
+            return Err(crash_error());
         }
-        let file = inner.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        inner.files.insert(to.to_owned(), file);
-        if inner.faults.rename_fails_late {
-            return Err(io::Error::other("an error of the device"));
+        let file = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        state.files.insert(to.to_owned(), file);
+        if state.faults.rename_fails_late {
+            return Err(io::Error::other("device error"));
         }
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let (mut inner, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin()?;
         if crashes {
-            return Err(off());
+            return Err(crash_error());
         }
-        inner.files.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
+        state.files.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
--- a/crates/gaparch-store/src/format.rs
+++ b/crates/gaparch-store/src/format.rs
@@ -1,118 +1,138 @@
-//! Heads and records as bytes.
+//! The bytes of file headers and records.
 
 use crate::StoreError;
 
-/// The format written here.
+/// The version of the file format written here.
 pub const FORMAT: u16 = 1;
-/// Bytes of a record's body at most: 1 MiB.
-pub const MAX_RECORD: usize = 1 << 20;
+/// The most bytes of a record's body: 1 MiB.
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 const MAGIC: &[u8; 8] = b"gaparch\n";
-pub(crate) const HEAD: usize = 16;
-const RECORD_HEAD: usize = 8;
+pub(crate) const FILE_HEADER_BYTES: usize = 16;
+const RECORD_HEADER_BYTES: usize = 8;
 
-pub(crate) fn head(schema: u16) -> [u8; HEAD] {
-    let mut head = [0; HEAD];
-    head[..8].copy_from_slice(MAGIC);
-    head[8..10].copy_from_slice(&FORMAT.to_be_bytes());
-    head[10..12].copy_from_slice(&schema.to_be_bytes());
-    let sum = crc32fast::hash(&head[..12]);
-    head[12..].copy_from_slice(&sum.to_be_bytes());
-    head
+/// The header of a file whose records have the given schema.
+pub(crate) fn file_header(schema: u16) -> [u8; FILE_HEADER_BYTES] {
+    let mut header = [0; FILE_HEADER_BYTES];
+    header[..8].copy_from_slice(MAGIC);
+    header[8..10].copy_from_slice(&FORMAT.to_be_bytes());
+    header[10..12].copy_from_slice(&schema.to_be_bytes());
+    let checksum = crc32fast::hash(&header[..12]);
+    header[12..].copy_from_slice(&checksum.to_be_bytes());
+    header
 }
 
-/// What a file's first bytes say.
+/// What a file's header says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Head {
+pub(crate) enum FileHeader {
+    /// The header is valid and names this schema.
     Schema(u16),
-    /// Cut off or not one of ours.
+    /// The header is cut off, or is not one of this format.
     Damaged,
 }
 
-pub(crate) fn parse_head(file: &str, bytes: &[u8], newest: u16) -> Result<Head, StoreError> {
-    let Some(head) = bytes.first_chunk::<HEAD>() else { return Ok(Head::Damaged) };
-    let sum = crc32fast::hash(&head[..12]).to_be_bytes();
-    if &head[..8] != MAGIC || head[12..] != sum {
-        return Ok(Head::Damaged);
+/// Reads a file's header; a format or schema newer than the one that is understood is an error.
+pub(crate) fn parse_file_header(
+    file: &str,
+    bytes: &[u8],
+    newest_schema: u16,
+) -> Result<FileHeader, StoreError> {
+    let Some(header) = bytes.first_chunk::<FILE_HEADER_BYTES>() else { return Ok(FileHeader::Damaged) };
+    let checksum = crc32fast::hash(&header[..12]).to_be_bytes();
+    if &header[..8] != MAGIC || header[12..] != checksum {
+        return Ok(FileHeader::Damaged);
     }
-    let format = u16::from_be_bytes([head[8], head[9]]);
-    let schema = u16::from_be_bytes([head[10], head[11]]);
-    if format > FORMAT || schema > newest {
-        return Err(StoreError::Later { file: file.to_owned(), format, schema });
+    let format = u16::from_be_bytes([header[8], header[9]]);
+    let schema = u16::from_be_bytes([header[10], header[11]]);
+    if format > FORMAT || schema > newest_schema {
+        return Err(StoreError::UnsupportedVersion { file: file.to_owned(), format, schema });
     }
-    Ok(Head::Schema(schema))
+    Ok(FileHeader::Schema(schema))
 }
 
+/// Appends a record with its header.
 pub(crate) fn put_record(body: &[u8], out: &mut Vec<u8>) -> Result<(), StoreError> {
-    let length = u32::try_from(body.len()).ok().filter(|_| body.len() <= MAX_RECORD);
-    let length = length.ok_or(StoreError::TooLong { length: body.len() })?.to_be_bytes();
+    if body.len() > MAX_RECORD_BYTES {
+        return Err(StoreError::RecordTooLong { length: body.len() });
+    }
+    let length = u32::try_from(body.len()).map_err(|_| StoreError::RecordTooLong { length: body.len() })?;
+    let length = length.to_be_bytes();
     out.extend_from_slice(&length);
-    out.extend_from_slice(&sum(length, body).to_be_bytes());
+    out.extend_from_slice(&record_checksum(length, body).to_be_bytes());
     out.extend_from_slice(body);
     Ok(())
 }
 
-fn sum(length: [u8; 4], body: &[u8]) -> u32 {
+fn record_checksum(length: [u8; 4], body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length);
     hasher.update(body);
     hasher.finalize()
 }
 
-/// What came of reading a file's records.
+/// What was found in a file after its header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Scan {
-    /// Bytes up to the end of the last record before a torn tail.
-    pub sound: usize,
-    /// Bytes after it.
-    pub torn: usize,
-    /// Records within that are not what was written.
-    pub damaged: usize,
+pub(crate) struct ScanResult {
+    /// Bytes from the start of the file to the end of its last valid record.
+    pub valid_bytes: usize,
+    /// Bytes after that: what a crash in the middle of a write leaves.
+    pub torn_bytes: usize,
+    /// Records before that end whose checksum is wrong.
+    pub damaged_records: usize,
 }
 
-enum Next<'a> {
-    Record(&'a [u8], usize),
-    /// Its sum is wrong, though all its bytes are there.
-    Damaged(usize),
-    /// It reaches past the end, or its length makes no sense.
-    Cut,
+enum NextRecord<'a> {
+    Valid {
+        body: &'a [u8],
+        bytes: usize,
+    },
+    /// All of its bytes are there, but its checksum is wrong.
+    Damaged {
+        bytes: usize,
+    },
+    /// It reaches past the end of the file, or its length makes no sense.
+    Incomplete,
 }
 
-fn next(bytes: &[u8]) -> Next<'_> {
-    let Some((head, rest)) = bytes.split_first_chunk::<RECORD_HEAD>() else { return Next::Cut };
-    let length = [head[0], head[1], head[2], head[3]];
-    let body = u32::from_be_bytes(length) as usize;
-    match rest.get(..body).filter(|_| body <= MAX_RECORD) {
-        None => Next::Cut,
-        Some(body) if sum(length, body).to_be_bytes() == head[4..] => {
-            Next::Record(body, RECORD_HEAD + body.len())
-        }
-        Some(body) => Next::Damaged(RECORD_HEAD + body.len()),
+fn next_record(bytes: &[u8]) -> NextRecord<'_> {
+    let Some((header, rest)) = bytes.split_first_chunk::<RECORD_HEADER_BYTES>() else {
+        return NextRecord::Incomplete;
+    };
+    let length = [header[0], header[1], header[2], header[3]];
+    let body_bytes = u32::from_be_bytes(length) as usize;
+    if body_bytes > MAX_RECORD_BYTES {
+        return NextRecord::Incomplete;
+    }
+    let Some(body) = rest.get(..body_bytes) else { return NextRecord::Incomplete };
+    let bytes = RECORD_HEADER_BYTES + body_bytes;
+    match record_checksum(length, body).to_be_bytes() == header[4..] {
+        true => NextRecord::Valid { body, bytes },
+        false => NextRecord::Damaged { bytes },
     }
 }
 
-/// Reads the records after a head. One that is damaged in the middle costs itself; where the end of the file
-/// makes no sense, that is what a kill in the middle of a write leaves.
-pub(crate) fn scan(bytes: &[u8], mut take: impl FnMut(&[u8])) -> Scan {
-    let mut scan = Scan { sound: HEAD.min(bytes.len()), ..Scan::default() };
-    let mut at = scan.sound;
-    let mut damaged = 0;
+/// Reads the records after a file's header. A damaged record between valid ones costs only itself. Damaged records at
+/// the end count as torn, for that is what a crash in the middle of a write leaves.
+pub(crate) fn scan(bytes: &[u8], mut on_record: impl FnMut(&[u8])) -> ScanResult {
+    let mut result = ScanResult { valid_bytes: FILE_HEADER_BYTES.min(bytes.len()), ..ScanResult::default() };
+    let mut position = result.valid_bytes;
+    let mut damaged_since_valid = 0;
     loop {
-        match next(&bytes[at..]) {
-            Next::Record(body, length) => {
-                take(body);
-                at += length;
-                // What follows it was written later, so this was no torn end.
-                scan.damaged += std::mem::take(&mut damaged);
-                scan.sound = at;
+        match next_record(&bytes[position..]) {
+            NextRecord::Valid { body, bytes } => {
+                on_record(body);
+                position += bytes;
+                // This record was written after the damaged ones, so they are not a torn end.
+                result.damaged_records += std::mem::take(&mut damaged_since_valid);
+                result.valid_bytes = position;
             }
-            Next::Damaged(length) => {
-                at += length;
-                damaged += 1;
+            NextRecord::Damaged { bytes } => {
+                position += bytes;
+                damaged_since_valid += 1;
             }
-            Next::Cut => break,
+            NextRecord::Incomplete => break,
         }
     }
-    scan.torn = bytes.len() - scan.sound;
-    scan
+    result.torn_bytes = bytes.len() - result.valid_bytes;
+    result
 }
--- a/crates/gaparch-store/src/journal.rs
+++ b/crates/gaparch-store/src/journal.rs
@@ -1,156 +1,189 @@
-//! Few records that must all be there again.
+//! A durable journal: few records, all of which must be there after a crash.
 
 use crate::disk::Disk;
-use crate::format::{self, Head};
+use crate::format::{self, FileHeader};
 use crate::StoreError;
 
-/// What was found on the disk, in the order it was written.
+/// What was found on the disk when a journal was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct JournalContents {
+    /// The bodies of the records, in the order in which they were written.
     pub records: Vec<Vec<u8>>,
-    /// The schema they were written by; `None` if there was nothing.
+    /// The schema by which they were written; `None` if there was no journal.
     pub schema: Option<u16>,
-    /// Bytes of a last record that was not whole: it was never acknowledged, and is dropped.
-    pub torn: usize,
-    /// Records that are not what was written. The file is kept beside, under a name that ends in `.damaged`.
+    /// Bytes of an incomplete last record. It was never acknowledged, and is dropped.
+    pub torn_bytes: usize,
+    /// Records and files that are not what was written. The file is kept under a name that ends in `.damaged`.
     pub damaged: usize,
 }
 
-/// An append-only file that is written anew when it has grown.
+/// Whether the file of the present generation can be appended to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FileState {
+    /// The file ends with its last acknowledged record.
+    Clean,
+    /// After the last acknowledged record there may be bytes of an append that failed.
+    TornTail,
+    /// There is no file, or its content is unknown or damaged: all records have to be written to a new one.
+    NeedsRewrite,
+}
+
+/// An append-only file that is replaced by a new generation when it has grown.
 ///
-/// Its generations are files `NAME.N.log`; the highest is the one in force. A new one is written under another
-/// name, synced and renamed, so that at every instant one whole generation is there.
+/// Its generations are files `NAME.N.log`; the highest number is the present one. A new generation is written under
+/// another name, synced and renamed, so that at every instant there is one complete generation.
 pub struct Journal<D> {
     disk: D,
     name: String,
     schema: u16,
     generation: u64,
-    /// Bytes that were acknowledged.
+    /// Bytes of the present file that were acknowledged.
     length: u64,
-    /// Past `length` there may be bytes of an append that failed.
-    untidy: bool,
-    broken: bool,
+    state: FileState,
     records: u64,
 }
 
 impl<D: Disk> Journal<D> {
-    /// Opens what is there; what is older than `schema` is for the caller to bring up to date, and to
-    /// [`rewrite`](Journal::rewrite).
+    /// Opens a journal and reads what is there. If it is older than `schema`, the caller converts the records and
+    /// [rewrites](Journal::rewrite) them.
     ///
     /// # Errors
-    /// When the disk can't be read, or what is on it was written by a later version. A journal that can be
-    /// read but not written opens: its appends fail.
-    pub fn open(disk: D, name: &str, schema: u16) -> Result<(Journal<D>, Found), StoreError> {
+    /// When the disk can't be read, or a later version wrote the journal. A journal that can be read but not written
+    /// opens: its appends fail.
+    pub fn open(disk: D, name: &str, schema: u16) -> Result<(Journal<D>, JournalContents), StoreError> {
         let mut journal = Journal {
             disk,
             name: name.to_owned(),
             schema,
             generation: 0,
             length: 0,
-            untidy: false,
-            // Until the first generation is written there is none to append to.
-            broken: true,
+            // Until the first generation is written there is no file to append to.
+            state: FileState::NeedsRewrite,
             records: 0,
         };
-        let names = journal.disk.list().map_err(|e| StoreError::io("listing the folder", e))?;
-        let mut generations: Vec<u64> = names.iter().filter_map(|n| journal.generation_of(n)).collect();
+        let files = journal.disk.list().map_err(|e| StoreError::io("listing the directory", e))?;
+        let contents = journal.read_newest_generation(&files)?;
+        journal.remove_leftovers(&files);
+        Ok((journal, contents))
+    }
+
+    /// Reads the newest generation whose header is valid.
+    fn read_newest_generation(&mut self, files: &[String]) -> Result<JournalContents, StoreError> {
+        let mut generations: Vec<u64> = files.iter().filter_map(|file| self.generation_of(file)).collect();
         generations.sort_unstable();
-        let mut found = Found::default();
+        let mut contents = JournalContents::default();
         while let Some(generation) = generations.pop() {
-            let file = journal.file(generation);
-            let bytes = journal.disk.read(&file).map_err(|e| StoreError::io(format!("reading {file}"), e))?;
-            journal.generation = journal.generation.max(generation);
-            let Head::Schema(found_schema) = format::parse_head(&file, &bytes, schema)? else {
-                // A generation is renamed only when it is whole: this one was harmed since.
-                found.damaged += 1;
-                journal.put_aside(&file);
-                continue;
-            };
-            let scan = format::scan(&bytes, |body| found.records.push(body.to_vec()));
-            found.schema = Some(found_schema);
-            found.torn = scan.torn;
-            found.damaged += scan.damaged;
-            journal.length = scan.sound as u64;
-            journal.untidy = scan.torn > 0;
-            journal.broken = found_schema != schema || found.damaged > 0 || generation != journal.generation;
-            journal.records = found.records.len() as u64;
-            if scan.damaged > 0 {
-                journal.put_aside(&file);
+            let file = self.file(generation);
+            let bytes = self.disk.read(&file).map_err(|e| StoreError::io(format!("reading {file}"), e))?;
+            self.generation = self.generation.max(generation);
+            match format::parse_file_header(&file, &bytes, self.schema)? {
+                FileHeader::Damaged => {
+                    // A generation gets its name only when it is complete: this one was damaged since.
+                    contents.damaged += 1;
+                    self.quarantine(&file);
+                }
+                FileHeader::Schema(schema) => {
+                    contents.schema = Some(schema);
+                    self.read_generation(generation, &bytes, &mut contents);
+                    break;
+                }
             }
-            break;
         }
-        let leftovers: Vec<&String> = names.iter().filter(|n| journal.is_leftover(n)).collect();
-        for old in leftovers {
-            // It costs room and nothing else.
-            let _ = journal.disk.remove(old);
+        Ok(contents)
+    }
+
+    fn read_generation(&mut self, generation: u64, bytes: &[u8], contents: &mut JournalContents) {
+        let scan = format::scan(bytes, |body| contents.records.push(body.to_vec()));
+        contents.torn_bytes = scan.torn_bytes;
+        contents.damaged += scan.damaged_records;
+        self.length = scan.valid_bytes as u64;
+        self.records = contents.records.len() as u64;
+        let is_present_schema = contents.schema == Some(self.schema);
+        let is_newest = generation == self.generation;
+        self.state = if !is_present_schema || contents.damaged > 0 || !is_newest {
+            FileState::NeedsRewrite
+        } else if scan.torn_bytes > 0 {
+            FileState::TornTail
+        } else {
+            FileState::Clean
+        };
+        if scan.damaged_records > 0 {
+            let file = self.file(generation);
+            self.quarantine(&file);
+        }
+    }
+
+    fn remove_leftovers(&mut self, files: &[String]) {
+        for file in files {
+            if self.is_leftover(file) {
+                // A leftover costs space and nothing else.
+                let _ = self.disk.remove(file);
+            }
         }
-        Ok((journal, found))
     }
 
     fn file(&self, generation: u64) -> String {
         format!("{}.{generation}.log", self.name)
     }
 
+    /// The name of a generation while it is being written.
+    fn unfinished_file(&self) -> String {
+        format!("{}.new", self.name)
+    }
+
     fn generation_of(&self, file: &str) -> Option<u64> {
         file.strip_prefix(&self.name)?.strip_prefix('.')?.strip_suffix(".log")?.parse().ok()
     }
 
     fn is_leftover(&self, file: &str) -> bool {
-        let older = self.generation_of(file).is_some_and(|g| g < self.generation && !self.broken);
-        older || file == format!("{}.new", self.name)
+        let is_older = self.generation_of(file).is_some_and(|generation| generation < self.generation);
+        (is_older && !self.needs_rewrite()) || file == self.unfinished_file()
     }
 
-    /// Keeps a harmed file for whoever wants to look at it; its records are written anew.
-    fn put_aside(&mut self, file: &str) {
-        self.broken = true;
-        // Where that fails the file stays what it is, and is passed over at the next start as now.
+    /// Keeps a damaged file under another name for whoever wants to examine it.
+    fn quarantine(&mut self, file: &str) {
+        self.state = FileState::NeedsRewrite;
+        // If this fails the file keeps its name, and the next start passes over it as this one does.
         let _ = self.disk.rename(file, &format!("{file}.damaged"));
     }
 
-    /// Records since the generation began.
+    /// The number of records in the present generation.
     pub fn records(&self) -> u64 {
         self.records
     }
 
+    /// The length of the present generation in bytes.
     pub fn bytes(&self) -> u64 {
         self.length
     }
 
-    /// All has to be written anew before anything can be appended.
-    pub fn is_broken(&self) -> bool {
-        self.broken
+    /// Whether all records have to be [written anew](Journal::rewrite) before one can be appended.
+    pub fn needs_rewrite(&self) -> bool {
+        self.state == FileState::NeedsRewrite
     }
 
+    /// The disk on which the journal stands.
     pub fn disk(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// Keeps records, all or none. They are there again after any crash once this has returned.
+    /// Appends all of the records or none. Once this has returned they are there after any crash.
     ///
     /// # Errors
-    /// When they are not kept. After a failed sync nobody knows what is on the disk: the journal is
-    /// [broken](StoreError::Broken) then until all is written anew.
+    /// When they could not be made durable. After a failed sync the content of the file is unknown: the journal
+    /// [needs a rewrite](StoreError::NeedsRewrite) then.
     pub fn append<B: AsRef<[u8]>>(&mut self, records: &[B]) -> Result<(), StoreError> {
         let file = self.file(self.generation);
-        if self.broken {
-            return Err(StoreError::Broken { file });
+        if self.needs_rewrite() {
+            return Err(StoreError::NeedsRewrite { file });
         }
         let mut bytes = Vec::new();
         for record in records {
             format::put_record(record.as_ref(), &mut bytes)?;
         }
-        let writing = |e| StoreError::io(format!("writing {file}"), e);
-        if self.untidy {
-            self.disk.truncate(&file, self.length).map_err(writing)?;
-            self.untidy = false;
-        }
-        if let Err(error) = self.disk.append(&file, &bytes) {
-            // Part of it may be there, and must not stand before what comes next.
-            self.untidy = self.disk.truncate(&file, self.length).is_err();
-            return Err(writing(error));
-        }
+        self.append_bytes(&file, &bytes)?;
         if let Err(error) = self.disk.sync(&file) {
-            self.broken = true;
+            self.state = FileState::NeedsRewrite;
             return Err(StoreError::io(format!("syncing {file}"), error));
         }
         self.length += bytes.len() as u64;
@@ -158,43 +191,57 @@
         Ok(())
     }
 
+    fn append_bytes(&mut self, file: &str, bytes: &[u8]) -> Result<(), StoreError> {
+        let write_error = |error| StoreError::io(format!("writing {file}"), error);
+        if self.state == FileState::TornTail {
+            self.disk.truncate(file, self.length).map_err(write_error)?;
+            self.state = FileState::Clean;
+        }
+        let Err(error) = self.disk.append(file, bytes) else { return Ok(()) };
+        // Part of it may be there, and must not stand before the next record.
+        if self.disk.truncate(file, self.length).is_err() {
+            self.state = FileState::TornTail;
+        }
+        Err(write_error(error))
+    }
+
     /// Begins a new generation with these records alone.
     ///
     /// # Errors
-    /// When it can't be written; the old one stays in force. Where its rename has failed nobody knows which of the two the
-    /// next start finds: the journal is [broken](StoreError::Broken) then until all is written anew.
+    /// When it can't be written; the old one stays the present one. Where its rename has failed it is unknown which of
+    /// the two the next start finds: the journal [needs another rewrite](StoreError::NeedsRewrite) then.
     pub fn rewrite<B: AsRef<[u8]>>(
         &mut self,
         records: impl IntoIterator<Item = B>,
     ) -> Result<(), StoreError> {
-        let mut bytes = format::head(self.schema).to_vec();
+        let mut bytes = format::file_header(self.schema).to_vec();
         let mut count = 0;
         for record in records {
             format::put_record(record.as_ref(), &mut bytes)?;
             count += 1;
         }
-        let new = format!("{}.new", self.name);
-        let wrong = |e| StoreError::io(format!("writing {new}"), e);
-        // What an earlier try has left would stand before it.
-        if self.disk.list().map_err(wrong)?.contains(&new) {
-            self.disk.remove(&new).map_err(wrong)?;
+        let unfinished = self.unfinished_file();
+        let write_error = |error| StoreError::io(format!("writing {unfinished}"), error);
+        // The append would add to what an earlier attempt has left.
+        if self.disk.list().map_err(write_error)?.contains(&unfinished) {
+            self.disk.remove(&unfinished).map_err(write_error)?;
         }
-        self.disk.append(&new, &bytes).map_err(wrong)?;
-        self.disk.sync(&new).map_err(wrong)?;
-        let (old, next) = (self.file(self.generation), self.generation + 1);
-        let file = self.file(next);
-        if let Err(error) = self.disk.rename(&new, &file) {
-            self.broken = true;
-            // It may have taken effect: the next one must stand above it.
-            self.generation = next;
-            return Err(wrong(error));
+        self.disk.append(&unfinished, &bytes).map_err(write_error)?;
+        self.disk.sync(&unfinished).map_err(write_error)?;
+        let old_file = self.file(self.generation);
+        let new_generation = self.generation + 1;
+        let renamed = self.disk.rename(&unfinished, &self.file(new_generation));
+        // A rename that failed may have taken effect: the next generation must have a higher number.
+        self.generation = new_generation;
+        if let Err(error) = renamed {
+            self.state = FileState::NeedsRewrite;
+            return Err(write_error(error));
         }
-        // If this fails the older one is only passed over at the next start.
-        let _ = self.disk.remove(&old);
-        self.generation = next;
+        // If this fails the next start passes over the older generation.
+        let _ = self.disk.remove(&old_file);
         self.length = bytes.len() as u64;
         self.records = count;
-        (self.untidy, self.broken) = (false, false);
+        self.state = FileState::Clean;
         Ok(())
     }
 }
--- a/crates/gaparch-store/src/lib.rs
+++ b/crates/gaparch-store/src/lib.rs
@@ -1,47 +1,76 @@
-//! State on disk that survives a kill at any instant.
+//! Storage that survives a crash at any instant.
 //!
-//! [`Journal`] keeps few records that must all be there again: a record is there once
-//! [`append`](Journal::append) has returned, whatever happens then. [`History`] keeps many of which the oldest
-//! may go: it is bounded in bytes, and may lose what was not yet synced. Both stand on a [`Disk`], which is a
-//! locked folder ([`Folder`]) or one that fails on purpose ([`faulty::FaultyDisk`]). What the records mean is
-//! for whoever writes them: each file's head says the version of their meaning.
+//! [`Journal`] holds few records that must all be there again: a record is durable once
+//! [`append`](Journal::append) has returned. [`History`] holds many records of which the oldest are removed: it is
+//! bounded in bytes, and may lose what was not yet synced. Both write to a [`Disk`], which is a
+//! locked directory ([`StateDirectory`]) or a disk that fails on purpose ([`faulty::FaultyDisk`]). The caller defines
+//! what the records mean; each file's header has the version of that meaning, its schema.
 //!
-//! A file is a head and records, all numbers big-endian:
+//! A file is a header and records, all numbers big-endian:
 //!
 //! | part | bytes |
 //! | --- | --- |
-//! | head | `gaparch\n`, format (u16), schema (u16), CRC-32 of these (u32) |
+//! | header | `gaparch\n`, format (u16), schema (u16), CRC-32 of these (u32) |
 //! | record | length of the body (u32), CRC-32 of length and body (u32), body |
 
+#![warn(missing_docs)]
+
+mod directory;
 mod disk;
 pub mod faulty;
 mod format;
 mod history;
 mod journal;
 
-pub use disk::{Disk, Folder};
-pub use format::{FORMAT, MAX_RECORD};
+pub use directory::StateDirectory;
+pub use disk::Disk;
+pub use format::{FORMAT, MAX_RECORD_BYTES};
 pub use history::{History, HistoryLimits};
-pub use journal::{Found, Journal};
+pub use journal::{Journal, JournalContents};
 
 use thiserror::Error;
 
-/// Why something is not kept, or can't be read.
+/// Why something can't be stored or read.
 #[derive(Debug, Error)]
 pub enum StoreError {
+    /// The file system reported an error.
     #[error("{what}: {source}")]
-    Io { what: String, source: std::io::Error },
-    /// Two routers on one folder would each overwrite what the other keeps.
-    #[error("{folder} is in use{}", .by.as_ref().map(|pid| format!(" by process {pid}")).unwrap_or_default())]
-    InUse { folder: String, by: Option<String> },
-    /// Nothing is read, so that nothing is lost: the later program can still read it.
+    Io {
+        /// What was being done.
+        what: String,
+        /// The error of the file system.
+        source: std::io::Error,
+    },
+    /// Another process has locked the directory: the two would overwrite each other's files.
+    #[error("{directory} is in use{}", .process.as_ref().map(|id| format!(" by process {id}")).unwrap_or_default())]
+    InUse {
+        /// The path of the directory.
+        directory: String,
+        /// The id of the other process, where it is known.
+        process: Option<String>,
+    },
+    /// A later version of the program wrote the file. It is left alone, so that the later version can still read it.
     #[error("{file} was written by a later version (format {format}, schema {schema})")]
-    Later { file: String, format: u16, schema: u16 },
-    #[error("a record of {length} bytes, at most {MAX_RECORD} are kept")]
-    TooLong { length: usize },
-    /// A failed sync: what is on the disk is unknown until all is written anew.
-    #[error("{file} has to be written anew after a failure")]
-    Broken { file: String },
+    UnsupportedVersion {
+        /// The name of the file.
+        file: String,
+        /// The version of its format.
+        format: u16,
+        /// The version of its records.
+        schema: u16,
+    },
+    /// A record is longer than [`MAX_RECORD_BYTES`].
+    #[error("a record of {length} bytes, at most {MAX_RECORD_BYTES} are accepted")]
+    RecordTooLong {
+        /// The length of the record's body in bytes.
+        length: usize,
+    },
+    /// A sync has failed, or there is no valid file: all records have to be written anew.
+    #[error("{file} has to be rewritten after a failure")]
+    NeedsRewrite {
+        /// The name of the file.
+        file: String,
+    },
 }
 
 impl StoreError {
--- a/crates/gaparch-store/tests/crashes.rs
+++ b/crates/gaparch-store/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! What is acknowledged is there again, wherever the power goes; what fails is never taken for kept.
 
 use gaparch_store::faulty::{Faults, FaultyDisk, Unsynced};
-use gaparch_store::{Folder, History, HistoryLimits, Journal, StoreError};
+use gaparch_store::{History, HistoryLimits, Journal, StateDirectory, StoreError};
 use proptest::prelude::*;
 
 fn open(disk: &FaultyDisk) -> (Journal<FaultyDisk>, Vec<Vec<u8>>) {
@@ -11,7 +11,7 @@
 
 fn fresh(disk: &FaultyDisk) -> Journal<FaultyDisk> {
     let (mut journal, _) = open(disk);
-    if journal.is_broken() {
+    if journal.needs_rewrite() {
         journal.rewrite::<Vec<u8>>([]).expect("written");
     }
     journal
@@ -22,7 +22,7 @@
 fn work(disk: &FaultyDisk) -> (Vec<Vec<u8>>, usize) {
     let (mut journal, mut kept) = open(disk);
     let mut asked = kept.len();
-    if journal.is_broken() && journal.rewrite(&kept).is_err() {
+    if journal.needs_rewrite() && journal.rewrite(&kept).is_err() {
         return (kept, asked);
     }
     for n in 0..10u8 {
@@ -47,7 +47,7 @@
     for crash_at in 0..operations {
         for unsynced in [Unsynced::Lost, Unsynced::Kept, Unsynced::Half] {
             let disk = FaultyDisk::default();
-            disk.set(Faults { crash_at: Some(crash_at), ..Faults::default() });
+            disk.set_faults(Faults { crash_at: Some(crash_at), ..Faults::default() });
             let (kept, asked) = work(&disk);
             assert!(disk.has_crashed());
             let disk = disk.after_crash(unsynced);
@@ -67,9 +67,9 @@
     let disk = FaultyDisk::default();
     let mut journal = fresh(&disk);
     journal.append(&[b"one"]).expect("room");
-    disk.set(Faults { room: Some(disk.bytes() + 4), ..Faults::default() });
+    disk.set_faults(Faults { capacity_bytes: Some(disk.bytes() + 4), ..Faults::default() });
     assert!(matches!(journal.append(&[b"two"]), Err(StoreError::Io { .. })));
-    disk.set(Faults::default());
+    disk.set_faults(Faults::default());
     journal.append(&[b"three"]).expect("room again");
     assert_eq!(open(&disk.after_crash(Unsynced::Lost)).1, [b"one".to_vec(), b"three".to_vec()]);
 }
@@ -79,10 +79,10 @@
     let disk = FaultyDisk::default();
     let mut journal = fresh(&disk);
     journal.append(&[b"one"]).expect("kept");
-    disk.set(Faults { sync_fails: true, ..Faults::default() });
+    disk.set_faults(Faults { sync_fails: true, ..Faults::default() });
     assert!(journal.append(&[b"two"]).is_err());
-    disk.set(Faults::default());
-    assert!(matches!(journal.append(&[b"two"]), Err(StoreError::Broken { .. })));
+    disk.set_faults(Faults::default());
+    assert!(matches!(journal.append(&[b"two"]), Err(StoreError::NeedsRewrite { .. })));
     journal.rewrite([b"one", b"two"]).expect("anew");
     journal.append(&[b"three"]).expect("kept");
     let all = [&b"one"[..], b"two", b"three"].map(<[u8]>::to_vec);
@@ -94,10 +94,10 @@
     let disk = FaultyDisk::default();
     let mut journal = fresh(&disk);
     journal.append(&[b"first", b"other", b"third"]).expect("kept");
-    disk.harm("intents.1.log", |bytes| bytes[16 + 8 + 5 + 8] ^= 1);
+    disk.corrupt("intents.1.log", |bytes| bytes[16 + 8 + 5 + 8] ^= 1);
     let (mut journal, found) = Journal::open(disk.clone(), "intents", 1).expect("opens");
-    assert_eq!((found.records.len(), found.damaged, found.torn), (2, 1, 0));
-    assert!(journal.is_broken(), "what is left has to be written anew");
+    assert_eq!((found.records.len(), found.damaged, found.torn_bytes), (2, 1, 0));
+    assert!(journal.needs_rewrite(), "what is left has to be written anew");
     journal.rewrite(&found.records).expect("written");
     assert_eq!(open(&disk).1, [b"first".to_vec(), b"third".to_vec()]);
     let names = gaparch_store::Disk::list(journal.disk()).expect("listed");
@@ -111,16 +111,16 @@
     journal.rewrite([b"later"]).expect("written");
     let before = disk.bytes();
     let error = Journal::open(disk.clone(), "intents", 6).err().expect("refused");
-    assert!(matches!(error, StoreError::Later { schema: 7, .. }), "{error}");
+    assert!(matches!(error, StoreError::UnsupportedVersion { schema: 7, .. }), "{error}");
     assert_eq!(disk.bytes(), before);
     // An older one says so, and wants to be written anew.
     let (journal, found) = Journal::open(disk, "intents", 9).expect("opens");
-    assert_eq!((found.schema, journal.is_broken()), (Some(7), true));
+    assert_eq!((found.schema, journal.needs_rewrite()), (Some(7), true));
 }
 
 #[test]
 fn a_history_is_bounded_and_survives_full_and_harmed_disks() {
-    let limits = HistoryLimits { segment: 1024, segments: 3 };
+    let limits = HistoryLimits { segment_bytes: 1024, max_segments: 3 };
     let disk = FaultyDisk::default();
     let read = |disk: &FaultyDisk| {
         let mut seen = Vec::new();
@@ -135,27 +135,27 @@
     }
     let (_, seen) = read(&disk);
     assert!(seen.len() >= 20 && seen.last() == Some(&vec![199; 92]), "{}", seen.len());
-    disk.set(Faults { room: Some(disk.bytes() + 10), ..Faults::default() });
+    disk.set_faults(Faults { capacity_bytes: Some(disk.bytes() + 10), ..Faults::default() });
     history.push(&[200; 92]).expect("short");
     assert!(history.flush().is_err());
-    disk.set(Faults::default());
+    disk.set_faults(Faults::default());
     history.flush().expect("it waited");
     assert_eq!(read(&disk).1.last(), Some(&vec![200; 92]));
     for _ in 0..20_000 {
         history.push(&[1; 92]).expect("short");
     }
-    assert!(history.dropped() > 0, "what waits is bounded");
+    assert!(history.dropped_records() > 0, "what waits is bounded");
 }
 
 /// The disk fails for a while, in any of its ways, and the power goes in the end: what was flushed before is there, and each
 /// record that was flushed after it once.
 #[test]
 fn a_history_loses_nothing_and_doubles_nothing_while_its_disk_fails_for_a_while() {
-    let limits = HistoryLimits { segment: 1024, segments: 4 };
+    let limits = HistoryLimits { segment_bytes: 1024, max_segments: 4 };
     let faults = [
         Faults { sync_fails: true, ..Faults::default() },
         Faults { read_only: true, ..Faults::default() },
-        Faults { room: Some(200), ..Faults::default() },
+        Faults { capacity_bytes: Some(200), ..Faults::default() },
     ];
     for fault in faults {
         let disk = FaultyDisk::default();
@@ -167,12 +167,12 @@
         };
         push(&mut history);
         history.flush().expect("written");
-        disk.set(fault);
+        disk.set_faults(fault);
         for _ in 0..20 {
             push(&mut history);
             assert!(history.flush().is_err(), "{fault:?}");
         }
-        disk.set(Faults::default());
+        disk.set_faults(Faults::default());
         history.flush().expect("it waited");
         push(&mut history);
         history.flush().expect("written");
@@ -187,15 +187,16 @@
 fn a_folder_is_one_router_s_alone() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("state");
-    let first = Folder::open(&path).expect("free");
-    let error = Folder::open(&path).expect_err("in use").to_string();
+    let first = StateDirectory::open(&path).expect("free");
+    let error = StateDirectory::open(&path).expect_err("in use").to_string();
     assert!(error.contains(&format!("process {}", std::process::id())), "{error}");
     drop(first);
-    let (mut journal, _) = Journal::open(Folder::open(&path).expect("free again"), "a", 1).expect("opens");
+    let (mut journal, _) =
+        Journal::open(StateDirectory::open(&path).expect("free again"), "a", 1).expect("opens");
     journal.rewrite([b"x"]).expect("written");
     journal.append(&[b"y"]).expect("kept");
     drop(journal);
-    let (_, found) = Journal::open(Folder::open(&path).expect("free"), "a", 1).expect("opens");
+    let (_, found) = Journal::open(StateDirectory::open(&path).expect("free"), "a", 1).expect("opens");
     assert_eq!(found.records, [b"x".to_vec(), b"y".to_vec()]);
 }
 
@@ -207,14 +208,14 @@
         let mut journal = fresh(&disk);
         journal.append(&[b"one", b"two"]).expect("kept");
         journal.append(&[[9u8; 32]]).expect("kept");
-        disk.harm("intents.1.log", |bytes| {
+        disk.corrupt("intents.1.log", |bytes| {
             bytes.truncate(bytes.len() - cut);
             bytes.extend_from_slice(&tail);
         });
         let (mut journal, found) = Journal::open(disk.clone(), "intents", 1).expect("opens");
         prop_assert!(found.records.starts_with(&[b"one".to_vec(), b"two".to_vec()]));
         let before = found.records.clone();
-        if journal.is_broken() {
+        if journal.needs_rewrite() {
             journal.rewrite(&before).expect("written");
         }
         journal.append(&[b"more"]).expect("kept");
@@ -231,7 +232,7 @@
     let faults = [
         Faults::default(),
         Faults { read_only: true, ..Faults::default() },
-        Faults { room: Some(0), ..Faults::default() },
+        Faults { capacity_bytes: Some(0), ..Faults::default() },
         Faults { sync_fails: true, ..Faults::default() },
         Faults { rename_fails_late: true, ..Faults::default() },
     ];
@@ -240,12 +241,12 @@
         let mut journal = fresh(&disk);
         let mut kept: Vec<Vec<u8>> = Vec::new();
         for step in 0..6_u32 {
-            disk.set(faults[(seed / 5_u64.pow(step) % 5) as usize]);
+            disk.set_faults(faults[(seed / 5_u64.pow(step) % 5) as usize]);
             let record = vec![step as u8; 4];
             // As whoever keeps records does: what can't be appended is kept by writing all anew, or is not kept.
             let mut all = kept.clone();
             all.push(record.clone());
-            let done = match journal.is_broken() || step == 2 {
+            let done = match journal.needs_rewrite() || step == 2 {
                 true => journal.rewrite(&all),
                 false => journal.append(&[record]),
             };
--- a/crates/gaparch-store/tests/pinned_files.rs
+++ b/crates/gaparch-store/tests/pinned_files.rs
@@ -11,7 +11,7 @@
                        000000002144df1c";
 const HISTORY: &str =
     "676170617263680a0001000187ed15cd00000005e2979c576669727374000000068787ed867365636f6e64";
-const LIMITS: HistoryLimits = HistoryLimits { segment: 1024, segments: 3 };
+const LIMITS: HistoryLimits = HistoryLimits { segment_bytes: 1024, max_segments: 3 };
 
 #[test]
 fn a_journal_keeps_its_name_and_its_bytes() {
@@ -32,8 +32,8 @@
     disk.append("intents.1.log", &unhex(JOURNAL)).expect("written");
     let (journal, found) = Journal::open(disk, "intents", 2).expect("opens");
     assert_eq!(found.records, [b"first".to_vec(), b"second".to_vec(), Vec::new()]);
-    assert_eq!((found.schema, found.torn, found.damaged), (Some(2), 0, 0));
-    assert_eq!((journal.is_broken(), journal.records()), (false, 3));
+    assert_eq!((found.schema, found.torn_bytes, found.damaged), (Some(2), 0, 0));
+    assert_eq!((journal.needs_rewrite(), journal.records()), (false, 3));
 }
 
 #[test]
--- a/crates/gaparch-testbed/examples/operations.rs
+++ b/crates/gaparch-testbed/examples/operations.rs
@@ -14,7 +14,7 @@
 use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, Evidence, RequestName, Step, StepEnd};
 use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
 use gaparch_protocol::ops::{to_bytes, Answer, Query};
-use gaparch_store::{Folder, Journal};
+use gaparch_store::{Journal, StateDirectory};
 use gaparch_testbed::load::{closed, Client, Question};
 use gaparch_testbed::record::{Record, Seen, What};
 use gaparch_testbed::site::{Plan, Site};
@@ -130,7 +130,7 @@
 fn store() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) =
-        Journal::open(Folder::open(folder.path()).expect("free"), "intents", SCHEMA).expect("opens");
+        Journal::open(StateDirectory::open(folder.path()).expect("free"), "intents", SCHEMA).expect("opens");
     journal.rewrite::<Vec<u8>>([]).expect("written");
     let one_by_one = Instant::now();
     (0..2000).for_each(|n| journal.append(&[to_bytes(&taken(n))]).expect("kept"));
@@ -146,7 +146,7 @@
     let bytes = journal.bytes();
     drop(journal);
     let began = Instant::now();
-    let folder = Folder::open(folder.path()).expect("free");
+    let folder = StateDirectory::open(folder.path()).expect("free");
     let (mut journal, found) = Journal::open(folder, "intents", SCHEMA).expect("opens");
     let read = began.elapsed();
     let changes = found.records.iter().filter_map(|record| read_change(SCHEMA, record, 0));
--- a/crates/gaparch-testbed/src/fleet/lying.rs
+++ b/crates/gaparch-testbed/src/fleet/lying.rs
@@ -1,6 +1,6 @@
 //! Disks that lie, under a real folder: the same router is started on one to see what it makes of it.
 
-use gaparch_store::{Disk, Folder};
+use gaparch_store::{Disk, StateDirectory};
 use std::collections::BTreeMap;
 use std::io;
 use std::str::FromStr;
@@ -64,7 +64,7 @@
 /// A folder that lies. Shares of it show the same.
 #[derive(Clone)]
 pub struct LyingDisk {
-    folder: Arc<Mutex<Folder>>,
+    folder: Arc<Mutex<StateDirectory>>,
     shown: Arc<Mutex<Shown>>,
     lie: Lie,
 }
@@ -76,7 +76,7 @@
 impl LyingDisk {
     /// # Errors
     /// When the folder can't be read.
-    pub fn new(mut folder: Folder, lie: Lie) -> io::Result<LyingDisk> {
+    pub fn new(mut folder: StateDirectory, lie: Lie) -> io::Result<LyingDisk> {
         let mut shown = Shown::default();
         if lie == Lie::Stale {
             let known = folder.read(LENGTHS).unwrap_or_default();
@@ -230,9 +230,10 @@
     fn kept(lie: Lie) -> (Result<(), String>, Vec<Vec<u8>>) {
         let folder = tempfile::tempdir().expect("a folder");
         let write = |lie, record: &[u8]| {
-            let disk = LyingDisk::new(Folder::open(folder.path()).expect("opened"), lie).expect("a disk");
+            let disk =
+                LyingDisk::new(StateDirectory::open(folder.path()).expect("opened"), lie).expect("a disk");
             let (mut journal, _) = Journal::open(disk, "x", 1).expect("opened");
-            if journal.is_broken() {
+            if journal.needs_rewrite() {
                 journal.rewrite([record]).map_err(|e| e.to_string())
             } else {
                 journal.append(&[record]).map_err(|e| e.to_string())
@@ -242,7 +243,8 @@
         let wrote = write(lie, b"the second");
         let reads = matches!(lie, Lie::Flip | Lie::Stale);
         let read_by = if reads { lie } else { Lie::Slow(Duration::ZERO) };
-        let disk = LyingDisk::new(Folder::open(folder.path()).expect("opened"), read_by).expect("a disk");
+        let disk =
+            LyingDisk::new(StateDirectory::open(folder.path()).expect("opened"), read_by).expect("a disk");
         (wrote, Journal::open(disk, "x", 1).expect("opened").1.records)
     }
 
--- a/crates/gaparch-testbed/tests/appliance.rs
+++ b/crates/gaparch-testbed/tests/appliance.rs
@@ -256,7 +256,7 @@
     };
     for crash_at in 0..16 {
         let disk = FaultyDisk::default();
-        disk.set(Faults { crash_at: Some(crash_at), ..Faults::default() });
+        disk.set_faults(Faults { crash_at: Some(crash_at), ..Faults::default() });
         site.start_router_on(0, Some(disks(&disk))).await.expect("it routes without a disk too");
         let mut operator = site.operator(0).await.expect("in");
         let mut kept = Vec::new();
@@ -296,14 +296,14 @@
     site.start_router_on(0, Some(disks(&disk))).await.expect("it starts");
     let mut operator = site.operator(0).await.expect("in");
     for (round, faults) in [
-        Faults { room: Some(0), ..Faults::default() },
+        Faults { capacity_bytes: Some(0), ..Faults::default() },
         Faults { read_only: true, ..Faults::default() },
         Faults { sync_fails: true, ..Faults::default() },
     ]
     .into_iter()
     .enumerate()
     {
-        disk.set(faults);
+        disk.set_faults(faults);
         let (pressed, answer) = operator.drain("write-0").await.expect("answered");
         assert_eq!(code(&answer), Some(DenyCode::NotKept), "{answer:?}");
         let questions = (0..10).map(|n| site.question(100 * round as u64 + n, 5)).collect();
@@ -313,7 +313,7 @@
         assert!(snapshot.not_kept.contains("orders"), "{}", snapshot.not_kept);
         assert!(snapshot.intents.iter().any(|i| !i.kept));
         // Room again: it is kept by itself.
-        disk.set(Faults::default());
+        disk.set_faults(Faults::default());
         let until = Instant::now() + Duration::from_secs(20);
         loop {
             let snapshot = operator.snapshot().await.expect("shown");
@@ -326,7 +326,7 @@
         assert!(done(&operator.undrain("write-0").await.expect("answered").1));
     }
     let slow = Duration::from_secs(2);
-    disk.set(Faults { slow, ..Faults::default() });
+    disk.set_faults(Faults { delay: slow, ..Faults::default() });
     let questions = (0..100).map(|n| site.question(1000 + n, 5)).collect();
     let asking = site.ask_all(questions, ms(20));
     let ordering = operator.drain("write-0");
