--- a/crates/gaparch-config/src/check.rs
+++ b/crates/gaparch-config/src/check.rs
@@ -8,7 +8,8 @@
 use crate::raw;
 use crate::units::Span;
 use gaparch_protocol::client::{
-    Dialect, DialectParts, EventKind, EventShape, Field, Path, RequestField, Source, Value, Word,
+    Dialect, DialectDefinition, EventField, EventKind, EventShape, FieldSource, FieldValue, JsonPath, Label,
+    RequestField,
 };
 use gaparch_scheduler::api::{ClassId, ServerState, TenantId};
 use std::collections::BTreeMap;
@@ -407,15 +408,15 @@
                 continue;
             }
             let base = match dialect.based_on.as_str() {
-                "own" => DialectParts::own(),
-                "messages" => DialectParts::messages(),
+                "own" => DialectDefinition::own(),
+                "messages" => DialectDefinition::messages(),
                 other => {
                     self.wrong("dialect", n, "based-on", format!("'{other}' is neither own nor messages"));
                     continue;
                 }
             };
-            let parts = self.dialect(dialect, base, events_before(n));
-            match Dialect::new(parts) {
+            let definition = self.dialect(dialect, base, events_before(n));
+            match Dialect::new(definition) {
                 Ok(ready) => drop(all.insert(dialect.id.clone(), Arc::new(ready))),
                 Err(errors) => {
                     let node = self.nth("dialect", n);
@@ -426,19 +427,24 @@
         all
     }
 
-    fn dialect(&mut self, raw: &raw::Dialect, base: DialectParts, events_before: usize) -> DialectParts {
-        let mut parts = DialectParts { name: raw.id.clone(), ..base };
+    fn dialect(
+        &mut self,
+        raw: &raw::Dialect,
+        base: DialectDefinition,
+        events_before: usize,
+    ) -> DialectDefinition {
+        let mut parts = DialectDefinition { name: raw.id.clone(), ..base };
         for (n, event) in raw.event.iter().enumerate() {
-            let Some(kind) = EventKind::parse(&event.kind) else { continue };
+            let Some(kind) = EventKind::from_name(&event.kind) else { continue };
             let mut fields = Vec::new();
             for field in &event.field {
                 let source = match (&field.value, &field.text) {
-                    (Some(value), None) => Value::parse(value).map(Source::Value),
-                    (None, Some(text)) => Some(Source::Fixed(serde_json::Value::String(text.clone()))),
+                    (Some(value), None) => FieldValue::from_name(value).map(FieldSource::Value),
+                    (None, Some(text)) => Some(FieldSource::Fixed(serde_json::Value::String(text.clone()))),
                     _ => None,
                 };
-                match (Path::parse(&field.path), source) {
-                    (Some(path), Some(source)) => fields.push(Field { path, source }),
+                match (JsonPath::parse(&field.path), source) {
+                    (Some(path), Some(source)) => fields.push(EventField { path, source }),
                     _ => {
                         let message =
                             format!("field '{}' needs a sound path and either value or text", field.path);
@@ -449,10 +455,10 @@
             parts.events.insert(kind, EventShape { name: event.name.clone(), fields });
         }
         for word in &raw.word {
-            parts.words.extend(Word::parse(&word.of).map(|w| (w, word.spelt.clone())));
+            parts.labels.extend(Label::from_name(&word.of).map(|w| (w, word.spelt.clone())));
         }
         for request in &raw.request {
-            let field = RequestField::parse(&request.field).zip(Path::parse(&request.path));
+            let field = RequestField::from_name(&request.field).zip(JsonPath::parse(&request.path));
             parts.request.extend(field);
         }
         parts
--- a/crates/gaparch-protocol/src/client/sse.rs
+++ b/crates/gaparch-protocol/src/client/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, as the WHATWG HTML standard defines their bytes (section 9.2).
+//! Server-sent events, as the WHATWG HTML standard defines them (section 9.2).
 
 use bytes::{Buf, BufMut, BytesMut};
 use thiserror::Error;
@@ -18,11 +18,16 @@
     pub data: String,
 }
 
-/// Why a stream of events can't be read on.
+/// Why the rest of a stream can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SseError {
+    /// An event or a line is too long.
     #[error("an event of over {max} bytes")]
-    Oversized { max: usize },
+    Oversized {
+        /// The most bytes that are accepted.
+        max: usize,
+    },
+    /// A line is not text.
     #[error("a line that is not UTF-8")]
     NotUtf8,
 }
@@ -39,62 +44,65 @@
     out.put_slice(b"\n\n");
 }
 
-/// Splits a stream of bytes into events, however it was cut on the way.
+/// Splits a stream of bytes into events, wherever it was cut on the way.
 #[derive(Debug)]
 pub struct SseDecoder {
     buffer: BytesMut,
     event: SseEvent,
-    lines: usize,
+    /// Lines of data of that event.
+    data_lines: usize,
     max: usize,
 }
 
 impl SseDecoder {
-    /// `max`: the most bytes of an event or of a line that are held.
+    /// A decoder that accepts at most `max` bytes of an event and of a line.
     pub fn new(max: usize) -> Self {
-        SseDecoder { buffer: BytesMut::new(), event: SseEvent::default(), lines: 0, max }
+        SseDecoder { buffer: BytesMut::new(), event: SseEvent::default(), data_lines: 0, max }
     }
 
-    /// Takes bytes that came in.
+    /// Adds bytes that were received.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event; `None` until more bytes came.
+    /// Takes the next complete event; `None` if more bytes are needed.
     ///
     /// # Errors
     /// See [`SseError`]; after one the decoder is of no further use.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, SseError> {
         loop {
-            let whole = Partial::new(&self.buffer[..]);
-            let mut input = whole;
+            let start = Partial::new(&self.buffer[..]);
+            let mut input = start;
             let Ok(line) = line(&mut input) else {
                 return match self.buffer.len() > self.max {
                     true => Err(SseError::Oversized { max: self.max }),
                     false => Ok(None),
                 };
             };
-            let used = input.offset_from(&whole);
-            let done = take_line(line, &mut self.event, &mut self.lines)?;
+            let used = input.offset_from(&start);
+            let is_end = add_line(line, &mut self.event, &mut self.data_lines)?;
             self.buffer.advance(used);
             if self.event.data.len() > self.max {
                 return Err(SseError::Oversized { max: self.max });
             }
-            if done && std::mem::take(&mut self.lines) > 0 {
-                return Ok(Some(std::mem::take(&mut self.event)));
-            } else if done {
-                self.event = SseEvent::default();
+            if is_end {
+                let event = std::mem::take(&mut self.event);
+                // An event without data is discarded, as the standard says.
+                if std::mem::take(&mut self.data_lines) > 0 {
+                    return Ok(Some(event));
+                }
             }
         }
     }
 }
 
-/// A line without its end. The end must be there whole: a carriage return alone may be half of one.
+/// A line without its end. A carriage return at the end of the input is incomplete: a line feed may follow.
 fn line<'a>(input: &mut Partial<&'a [u8]>) -> Result<&'a [u8], ErrMode<ContextError>> {
     terminated(take_till(0.., [b'\r', b'\n']), line_ending).parse_next(input)
 }
 
-/// Whether the line ends an event.
-fn take_line(line: &[u8], event: &mut SseEvent, lines: &mut usize) -> Result<bool, SseError> {
+/// Adds a line to an event. True if the line ends the event.
+fn add_line(line: &[u8], event: &mut SseEvent, data_lines: &mut usize) -> Result<bool, SseError> {
     if line.is_empty() {
         return Ok(true);
     }
@@ -103,11 +111,11 @@
     match name {
         "event" => value.clone_into(&mut event.name),
         "data" => {
-            if *lines > 0 {
+            if *data_lines > 0 {
                 event.data.push('\n');
             }
             event.data.push_str(value);
-            *lines += 1;
+            *data_lines += 1;
         }
         // Comments have an empty name; ids and retry times are of no use here.
         _ => {}
--- a/crates/gaparch-protocol/src/lib.rs
+++ b/crates/gaparch-protocol/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod fleet;
 pub mod frame;
 pub mod list;
+mod named_enum;
 pub mod ops;
 pub mod versions;
 mod wire;
--- a/crates/gaparch-protocol/tests/codecs.rs
+++ b/crates/gaparch-protocol/tests/codecs.rs
@@ -206,7 +206,7 @@
         name in prop_oneof![Just("own"), Just("messages")],
     ) {
         let dialect = Dialect::builtin(name).expect("built in");
-        let events: Vec<ClientEvent> = texts.into_iter().map(|text| ClientEvent::Part { text }).collect();
+        let events: Vec<ClientEvent> = texts.into_iter().map(|text| ClientEvent::TextDelta { text }).collect();
         let mut bytes = BytesMut::new();
         events.iter().for_each(|event| dialect.encode(event, &mut bytes));
         let mut decoder = SseDecoder::new(10_000);
@@ -255,22 +255,22 @@
 
 #[test]
 fn dialects_read_back_all_they_write() {
-    let usage = Usage { prompt: 7, kept: 3, output: 11 };
+    let usage = Usage { prompt_tokens: 7, cached_prompt_tokens: 3, output_tokens: 11 };
     let failed = |kind, harmless| ClientEvent::Failed {
         kind,
         message: "a \"quoted\"\nline".to_owned(),
         retry_harmless: harmless,
     };
     let events = [
-        ClientEvent::Opened { id: "r1".to_owned(), model: "m".to_owned(), usage },
-        ClientEvent::PartOpened,
-        ClientEvent::Part { text: "é\u{1}\\".to_owned() },
-        ClientEvent::PartClosed,
+        ClientEvent::MessageStart { id: "r1".to_owned(), model: "m".to_owned(), usage },
+        ClientEvent::ContentBlockStart,
+        ClientEvent::TextDelta { text: "é\u{1}\\".to_owned() },
+        ClientEvent::ContentBlockStop,
         ClientEvent::KeepAlive,
         ClientEvent::Usage { usage, reason: StopReason::MaxTokens },
-        ClientEvent::Closed { reason: StopReason::Finished },
+        ClientEvent::MessageStop { reason: StopReason::Finished },
         failed(ErrorKind::Failed, false),
-        failed(ErrorKind::Refused, true),
+        failed(ErrorKind::Rejected, true),
     ];
     for (name, first) in [("own", "opened"), ("messages", "message_start")] {
         let dialect = Dialect::builtin(name).expect("built in");
@@ -289,14 +289,14 @@
         let sent: Vec<ClientEvent> = match name {
             "own" => events
                 .iter()
-                .filter(|e| !matches!(e, ClientEvent::PartOpened | ClientEvent::PartClosed))
+                .filter(|e| !matches!(e, ClientEvent::ContentBlockStart | ClientEvent::ContentBlockStop))
                 .cloned()
                 .collect(),
             _ => events.to_vec(),
         };
         assert_eq!(kinds(&seen), kinds(&sent), "{name}");
-        assert!(seen.contains(&failed(ErrorKind::Refused, true)), "{name}");
-        assert!(seen.contains(&ClientEvent::Part { text: "é\u{1}\\".to_owned() }), "{name}");
+        assert!(seen.contains(&failed(ErrorKind::Rejected, true)), "{name}");
+        assert!(seen.contains(&ClientEvent::TextDelta { text: "é\u{1}\\".to_owned() }), "{name}");
     }
 }
 
--- a/crates/gaparch-protocol/tests/pinned_dialects.rs
+++ b/crates/gaparch-protocol/tests/pinned_dialects.rs
@@ -6,13 +6,13 @@
 use bytes::BytesMut;
 use common::assert_text;
 use gaparch_protocol::client::{
-    Answer, ClientEvent, Dialect, ErrorKind, EventKind, RequestField, SseDecoder, StopReason, Usage, Value,
-    Word,
+    Answer, ClientEvent, Dialect, ErrorBody, ErrorKind, EventKind, FieldValue, Label, RequestField,
+    SseDecoder, StopReason, Usage,
 };
 
-const USAGE: Usage = Usage { prompt: 7, kept: 3, output: 11 };
+const USAGE: Usage = Usage { prompt_tokens: 7, cached_prompt_tokens: 3, output_tokens: 11 };
 const ERROR_KINDS: [ErrorKind; 4] =
-    [ErrorKind::Invalid, ErrorKind::Unauthorized, ErrorKind::Refused, ErrorKind::Failed];
+    [ErrorKind::Invalid, ErrorKind::Unauthorized, ErrorKind::Rejected, ErrorKind::Failed];
 
 fn failed(kind: ErrorKind) -> ClientEvent {
     ClientEvent::Failed { kind, message: "a \"quoted\"\nline".to_owned(), retry_harmless: true }
@@ -20,16 +20,16 @@
 
 fn events() -> Vec<ClientEvent> {
     let mut events = vec![
-        ClientEvent::Opened { id: "msg_1_2".to_owned(), model: "m".to_owned(), usage: USAGE },
-        ClientEvent::PartOpened,
-        ClientEvent::Part { text: "hello".to_owned() },
-        ClientEvent::Part { text: "é\u{1}\\\"".to_owned() },
+        ClientEvent::MessageStart { id: "msg_1_2".to_owned(), model: "m".to_owned(), usage: USAGE },
+        ClientEvent::ContentBlockStart,
+        ClientEvent::TextDelta { text: "hello".to_owned() },
+        ClientEvent::TextDelta { text: "é\u{1}\\\"".to_owned() },
         ClientEvent::KeepAlive,
-        ClientEvent::PartClosed,
+        ClientEvent::ContentBlockStop,
         ClientEvent::Usage { usage: USAGE, reason: StopReason::MaxTokens },
         ClientEvent::Usage { usage: USAGE, reason: StopReason::Finished },
-        ClientEvent::Closed { reason: StopReason::MaxTokens },
-        ClientEvent::Closed { reason: StopReason::Finished },
+        ClientEvent::MessageStop { reason: StopReason::MaxTokens },
+        ClientEvent::MessageStop { reason: StopReason::Finished },
     ];
     events.extend(ERROR_KINDS.map(failed));
     events
@@ -62,7 +62,7 @@
 
 fn errors(name: &str) -> String {
     let dialect = dialect(name);
-    let error = |kind| text(dialect.encode_error(kind, "busy", kind == ErrorKind::Refused));
+    let error = |kind| text(dialect.encode_error(kind, "busy", kind == ErrorKind::Rejected));
     ERROR_KINDS.map(error).join("\n")
 }
 
@@ -211,7 +211,9 @@
     for name in ["own", "messages"] {
         let decoded = decoded(name);
         let opened = &decoded[0];
-        assert!(matches!(opened, ClientEvent::Opened { id, model, .. } if id == "msg_1_2" && model == "m"));
+        assert!(
+            matches!(opened, ClientEvent::MessageStart { id, model, .. } if id == "msg_1_2" && model == "m")
+        );
         for event in [events()[2].clone(), events()[3].clone(), events()[4].clone()] {
             assert!(decoded.contains(&event), "{name}: {event:?}");
         }
@@ -222,37 +224,44 @@
             let written = dialect(name).encode_answer(&answer(reason));
             assert_eq!(dialect(name).decode_answer(&written), Some(answer(reason)), "{name}");
         }
-        let written = dialect(name).encode_error(ErrorKind::Refused, "busy", true);
-        let wanted = (ErrorKind::Refused, "busy".to_owned(), true);
+        let written = dialect(name).encode_error(ErrorKind::Rejected, "busy", true);
+        let message = "busy".to_owned();
+        let wanted = ErrorBody { kind: ErrorKind::Rejected, message, retry_harmless: true };
         assert_eq!(dialect(name).decode_error(&written), Some(wanted), "{name}");
     }
 }
 
 #[test]
 fn names_in_the_settings_stay() {
-    let kinds = EventKind::ALL.map(EventKind::as_str).join(" ");
+    let kinds = EventKind::ALL.iter().map(|kind| kind.name()).collect::<Vec<_>>().join(" ");
     assert_text(&kinds, "opened part-opened part part-closed usage closed failed keep-alive answer error");
-    let fields = RequestField::ALL.map(RequestField::as_str).join(" ");
+    let fields = RequestField::ALL.iter().map(|field| field.name()).collect::<Vec<_>>().join(" ");
     assert_text(&fields, "model messages system max-tokens stream class session prefix prefix-tokens prompt-tokens answer-hint repeat");
     let values = [
-        Value::Id,
-        Value::Model,
-        Value::Text,
-        Value::PromptTokens,
-        Value::KeptTokens,
-        Value::OutputTokens,
-        Value::StopReason,
-        Value::ErrorKind,
-        Value::Message,
-        Value::RetryHarmless,
+        FieldValue::Id,
+        FieldValue::Model,
+        FieldValue::Text,
+        FieldValue::PromptTokens,
+        FieldValue::CachedPromptTokens,
+        FieldValue::OutputTokens,
+        FieldValue::StopReason,
+        FieldValue::ErrorKind,
+        FieldValue::Message,
+        FieldValue::RetryHarmless,
     ];
-    let values = values.map(Value::as_str).join(" ");
+    let values = values.map(FieldValue::name).join(" ");
     assert_text(
         &values,
         "id model text prompt-tokens kept-tokens output-tokens stop-reason error-kind message retry-harmless",
     );
-    let words =
-        [Word::Finished, Word::MaxTokens, Word::Invalid, Word::Unauthorized, Word::Refused, Word::Failed];
-    let words = words.map(Word::as_str).join(" ");
+    let words = [
+        Label::Finished,
+        Label::MaxTokens,
+        Label::Invalid,
+        Label::Unauthorized,
+        Label::Rejected,
+        Label::Failed,
+    ];
+    let words = words.map(Label::name).join(" ");
     assert_text(&words, "finished max-tokens invalid unauthorized refused failed");
 }
--- a/crates/gaparch-router/src/core/links.rs
+++ b/crates/gaparch-router/src/core/links.rs
@@ -169,7 +169,7 @@
             EngineFrame::ReadDone { kept, report, .. } if attempt.stage == Stage::Read => {
                 let report = self.report(engine, report);
                 if let Some(live) = self.live.get_mut(&id) {
-                    live.usage.kept = kept;
+                    live.usage.cached_prompt_tokens = kept;
                 }
                 self.close(id, attempt, AttemptStatus::Prefilled, u64::from(kept), report);
             }
@@ -198,14 +198,14 @@
         out: &mut Vec<Output>,
     ) {
         let Some(live) = self.live.get_mut(&id) else { return };
-        let have = live.usage.output;
+        let have = live.usage.output_tokens;
         if from > have {
             return self.violate(attempt.server, "tokens are missing", out);
         }
         if from < have {
             return self.counts.late_frames += 1;
         }
-        live.usage.output = have.saturating_add(u32::from(count));
+        live.usage.output_tokens = have.saturating_add(u32::from(count));
         self.counts.tokens += u64::from(count);
         live.last_token_at = self.now;
         if !attempt.begun {
@@ -221,7 +221,7 @@
         live.begun_at = self.now;
         live.first_at = Some(self.now);
         live.last_token_at = self.now;
-        let usage = Usage { output: 0, ..live.usage };
+        let usage = Usage { output_tokens: 0, ..live.usage };
         self.timers.cancel(attempt.timer);
         let until = live.stream_until(&self.config.class_times);
         if until < Nanos::MAX {
@@ -272,7 +272,7 @@
                 false => self.close(id, attempt, status, note, report),
             };
         }
-        if produced != live.usage.output {
+        if produced != live.usage.output_tokens {
             return self.violate(attempt.server, "an answer whose tokens did not all come", out);
         }
         let attempt = match attempt.begun {
@@ -284,8 +284,11 @@
         };
         let Some(live) = self.live.get(&id) else { return };
         let usage = live.usage;
-        let reason =
-            if usage.output >= live.ask.max_out { StopReason::MaxTokens } else { StopReason::Finished };
+        let reason = if usage.output_tokens >= live.ask.max_out {
+            StopReason::MaxTokens
+        } else {
+            StopReason::Finished
+        };
         self.answer(id, ToClient::Finished { usage, reason }, out);
         self.close(id, attempt, AttemptStatus::Ok, note, report);
     }
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -284,7 +284,7 @@
             phase,
             kind: None,
             engine: at.map(|server| self.roster.name(server)).unwrap_or_default().to_owned(),
-            tokens: live.usage.output,
+            tokens: live.usage.output_tokens,
             took_us: micros(self.now.saturating_sub(live.asked_at)),
             steps: self.steps(live),
         }
@@ -344,7 +344,7 @@
             waited_for,
             retry_after_ms: retry_after.and_then(told_to_stay_away),
             first_after_us: live.first_at.map(|at| micros(at.saturating_sub(live.asked_at))),
-            tokens: live.usage.output,
+            tokens: live.usage.output_tokens,
             steps: self.steps(live),
             evidence,
             fingerprint: live.ask.fingerprint,
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -164,7 +164,7 @@
 impl Live {
     pub fn new(ask: Accepted, give_up_at: Nanos, now: Nanos) -> Live {
         Live {
-            usage: Usage { prompt: ask.prompt_len, ..Usage::default() },
+            usage: Usage { prompt_tokens: ask.prompt_len, ..Usage::default() },
             ask,
             give_up_at,
             next_attempt: 0,
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -6,7 +6,9 @@
 use crate::core::{Accepted, ToClient};
 use bytes::{Bytes, BytesMut};
 use gaparch_config::Config;
-use gaparch_protocol::client::{parse_request, Answer, Ask, ClientEvent, Dialect, ErrorKind, Usage};
+use gaparch_protocol::client::{
+    parse_request, Answer, ClientEvent, Dialect, ErrorKind, MessageRequest, Usage,
+};
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::ops::ending::{RequestName, WaitedFor};
 use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, RequestId, TenantId};
@@ -137,7 +139,7 @@
     fn busy(retry_after: Nanos, message: &str) -> Refusal {
         Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            kind: ErrorKind::Refused,
+            kind: ErrorKind::Rejected,
             message: message.to_owned(),
             harmless: true,
             // Where the settings allow no time to be told, none is.
@@ -213,7 +215,7 @@
     let mut response = match first(&mut ticket).await {
         Err(refusal) => refusal.response(dialect),
         Ok(usage) if stream => {
-            let opened = ClientEvent::Opened { id: id.clone(), model, usage };
+            let opened = ClientEvent::MessageStart { id: id.clone(), model, usage };
             events(EventBody::new(ticket, Arc::clone(dialect), opened, limits.keep_alive.duration()))
         }
         Ok(_) => match collect(ticket, id.clone(), model).await {
@@ -245,7 +247,7 @@
     }
 }
 
-fn class(shared: &Shared, ask: &Ask) -> Result<ClassId, Refusal> {
+fn class(shared: &Shared, ask: &MessageRequest) -> Result<ClassId, Refusal> {
     let names = &shared.config.names;
     match &ask.class {
         Some(name) => names.class(name).ok_or_else(|| {
@@ -260,7 +262,7 @@
     }
 }
 
-fn accepted(shared: &Shared, ask: Ask, class: ClassId, tenant: Option<TenantId>) -> Accepted {
+fn accepted(shared: &Shared, ask: MessageRequest, class: ClassId, tenant: Option<TenantId>) -> Accepted {
     // Nobody follows a client up where there is no ledger: then the prompt need not be read through.
     let fingerprint = shared.door.as_ref().map_or(0, |_| fingerprint(&ask, class, tenant));
     Accepted {
@@ -272,7 +274,7 @@
         prefix_len: ask.prefix_tokens,
         max_out: ask.max_tokens,
         hint: ask.answer_hint,
-        repeat: ask.repeat,
+        repeat: ask.is_retry,
         again: false,
         give_up_at: None,
         fingerprint,
@@ -281,7 +283,7 @@
 }
 
 /// The same for the same question in the same session of a tenant, after a restart too.
-fn fingerprint(ask: &Ask, class: ClassId, tenant: Option<TenantId>) -> u64 {
+fn fingerprint(ask: &MessageRequest, class: ClassId, tenant: Option<TenantId>) -> u64 {
     let session = ask.session.as_deref().unwrap_or_default();
     let of_whom = format!("{session}/{}/{}", class.0, tenant.map_or(0, |t| t.0 + 1));
     AffinityKey::from_text(&ask.prompt).0 ^ AffinityKey::from_text(&of_whom).0.rotate_left(32)
@@ -391,11 +393,11 @@
         let mut encode = |event: ClientEvent| self.dialect.encode(&event, out);
         match event {
             ToClient::Opened { .. } => {}
-            ToClient::Part { text } => encode(ClientEvent::Part { text }),
+            ToClient::Part { text } => encode(ClientEvent::TextDelta { text }),
             ToClient::Finished { usage, reason } => {
-                encode(ClientEvent::PartClosed);
+                encode(ClientEvent::ContentBlockStop);
                 encode(ClientEvent::Usage { usage, reason });
-                encode(ClientEvent::Closed { reason });
+                encode(ClientEvent::MessageStop { reason });
             }
             // A refusal after the first event would be a broken promise; it is told as a failure.
             ToClient::Refused { .. } => encode(failed("the answer broke off")),
@@ -423,7 +425,7 @@
         let mut out = BytesMut::new();
         if let Some(opened) = this.first.take() {
             this.dialect.encode(&opened, &mut out);
-            this.dialect.encode(&ClientEvent::PartOpened, &mut out);
+            this.dialect.encode(&ClientEvent::ContentBlockStart, &mut out);
         }
         for _ in 0..COALESCE {
             match this.ticket.events.poll_recv(cx) {
--- a/crates/gaparch-testbed/src/load.rs
+++ b/crates/gaparch-testbed/src/load.rs
@@ -138,14 +138,14 @@
             let Some(answer) = self.dialect.decode_answer(&body) else { return Some(End::Broken) };
             answered.first_after = Some(Duration::from_nanos(self.clock.now() - began));
             answered.text = answer.text;
-            return Some(End::Served { tokens: answer.usage.output });
+            return Some(End::Served { tokens: answer.usage.output_tokens });
         }
-        Some(match self.dialect.decode_error(&body) {
-            Some((ErrorKind::Refused | ErrorKind::Invalid | ErrorKind::Unauthorized, _, harmless)) => {
-                End::Refused { harmless }
+        let Some(error) = self.dialect.decode_error(&body) else { return Some(End::Broken) };
+        Some(match error.kind {
+            ErrorKind::Rejected | ErrorKind::Invalid | ErrorKind::Unauthorized => {
+                End::Refused { harmless: error.retry_harmless }
             }
-            Some(_) => End::Failed,
-            None => End::Broken,
+            ErrorKind::Failed => End::Failed,
         })
     }
 
@@ -169,7 +169,7 @@
                     self.record.add(self.clock.now(), What::After { ask });
                 }
                 match event {
-                    ClientEvent::Part { text } => {
+                    ClientEvent::TextDelta { text } => {
                         if parts == 0 {
                             let now = self.clock.now();
                             answered.first_after = Some(Duration::from_nanos(now - began));
@@ -181,8 +181,8 @@
                             return None;
                         }
                     }
-                    ClientEvent::Usage { usage, .. } => tokens = usage.output,
-                    ClientEvent::Closed { .. } => end = Some(End::Served { tokens }),
+                    ClientEvent::Usage { usage, .. } => tokens = usage.output_tokens,
+                    ClientEvent::MessageStop { .. } => end = Some(End::Served { tokens }),
                     ClientEvent::Failed { retry_harmless: true, .. } => {
                         end = Some(End::Refused { harmless: true });
                     }
--- a/crates/gaparch-testbed/src/plain_relay.rs
+++ b/crates/gaparch-testbed/src/plain_relay.rs
@@ -171,8 +171,8 @@
     let state = Some(shared.readers[reader].at.clone());
     let mut frames = shared.writers[writer].ask(key, EngineFrame::Write { job: write, state }).await;
     let Some(first) = frames.recv().await else { return Ok(refused()) };
-    let usage = Usage { prompt: ask.prompt_tokens, ..Usage::default() };
-    let opened = ClientEvent::Opened { id: format!("msg_1_{number}"), model: ask.model, usage };
+    let usage = Usage { prompt_tokens: ask.prompt_tokens, ..Usage::default() };
+    let opened = ClientEvent::MessageStart { id: format!("msg_1_{number}"), model: ask.model, usage };
     let events =
         Events { shared, writer, key, frames, first: vec![opened], frame: Some(first), usage, done: false };
     Ok(Response::new(events.boxed_unsync()))
@@ -200,13 +200,13 @@
         let dialect = &self.shared.dialect;
         match frame {
             EngineFrame::Tokens { count, text, .. } => {
-                self.usage.output += u32::from(count);
-                dialect.encode(&ClientEvent::Part { text }, out);
+                self.usage.output_tokens += u32::from(count);
+                dialect.encode(&ClientEvent::TextDelta { text }, out);
             }
             EngineFrame::Outcome { status: AttemptStatus::Ok, .. } => {
                 let reason = StopReason::Finished;
                 dialect.encode(&ClientEvent::Usage { usage: self.usage, reason }, out);
-                dialect.encode(&ClientEvent::Closed { reason }, out);
+                dialect.encode(&ClientEvent::MessageStop { reason }, out);
                 self.done = true;
             }
             _ => self.done = true,
