--- a/crates/gaparch-audit/src/orders.rs
+++ b/crates/gaparch-audit/src/orders.rs
@@ -11,7 +11,7 @@
 //! late or doubled: digests of what each holds are compared for ever, and what differs is asked for.
 
 use crate::{Nanos, MS};
-use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode};
 use gaparch_protocol::ops::to_bytes;
 use gaparch_protocol::versions::{FleetOrder, OrderId, Talk};
 use rand::seq::SliceRandom;
@@ -50,9 +50,9 @@
 /// What an order is about, as a key.
 pub fn subject(change: &Change) -> Option<String> {
     match change {
-        Change::Hold { engine, .. } | Change::Free { engine } => Some(format!("engine {engine}")),
+        Change::Drain { engine, .. } | Change::Undrain { engine } => Some(format!("engine {engine}")),
         Change::Pause {} | Change::Resume {} => Some("intake".to_owned()),
-        Change::Limit { name, .. } => Some(format!("limit {name}")),
+        Change::SetLimit { name, .. } => Some(format!("limit {name}")),
         Change::Stop {} => None,
     }
 }
@@ -60,9 +60,9 @@
 /// How careful a change is: what keeps more away from more goes first.
 fn care(change: &Change) -> u64 {
     match change {
-        Change::Hold { hold: Hold::Aside, .. } => 3,
-        Change::Hold { hold: Hold::Drain, .. } | Change::Pause {} => 2,
-        Change::Limit { value: Some(value), .. } if *value >= 0.0 => u64::MAX - value.to_bits(),
+        Change::Drain { mode: DrainMode::Detach, .. } => 3,
+        Change::Drain { mode: DrainMode::Drain, .. } | Change::Pause {} => 2,
+        Change::SetLimit { value: Some(value), .. } if *value >= 0.0 => u64::MAX - value.to_bits(),
         _ => 0,
     }
 }
@@ -85,15 +85,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let words = |order: &FleetOrder| {
             let what = match &order.change {
-                Change::Hold { engine, hold } => format!("{hold} {engine}"),
-                Change::Free { engine } => format!("undrain {engine}"),
+                Change::Drain { engine, mode: hold } => format!("{hold} {engine}"),
+                Change::Undrain { engine } => format!("undrain {engine}"),
                 Change::Pause {} => "pause".to_owned(),
                 Change::Resume {} => "resume".to_owned(),
-                Change::Limit { name, value: Some(value) } => format!("limit {name} {value}"),
-                Change::Limit { name, value: None } => format!("limit {name} default"),
+                Change::SetLimit { name, value: Some(value) } => format!("limit {name} {value}"),
+                Change::SetLimit { name, value: None } => format!("limit {name} default"),
                 Change::Stop {} => "stop".to_owned(),
             };
-            format!("'{what}' of {} at {} ({})", order.note.who, order.id.router, order.note.why)
+            format!("'{what}' of {} at {} ({})", order.note.operator, order.id.router, order.note.reason)
         };
         match self {
             OrderHappening::Overtaken { order, by } => {
@@ -236,7 +236,7 @@
     }
 
     /// An operator has ordered something here, and it is in force.
-    pub fn give(&mut self, now: Nanos, change: &Change, note: &Note, out: &mut Vec<OrderOutput>) {
+    pub fn give(&mut self, now: Nanos, change: &Change, note: &ChangeNote, out: &mut Vec<OrderOutput>) {
         self.now = now.max(self.now);
         let Some(about) = subject(change) else { return };
         if self.registers.len() >= MOST && !self.registers.contains_key(&about) {
@@ -249,7 +249,11 @@
             router: self.router.clone(),
             incarnation: self.incarnation,
         };
-        let note = Note { who: cut(&note.who, MOST_WHO), why: cut(&note.why, MOST_WHY), at: note.at };
+        let note = ChangeNote {
+            operator: cut(&note.operator, MOST_WHO),
+            reason: cut(&note.reason, MOST_WHY),
+            at: note.at,
+        };
         let over = self.registers.get(&about).map(|r| r.order.id.clone());
         let order = FleetOrder { id, over, change: change.clone(), note };
         self.put(about, order.clone(), true);
--- a/crates/gaparch-audit/tests/orders.rs
+++ b/crates/gaparch-audit/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of the fleet in virtual time: any order, loss, doubling, splits, kills and old folders.
 
 use gaparch_audit::{subject, FleetOrder, Nanos, OrderHappening, OrderOutput, Orders};
-use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode};
 use gaparch_protocol::versions::Talk;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -59,7 +59,7 @@
     }
 
     fn give(&mut self, n: usize, change: Change) {
-        let note = Note { who: format!("operator-{n}"), why: "a test".to_owned(), at: 0 };
+        let note = ChangeNote { operator: format!("operator-{n}"), reason: "a test".to_owned(), at: 0 };
         let mut out = Vec::new();
         let router = self.routers[n].as_mut().expect("it runs");
         router.book.insert(subject(&change).expect("kept"), change.clone());
@@ -141,11 +141,11 @@
 }
 
 fn drain(engine: usize) -> Change {
-    Change::Hold { engine: format!("engine-{engine}"), hold: Hold::Drain }
+    Change::Drain { engine: format!("engine-{engine}"), mode: DrainMode::Drain }
 }
 
 fn free(engine: usize) -> Change {
-    Change::Free { engine: format!("engine-{engine}") }
+    Change::Undrain { engine: format!("engine-{engine}") }
 }
 
 #[test]
@@ -191,12 +191,12 @@
     fleet.run(1_000 * MS);
     fleet.sides = vec![0, 0, 0, 1, 1, 1];
     fleet.give(0, free(1));
-    fleet.give(4, Change::Hold { engine: "engine-1".to_owned(), hold: Hold::Aside });
+    fleet.give(4, Change::Drain { engine: "engine-1".to_owned(), mode: DrainMode::Detach });
     fleet.run(3_000 * MS);
     assert_ne!(fleet.book(1), fleet.book(5));
     fleet.sides = vec![0; 6];
     fleet.run(4_000 * MS);
-    let aside = Change::Hold { engine: "engine-1".to_owned(), hold: Hold::Aside };
+    let aside = Change::Drain { engine: "engine-1".to_owned(), mode: DrainMode::Detach };
     for n in 0..6 {
         assert_eq!(fleet.book(n)["engine engine-1"], aside, "the more careful one, at {n}");
     }
--- a/crates/gaparch-audit/tests/pinned_bytes.rs
+++ b/crates/gaparch-audit/tests/pinned_bytes.rs
@@ -4,7 +4,7 @@
 
 use gaparch_audit::{digest, subject, Book, FleetOrder, Kind, OrderOutput, Orders, Tally};
 use gaparch_protocol::list::{ListEntry, ServerState};
-use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode};
 use gaparch_protocol::ops::to_bytes;
 use gaparch_protocol::versions::{ListVersion, Stamp, Talk};
 
@@ -36,11 +36,11 @@
 fn subjects_that_order_the_orders() {
     let engine = || "engine-1".to_owned();
     let subjects: Vec<Option<String>> = [
-        Change::Hold { engine: engine(), hold: Hold::Drain },
-        Change::Free { engine: engine() },
+        Change::Drain { engine: engine(), mode: DrainMode::Drain },
+        Change::Undrain { engine: engine() },
         Change::Pause {},
         Change::Resume {},
-        Change::Limit { name: "queue".to_owned(), value: None },
+        Change::SetLimit { name: "queue".to_owned(), value: None },
         Change::Stop {},
     ]
     .iter()
@@ -56,15 +56,15 @@
     let mut orders = Orders::new("router-1", 3, 1, Vec::new(), 0);
     let engine = || "engine-1".to_owned();
     let changes = [
-        Change::Hold { engine: engine(), hold: Hold::Aside },
+        Change::Drain { engine: engine(), mode: DrainMode::Detach },
         Change::Pause {},
-        Change::Limit { name: "queue".to_owned(), value: Some(12.5) },
-        Change::Limit { name: "rate".to_owned(), value: Some(-1.0) },
-        Change::Hold { engine: engine(), hold: Hold::Drain },
+        Change::SetLimit { name: "queue".to_owned(), value: Some(12.5) },
+        Change::SetLimit { name: "rate".to_owned(), value: Some(-1.0) },
+        Change::Drain { engine: engine(), mode: DrainMode::Drain },
     ];
     let mut kept = Vec::new();
     for change in &changes {
-        let note = Note { who: "ada ".repeat(20), why: "because ".repeat(40), at: 5 };
+        let note = ChangeNote { operator: "ada ".repeat(20), reason: "because ".repeat(40), at: 5 };
         let mut out = Vec::new();
         orders.give(0, change, &note, &mut out);
         for output in out {
--- a/crates/gaparch-audit/tests/pinned_traffic.rs
+++ b/crates/gaparch-audit/tests/pinned_traffic.rs
@@ -5,7 +5,7 @@
 
 use gaparch_audit::{Follow, Held, Nanos, OrderOutput, Orders, Output, Settings, Taken};
 use gaparch_protocol::list::{ListEntry, Scope, ServerState};
-use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode};
 use gaparch_protocol::ops::to_bytes;
 use gaparch_protocol::versions::Talk;
 use sha2::{Digest, Sha256};
@@ -122,7 +122,7 @@
     }
 
     fn give(&mut self, router: usize, change: &Change) {
-        let note = Note { who: name(router), why: "a test".to_owned(), at: self.now };
+        let note = ChangeNote { operator: name(router), reason: "a test".to_owned(), at: self.now };
         let mut out = Vec::new();
         self.routers[router].orders.give(self.now, change, &note, &mut out);
         self.carry_out_orders(router, out);
@@ -161,11 +161,11 @@
     fleet.routers[3].is_linked = false;
     fleet.run(5 * SECOND, 2);
     fleet.give(1, &Change::Pause {});
-    fleet.give(2, &Change::Limit { name: "queue".to_owned(), value: Some(8.0) });
+    fleet.give(2, &Change::SetLimit { name: "queue".to_owned(), value: Some(8.0) });
     fleet.run(5 * SECOND, 3);
     // Neither router knows of the other's order yet.
-    fleet.give(1, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Drain });
-    fleet.give(4, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Aside });
+    fleet.give(1, &Change::Drain { engine: "engine-001".to_owned(), mode: DrainMode::Drain });
+    fleet.give(4, &Change::Drain { engine: "engine-001".to_owned(), mode: DrainMode::Detach });
     fleet.routers[0].is_linked = false;
     fleet.run(10 * SECOND, 4);
     let digest: String = fleet.traffic.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/gaparch-cli/src/commands/ctl/mod.rs
+++ b/crates/gaparch-cli/src/commands/ctl/mod.rs
@@ -8,9 +8,11 @@
 use gaparch_config::KeySource;
 use gaparch_net::{read_key, Credentials, Incoming, OpsClient, OpsError, Place};
 use gaparch_ops::limits::OPEN_REQUESTS;
-use gaparch_protocol::ops::ending::{Cause, EndKind, EndingFilter, RequestName, WaitedFor};
-use gaparch_protocol::ops::intent::{Change, Hold};
-use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Order, Query};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
+use gaparch_protocol::ops::outcome::{
+    GlobalRequestId, OutcomeCause, OutcomeFilter, OutcomeKind, QueueingReason,
+};
+use gaparch_protocol::ops::{Answer, DenyCode, Order, Query, SessionRole};
 use gaparch_protocol::versions::AuditFilter;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -78,7 +80,7 @@
                 }
             }
         };
-        let role = if self.watch_only { OpsRole::Watch } else { OpsRole::Change };
+        let role = if self.watch_only { SessionRole::ReadOnly } else { SessionRole::ReadWrite };
         Ok((place, Credentials { key, role, who: self.who.clone() }))
     }
 
@@ -222,7 +224,7 @@
     /// The story of one request
     Why {
         /// As in the answer's x-gaparch-request-id header
-        request: RequestName,
+        request: GlobalRequestId,
     },
     /// Open requests, and those that ended last
     Live {
@@ -315,46 +317,54 @@
 }
 
 impl Filter {
-    fn wanted(&self) -> Result<EndingFilter, String> {
-        Ok(EndingFilter {
+    fn wanted(&self) -> Result<OutcomeFilter, String> {
+        Ok(OutcomeFilter {
             kind: self.kind.map(|kind| match kind {
-                Kind::Refused => EndKind::Refused,
-                Kind::Failed => EndKind::Failed,
-                Kind::Left => EndKind::Left,
+                Kind::Refused => OutcomeKind::Rejected,
+                Kind::Failed => OutcomeKind::Failed,
+                Kind::Left => OutcomeKind::ClientDisconnected,
             }),
-            cause: known("cause", &self.cause, Cause::from_word, Cause::ALL, Cause::word)?,
-            waited_for: known(
+            cause: known(
+                "cause",
+                &self.cause,
+                OutcomeCause::from_name,
+                OutcomeCause::ALL,
+                OutcomeCause::name,
+            )?,
+            queueing_reason: known(
                 "waited-for",
                 &self.waited_for,
-                WaitedFor::from_word,
-                WaitedFor::ALL,
-                WaitedFor::word,
+                QueueingReason::from_name,
+                QueueingReason::ALL,
+                QueueingReason::name,
             )?,
             class: self.class.clone(),
             tenant: self.tenant.clone(),
             engine: self.engine.clone(),
             since: self.since.as_deref().map(since).transpose()?,
             until: None,
-            most: self.most,
+            max: self.most,
         })
     }
 }
 
 fn order(change: Change, reason: &Reason, force: bool) -> Query {
-    let order = Order { change, why: reason.why.clone(), force, revision: reason.if_revision };
+    let order = Order { change, reason: reason.why.clone(), force, revision: reason.if_revision };
     match reason.here {
-        true => Query::OrderHere { order },
+        true => Query::LocalOrder { order },
         false => Query::Order { order },
     }
 }
 
 fn query(command: &Command) -> Result<Query, String> {
-    let hold = |engine: &String, hold| Change::Hold { engine: engine.clone(), hold };
+    let hold = |engine: &String, hold| Change::Drain { engine: engine.clone(), mode: hold };
     Ok(match command {
         Command::Status | Command::Engines | Command::Follow => Query::Snapshot {},
-        Command::Drain { engine, reason, force } => order(hold(engine, Hold::Drain), reason, *force),
-        Command::Aside { engine, reason, force } => order(hold(engine, Hold::Aside), reason, *force),
-        Command::Undrain { engine, reason } => order(Change::Free { engine: engine.clone() }, reason, false),
+        Command::Drain { engine, reason, force } => order(hold(engine, DrainMode::Drain), reason, *force),
+        Command::Aside { engine, reason, force } => order(hold(engine, DrainMode::Detach), reason, *force),
+        Command::Undrain { engine, reason } => {
+            order(Change::Undrain { engine: engine.clone() }, reason, false)
+        }
         Command::Pause { reason } => order(Change::Pause {}, reason, false),
         Command::Resume { reason } => order(Change::Resume {}, reason, false),
         Command::Limits => Query::Limits {},
@@ -365,21 +375,21 @@
                     format!("'{number}' is neither a number nor `default`; limits are {OPEN_REQUESTS} and others: see `gaparch ctl limits`")
                 })?),
             };
-            order(Change::Limit { name: name.clone(), value }, reason, false)
+            order(Change::SetLimit { name: name.clone(), value }, reason, false)
         }
         Command::Intents => Query::Intents {},
         Command::Members => Query::Members {},
-        Command::Fleet { what: None } => Query::Versions {},
+        Command::Fleet { what: None } => Query::ListVersions {},
         Command::Fleet { what: Some(FleetWhat::Audit(asked)) } => Query::Audit { filter: asked.filter()? },
-        Command::Orders => Query::Spread {},
-        Command::Refusals(filter) if filter.list => Query::Endings { filter: filter.wanted()? },
-        Command::Refusals(filter) => Query::Groups { filter: filter.wanted()? },
-        Command::Why { request } => Query::Story { request: *request },
-        Command::Live { most } => Query::Live { most: *most },
+        Command::Orders => Query::OrderReplication {},
+        Command::Refusals(filter) if filter.list => Query::Outcomes { filter: filter.wanted()? },
+        Command::Refusals(filter) => Query::OutcomeGroups { filter: filter.wanted()? },
+        Command::Why { request } => Query::RequestDetails { request: *request },
+        Command::Live { most } => Query::OpenRequests { max: *most },
         Command::Events { engine, since: from, most } => {
-            Query::Events { engine: engine.clone(), since: since(from)?, most: *most }
+            Query::Events { engine: engine.clone(), since: since(from)?, max: *most }
         }
-        Command::History { engine } => Query::Events { engine: Some(engine.clone()), since: 0, most: 200 },
+        Command::History { engine } => Query::Events { engine: Some(engine.clone()), since: 0, max: 200 },
         Command::Stop { why } => {
             let within = String::new();
             let reason = Reason { why: why.clone(), if_revision: None, here: true, wait: false, within };
@@ -427,9 +437,9 @@
 
 fn code(answer: &Answer) -> ExitCode {
     match answer {
-        Answer::Denied { code: DenyCode::NotKept, .. } => ExitCode::from(NOT_KEPT),
+        Answer::Denied { code: DenyCode::NotPersisted, .. } => ExitCode::from(NOT_KEPT),
         Answer::Denied { .. } => ExitCode::from(DENIED),
-        Answer::Story { ending: None, live: None } => ExitCode::from(NOTHING),
+        Answer::RequestDetails { outcome: None, open: None } => ExitCode::from(NOTHING),
         _ => ExitCode::SUCCESS,
     }
 }
@@ -454,8 +464,8 @@
     let until = tokio::time::Instant::now() + within;
     let mut shown = std::collections::BTreeSet::new();
     loop {
-        let answer = client.ask(Query::Spread {}).await?;
-        let Answer::Spread { spread } = &answer else {
+        let answer = client.ask(Query::OrderReplication {}).await?;
+        let Answer::OrderReplication { replication: spread } = &answer else {
             let Answer::Denied { message, .. } = &answer else { return Err(OpsError::Protocol.into()) };
             return Err(message.clone().into());
         };
@@ -463,7 +473,7 @@
         if json && (spread.complete || late) {
             println!("{}", serde_json::to_string_pretty(&answer)?);
         } else if !json {
-            for row in spread.rows.iter().filter(|r| r.keeps) {
+            for row in spread.rows.iter().filter(|r| r.has_all) {
                 if shown.insert(row.router.clone()) {
                     println!("{}: in force and kept", row.router);
                 }
@@ -477,7 +487,7 @@
         }
         if late {
             if !json {
-                for row in spread.rows.iter().filter(|r| !r.keeps) {
+                for row in spread.rows.iter().filter(|r| !r.has_all) {
                     println!("{}: unknown, it counts as {}", row.router, row.state);
                 }
                 println!("NOT complete");
--- a/crates/gaparch-cli/src/commands/ctl/show.rs
+++ b/crates/gaparch-cli/src/commands/ctl/show.rs
@@ -2,11 +2,11 @@
 
 use super::table::Table;
 use gaparch_console::words;
-use gaparch_ops::book;
-use gaparch_ops::watch::span;
-use gaparch_protocol::ops::ending::Ending;
+use gaparch_ops::change_text;
+use gaparch_ops::duration_text;
+use gaparch_protocol::ops::outcome::RequestOutcome;
 use gaparch_protocol::ops::view::{
-    AuditView, EngineView, FleetView, Happening, LiveView, Snapshot, SpreadView, VersionsView,
+    AuditView, EngineView, Event, FleetView, ListVersionsView, OrderReplicationView, RequestView, Snapshot,
 };
 use gaparch_protocol::ops::{Answer, Update};
 use gaparch_protocol::versions::{FleetOrder, ListVersion};
@@ -18,7 +18,7 @@
         Answer::Snapshot { snapshot } => status(snapshot, now),
         Answer::Done { revision, effect } => format!("{effect} (kept as change {revision})\n"),
         Answer::Denied { message, .. } => format!("{message}\n"),
-        Answer::Groups { groups, total } => {
+        Answer::OutcomeGroups { groups, total } => {
             let mut table = Table::new(&[
                 "count",
                 "kind",
@@ -36,35 +36,37 @@
                     g.count.to_string(),
                     g.kind.to_string(),
                     g.cause.to_string(),
-                    g.waited_for.map_or("-", |w| w.word()).to_owned(),
+                    g.queueing_reason.map_or("-", |w| w.name()).to_owned(),
                     g.class.clone(),
                     or_dash(&g.tenant),
                     words::time(g.last_at, now),
-                    g.came_back.to_string(),
-                    g.served_then.to_string(),
+                    g.retried.to_string(),
+                    g.served_on_retry.to_string(),
                     g.example.to_string(),
                 ]);
             }
             format!("{total} requests were not served, as far as they are kept\n{table}")
         }
-        Answer::Endings { endings, total } => {
+        Answer::Outcomes { outcomes: endings, total } => {
             let mut table = Table::new(&["request", "at", "kind", "class", "tenant", "why"]);
             endings.iter().for_each(|e| table.row(ending_row(e, now)));
             format!("{table}{} of {total}\n", endings.len())
         }
-        Answer::Story { ending: Some(ending), .. } => words::story(ending, now).join("\n") + "\n",
-        Answer::Story { live: Some(live), .. } => live_table(std::slice::from_ref(live), now),
-        Answer::Story { .. } => {
+        Answer::RequestDetails { outcome: Some(ending), .. } => words::story(ending, now).join("\n") + "\n",
+        Answer::RequestDetails { open: Some(live), .. } => live_table(std::slice::from_ref(live), now),
+        Answer::RequestDetails { .. } => {
             "nothing is known of that request: it is not open, and either was served some time ago, \
              or is too old to be kept\n"
                 .to_owned()
         }
-        Answer::Live { live, total } => format!("{}{} of {total}\n", live_table(live, now), live.len()),
+        Answer::OpenRequests { requests: live, total } => {
+            format!("{}{} of {total}\n", live_table(live, now), live.len())
+        }
         Answer::Events { events } => events.iter().map(|e| event(e, now)).collect(),
         Answer::Limits { limits } => {
             let mut table = Table::new(&["limit", "now", "by settings", "from", "to", "unit"]);
             for l in limits {
-                let figures = [l.value, l.by_settings, l.least, l.most].map(|f| f.to_string());
+                let figures = [l.value, l.configured_value, l.min, l.max].map(|f| f.to_string());
                 let mut row = vec![l.name.clone()];
                 row.extend(figures);
                 row.push(l.unit.clone());
@@ -73,8 +75,8 @@
             table.to_string()
         }
         Answer::Members { fleet } => members(fleet, now),
-        Answer::Versions { versions } => fleet(versions, now),
-        Answer::Spread { spread } => orders(spread, now),
+        Answer::ListVersions { versions } => fleet(versions, now),
+        Answer::OrderReplication { replication: spread } => orders(spread, now),
         Answer::Audit { audit } => audited(audit, now),
         Answer::Intents { intents } => {
             let mut table = Table::new(&["change", "what", "by", "at", "kept", "why"]);
@@ -82,10 +84,10 @@
                 table.row(vec![
                     i.revision.to_string(),
                     words::subject(&i.subject),
-                    i.note.who.clone(),
+                    i.note.operator.clone(),
                     words::time(i.note.at, now),
-                    if i.kept { "yes" } else { "NO" }.to_owned(),
-                    i.note.why.clone(),
+                    if i.persisted { "yes" } else { "NO" }.to_owned(),
+                    i.note.reason.clone(),
                 ]);
             }
             if intents.is_empty() {
@@ -106,39 +108,39 @@
     }
 }
 
-fn ending_row(e: &Ending, now: u64) -> Vec<String> {
+fn ending_row(e: &RequestOutcome, now: u64) -> Vec<String> {
     vec![
         e.request.to_string(),
         words::time(e.ended_at, now),
         e.kind.to_string(),
         e.class.clone(),
         or_dash(&e.tenant),
-        words::cause(e.cause, e.waited_for),
+        words::cause(e.cause, e.queueing_reason),
     ]
 }
 
 fn status(s: &Snapshot, now: u64) -> String {
-    let f = &s.figures;
+    let f = &s.metrics;
     let mut text = format!(
         "router {}, up {}{}\n{} held, {} reading, {} read, {} writing, {} streaming\n\
          {} requests: {} served ({} in time), {} refused, {} failed, {} left\n",
         s.router,
-        words::ago(s.began_at, now),
+        words::ago(s.started_at, now),
         if f.paused { "; INTAKE PAUSED" } else { "" },
-        f.held,
-        f.reading,
-        f.read,
-        f.writing,
+        f.queued,
+        f.prefilling,
+        f.prefilled,
+        f.decoding,
         f.streaming,
         f.requests,
         f.served,
-        f.in_time,
-        f.refused,
+        f.served_in_time,
+        f.rejected,
         f.failed,
-        f.left
+        f.client_disconnected
     );
-    if !s.not_kept.is_empty() {
-        text.push_str(&format!("NOT KEPT ON DISK: {}\n", s.not_kept));
+    if !s.storage_error.is_empty() {
+        text.push_str(&format!("NOT KEPT ON DISK: {}\n", s.storage_error));
     }
     text + &engines(s)
 }
@@ -164,10 +166,10 @@
             words::place(e),
             words::state(e, &s.intents),
             if e.connected { "up" } else { "down" }.to_owned(),
-            e.waiting.to_string(),
+            e.awaiting_first_token.to_string(),
             e.streaming.to_string(),
-            words::percent(e.memory),
-            format!("{:.1}", e.pace),
+            words::percent(e.memory_utilization),
+            format!("{:.1}", e.latency_ratio),
             format!("{}/{}", e.failed, e.attempts),
             or_dash(&words::avoided(e)),
         ]);
@@ -184,33 +186,33 @@
         words::place(e),
         e.address,
         words::state(e, &s.intents),
-        e.listed,
+        e.listed_state,
         or_dash(&words::avoided(e)),
         e.attempts,
         e.failed,
-        e.called_off,
-        words::ago(e.heard_at, s.figures.at)
+        e.cancelled,
+        words::ago(e.last_response_at, s.metrics.at)
     )
 }
 
-fn live_table(live: &[LiveView], now: u64) -> String {
+fn live_table(live: &[RequestView], now: u64) -> String {
     let mut table = Table::new(&["request", "asked", "class", "tenant", "phase", "engine", "tokens", "took"]);
     for l in live {
         table.row(vec![
             l.request.to_string(),
-            words::time(l.asked_at, now),
+            words::time(l.received_at, now),
             l.class.clone(),
             or_dash(&l.tenant),
-            l.kind.map_or(l.phase.word(), |k| k.word()).to_owned(),
+            l.kind.map_or(l.phase.name(), |k| k.name()).to_owned(),
             or_dash(&l.engine),
             l.tokens.to_string(),
-            words::micros(l.took_us),
+            words::micros(l.elapsed_us),
         ]);
     }
     table.to_string()
 }
 
-fn event(e: &Happening, now: u64) -> String {
+fn event(e: &Event, now: u64) -> String {
     let engine = e.engine.as_deref().unwrap_or("-");
     format!("{}  {:<7}  {engine:<12}  {}\n", words::time(e.at, now), words::severity(e.severity), e.text)
 }
@@ -218,11 +220,11 @@
 /// An update as lines; figures alone are not worth one.
 pub fn update(update: &Update, now: u64) -> String {
     match update {
-        Update::Figures { .. } | Update::Engines { .. } | Update::Intents { .. } => String::new(),
-        Update::Happened { event: e } => event(e, now),
-        Update::Ended { ending } => ending_row(ending, now).join("  ") + "\n",
+        Update::Metrics { .. } | Update::Engines { .. } | Update::Intents { .. } => String::new(),
+        Update::Event { event: e } => event(e, now),
+        Update::RequestEnded { outcome } => ending_row(outcome, now).join("  ") + "\n",
         Update::Missed { updates } => format!("{updates} updates were missed\n"),
-        Update::Fresh { snapshot } => status(snapshot, now),
+        Update::Resync { snapshot } => status(snapshot, now),
     }
 }
 
@@ -243,7 +245,7 @@
             sends.probes.to_string(),
             words::time(sends.first_at, now),
             words::time(sends.last_at, now),
-            if row.sure { "" } else { "the list was not confirmed" }.to_owned(),
+            if row.confirmed { "" } else { "the list was not confirmed" }.to_owned(),
         ]);
     }
     let mut text = table.to_string();
@@ -255,18 +257,18 @@
 }
 
 /// Orders of the fleet, those that gave way, and who keeps them.
-fn orders(spread: &SpreadView, now: u64) -> String {
+fn orders(spread: &OrderReplicationView, now: u64) -> String {
     let mut table = Table::new(&["number", "what", "by", "at", "why", ""]);
     let row = |order: &FleetOrder, remark: String| {
         let number = order.id.number.to_string();
-        let by = format!("{} at {}", order.note.who, order.id.router);
-        let why = order.note.why.clone();
-        vec![number, book::words(&order.change), by, words::time(order.note.at, now), why, remark]
+        let by = format!("{} at {}", order.note.operator, order.id.router);
+        let why = order.note.reason.clone();
+        vec![number, change_text(&order.change), by, words::time(order.note.at, now), why, remark]
     };
     for order in &spread.orders {
         table.row(row(order, String::new()));
     }
-    for gone in &spread.overtaken {
+    for gone in &spread.superseded {
         let by = &gone.by;
         let remark =
             format!("gave way to number {} of {}, neither knew of the other", by.id.number, by.id.router);
@@ -281,8 +283,9 @@
         routers.row(vec![
             row.router.clone(),
             row.state.to_string(),
-            if row.keeps { "yes" } else { "UNKNOWN" }.to_owned(),
-            row.said_at.map_or("never".to_owned(), |at| format!("{} ago", span(now.saturating_sub(at)))),
+            if row.has_all { "yes" } else { "UNKNOWN" }.to_owned(),
+            row.reported_at
+                .map_or("never".to_owned(), |at| format!("{} ago", duration_text(now.saturating_sub(at)))),
         ]);
     }
     text += &routers.to_string();
@@ -291,44 +294,46 @@
 }
 
 /// Which router holds which list: this one, and a line for each that was heard of.
-fn fleet(view: &VersionsView, now: u64) -> String {
+fn fleet(view: &ListVersionsView, now: u64) -> String {
     let name = |v: &ListVersion| format!("{}.{}", v.rank, v.version);
     let sure = |sure: Option<u64>| {
-        sure.map_or("no: handed on, or unconfirmed".to_owned(), |for_| format!("{} ago", span(for_)))
+        sure.map_or("no: handed on, or unconfirmed".to_owned(), |for_| format!("{} ago", duration_text(for_)))
     };
     let mut text = format!(
         "this router holds list {} with {} engines; confirmed by the list service: {}\n",
-        name(&view.held),
+        name(&view.version),
         view.entries,
-        sure(view.sure)
+        sure(view.confirmed_ago)
     );
-    text += &match (&view.believed, view.corroborated) {
+    text += &match (&view.latest_known, view.corroborated) {
         (None, _) => "no other router has the list from the service itself\n".to_owned(),
         (Some(believed), true) => format!("others have {} from the service itself\n", name(believed)),
         (Some(believed), false) => format!("one other has {} from the service itself\n", name(believed)),
     };
     if let Some(since) = view.behind_since {
-        text += &format!("BEHIND for {}\n", span(now.saturating_sub(since)));
+        text += &format!("BEHIND for {}\n", duration_text(now.saturating_sub(since)));
     }
-    if view.brought_up + view.refused > 0 {
-        text +=
-            &format!("{} lists handed on by others, {} words not believed\n", view.brought_up, view.refused);
+    if view.lists_from_peers + view.rejected_claims > 0 {
+        text += &format!(
+            "{} lists handed on by others, {} words not believed\n",
+            view.lists_from_peers, view.rejected_claims
+        );
     }
     let mut table = Table::new(&["router", "list", "confirmed", "said", "remark"]);
     for row in &view.rows {
-        let remark = match &view.believed {
-            Some(believed) if row.held.epoch != believed.epoch => "another epoch".to_owned(),
-            Some(believed) if row.held < *believed => {
-                format!("{} behind", believed.version.saturating_sub(row.held.version))
+        let remark = match &view.latest_known {
+            Some(believed) if row.version.epoch != believed.epoch => "another epoch".to_owned(),
+            Some(believed) if row.version < *believed => {
+                format!("{} behind", believed.version.saturating_sub(row.version.version))
             }
-            Some(believed) if row.held == *believed => String::new(),
+            Some(believed) if row.version == *believed => String::new(),
             _ => "ahead, by its own word alone".to_owned(),
         };
         table.row(vec![
             row.router.clone(),
-            name(&row.held),
-            sure(row.sure),
-            format!("{} ago", span(now.saturating_sub(row.said_at))),
+            name(&row.version),
+            sure(row.confirmed_ago),
+            format!("{} ago", duration_text(now.saturating_sub(row.reported_at))),
             remark,
         ]);
     }
@@ -337,7 +342,7 @@
 
 /// The fleet: where this router stands, a line for each member, and the links that fail.
 fn members(fleet: &FleetView, now: u64) -> String {
-    let ago = |at: u64| span(now.saturating_sub(at));
+    let ago = |at: u64| duration_text(now.saturating_sub(at));
     let mut table = Table::new(&[
         "router",
         "zone",
@@ -351,11 +356,11 @@
     ]);
     for m in &fleet.members {
         let mut remarks = Vec::new();
-        if !m.accused_by.is_empty() {
-            remarks.push(format!("by {}", m.accused_by.join(", ")));
+        if !m.suspected_by.is_empty() {
+            remarks.push(format!("by {}", m.suspected_by.join(", ")));
         }
-        remarks.extend(m.twin_at.as_ref().map(|at| format!("a second process at {at}")));
-        if m.hears_nobody {
+        remarks.extend(m.duplicate_at.as_ref().map(|at| format!("a second process at {at}")));
+        if m.receives_nothing {
             remarks.push("hears nobody".to_owned());
         }
         table.row(vec![
@@ -363,8 +368,8 @@
             or_dash(&m.zone),
             m.state.to_string(),
             ago(m.since),
-            format!("{} ago", ago(m.alive_at)),
-            m.heard_at.map_or("never".to_owned(), |at| format!("{} ago", ago(at))),
+            format!("{} ago", ago(m.last_alive_at)),
+            m.last_received_at.map_or("never".to_owned(), |at| format!("{} ago", ago(at))),
             m.incarnation.to_string(),
             m.address.clone(),
             remarks.join("; "),
@@ -375,14 +380,14 @@
         "{} (incarnation {}) stands {stands}: {} present, {} counted; shared limits are divided by {}\n",
         fleet.router, fleet.incarnation, fleet.present, fleet.counted, fleet.divisor
     );
-    if fleet.hears_nobody {
+    if fleet.receives_nothing {
         text += "it hears no other router: look at its own links\n";
     }
-    if fleet.unheard {
+    if fleet.is_unanswered {
         text += "it hears others, but none answers it: its messages don't get out\n";
     }
     text += &table.to_string();
-    for edge in &fleet.edges {
+    for edge in &fleet.link_faults {
         text += &format!("{} does not hear {} (for {})\n", edge.to, edge.from, ago(edge.since));
     }
     text += &format!(
--- a/crates/gaparch-cli/src/commands/doctor.rs
+++ b/crates/gaparch-cli/src/commands/doctor.rs
@@ -4,11 +4,11 @@
 use clap::Args;
 use gaparch_config::{Config, KeySource};
 use gaparch_net::{read_key, Clock, FrameReader, KeyError};
-use gaparch_ops::book::SCHEMA;
+use gaparch_ops::CHANGE_SCHEMA;
 use gaparch_protocol::engine::{EngineFrame, Peer, RouterRun, VERSION};
 use gaparch_protocol::frame::encode;
 use gaparch_protocol::ops::from_bytes;
-use gaparch_protocol::ops::view::Happening;
+use gaparch_protocol::ops::view::Event;
 use gaparch_protocol::DEFAULT_MAX_FRAME;
 use gaparch_setup::doctor::{judge, EngineSeen, FileSeen, Level, PortSeen, Seen, StateSeen};
 use gaparch_store::{History, HistoryLimits, Journal, StateDirectory, StoreError};
@@ -109,10 +109,10 @@
 fn state(folder: &Path) -> StateSeen {
     let read = || -> Result<StateSeen, StoreError> {
         let folder = StateDirectory::open(folder)?;
-        let (_, found) = Journal::open(folder.share(), "intents", SCHEMA)?;
+        let (_, found) = Journal::open(folder.share(), "intents", CHANGE_SCHEMA)?;
         let mut last_event_at = 0;
         let take = |_, bytes: &[u8]| {
-            let at = from_bytes::<Happening>(bytes).map_or(0, |event| event.at);
+            let at = from_bytes::<Event>(bytes).map_or(0, |event| event.at);
             last_event_at = last_event_at.max(at);
         };
         History::open(folder, "events", 1, HistoryLimits::default(), take)?;
--- a/crates/gaparch-cli/tests/console.rs
+++ b/crates/gaparch-cli/tests/console.rs
@@ -2,7 +2,7 @@
 
 use gaparch_net::{Credentials, OpsClient, Place};
 use gaparch_protocol::ops::intent::Change;
-use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
+use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
 use gaparch_testbed::demo::{play, Session};
 use gaparch_testbed::site::{Plan, Site};
 use gaparch_testbed::terminal::Terminal;
@@ -62,7 +62,7 @@
             terminal.press("\r").expect("typed");
             loop {
                 let snapshot = site.operator(0).await.expect("in").snapshot().await.expect("shown");
-                if snapshot.revision > before && snapshot.intents.iter().all(|i| i.kept) {
+                if snapshot.revision > before && snapshot.intents.iter().all(|i| i.persisted) {
                     break;
                 }
                 assert!(pressed.elapsed() < WITHIN, "round {round}: {:?}", snapshot.intents);
@@ -211,7 +211,7 @@
         assert!(sent.is_ok_and(|s| s.success()));
     };
     followers.iter().for_each(|f| signal(f, "-STOP"));
-    let credentials = Credentials { key: None, role: OpsRole::Change, who: "test".to_owned() };
+    let credentials = Credentials { key: None, role: SessionRole::ReadWrite, who: "test".to_owned() };
     let mut client = OpsClient::connect(&Place::Socket(socket), &credentials).await.expect("in");
     let mut before = 0;
     for n in 0..3000 {
@@ -219,8 +219,8 @@
             before = router.resident_kib();
         }
         let name = format!("tenant.{}.requests-per-second", ["app", "web"][n % 2]);
-        let change = Change::Limit { name, value: Some(n as f64) };
-        let order = Order { change, why: "x".repeat(480), force: false, revision: None };
+        let change = Change::SetLimit { name, value: Some(n as f64) };
+        let order = Order { change, reason: "x".repeat(480), force: false, revision: None };
         let answer = client.ask(Query::Order { order }).await.expect("answered");
         assert!(matches!(answer, Answer::Done { .. }), "{answer:?}");
     }
--- a/crates/gaparch-console/src/app/lists.rs
+++ b/crates/gaparch-console/src/app/lists.rs
@@ -2,8 +2,8 @@
 
 use super::{App, Cell, Listing, Page, Row, Tone, View};
 use crate::words;
-use gaparch_protocol::ops::ending::{EndKind, Ending};
-use gaparch_protocol::ops::view::{EngineState, EngineView, Happening, LiveView, Severity};
+use gaparch_protocol::ops::outcome::{OutcomeKind, RequestOutcome};
+use gaparch_protocol::ops::view::{EngineState, EngineView, Event, RequestView, Severity};
 
 fn or_dash(text: &str) -> Cell {
     Cell::from(if text.is_empty() { "-" } else { text })
@@ -114,7 +114,7 @@
             let avoided = words::avoided(e);
             let held = words::hold(&e.name, &snapshot.intents).is_some();
             let tone = match e {
-                e if e.state == EngineState::Gone => Tone::Faint,
+                e if e.state == EngineState::Removed => Tone::Faint,
                 e if held || e.state == EngineState::Draining => Tone::Warn,
                 e if !e.connected => Tone::Bad,
                 _ if !avoided.is_empty() => Tone::Warn,
@@ -122,78 +122,81 @@
             };
             let cells = vec![
                 e.name.clone().into(),
-                e.role.word().into(),
+                e.role.name().into(),
                 words::state(e, &snapshot.intents).into(),
                 if e.connected { "up" } else { "DOWN" }.into(),
-                Cell::number(e.waiting),
+                Cell::number(e.awaiting_first_token),
                 Cell::number(e.streaming),
-                Cell::ranked(words::percent(e.memory), e.memory),
-                Cell::ranked(format!("{:.1}x", e.pace), e.pace),
+                Cell::ranked(words::percent(e.memory_utilization), e.memory_utilization),
+                Cell::ranked(format!("{:.1}x", e.latency_ratio), e.latency_ratio),
                 or_dash(&avoided),
                 Cell::ranked(format!("{}/{}", e.failed, words::count(e.attempts)), e.failed as f64),
                 words::place(e).into(),
-                Cell::ranked(words::count(e.unread as u64), e.unread),
-                e.memory_said.map_or("-".into(), |m| Cell::ranked(words::percent(m), m)),
-                e.cold_budget.map_or("-".into(), |b| Cell::ranked(format!("{b:.1}"), b)),
-                Cell::ranked(words::ago(e.heard_at, snapshot.figures.at), -(e.heard_at as f64)),
-                Cell::ranked(words::count(e.called_off), e.called_off as f64),
+                Cell::ranked(words::count(e.queued_prompt_tokens as u64), e.queued_prompt_tokens),
+                e.reported_memory_utilization.map_or("-".into(), |m| Cell::ranked(words::percent(m), m)),
+                e.slow_start_budget.map_or("-".into(), |b| Cell::ranked(format!("{b:.1}"), b)),
+                Cell::ranked(
+                    words::ago(e.last_response_at, snapshot.metrics.at),
+                    -(e.last_response_at as f64),
+                ),
+                Cell::ranked(words::count(e.cancelled), e.cancelled as f64),
             ];
             Row { key: e.name.clone(), cells, tone }
         };
         snapshot.engines.iter().map(row).collect()
     }
 
-    fn live_row(&self, l: &LiveView) -> Row {
-        let step = |s: &gaparch_protocol::ops::ending::Step| {
-            format!("{} {} {} {}", words::micros(s.from_us), s.stage, s.engine, s.end)
+    fn live_row(&self, l: &RequestView) -> Row {
+        let step = |s: &gaparch_protocol::ops::outcome::AttemptRecord| {
+            format!("{} {} {} {}", words::micros(s.sent_after_us), s.stage, s.engine, s.end)
         };
-        let path: Vec<String> = l.steps.iter().map(step).collect();
+        let path: Vec<String> = l.attempts.iter().map(step).collect();
         let tone = match l.kind {
             None => Tone::Plain,
-            Some(EndKind::Served) => Tone::Faint,
+            Some(OutcomeKind::Served) => Tone::Faint,
             Some(_) => Tone::Warn,
         };
         let cells = vec![
             l.request.to_string().into(),
-            l.kind.map_or(l.phase.word(), |k| k.word()).into(),
+            l.kind.map_or(l.phase.name(), |k| k.name()).into(),
             or_dash(&l.engine),
             l.class.clone().into(),
-            Cell::ranked(words::micros(l.took_us), l.took_us as f64),
+            Cell::ranked(words::micros(l.elapsed_us), l.elapsed_us as f64),
             Cell::number(l.tokens),
             or_dash(&l.tenant),
-            Cell::ranked(words::time(l.asked_at, self.now), l.asked_at as f64),
+            Cell::ranked(words::time(l.received_at, self.now), l.received_at as f64),
             path.join(", ").into(),
         ];
         Row { key: l.request.to_string(), cells, tone }
     }
 
     fn group_rows(&self) -> Vec<Row> {
-        let row = |(n, g): (usize, &gaparch_protocol::ops::ending::Group)| Row {
+        let row = |(n, g): (usize, &gaparch_protocol::ops::outcome::OutcomeGroup)| Row {
             key: n.to_string(),
-            tone: if g.kind == EndKind::Failed { Tone::Bad } else { Tone::Plain },
+            tone: if g.kind == OutcomeKind::Failed { Tone::Bad } else { Tone::Plain },
             cells: vec![
                 Cell::ranked(words::count(g.count), g.count as f64),
-                g.kind.word().into(),
-                g.cause.word().into(),
-                g.waited_for.map_or("-", |w| w.word()).into(),
+                g.kind.name().into(),
+                g.cause.name().into(),
+                g.queueing_reason.map_or("-", |w| w.name()).into(),
                 g.class.clone().into(),
                 or_dash(&g.tenant),
                 Cell::ranked(words::time(g.last_at, self.now), g.last_at as f64),
-                Cell::ranked(words::count(g.came_back), g.came_back as f64),
-                Cell::ranked(words::count(g.served_then), g.served_then as f64),
+                Cell::ranked(words::count(g.retried), g.retried as f64),
+                Cell::ranked(words::count(g.served_on_retry), g.served_on_retry as f64),
             ],
         };
         self.groups.iter().enumerate().map(row).collect()
     }
 
-    fn ending_row(&self, e: &Ending) -> Row {
-        let took = e.ended_at.saturating_sub(e.asked_at) / 1000;
+    fn ending_row(&self, e: &RequestOutcome) -> Row {
+        let took = e.ended_at.saturating_sub(e.received_at) / 1000;
         let cells = vec![
             e.request.to_string().into(),
             Cell::ranked(words::time(e.ended_at, self.now), e.ended_at as f64),
             Cell::ranked(words::micros(took), took as f64),
-            e.follow_up.as_ref().map_or("-", |f| f.kind.word()).into(),
-            words::cause(e.cause, e.waited_for).into(),
+            e.follow_up.as_ref().map_or("-", |f| f.kind.name()).into(),
+            words::cause(e.cause, e.queueing_reason).into(),
         ];
         Row { key: e.request.to_string(), cells, tone: Tone::Plain }
     }
@@ -201,21 +204,22 @@
     fn tenant_rows(&self) -> Vec<Row> {
         let tenants = self.snapshot.iter().flat_map(|s| &s.tenants);
         let row = |t: &gaparch_protocol::ops::view::TenantView| {
-            let counts = [t.requests, t.served, t.refused, t.failed, t.left, t.tokens];
+            let counts = [t.requests, t.served, t.rejected, t.failed, t.client_disconnected, t.tokens];
             let mut cells = vec![or_dash(&t.name)];
             cells.extend(counts.map(|n| Cell::ranked(words::count(n), n as f64)));
-            let share = if t.per_s > 0.0 { t.per_s.to_string() } else { "-".to_owned() };
-            cells.push(Cell::ranked(share, t.per_s));
+            let share =
+                if t.quota_per_second > 0.0 { t.quota_per_second.to_string() } else { "-".to_owned() };
+            cells.push(Cell::ranked(share, t.quota_per_second));
             Row { key: t.name.clone(), cells, tone: Tone::Plain }
         };
         tenants.map(row).collect()
     }
 
-    pub(crate) fn event_row(&self, n: usize, e: &Happening) -> Row {
+    pub(crate) fn event_row(&self, n: usize, e: &Event) -> Row {
         let tone = match e.severity {
             Severity::Info => Tone::Plain,
             Severity::Warning => Tone::Warn,
-            Severity::Trouble => Tone::Bad,
+            Severity::Fault => Tone::Bad,
         };
         let cells = vec![
             Cell::ranked(words::time(e.at, self.now), e.at as f64),
@@ -233,10 +237,10 @@
             cells: vec![
                 l.name.clone().into(),
                 Cell::ranked(l.value.to_string(), l.value),
-                Cell::ranked(l.by_settings.to_string(), l.by_settings),
+                Cell::ranked(l.configured_value.to_string(), l.configured_value),
                 "Enter changes it".into(),
             ],
-            tone: if l.value == l.by_settings { Tone::Plain } else { Tone::Warn },
+            tone: if l.value == l.configured_value { Tone::Plain } else { Tone::Warn },
         };
         let setting = |s: &gaparch_protocol::ops::view::Setting| Row {
             key: format!("setting {}", s.name),
--- a/crates/gaparch-console/src/app/mod.rs
+++ b/crates/gaparch-console/src/app/mod.rs
@@ -7,10 +7,10 @@
 pub use dialog::{Dialog, Question};
 pub use listing::{Cell, Listing, Row, Tone};
 
-use gaparch_protocol::ops::ending::{Ending, EndingFilter, Group, RequestName};
-use gaparch_protocol::ops::intent::{Change, Hold};
-use gaparch_protocol::ops::view::{Figures, Happening, LiveView, Severity, Snapshot};
-use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Order, Query, Update};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
+use gaparch_protocol::ops::outcome::{GlobalRequestId, OutcomeFilter, OutcomeGroup, RequestOutcome};
+use gaparch_protocol::ops::view::{Event, RequestView, RouterMetrics, Severity, Snapshot};
+use gaparch_protocol::ops::{Answer, DenyCode, Order, Query, SessionRole, Update};
 use std::collections::VecDeque;
 
 /// Points of a sparkline: at four a second a minute.
@@ -87,7 +87,7 @@
 pub enum Link {
     /// Not connected, and why.
     Down(String),
-    Up(OpsRole),
+    Up(SessionRole),
 }
 
 /// What an answer is for.
@@ -120,11 +120,11 @@
     /// One engine at length.
     Engine(String),
     /// The endings of one group.
-    Endings(Box<EndingFilter>),
+    Endings(Box<OutcomeFilter>),
     /// One request's story.
-    Story(Box<Ending>),
+    Story(Box<RequestOutcome>),
     /// A request that is open.
-    Open(Box<LiveView>),
+    Open(Box<RequestView>),
 }
 
 /// Rates and figures of the last minute.
@@ -135,22 +135,22 @@
     pub held: VecDeque<u64>,
     pub streaming: VecDeque<u64>,
     /// The figures at the last point.
-    base: Option<Figures>,
+    base: Option<RouterMetrics>,
 }
 
 impl Series {
     /// Orders bring further figures: a point is made of those that are a quarter second apart, by and large.
-    fn add(&mut self, before: Figures, now: Figures) {
+    fn add(&mut self, before: RouterMetrics, now: RouterMetrics) {
         let base = *self.base.get_or_insert(before);
         if now.at < base.at.saturating_add(LEAST_GAP) {
             return;
         }
         self.base = Some(now);
-        let lost = |f: &Figures| f.refused + f.failed;
+        let lost = |f: &RouterMetrics| f.rejected + f.failed;
         self.push([
             now.served.saturating_sub(base.served),
             lost(&now).saturating_sub(lost(&base)),
-            u64::from(now.held),
+            u64::from(now.queued),
             u64::from(now.streaming),
         ]);
     }
@@ -176,12 +176,12 @@
     pub dialog: Option<Dialog>,
     pub snapshot: Option<Snapshot>,
     pub series: Series,
-    pub live: Vec<LiveView>,
-    pub groups: Vec<Group>,
-    pub endings: Vec<Ending>,
-    pub events: VecDeque<Happening>,
+    pub live: Vec<RequestView>,
+    pub groups: Vec<OutcomeGroup>,
+    pub endings: Vec<RequestOutcome>,
+    pub events: VecDeque<Event>,
     /// Of the engine that is looked at.
-    pub history: Vec<Happening>,
+    pub history: Vec<Event>,
     pub message: Option<(Severity, String, u64)>,
     /// Of each view, and of the endings of a group.
     lists: [Listing; 8],
@@ -217,7 +217,7 @@
 impl App {
     // --- The router -----------------------------------------------------------------------------------
 
-    pub fn link_up(&mut self, role: OpsRole) -> Vec<Effect> {
+    pub fn link_up(&mut self, role: SessionRole) -> Vec<Effect> {
         self.link = Link::Up(role);
         self.looked_at = 0;
         vec![ask(Tag::Subscription, Query::Subscribe {})]
@@ -241,10 +241,12 @@
         let question = match (self.pages.last(), self.view) {
             (Some(Page::Engine(name)), _) => {
                 let engine = Some(name.clone());
-                Some(ask(Tag::History, Query::Events { engine, since: 0, most: 100 }))
+                Some(ask(Tag::History, Query::Events { engine, since: 0, max: 100 }))
+            }
+            (_, View::Requests) => Some(ask(Tag::Live, Query::OpenRequests { max: 300 })),
+            (_, View::Refusals) => {
+                Some(ask(Tag::Groups, Query::OutcomeGroups { filter: OutcomeFilter::default() }))
             }
-            (_, View::Requests) => Some(ask(Tag::Live, Query::Live { most: 300 })),
-            (_, View::Refusals) => Some(ask(Tag::Groups, Query::Groups { filter: EndingFilter::default() })),
             _ => None,
         };
         question.into_iter().collect()
@@ -252,16 +254,16 @@
 
     pub fn update(&mut self, update: Update) {
         match update {
-            Update::Fresh { snapshot } => {
+            Update::Resync { snapshot } => {
                 // Another run counts from nothing.
                 self.series.base = None;
                 self.events = snapshot.events.iter().cloned().collect();
                 self.snapshot = Some(*snapshot);
             }
-            Update::Figures { figures } => {
+            Update::Metrics { metrics: figures } => {
                 let Some(snapshot) = &mut self.snapshot else { return };
-                self.series.add(snapshot.figures, figures);
-                snapshot.figures = figures;
+                self.series.add(snapshot.metrics, figures);
+                snapshot.metrics = figures;
             }
             Update::Engines { engines } => {
                 let Some(snapshot) = &mut self.snapshot else { return };
@@ -273,17 +275,17 @@
                 }
                 snapshot.engines.sort_by(|a, b| a.name.cmp(&b.name));
             }
-            Update::Happened { event } => {
-                if event.severity == Severity::Trouble {
+            Update::Event { event } => {
+                if event.severity == Severity::Fault {
                     let engine = event.engine.as_deref().unwrap_or("the router");
-                    self.say(Severity::Trouble, format!("{engine}: {}", event.text));
+                    self.say(Severity::Fault, format!("{engine}: {}", event.text));
                 }
                 if self.events.len() >= MOST_EVENTS {
                     self.events.pop_front();
                 }
                 self.events.push_back(event);
             }
-            Update::Ended { .. } => {}
+            Update::RequestEnded { .. } => {}
             Update::Intents { revision, intents } => {
                 if let Some(snapshot) = &mut self.snapshot {
                     (snapshot.revision, snapshot.intents) = (revision, intents);
@@ -295,11 +297,11 @@
 
     pub fn answer(&mut self, tag: Tag, answer: Answer) {
         match (tag, answer) {
-            (Tag::Live, Answer::Live { live, .. }) => self.live = live,
-            (Tag::Groups, Answer::Groups { groups, .. }) => self.groups = groups,
-            (Tag::Endings, Answer::Endings { endings, .. }) => self.endings = endings,
+            (Tag::Live, Answer::OpenRequests { requests: live, .. }) => self.live = live,
+            (Tag::Groups, Answer::OutcomeGroups { groups, .. }) => self.groups = groups,
+            (Tag::Endings, Answer::Outcomes { outcomes: endings, .. }) => self.endings = endings,
             (Tag::History, Answer::Events { events }) => self.history = events,
-            (Tag::Story, Answer::Story { ending, live }) => match (ending, live) {
+            (Tag::Story, Answer::RequestDetails { outcome, open: live }) => match (outcome, live) {
                 (Some(ending), _) => self.open(Page::Story(ending)),
                 (None, Some(live)) => self.open(Page::Open(live)),
                 (None, None) => self.say(Severity::Warning, "nothing is known of that request any more"),
@@ -307,10 +309,10 @@
             (Tag::Order(_), Answer::Done { effect, .. }) => {
                 self.say(Severity::Info, format!("kept: {effect}"))
             }
-            (Tag::Order(order), Answer::Denied { code: DenyCode::LeavesNone, message }) => {
+            (Tag::Order(order), Answer::Denied { code: DenyCode::LastOfRole, message }) => {
                 self.dialog = Some(Question::Force { order, message }.into());
             }
-            (_, Answer::Denied { message, .. }) => self.say(Severity::Trouble, message),
+            (_, Answer::Denied { message, .. }) => self.say(Severity::Fault, message),
             _ => {}
         }
     }
@@ -355,8 +357,8 @@
                 self.list_mut().sort_next(columns);
             }
             Key::Char('S') => self.list_mut().reverse(),
-            Key::Char('d') => self.hold(Hold::Drain),
-            Key::Char('a') => self.hold(Hold::Aside),
+            Key::Char('d') => self.hold(DrainMode::Drain),
+            Key::Char('a') => self.hold(DrainMode::Detach),
             Key::Char('u') => self.free(),
             Key::Char('p') => self.pause_or_resume(),
             Key::Char('X') => {
@@ -411,18 +413,18 @@
                 let Some(group) = row.key.parse().ok().and_then(|n: usize| self.groups.get(n)) else {
                     return Vec::new();
                 };
-                let filter = EndingFilter {
+                let filter = OutcomeFilter {
                     kind: Some(group.kind),
                     cause: Some(group.cause),
-                    waited_for: group.waited_for,
+                    queueing_reason: group.queueing_reason,
                     class: Some(group.class.clone()),
                     tenant: Some(group.tenant.clone()),
-                    most: 200,
-                    ..EndingFilter::default()
+                    max: 200,
+                    ..OutcomeFilter::default()
                 };
                 self.endings.clear();
                 self.open(Page::Endings(Box::new(filter.clone())));
-                return vec![ask(Tag::Endings, Query::Endings { filter })];
+                return vec![ask(Tag::Endings, Query::Outcomes { filter })];
             }
             View::Settings => self.edit_limit(&row.key),
             View::Overview | View::Tenants | View::Events => {}
@@ -431,10 +433,10 @@
     }
 
     fn story(&mut self, id: &str) -> Vec<Effect> {
-        match id.parse::<RequestName>() {
-            Ok(request) => vec![ask(Tag::Story, Query::Story { request })],
-            Err(message) => {
-                self.say(Severity::Warning, message);
+        match id.parse::<GlobalRequestId>() {
+            Ok(request) => vec![ask(Tag::Story, Query::RequestDetails { request })],
+            Err(error) => {
+                self.say(Severity::Warning, error.to_string());
                 Vec::new()
             }
         }
@@ -451,33 +453,35 @@
         }
     }
 
-    fn hold(&mut self, hold: Hold) {
+    fn hold(&mut self, hold: DrainMode) {
         let Some(engine) = self.engine() else {
             return self.say(Severity::Info, "select an engine first (2)");
         };
         let view = self.snapshot.as_ref().and_then(|s| s.engines.iter().find(|e| e.name == engine));
-        let (waiting, streaming) = view.map_or((0, 0), |v| (v.waiting, v.streaming));
+        let (waiting, streaming) = view.map_or((0, 0), |v| (v.awaiting_first_token, v.streaming));
         let (title, what) = match hold {
-            Hold::Drain => (format!("Drain {engine}"), "it gets nothing new"),
-            Hold::Aside => (format!("Set {engine} aside"), "it gets nothing new, and no connection later"),
+            DrainMode::Drain => (format!("Drain {engine}"), "it gets nothing new"),
+            DrainMode::Detach => {
+                (format!("Set {engine} aside"), "it gets nothing new, and no connection later")
+            }
         };
         let consequence =
             format!("{what}; {waiting} sent there and {streaming} streaming end in their own time");
-        self.ask_reason(Change::Hold { engine, hold }, title, consequence);
+        self.ask_reason(Change::Drain { engine, mode: hold }, title, consequence);
     }
 
     fn free(&mut self) {
         match self.engine() {
             Some(engine) => {
                 let title = format!("Undrain {engine}");
-                self.ask_reason(Change::Free { engine }, title, "it is what the list says again");
+                self.ask_reason(Change::Undrain { engine }, title, "it is what the list says again");
             }
             None => self.say(Severity::Info, "select an engine first (2)"),
         }
     }
 
     fn pause_or_resume(&mut self) {
-        let paused = self.snapshot.as_ref().is_some_and(|s| s.figures.paused);
+        let paused = self.snapshot.as_ref().is_some_and(|s| s.metrics.paused);
         if paused {
             self.ask_reason(Change::Resume {}, "Resume the intake", "new requests are taken again");
         } else {
@@ -489,8 +493,10 @@
     fn edit_limit(&mut self, name: &str) {
         let limit = self.snapshot.as_ref().and_then(|s| s.limits.iter().find(|l| l.name == name));
         let Some(limit) = limit else { return };
-        let hint =
-            format!("{} to {} {}, or `default` ({})", limit.least, limit.most, limit.unit, limit.by_settings);
+        let hint = format!(
+            "{} to {} {}, or `default` ({})",
+            limit.min, limit.max, limit.unit, limit.configured_value
+        );
         let (name, text) = (limit.name.clone(), limit.value.to_string());
         let question = Question::Value { name, hint, revision: self.revision() };
         self.dialog = Some(Dialog { question, text });
@@ -501,7 +507,7 @@
     }
 
     fn ask_reason(&mut self, change: Change, title: impl Into<String>, consequence: impl Into<String>) {
-        if self.link == Link::Up(OpsRole::Watch) {
+        if self.link == Link::Up(SessionRole::ReadOnly) {
             return self.say(Severity::Warning, "this session may look only");
         }
         let (title, consequence) = (title.into(), consequence.into());
@@ -536,7 +542,7 @@
             Question::Filter => Vec::new(),
             Question::Find => self.story(text.trim()),
             Question::Reason { change, revision, .. } if !text.trim().is_empty() => {
-                self.order(Order { change, why: text, force: false, revision: Some(revision) })
+                self.order(Order { change, reason: text, force: false, revision: Some(revision) })
             }
             Question::Reason { .. } => {
                 self.say(Severity::Warning, "a reason is wanted: whoever reads it in the morning will ask");
@@ -561,7 +567,7 @@
                             Some(value) => format!("Set {name} to {value}"),
                             None => format!("Set {name} to what the settings say"),
                         };
-                        let change = Change::Limit { name: name.clone(), value };
+                        let change = Change::SetLimit { name: name.clone(), value };
                         self.ask_reason(change, title, "it holds from now on, restarts too");
                     }
                     Err(_) => {
@@ -577,7 +583,7 @@
     fn order(&mut self, order: Order) -> Vec<Effect> {
         if let Link::Down(why) = &self.link {
             let message = format!("nothing was changed: not connected ({why})");
-            self.say(Severity::Trouble, message);
+            self.say(Severity::Fault, message);
             return Vec::new();
         }
         self.say(Severity::Info, "ordered; waiting until it is kept");
--- a/crates/gaparch-console/src/screen/mod.rs
+++ b/crates/gaparch-console/src/screen/mod.rs
@@ -67,19 +67,19 @@
                 "request {} is {} since {}, {} tokens",
                 live.request,
                 live.phase,
-                words::micros(live.took_us),
+                words::micros(live.elapsed_us),
                 live.tokens
             ))];
-            let step = |s: &gaparch_protocol::ops::ending::Step| {
+            let step = |s: &gaparch_protocol::ops::outcome::AttemptRecord| {
                 Line::from(format!(
                     "  {:>9}  {} at {}: {}",
-                    words::micros(s.from_us),
+                    words::micros(s.sent_after_us),
                     s.stage,
                     s.engine,
                     s.end
                 ))
             };
-            lines.extend(live.steps.iter().map(step));
+            lines.extend(live.attempts.iter().map(step));
             draw_text(frame, body, app, "an open request", lines);
         }
     }
@@ -92,11 +92,15 @@
 fn draw_head(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
     let mut parts = vec![Span::styled("gaparch ", theme.title())];
     if let Some(snapshot) = &app.snapshot {
-        parts.push(Span::raw(format!("{}  up {}", snapshot.router, words::ago(snapshot.began_at, app.now))));
-        if snapshot.figures.paused {
+        parts.push(Span::raw(format!(
+            "{}  up {}",
+            snapshot.router,
+            words::ago(snapshot.started_at, app.now)
+        )));
+        if snapshot.metrics.paused {
             parts.push(Span::styled("  INTAKE PAUSED", theme.tone(Tone::Bad)));
         }
-        if !snapshot.not_kept.is_empty() || snapshot.intents.iter().any(|i| !i.kept) {
+        if !snapshot.storage_error.is_empty() || snapshot.intents.iter().any(|i| !i.persisted) {
             parts.push(Span::styled("  NOT KEPT ON DISK", theme.tone(Tone::Bad)));
         }
     }
@@ -135,7 +139,7 @@
             let tone = match severity {
                 Severity::Info => Tone::Plain,
                 Severity::Warning => Tone::Warn,
-                Severity::Trouble => Tone::Bad,
+                Severity::Fault => Tone::Bad,
             };
             Line::styled(text.clone(), theme.tone(tone))
         }
@@ -220,15 +224,15 @@
         Constraint::Length((area.height / 4).clamp(4, 14)),
     ])
     .areas(area);
-    let f = &snapshot.figures;
+    let f = &snapshot.metrics;
     let recent = |series: &VecDeque<u64>| series.iter().rev().take(20).sum::<u64>() as f64 / 5.0;
-    let lost = f.refused + f.failed;
+    let lost = f.rejected + f.failed;
     let text = vec![
         Line::from(vec![
             Span::styled("now  ", theme.title()),
             Span::raw(format!(
                 "{} held  {} reading  {} read  {} writing  {} streaming",
-                f.held, f.reading, f.read, f.writing, f.streaming
+                f.queued, f.prefilling, f.prefilled, f.decoding, f.streaming
             )),
         ]),
         Line::from(format!(
@@ -243,15 +247,15 @@
                 "{} requests: {} served ({} in time), ",
                 words::count(f.requests),
                 words::count(f.served),
-                words::percent(f.in_time as f64 / f.served.max(1) as f64)
+                words::percent(f.served_in_time as f64 / f.served.max(1) as f64)
             )),
             Span::styled(
-                format!("{} refused, {} failed", words::count(f.refused), words::count(f.failed)),
+                format!("{} refused, {} failed", words::count(f.rejected), words::count(f.failed)),
                 theme.tone(if lost > 0 { Tone::Warn } else { Tone::Plain }),
             ),
-            Span::raw(format!(", {} left", words::count(f.left))),
+            Span::raw(format!(", {} left", words::count(f.client_disconnected))),
         ]),
-        match snapshot.not_kept.as_str() {
+        match snapshot.storage_error.as_str() {
             "" if snapshot.intents.is_empty() => Line::from("no orders of operators are in force"),
             "" => Line::from(format!("orders of operators in force: {}, all kept", snapshot.intents.len())),
             why => Line::styled(format!("NOT KEPT ON DISK: {why}"), theme.tone(Tone::Bad)),
@@ -310,11 +314,11 @@
     let mut lines = engine_lines(e, app.now);
     let state = words::state(e, &snapshot.intents);
     let intent = snapshot.intents.iter().find(|i| matches!(&i.subject, gaparch_protocol::ops::intent::Subject::Engine { engine, .. } if engine == name));
-    lines.insert(1, format!("  {state}; by the list {}", e.listed));
+    lines.insert(1, format!("  {state}; by the list {}", e.listed_state));
     if let Some(intent) = intent {
-        let kept = if intent.kept { "" } else { " (NOT KEPT)" };
+        let kept = if intent.persisted { "" } else { " (NOT KEPT)" };
         let at = words::time(intent.note.at, app.now);
-        lines.insert(2, format!("  by {} at {at}{kept}: {}", intent.note.who, intent.note.why));
+        lines.insert(2, format!("  by {} at {at}{kept}: {}", intent.note.operator, intent.note.reason));
     }
     lines.push(String::new());
     lines.push("what happened to it, the latest first".to_owned());
@@ -329,28 +333,31 @@
 
 fn engine_lines(e: &EngineView, now: u64) -> Vec<String> {
     let avoided = words::avoided(e);
-    let said = e.memory_said.map_or("-".to_owned(), words::percent);
+    let said = e.reported_memory_utilization.map_or("-".to_owned(), words::percent);
     let mut lines = vec![
         format!("{}, {} in {} at {}", e.name, e.role, words::place(e), e.address),
         format!(
             "  link {}; last heard {} ago; process began {}",
             if e.connected { "up" } else { "DOWN" },
-            words::ago(e.heard_at, now),
+            words::ago(e.last_response_at, now),
             e.started_at.filter(|at| *at > 0).map_or("long ago".to_owned(), |at| words::time(at, now))
         ),
         format!("  avoided: {}", if avoided.is_empty() { "no" } else { &avoided }),
-        format!("  {} waiting, {} streaming, {:.0} tokens to read", e.waiting, e.streaming, e.unread),
+        format!(
+            "  {} waiting, {} streaming, {:.0} tokens to read",
+            e.awaiting_first_token, e.streaming, e.queued_prompt_tokens
+        ),
         format!(
             "  memory {} by guess, {said} as it said; {:.2} times its peers' pace",
-            words::percent(e.memory),
-            e.pace
+            words::percent(e.memory_utilization),
+            e.latency_ratio
         ),
-        format!("  {} attempts: {} failed, {} called off", e.attempts, e.failed, e.called_off),
+        format!("  {} attempts: {} failed, {} called off", e.attempts, e.failed, e.cancelled),
     ];
-    if let Some(budget) = e.cold_budget {
+    if let Some(budget) = e.slow_start_budget {
         lines.push(format!("  cold: {budget:.1} mean requests may be sent at once"));
     }
-    for rest in &e.rests {
+    for rest in &e.partial_ejections {
         let tenant = if rest.tenant.is_empty() { String::new() } else { format!(" of {}", rest.tenant) };
         lines.push(format!("  gets no {}{tenant} until {}", rest.class, words::time(rest.until, now)));
     }
--- a/crates/gaparch-console/src/words.rs
+++ b/crates/gaparch-console/src/words.rs
@@ -1,9 +1,9 @@
 //! Times, counts and reasons in words, the same in the console and in scripts' tables.
 
 use chrono::{DateTime, Local, TimeZone};
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, StepEnd, WaitedFor};
-use gaparch_protocol::ops::intent::{Hold, Intent, Subject};
-use gaparch_protocol::ops::view::{Avoid, EngineState, EngineView, Severity};
+use gaparch_protocol::ops::intent::{DrainMode, Intent, Subject};
+use gaparch_protocol::ops::outcome::{AttemptEnd, OutcomeCause, OutcomeKind, QueueingReason, RequestOutcome};
+use gaparch_protocol::ops::view::{AvoidReason, EngineState, EngineView, Severity};
 
 /// A time of day here, with the day where it is another one than `now`'s.
 pub fn time(at: u64, now: u64) -> String {
@@ -18,7 +18,7 @@
 pub fn ago(at: u64, now: u64) -> String {
     match at {
         0 => "-".to_owned(),
-        at => gaparch_ops::watch::span(now.saturating_sub(at)),
+        at => gaparch_ops::duration_text(now.saturating_sub(at)),
     }
 }
 
@@ -50,28 +50,28 @@
     match severity {
         Severity::Info => "info",
         Severity::Warning => "WARN",
-        Severity::Trouble => "TROUBLE",
+        Severity::Fault => "TROUBLE",
     }
 }
 
 /// Why a request ended so, in a sentence's part.
-pub fn cause(cause: Cause, waited_for: Option<WaitedFor>) -> String {
+pub fn cause(cause: OutcomeCause, waited_for: Option<QueueingReason>) -> String {
     let what = match cause {
-        Cause::Answered => "answered",
-        Cause::UnknownClass => "its class is not known",
-        Cause::Deadline => "its client's time was up",
-        Cause::AimLost => "it could not make its aim any more",
-        Cause::ReleaseTime => "its read state could not wait any longer",
-        Cause::AttemptsUsed => "its attempts were used up",
-        Cause::MayHaveRun => "it may have run, and may not be tried again",
-        Cause::TooLate => "it was too late to send it",
-        Cause::Paused => "the intake was paused",
-        Cause::Stopping => "the router was stopping",
-        Cause::TooMuchOpen => "more was open than may be",
-        Cause::BrokeOff => "its answer broke off",
-        Cause::Stalled => "its answer stood still or went on for too long",
-        Cause::ClientLeft => "its client left",
-        Cause::Overdue => "it was not ended in time",
+        OutcomeCause::Answered => "answered",
+        OutcomeCause::UnknownClass => "its class is not known",
+        OutcomeCause::DeadlineExceeded => "its client's time was up",
+        OutcomeCause::ObjectiveMissed => "it could not make its aim any more",
+        OutcomeCause::KvReleaseTimeout => "its read state could not wait any longer",
+        OutcomeCause::AttemptsExhausted => "its attempts were used up",
+        OutcomeCause::MayHaveRun => "it may have run, and may not be tried again",
+        OutcomeCause::TooLate => "it was too late to send it",
+        OutcomeCause::Paused => "the intake was paused",
+        OutcomeCause::Stopping => "the router was stopping",
+        OutcomeCause::TooManyOpen => "more was open than may be",
+        OutcomeCause::StreamBroken => "its answer broke off",
+        OutcomeCause::StreamStalled => "its answer stood still or went on for too long",
+        OutcomeCause::ClientDisconnected => "its client left",
+        OutcomeCause::Overdue => "it was not ended in time",
     };
     match waited_for {
         None => what.to_owned(),
@@ -79,31 +79,32 @@
     }
 }
 
-pub fn waited(waited_for: WaitedFor) -> &'static str {
+pub fn waited(waited_for: QueueingReason) -> &'static str {
     match waited_for {
-        WaitedFor::NoWriter => "no writer could be sent to",
-        WaitedFor::NoReader => "no reader could be sent to",
-        WaitedFor::OverShare => "its tenant was over its share",
-        WaitedFor::WritersFull => "all writers looked full",
-        WaitedFor::ReadersFull => "all readers had long waits",
+        QueueingReason::NoDecodeWorker => "no writer could be sent to",
+        QueueingReason::NoPrefillWorker => "no reader could be sent to",
+        QueueingReason::OverQuota => "its tenant was over its share",
+        QueueingReason::DecodeWorkersSaturated => "all writers looked full",
+        QueueingReason::PrefillWorkersSaturated => "all readers had long waits",
     }
 }
 
 /// Why an engine gets nothing new, or less.
 pub fn avoided(engine: &EngineView) -> String {
-    let whole = engine.avoided.map(|avoid| match avoid {
-        Avoid::NotReady => match engine.state {
-            EngineState::Gone => "gone",
+    let whole = engine.avoid_reason.map(|avoid| match avoid {
+        AvoidReason::NotReady => match engine.state {
+            EngineState::Removed => "gone",
             _ => "draining",
         },
-        Avoid::Unreachable if engine.connected => "answers nothing",
-        Avoid::Unreachable => "unreachable",
-        Avoid::Resting => "rests after failures",
-        Avoid::Slow => "slow",
-        Avoid::Cold => "cold",
-        Avoid::Full => "full",
+        AvoidReason::Unreachable if engine.connected => "answers nothing",
+        AvoidReason::Unreachable => "unreachable",
+        AvoidReason::Ejected => "rests after failures",
+        AvoidReason::Outlier => "slow",
+        AvoidReason::WarmingUp => "cold",
+        AvoidReason::Saturated => "full",
     });
-    let parts = engine.rests.iter().map(|rest| format!("no {}{}", rest.class, of_tenant(&rest.tenant)));
+    let parts =
+        engine.partial_ejections.iter().map(|rest| format!("no {}{}", rest.class, of_tenant(&rest.tenant)));
     whole.map(str::to_owned).into_iter().chain(parts).collect::<Vec<_>>().join(", ")
 }
 
@@ -128,40 +129,40 @@
 /// An engine's state, with who made it so.
 pub fn state(engine: &EngineView, intents: &[Intent]) -> String {
     match hold(&engine.name, intents) {
-        Some((Hold::Drain, kept)) => format!("drained{}", if kept { "" } else { " (not kept)" }),
-        Some((Hold::Aside, kept)) => format!("set aside{}", if kept { "" } else { " (not kept)" }),
-        None => engine.state.word().to_owned(),
+        Some((DrainMode::Drain, kept)) => format!("drained{}", if kept { "" } else { " (not kept)" }),
+        Some((DrainMode::Detach, kept)) => format!("set aside{}", if kept { "" } else { " (not kept)" }),
+        None => engine.state.name().to_owned(),
     }
 }
 
 /// How an operator holds an engine, and whether that is kept.
-pub fn hold(engine: &str, intents: &[Intent]) -> Option<(Hold, bool)> {
+pub fn hold(engine: &str, intents: &[Intent]) -> Option<(DrainMode, bool)> {
     intents.iter().find_map(|intent| match &intent.subject {
-        Subject::Engine { engine: name, hold } if name == engine => Some((*hold, intent.kept)),
+        Subject::Engine { engine: name, mode: hold } if name == engine => Some((*hold, intent.persisted)),
         _ => None,
     })
 }
 
 pub fn subject(subject: &Subject) -> String {
     match subject {
-        Subject::Engine { engine, hold: Hold::Drain } => format!("{engine} drained"),
-        Subject::Engine { engine, hold: Hold::Aside } => format!("{engine} set aside"),
-        Subject::Intake {} => "intake paused".to_owned(),
+        Subject::Engine { engine, mode: DrainMode::Drain } => format!("{engine} drained"),
+        Subject::Engine { engine, mode: DrainMode::Detach } => format!("{engine} set aside"),
+        Subject::Admission {} => "intake paused".to_owned(),
         Subject::Limit { name, value } => format!("{name} = {value}"),
     }
 }
 
 /// What became of the client.
-pub fn follow_up(ending: &Ending) -> String {
+pub fn follow_up(ending: &RequestOutcome) -> String {
     match &ending.follow_up {
         None => "its client has not been seen again".to_owned(),
         Some(follow_up) => {
-            let after = gaparch_ops::watch::span(follow_up.asked_at.saturating_sub(ending.ended_at));
+            let after = gaparch_ops::duration_text(follow_up.received_at.saturating_sub(ending.ended_at));
             let then = match follow_up.kind {
-                EndKind::Served => "served then",
-                EndKind::Refused => "refused again",
-                EndKind::Failed => "failed then",
-                EndKind::Left => "left then",
+                OutcomeKind::Served => "served then",
+                OutcomeKind::Rejected => "refused again",
+                OutcomeKind::Failed => "failed then",
+                OutcomeKind::ClientDisconnected => "left then",
             };
             format!("its client came back after {after} as {}, and was {then}", follow_up.request)
         }
@@ -169,7 +170,7 @@
 }
 
 /// One request's story, a line each.
-pub fn story(ending: &Ending, now: u64) -> Vec<String> {
+pub fn story(ending: &RequestOutcome, now: u64) -> Vec<String> {
     let tenant =
         if ending.tenant.is_empty() { String::new() } else { format!(" of tenant {}", ending.tenant) };
     let mut lines = vec![
@@ -177,41 +178,41 @@
         format!(
             "  {} at {}, a {}{tenant}; {} after {}",
             "asked",
-            time(ending.asked_at, now),
+            time(ending.received_at, now),
             ending.class,
             ending.kind,
-            micros(ending.ended_at.saturating_sub(ending.asked_at) / 1000)
+            micros(ending.ended_at.saturating_sub(ending.received_at) / 1000)
         ),
-        format!("  why: {}", cause(ending.cause, ending.waited_for)),
+        format!("  why: {}", cause(ending.cause, ending.queueing_reason)),
     ];
     if let Some(wait) = ending.retry_after_ms {
         lines.push(format!("  told to come back after {wait} ms"));
     }
-    if let Some(first) = ending.first_after_us {
+    if let Some(first) = ending.first_token_after_us {
         lines.push(format!("  first token after {}, {} tokens", micros(first), ending.tokens));
     }
-    if ending.steps.is_empty() {
+    if ending.attempts.is_empty() {
         lines.push("  it was never sent to an engine".to_owned());
     }
-    for step in &ending.steps {
+    for step in &ending.attempts {
         let end = match step.end {
-            StepEnd::Out => "no outcome".to_owned(),
+            AttemptEnd::InFlight => "no outcome".to_owned(),
             end => format!("{end} after {}", micros(step.took_us)),
         };
-        lines.push(format!("  {:>9}  {} at {}: {end}", micros(step.from_us), step.stage, step.engine));
+        lines.push(format!("  {:>9}  {} at {}: {end}", micros(step.sent_after_us), step.stage, step.engine));
     }
     if !ending.evidence.is_empty() {
         lines.push("  the engines then:".to_owned());
     }
     for e in &ending.evidence {
-        let avoided = if e.avoided.is_empty() { "in use" } else { e.avoided.as_str() };
-        let memory = percent(e.memory);
+        let avoided = if e.avoid_reason.is_empty() { "in use" } else { e.avoid_reason.as_str() };
+        let memory = percent(e.memory_utilization);
         lines.push(format!(
             "    {:<16} {avoided:<12} memory {memory:>4}, {:.0} tokens unread, pace {:.1}",
-            e.engine, e.unread, e.pace
+            e.engine, e.queued_prompt_tokens, e.latency_ratio
         ));
     }
-    if ending.kind != EndKind::Served {
+    if ending.kind != OutcomeKind::Served {
         lines.push(format!("  {}", follow_up(ending)));
     }
     lines
--- a/crates/gaparch-console/tests/console.rs
+++ b/crates/gaparch-console/tests/console.rs
@@ -2,12 +2,14 @@
 
 use gaparch_console::app::{App, Effect, Key, Link, Page, Question, Tag, View};
 use gaparch_console::screen::{draw, Theme};
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, Evidence, Group, RequestName, WaitedFor};
-use gaparch_protocol::ops::intent::{Change, Hold, Intent, LimitView, Note, Subject};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode, Intent, LimitView, Subject};
+use gaparch_protocol::ops::outcome::{
+    EngineEvidence, GlobalRequestId, OutcomeCause, OutcomeGroup, OutcomeKind, QueueingReason, RequestOutcome,
+};
 use gaparch_protocol::ops::view::{
-    Avoid, EngineRole, EngineState, EngineView, Figures, Happening, Severity, Snapshot, TenantView,
+    AvoidReason, EngineRole, EngineState, EngineView, Event, RouterMetrics, Severity, Snapshot, TenantView,
 };
-use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Query, Update};
+use gaparch_protocol::ops::{Answer, DenyCode, Query, SessionRole, Update};
 use proptest::prelude::*;
 use ratatui::backend::TestBackend;
 use ratatui::buffer::{Buffer, Cell};
@@ -19,27 +21,27 @@
 fn engine(n: usize) -> EngineView {
     EngineView {
         name: format!("{}-{n}", if n.is_multiple_of(3) { "read" } else { "write" }),
-        role: if n.is_multiple_of(3) { EngineRole::Read } else { EngineRole::Write },
+        role: if n.is_multiple_of(3) { EngineRole::Prefill } else { EngineRole::Decode },
         zone: "north".to_owned(),
         rack: "n1".to_owned(),
         address: "127.0.0.1:7101".to_owned(),
-        listed: EngineState::Ready,
+        listed_state: EngineState::Ready,
         state: EngineState::Ready,
         connected: n != 4,
-        avoided: (n == 4).then_some(Avoid::Unreachable),
-        rests: Vec::new(),
-        waiting: n as u32,
+        avoid_reason: (n == 4).then_some(AvoidReason::Unreachable),
+        partial_ejections: Vec::new(),
+        awaiting_first_token: n as u32,
         streaming: 30 - n.min(30) as u32,
-        unread: 120.0 * n as f64,
-        memory: n as f64 / 20.0,
-        memory_said: None,
-        pace: 1.0,
-        cold_budget: None,
+        queued_prompt_tokens: 120.0 * n as f64,
+        memory_utilization: n as f64 / 20.0,
+        reported_memory_utilization: None,
+        latency_ratio: 1.0,
+        slow_start_budget: None,
         started_at: None,
-        heard_at: NOW - 1_000_000_000,
+        last_response_at: NOW - 1_000_000_000,
         attempts: 1000,
         failed: n as u64,
-        called_off: 0,
+        cancelled: 0,
     }
 }
 
@@ -48,14 +50,14 @@
         router: "north-1".to_owned(),
         run: 7,
         revision: 3,
-        began_at: NOW - 7_300_000_000_000,
-        figures: Figures {
+        started_at: NOW - 7_300_000_000_000,
+        metrics: RouterMetrics {
             at: NOW,
             requests: 5000,
             served: 4900,
-            refused: 40,
-            held: 2,
-            ..Figures::default()
+            rejected: 40,
+            queued: 2,
+            ..RouterMetrics::default()
         },
         engines: (0..engines).map(engine).collect(),
         tenants: vec![TenantView { name: "app".to_owned(), requests: 9, ..TenantView::default() }],
@@ -63,27 +65,27 @@
         limits: vec![LimitView {
             name: "open-requests".to_owned(),
             value: 100.0,
-            by_settings: 100.0,
-            least: 1.0,
-            most: 100.0,
+            configured_value: 100.0,
+            min: 1.0,
+            max: 100.0,
             unit: "requests".to_owned(),
         }],
-        events: vec![Happening {
+        events: vec![Event {
             at: NOW - 5_000_000_000,
-            severity: Severity::Trouble,
+            severity: Severity::Fault,
             engine: Some("write-4".to_owned()),
             text: "can't be reached; 2 waiting and 5 streaming there".to_owned(),
         }],
         settings: Vec::new(),
-        not_kept: String::new(),
+        storage_error: String::new(),
     }
 }
 
 fn app() -> App {
     let mut app = App::default();
     app.tick(NOW);
-    app.link_up(OpsRole::Change);
-    app.update(Update::Fresh { snapshot: Box::new(snapshot(8)) });
+    app.link_up(SessionRole::ReadWrite);
+    app.update(Update::Resync { snapshot: Box::new(snapshot(8)) });
     app
 }
 
@@ -112,13 +114,13 @@
 
 fn ordered(effects: &[Effect]) -> Option<(Change, bool, String)> {
     effects.iter().find_map(|e| match e {
-        Effect::Ask(Tag::Order(order), _) => Some((order.change.clone(), order.force, order.why.clone())),
+        Effect::Ask(Tag::Order(order), _) => Some((order.change.clone(), order.force, order.reason.clone())),
         _ => None,
     })
 }
 
 fn drain(engine: &str) -> Change {
-    Change::Hold { engine: engine.to_owned(), hold: Hold::Drain }
+    Change::Drain { engine: engine.to_owned(), mode: DrainMode::Drain }
 }
 
 #[test]
@@ -137,7 +139,7 @@
     let Some(Effect::Ask(tag, query)) = effects.into_iter().next() else { panic!("an order") };
     assert!(matches!(*query, Query::Order { order } if order.revision == Some(3)), "what was seen is told");
     let message = "write-1 is the last writer that takes anything".to_owned();
-    app.answer(tag, Answer::Denied { code: DenyCode::LeavesNone, message });
+    app.answer(tag, Answer::Denied { code: DenyCode::LastOfRole, message });
     assert!(picture(&app, 80, 24, Theme::plain()).contains("Are you sure?"));
     type_in(&mut app, "no");
     assert_eq!(ordered(&app.key(Key::Enter)), None);
@@ -149,10 +151,10 @@
 #[test]
 fn who_may_look_only_and_who_is_not_connected_change_nothing() {
     let mut app = app();
-    app.link = Link::Up(OpsRole::Watch);
+    app.link = Link::Up(SessionRole::ReadOnly);
     type_in(&mut app, "2d");
     assert_eq!(app.dialog, None);
-    app.link = Link::Up(OpsRole::Change);
+    app.link = Link::Up(SessionRole::ReadWrite);
     type_in(&mut app, "dx");
     app.link_down("closed by the peer");
     assert_eq!(ordered(&app.key(Key::Enter)), None);
@@ -163,46 +165,46 @@
 #[test]
 fn from_a_group_of_refusals_down_to_one_request_s_story() {
     let mut app = app();
-    let request = RequestName { run: 7, number: 42 };
+    let request = GlobalRequestId { run: 7, number: 42 };
     let asked = app.key(Key::Char('4'));
     assert!(asked.is_empty());
     assert!(matches!(&app.tick(NOW + 1)[..], [Effect::Ask(Tag::Groups, _)]));
-    let group = Group {
-        kind: EndKind::Refused,
-        cause: Cause::AimLost,
-        waited_for: Some(WaitedFor::WritersFull),
+    let group = OutcomeGroup {
+        kind: OutcomeKind::Rejected,
+        cause: OutcomeCause::ObjectiveMissed,
+        queueing_reason: Some(QueueingReason::DecodeWorkersSaturated),
         class: "question".to_owned(),
         tenant: String::new(),
         count: 12,
         first_at: NOW,
         last_at: NOW,
-        came_back: 3,
-        served_then: 2,
+        retried: 3,
+        served_on_retry: 2,
         example: request,
     };
-    app.answer(Tag::Groups, Answer::Groups { groups: vec![group], total: 12 });
+    app.answer(Tag::Groups, Answer::OutcomeGroups { groups: vec![group], total: 12 });
     let effects = app.key(Key::Enter);
     assert!(matches!(&effects[..], [Effect::Ask(Tag::Endings, query)]
-        if matches!(&**query, Query::Endings { filter } if filter.cause == Some(Cause::AimLost))));
-    let evidence = Evidence {
+        if matches!(&**query, Query::Outcomes { filter } if filter.cause == Some(OutcomeCause::ObjectiveMissed))));
+    let evidence = EngineEvidence {
         engine: "write-1".to_owned(),
-        avoided: "full".to_owned(),
-        memory: 0.97,
-        unread: 0.0,
-        pace: 1.0,
+        avoid_reason: "full".to_owned(),
+        memory_utilization: 0.97,
+        queued_prompt_tokens: 0.0,
+        latency_ratio: 1.0,
     };
     let (asked, ended) = (NOW - 2_000_000_000, NOW - 1_000_000_000);
-    let ending = Ending {
-        waited_for: Some(WaitedFor::WritersFull),
+    let ending = RequestOutcome {
+        queueing_reason: Some(QueueingReason::DecodeWorkersSaturated),
         retry_after_ms: Some(1000),
         evidence: vec![evidence],
-        ..Ending::bare(request, asked, ended, EndKind::Refused, Cause::AimLost)
+        ..RequestOutcome::bare(request, asked, ended, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
     };
-    app.answer(Tag::Endings, Answer::Endings { endings: vec![ending.clone()], total: 1 });
+    app.answer(Tag::Endings, Answer::Outcomes { outcomes: vec![ending.clone()], total: 1 });
     assert!(picture(&app, 80, 24, Theme::plain()).contains("msg_7_42"));
     let effects = app.key(Key::Enter);
     assert!(matches!(&effects[..], [Effect::Ask(Tag::Story, _)]));
-    app.answer(Tag::Story, Answer::Story { ending: Some(Box::new(ending)), live: None });
+    app.answer(Tag::Story, Answer::RequestDetails { outcome: Some(Box::new(ending)), open: None });
     let story = picture(&app, 80, 24, Theme::plain());
     for words in
         ["all writers looked full", "come back after 1000 ms", "write-1", "97%", "not been seen again"]
@@ -234,11 +236,12 @@
 #[test]
 fn rates_count_by_time_and_what_is_typed_is_bounded() {
     let mut app = app();
-    let served = app.snapshot.as_ref().map_or(0, |s| s.figures.served);
+    let served = app.snapshot.as_ref().map_or(0, |s| s.metrics.served);
     // Ten looks within a quarter second, as orders make them, are one point.
     for n in 1..=10u64 {
-        let figures = Figures { at: NOW + n * 25_000_000, served: served + n, ..Figures::default() };
-        app.update(Update::Figures { figures });
+        let figures =
+            RouterMetrics { at: NOW + n * 25_000_000, served: served + n, ..RouterMetrics::default() };
+        app.update(Update::Metrics { metrics: figures });
     }
     assert_eq!(app.series.served.iter().sum::<u64>(), 8, "{:?}", app.series.served);
     assert_eq!(app.series.served.len(), 1);
@@ -262,16 +265,16 @@
     type_in(&mut app, "50");
     app.key(Key::Enter);
     type_in(&mut app, "too hot");
-    let limit = Change::Limit { name: "open-requests".to_owned(), value: Some(50.0) };
+    let limit = Change::SetLimit { name: "open-requests".to_owned(), value: Some(50.0) };
     assert_eq!(ordered(&app.key(Key::Enter)), Some((limit, false, "too hot".to_owned())));
 }
 
 #[test]
 fn every_view_shows_at_80_by_24_what_matters_and_needs_no_colour() {
     let mut app = app();
-    let note = Note { who: "office".to_owned(), why: "noise".to_owned(), at: NOW };
-    let subject = Subject::Engine { engine: "write-1".to_owned(), hold: Hold::Drain };
-    let intents = vec![Intent { subject, note, revision: 3, kept: false }];
+    let note = ChangeNote { operator: "office".to_owned(), reason: "noise".to_owned(), at: NOW };
+    let subject = Subject::Engine { engine: "write-1".to_owned(), mode: DrainMode::Drain };
+    let intents = vec![Intent { subject, note, revision: 3, persisted: false }];
     app.update(Update::Intents { revision: 4, intents });
     for (view, words) in [
         (View::Overview, &["4900 served", "40 refused", "write-4", "can't be reached", "NOT KEPT"][..]),
@@ -313,7 +316,7 @@
         engines in 0usize..40,
     ) {
         let mut app = app();
-        app.update(Update::Fresh { snapshot: Box::new(snapshot(engines)) });
+        app.update(Update::Resync { snapshot: Box::new(snapshot(engines)) });
         for key in keys {
             let effects = app.key(key);
             prop_assert!(ordered(&effects).is_none_or(|(_, _, why)| !why.trim().is_empty()));
--- a/crates/gaparch-net/src/operations.rs
+++ b/crates/gaparch-net/src/operations.rs
@@ -3,7 +3,7 @@
 use crate::framed::{FrameReader, ReadError};
 use bytes::BytesMut;
 use gaparch_protocol::frame::encode;
-use gaparch_protocol::ops::{Answer, OpsFrame, OpsRole, Query, Update, MAX_ANSWER, VERSION};
+use gaparch_protocol::ops::{Answer, OpsFrame, Query, SessionRole, Update, MAX_ANSWER_BYTES, VERSION};
 use std::collections::VecDeque;
 use std::fmt;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Credentials {
     pub key: Option<String>,
-    pub role: OpsRole,
+    pub role: SessionRole,
     /// A name, where no key says it.
     pub who: String,
 }
@@ -80,7 +80,7 @@
     next_seq: u32,
     pub router: String,
     pub run: u64,
-    pub role: OpsRole,
+    pub role: SessionRole,
 }
 
 impl OpsClient {
@@ -110,16 +110,16 @@
             }
         };
         let mut client = OpsClient {
-            reader: FrameReader::new(reader, MAX_ANSWER),
+            reader: FrameReader::new(reader, MAX_ANSWER_BYTES),
             writer,
             came: VecDeque::new(),
             next_seq: 1,
             router: String::new(),
             run: 0,
-            role: OpsRole::Watch,
+            role: SessionRole::ReadOnly,
         };
         let Credentials { key, role, who } = credentials.clone();
-        client.write(&OpsFrame::Hello { version: VERSION, key, role, who }).await?;
+        client.write(&OpsFrame::Hello { version: VERSION, key, role, operator: who }).await?;
         match client.reader.read_one().await? {
             OpsFrame::Welcome { version: VERSION, router, run, role } => {
                 (client.router, client.run, client.role) = (router, run, role);
@@ -143,7 +143,7 @@
     pub async fn put(&mut self, query: Query) -> Result<u32, OpsError> {
         let seq = self.next_seq;
         self.next_seq = self.next_seq.wrapping_add(1);
-        self.write(&OpsFrame::Ask { seq, query }).await?;
+        self.write(&OpsFrame::Query { seq, query }).await?;
         Ok(seq)
     }
 
--- /dev/null
+++ b/crates/gaparch-ops/src/review.rs
@@ -0,0 +1,226 @@
+//! Which orders may be carried out, and what they do.
+
+use crate::change_text::change_text;
+use crate::limits;
+use crate::registry::{ChangeSubject, OrderRegistry};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, DrainMode, LimitView};
+use gaparch_protocol::ops::view::EngineRole;
+use gaparch_protocol::ops::{DenyCode, Order};
+use thiserror::Error;
+
+/// The most bytes of an operator's name or a reason.
+const MAX_TEXT_BYTES: usize = 500;
+
+/// Why an order is not carried out.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{message}")]
+pub struct OrderDenied {
+    /// The reason, for scripts.
+    pub code: DenyCode,
+    /// The reason and what would help, for people.
+    pub message: String,
+}
+
+impl OrderDenied {
+    /// A denial for this reason.
+    pub fn new(code: DenyCode, message: impl Into<String>) -> OrderDenied {
+        OrderDenied { code, message: message.into() }
+    }
+}
+
+/// An engine at the time of an order.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EngineStatus {
+    /// Its name.
+    pub name: String,
+    /// What it does.
+    pub role: EngineRole,
+    /// It is ready by the endpoint list and operators' orders, and the router can reach it.
+    pub accepts_requests: bool,
+    /// This router's attempts there that await their first token.
+    pub awaiting_first_token: u32,
+    /// This router's attempts there that are streaming.
+    pub streaming: u32,
+}
+
+/// The site at the time of an order.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct SiteStatus {
+    /// All engines.
+    pub engines: Vec<EngineStatus>,
+    /// Requests in the admission queue.
+    pub queued: u32,
+    /// Requests in prefill.
+    pub prefilling: u32,
+    /// Decode workers do the prefill where there is no prefill worker.
+    pub decode_workers_can_prefill: bool,
+    /// The limits that operators can change.
+    pub limits: Vec<LimitView>,
+}
+
+/// A change that may be made.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ProposedChange {
+    /// The change, to be stored and [applied](OrderRegistry::apply).
+    pub change: AcceptedChange,
+    /// What it does to the requests in flight, for people.
+    pub effect: String,
+}
+
+impl OrderRegistry {
+    /// The change that an order makes, and what it does to the requests in flight.
+    ///
+    /// # Errors
+    /// When it may not be carried out; the message says why and what would help.
+    pub fn propose(
+        &self,
+        order: &Order,
+        operator: &str,
+        at: u64,
+        site: &SiteStatus,
+    ) -> Result<ProposedChange, OrderDenied> {
+        check_texts(order, operator)?;
+        self.check_revision(order)?;
+        let effect = self.effect(order, site)?;
+        let note = ChangeNote { operator: operator.to_owned(), reason: order.reason.trim().to_owned(), at };
+        let change = AcceptedChange { revision: self.revision() + 1, change: order.change.clone(), note };
+        Ok(ProposedChange { change, effect })
+    }
+
+    /// The change that an order makes here which another router has passed on; `None` where it is in force already.
+    /// Whether it leaves an engine of each role was decided where it was given.
+    ///
+    /// # Errors
+    /// When it sets a limit that this router does not have, or outside of its bounds.
+    pub fn adopt(
+        &self,
+        change: &Change,
+        note: &ChangeNote,
+        limits: &[LimitView],
+    ) -> Result<Option<AcceptedChange>, OrderDenied> {
+        if let Change::SetLimit { name, value } = change {
+            limits::check(name, *value, limits)?;
+        }
+        let last = ChangeSubject::of(change).and_then(|subject| self.last_change(&subject));
+        if last.is_some_and(|accepted| accepted.change == *change) {
+            return Ok(None);
+        }
+        let revision = self.revision() + 1;
+        Ok(Some(AcceptedChange { revision, change: change.clone(), note: note.clone() }))
+    }
+
+    /// Two operators may look at the same engine; the second one to act should know of the first.
+    fn check_revision(&self, order: &Order) -> Result<(), OrderDenied> {
+        let Some(seen_revision) = order.revision else { return Ok(()) };
+        let Some(subject) = ChangeSubject::of(&order.change) else { return Ok(()) };
+        let later = self.last_change(&subject).filter(|accepted| accepted.revision > seen_revision);
+        let Some(AcceptedChange { change, note, .. }) = later else { return Ok(()) };
+        let change = change_text(change);
+        let message = format!("{} was first: {change} ({})", note.operator, note.reason);
+        Err(OrderDenied::new(DenyCode::Conflict, message))
+    }
+
+    fn effect(&self, order: &Order, site: &SiteStatus) -> Result<String, OrderDenied> {
+        let in_progress = format!("{} queued and {} in prefill", site.queued, site.prefilling);
+        match &order.change {
+            Change::Drain { engine, mode } => drain_effect(engine, *mode, order.force, site),
+            Change::Undrain { engine } => self.undrain_effect(engine),
+            Change::Pause {} => Ok(format!("new requests are rejected; {in_progress} go on")),
+            Change::Resume {} if !self.is_paused() => {
+                Err(OrderDenied::new(DenyCode::Invalid, "the intake is not paused"))
+            }
+            Change::Resume {} => Ok("new requests are admitted again".to_owned()),
+            Change::SetLimit { name, value } => limits::check(name, *value, &site.limits),
+            Change::Stop {} => Ok(format!("{in_progress} have the stated time")),
+        }
+    }
+
+    fn undrain_effect(&self, engine: &str) -> Result<String, OrderDenied> {
+        match self.drain(engine) {
+            Some(_) => Ok(format!("{engine} is what the list says again")),
+            None => {
+                let message = format!("no operator has drained '{engine}'");
+                Err(OrderDenied::new(DenyCode::Invalid, message))
+            }
+        }
+    }
+}
+
+fn check_texts(order: &Order, operator: &str) -> Result<(), OrderDenied> {
+    if order.reason.trim().is_empty() && !matches!(order.change, Change::Stop {}) {
+        let message = "a reason is required, for colleagues who read it later";
+        return Err(OrderDenied::new(DenyCode::Invalid, message));
+    }
+    for (what, text) in [("the reason", order.reason.as_str()), ("the operator's name", operator)] {
+        if text.len() > MAX_TEXT_BYTES {
+            let message = format!("{what} has {} bytes, at most {MAX_TEXT_BYTES} are stored", text.len());
+            return Err(OrderDenied::new(DenyCode::Invalid, message));
+        }
+    }
+    Ok(())
+}
+
+fn drain_effect(
+    engine: &str,
+    mode: DrainMode,
+    force: bool,
+    site: &SiteStatus,
+) -> Result<String, OrderDenied> {
+    let Some(status) = site.engines.iter().find(|status| status.name == engine) else {
+        return Err(OrderDenied::new(DenyCode::Unknown, format!("there is no engine '{engine}'")));
+    };
+    let waiting = format!("{} queued and {} in prefill", site.queued, site.prefilling);
+    let consequence = "would wait for another until their time is up, and then be rejected";
+    let mut effect = drain_text(status, mode);
+    if let Some(role) = role_left_without_engine(status, site) {
+        if !force {
+            let message = format!(
+                "{engine} is the last {role} that accepts requests: {waiting} requests {consequence}, as would all \
+                 that come; force it if that is wanted"
+            );
+            return Err(OrderDenied::new(DenyCode::LastOfRole, message));
+        }
+        effect += &format!("; {waiting} {consequence}");
+    }
+    Ok(effect)
+}
+
+fn drain_text(status: &EngineStatus, mode: DrainMode) -> String {
+    let EngineStatus { name, awaiting_first_token, streaming, .. } = status;
+    let what = match mode {
+        DrainMode::Drain => "gets nothing new",
+        DrainMode::Detach => "gets nothing new, and no connection once nothing is in flight there",
+    };
+    format!(
+        "{name} {what}; {awaiting_first_token} awaiting their first token and {streaming} streaming end in \
+         their own time"
+    )
+}
+
+/// The role that no engine would have any more without this one, for people.
+fn role_left_without_engine(status: &EngineStatus, site: &SiteStatus) -> Option<&'static str> {
+    if !status.accepts_requests {
+        return None;
+    }
+    let remaining = |can_serve: fn(EngineRole) -> bool| {
+        let others = site.engines.iter().filter(|other| other.name != status.name);
+        others.filter(|other| other.accepts_requests && can_serve(other.role)).count()
+    };
+    let remaining_decode_workers = remaining(can_decode);
+    if can_decode(status.role) && remaining_decode_workers == 0 {
+        return Some("decode worker");
+    }
+    let decode_workers_prefill = site.decode_workers_can_prefill && remaining_decode_workers > 0;
+    if can_prefill(status.role) && remaining(can_prefill) == 0 && !decode_workers_prefill {
+        return Some("prefill worker");
+    }
+    None
+}
+
+fn can_decode(role: EngineRole) -> bool {
+    role != EngineRole::Prefill
+}
+
+fn can_prefill(role: EngineRole) -> bool {
+    role != EngineRole::Decode
+}
--- /dev/null
+++ b/crates/gaparch-ops/tests/orders.rs
@@ -0,0 +1,138 @@
+//! Which orders may be carried out, and what they make with the list.
+
+mod common;
+
+use common::*;
+use gaparch_ops::{effective_state, read_change, restart_warning, EngineDrain, OrderRegistry, SiteStatus};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, DrainMode, Subject};
+use gaparch_protocol::ops::view::EngineState::{self, Draining, Ready, Removed};
+use gaparch_protocol::ops::{to_bytes, DenyCode, Order};
+use proptest::prelude::*;
+
+#[test]
+fn the_table_of_operator_and_list() {
+    let rows: [(Option<DrainMode>, EngineState, EngineState); 9] = [
+        (None, Ready, Ready),
+        (None, Draining, Draining),
+        (None, Removed, Removed),
+        (Some(DrainMode::Drain), Ready, Draining),
+        (Some(DrainMode::Drain), Draining, Draining),
+        (Some(DrainMode::Drain), Removed, Removed),
+        (Some(DrainMode::Detach), Ready, Removed),
+        (Some(DrainMode::Detach), Draining, Removed),
+        (Some(DrainMode::Detach), Removed, Removed),
+    ];
+    for (mode, listed, wanted) in rows {
+        assert_eq!(effective_state(mode, listed), wanted, "{mode:?}, {listed}");
+    }
+    let drain = EngineDrain { mode: DrainMode::Drain, since: 10 };
+    assert_eq!(restart_warning(drain, Some(9)), None);
+    assert!(restart_warning(drain, Some(11)).is_some_and(|r| r.contains("still drained")));
+}
+
+#[test]
+fn the_last_of_a_role_is_drained_only_by_force_and_the_effect_is_stated() {
+    let mut registry = OrderRegistry::default();
+    let last = Order { force: true, ..drain("w1") };
+    let results = carry_out(&mut registry, &site(2, 2), &[drain("w0"), drain("w1"), last]);
+    assert!(
+        results[0].as_ref().is_ok_and(|e| e.contains("3 streaming end in their own time")),
+        "{results:?}"
+    );
+    let denied = results[1].as_ref().expect_err("the last decode worker");
+    assert_eq!(denied.code, DenyCode::LastOfRole);
+    assert!(denied.message.contains("12 queued and 3 in prefill"), "{}", denied.message);
+    assert!(results[2].as_ref().is_ok_and(|e| e.contains("until their time is up")), "{results:?}");
+}
+
+#[test]
+fn both_prefill_workers_by_two_operators_in_the_same_second_leave_one() {
+    let mut registry = OrderRegistry::default();
+    let results = carry_out(&mut registry, &site(2, 2), &[drain("r0"), drain("r1")]);
+    assert!(results[0].is_ok());
+    assert_eq!(results[1].as_ref().map_err(|d| d.code), Err(DenyCode::LastOfRole));
+    // Where decode workers do the prefill, none is needed.
+    let mut registry = OrderRegistry::default();
+    let site = SiteStatus { decode_workers_can_prefill: true, ..site(2, 2) };
+    assert!(carry_out(&mut registry, &site, &[drain("r0"), drain("r1")]).iter().all(Result::is_ok));
+    // One that can't be reached is no help.
+    let mut unreached = site.clone();
+    unreached.decode_workers_can_prefill = false;
+    unreached.engines[0].accepts_requests = false;
+    let result = OrderRegistry::default().propose(&drain("r1"), "someone", 0, &unreached);
+    assert_eq!(result.map_err(|d| d.code).map(|_| ()), Err(DenyCode::LastOfRole));
+}
+
+#[test]
+fn the_second_of_two_that_contradict_each_other_is_told_of_the_first() {
+    let mut registry = OrderRegistry::default();
+    let seen = Some(registry.revision());
+    let undo = Order { revision: seen, ..undrain("w0") };
+    let results =
+        carry_out(&mut registry, &site(2, 3), &[drain("w0"), undo, Order { revision: seen, ..drain("w1") }]);
+    let denied = results[1].as_ref().expect_err("it has changed");
+    assert_eq!(denied.code, DenyCode::Conflict);
+    assert!(denied.message.contains("w0 drained (a test)"), "{}", denied.message);
+    assert!(results[2].is_ok(), "another engine has not");
+}
+
+#[test]
+fn what_makes_no_sense_is_denied_by_name() {
+    let registry = OrderRegistry::default();
+    let limit = |name: &str, value| Change::SetLimit { name: name.to_owned(), value };
+    for (order, code, word) in [
+        (drain("w9"), DenyCode::Unknown, "'w9'"),
+        (undrain("w0"), DenyCode::Invalid, "no operator has drained 'w0'"),
+        (order(Change::Resume {}), DenyCode::Invalid, "not paused"),
+        (order(limit("speed", Some(1.0))), DenyCode::Unknown, "open-requests"),
+        (order(limit("open-requests", Some(0.0))), DenyCode::Invalid, "from 1 to 1000"),
+        (order(limit("open-requests", Some(f64::NAN))), DenyCode::Invalid, "from 1"),
+        (Order { reason: " ".to_owned(), ..drain("w0") }, DenyCode::Invalid, "reason"),
+        (Order { reason: "x".repeat(501), ..drain("w0") }, DenyCode::Invalid, "501 bytes"),
+    ] {
+        let denied = registry.propose(&order, "someone", 0, &site(2, 2)).expect_err("denied");
+        assert_eq!(denied.code, code, "{order:?}");
+        assert!(denied.message.contains(word), "{}", denied.message);
+    }
+}
+
+#[test]
+fn a_change_of_the_first_schema_is_read_and_numbered() {
+    let note = ChangeNote { operator: "someone".to_owned(), reason: "noise".to_owned(), at: 5 };
+    let change = Change::Drain { engine: "w0".to_owned(), mode: DrainMode::Detach };
+    let mut old = to_bytes(&change);
+    old.extend(to_bytes(&note));
+    let accepted = AcceptedChange { revision: 4, change, note };
+    assert_eq!(read_change(1, &old, 4), Some(accepted.clone()));
+    assert_eq!(read_change(2, &to_bytes(&accepted), 9), Some(accepted));
+    assert_eq!(read_change(2, &old, 9), None, "another schema's bytes are not guessed at");
+}
+
+proptest! {
+    /// Whatever is ordered, the registry comes back the same from its own changes, and no role is left without an
+    /// engine unless by force.
+    #[test]
+    fn a_book_comes_back_whole(picks in proptest::collection::vec((0usize..5, 0u8..7), 0..40)) {
+        let names = ["r0", "r1", "w0", "w1", "w2"];
+        let mut registry = OrderRegistry::default();
+        let base = site(2, 3);
+        for (engine, what) in picks {
+            let engine = names[engine].to_owned();
+            let change = match what {
+                0 | 1 => Change::Drain { engine, mode: DrainMode::Drain },
+                2 => Change::Drain { engine, mode: DrainMode::Detach },
+                3 | 4 => Change::Undrain { engine },
+                5 => Change::Pause {},
+                _ => Change::SetLimit { name: "open-requests".to_owned(), value: Some(50.0) },
+            };
+            carry_out(&mut registry, &base, &[order(change)]);
+            let left = without_drained(base.clone(), &registry);
+            let takes = |from: std::ops::Range<usize>| left.engines[from].iter().any(|e| e.accepts_requests);
+            prop_assert!(takes(0..2) && takes(2..5));
+        }
+        let again = OrderRegistry::restore(registry.changes());
+        prop_assert_eq!(&again, &registry);
+        let engines = registry.intents(|_| true).into_iter().filter(|i| matches!(i.subject, Subject::Engine { .. }));
+        prop_assert_eq!(engines.count(), names.iter().filter(|n| registry.drain(n).is_some()).count());
+    }
+}
--- a/crates/gaparch-ops/tests/pinned_records.rs
+++ b/crates/gaparch-ops/tests/pinned_records.rs
@@ -1,8 +1,7 @@
-//! Records of operators' orders as earlier versions kept them, and what the ledger makes of them.
+//! Records of operators' orders as earlier versions kept them, and what the registry makes of them.
 
-use gaparch_ops::book::{read_change, Book, SCHEMA};
-use gaparch_ops::{ledger, limits};
-use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
+use gaparch_ops::{limits, read_change, EngineDrain, OrderRegistry, CHANGE_SCHEMA, OUTCOME_SCHEMA};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, DrainMode};
 use gaparch_protocol::ops::to_bytes;
 use std::fmt::Write;
 
@@ -32,51 +31,51 @@
     digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect()
 }
 
-fn note() -> Note {
-    Note { who: "ann".to_owned(), why: "noise".to_owned(), at: NOW }
+fn note() -> ChangeNote {
+    ChangeNote { operator: "ann".to_owned(), reason: "noise".to_owned(), at: NOW }
 }
 
-fn hold(hold: Hold) -> Change {
-    Change::Hold { engine: "w0".to_owned(), hold }
+fn drain(mode: DrainMode) -> Change {
+    Change::Drain { engine: "w0".to_owned(), mode }
 }
 
 fn limit(value: Option<f64>) -> Change {
-    Change::Limit { name: limits::OPEN_REQUESTS.to_owned(), value }
+    Change::SetLimit { name: limits::OPEN_REQUESTS.to_owned(), value }
 }
 
 #[test]
 fn changes_of_the_present_schema_keep_their_bytes() {
-    assert_eq!((SCHEMA, ledger::SCHEMA), (2, 1));
+    assert_eq!((CHANGE_SCHEMA, OUTCOME_SCHEMA), (2, 1));
     let records = [
-        (hold(Hold::Drain), DRAIN),
-        (hold(Hold::Aside), ASIDE),
-        (Change::Free { engine: "w0".to_owned() }, FREE),
+        (drain(DrainMode::Drain), DRAIN),
+        (drain(DrainMode::Detach), ASIDE),
+        (Change::Undrain { engine: "w0".to_owned() }, FREE),
         (Change::Pause {}, PAUSE),
         (Change::Resume {}, RESUME),
         (limit(Some(50.0)), LIMIT),
         (limit(None), RESET),
     ];
     for (change, pinned) in records {
-        let taken = Taken { revision: 4, change, note: note() };
-        assert_eq!(hex(&to_bytes(&taken)), pinned, "{taken:?}");
-        assert_eq!(read_change(2, &unhex(pinned), 9), Some(taken));
+        let accepted = AcceptedChange { revision: 4, change, note: note() };
+        assert_eq!(hex(&to_bytes(&accepted)), pinned, "{accepted:?}");
+        assert_eq!(read_change(2, &unhex(pinned), 9), Some(accepted));
     }
 }
 
 #[test]
 fn a_change_of_the_first_schema_is_read() {
-    let wanted = Taken { revision: 9, change: hold(Hold::Drain), note: note() };
+    let wanted = AcceptedChange { revision: 9, change: drain(DrainMode::Drain), note: note() };
     assert_eq!(read_change(1, &unhex(DRAIN_OF_SCHEMA_1), 9), Some(wanted));
 }
 
 #[test]
-fn pinned_changes_make_the_same_book() {
+fn pinned_changes_make_the_same_registry() {
     let changes = [DRAIN, PAUSE, LIMIT].map(|pinned| read_change(2, &unhex(pinned), 0).expect("read"));
-    let book = Book::restore(changes);
-    assert_eq!(book.revision(), 4);
-    assert_eq!(book.hold("w0"), Some((Hold::Drain, NOW)));
-    assert!(book.paused());
-    assert_eq!(book.limit(limits::OPEN_REQUESTS), Some(50.0));
+    let registry = OrderRegistry::restore(changes);
+    assert_eq!(registry.revision(), 4);
+    assert_eq!(registry.drain("w0"), Some(EngineDrain { mode: DrainMode::Drain, since: NOW }));
+    assert!(registry.is_paused());
+    assert_eq!(registry.limit(limits::OPEN_REQUESTS), Some(50.0));
 }
 
 #[test]
--- a/crates/gaparch-platform-router/src/owner.rs
+++ b/crates/gaparch-platform-router/src/owner.rs
@@ -7,10 +7,10 @@
 use crate::shared::{Answer, Forward, Message, Seen, Shared};
 use crate::worker::{self, Job, Pool, Release, Target};
 use gaparch_config::Config;
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_platform_protocol::ask::Ask;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job as EngineJob, RouterRun};
-use gaparch_protocol::ops::ending::WaitedFor;
+use gaparch_protocol::ops::outcome::QueueingReason;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::connecting::Carries;
@@ -110,7 +110,7 @@
         let ask = config.module.poll_endpoints;
         let probe_within = Duration::from_nanos(config.attempts.probe_timeout);
         let mut out = Vec::new();
-        let mut core = Core::new(config, Book::default(), RouterRun(now), now, &mut out);
+        let mut core = Core::new(config, OrderRegistry::default(), RouterRun(now), now, &mut out);
         // The list as it was last held comes first, so that nothing waits for a silent catalogue.
         if let Some(known) = &shared.config.known {
             let (scope, version, entries) = (known.scope, known.generation, known.entries.clone());
@@ -303,7 +303,7 @@
             }
             ToClient::Refused { retry_after, waited_for, cause } => {
                 tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, txn, ?cause, ?waited_for, "refused");
-                Answer::Refused { over_share: waited_for == Some(WaitedFor::OverShare), retry_after }
+                Answer::Refused { over_share: waited_for == Some(QueueingReason::OverQuota), retry_after }
             }
             ToClient::Failed { why, cause } => {
                 tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, txn, ?cause, why, "failed");
--- a/crates/gaparch-protocol/src/frame.rs
+++ b/crates/gaparch-protocol/src/frame.rs
@@ -1,4 +1,4 @@
-//! Framing common to the engine and the list protocol: a length, a kind, a body.
+//! The framing that the engine, list and operations protocols share: a length, a kind, a body.
 
 use crate::wire::Body;
 use bytes::{Buf, BufMut, BytesMut};
@@ -9,25 +9,36 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser, Partial};
 
-/// Bytes that one frame may have after its length unless a receiver says otherwise: 4 MiB.
+/// Bytes of the length before each frame.
+const LENGTH_BYTES: usize = 4;
+/// The most bytes that a frame may have after its length unless a receiver says otherwise: 4 MiB.
 pub const DEFAULT_MAX_FRAME: usize = 4 << 20;
 
-/// Why the bytes of a peer can't be taken. The connection they came on has to be closed: there is no way to
-/// find the next frame.
+/// Why the bytes of a peer can't be decoded. Their connection has to be closed: the start of the next frame is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length says more than the receiver takes.
+    /// The frame is longer than the receiver accepts.
     #[error("a frame of {length} bytes, at most {max} are taken")]
-    Oversized { length: usize, max: usize },
-    /// A length of zero: not even a kind.
+    Oversized {
+        /// Bytes after the length, as it says.
+        length: usize,
+        /// The most that the receiver accepts.
+        max: usize,
+    },
+    /// The length is zero, so that there is not even a kind.
     #[error("an empty frame")]
     Empty,
     /// The body is not what its kind says.
     #[error("a malformed frame of kind {kind}, {length} bytes")]
-    Malformed { kind: u8, length: usize },
+    Malformed {
+        /// The kind.
+        kind: u8,
+        /// Bytes of the kind and the body.
+        length: usize,
+    },
 }
 
-/// A kind of frame that can be written to and read from bytes.
+/// A protocol's frames.
 pub trait Frame: Sized {
     /// The number that stands before the body.
     fn kind(&self) -> u8;
@@ -35,23 +46,26 @@
     /// Appends the body.
     fn put_body(&self, out: &mut BytesMut);
 
-    /// Parses a whole body. Bytes left over are malformed.
+    /// Parses a complete body. Bytes left over are malformed.
+    ///
+    /// # Errors
+    /// When the body is not one of that kind.
     fn parse_body(kind: u8, body: &mut &[u8]) -> ModalResult<Self>;
 }
 
 /// Appends one frame.
 pub fn encode<F: Frame>(frame: &F, out: &mut BytesMut) {
-    let at = out.len();
+    let start = out.len();
     out.put_u32(0);
     out.put_u8(frame.kind());
     frame.put_body(out);
-    let length = u32::try_from(out.len() - at - 4).unwrap_or(u32::MAX);
-    out[at..at + 4].copy_from_slice(&length.to_be_bytes());
+    let length = u32::try_from(out.len() - start - LENGTH_BYTES).unwrap_or(u32::MAX);
+    out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Splits a stream of bytes into frames, however it was cut on the way.
+/// Splits a stream of bytes into frames, wherever it was cut on the way.
 ///
-/// Holds at most one frame's bytes and what one read brought.
+/// It buffers at most one frame and the bytes of one read.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: BytesMut,
@@ -65,26 +79,26 @@
 }
 
 impl FrameDecoder {
-    /// A decoder that takes frames of at most `max` bytes after the length.
+    /// A decoder that accepts frames of at most `max` bytes after the length.
     pub fn new(max: usize) -> Self {
         FrameDecoder { buffer: BytesMut::new(), max }
     }
 
-    /// Where bytes that came in are to be appended.
+    /// The buffer to which received bytes are appended.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// Takes the next whole frame; `None` until more bytes came.
+    /// Takes the next complete frame; `None` if more bytes are needed.
     ///
     /// # Errors
     /// See [`FrameError`]; after one the decoder is of no further use.
     pub fn next_frame<F: Frame>(&mut self) -> Result<Option<F>, FrameError> {
         let mut input = Partial::new(&self.buffer[..]);
         let (kind, body) = match split(&mut input, self.max) {
-            Ok(Split::Frame(kind, body)) => (kind, body),
-            Ok(Split::Bad(error)) => return Err(error),
-            // Only ever incomplete: every split of lengths is legal up to here.
+            Ok(Split::Frame { kind, body }) => (kind, body),
+            Ok(Split::Invalid(error)) => return Err(error),
+            // More bytes are needed: no other error is possible up to here.
             Err(_) => return Ok(None),
         };
         let length = body.len() + 1;
@@ -100,8 +114,8 @@
 }
 
 enum Split<'a> {
-    Frame(u8, &'a [u8]),
-    Bad(FrameError),
+    Frame { kind: u8, body: &'a [u8] },
+    Invalid(FrameError),
 }
 
 fn split<'a>(
@@ -110,12 +124,12 @@
 ) -> Result<Split<'a>, ErrMode<winnow::error::ContextError>> {
     let length = usize::try_from(be_u32(input)?).unwrap_or(usize::MAX);
     if length > max {
-        return Ok(Split::Bad(FrameError::Oversized { length, max }));
+        return Ok(Split::Invalid(FrameError::Oversized { length, max }));
     }
     if length == 0 {
-        return Ok(Split::Bad(FrameError::Empty));
+        return Ok(Split::Invalid(FrameError::Empty));
     }
     let kind = u8(input)?;
     let body = take(length - 1).parse_next(input)?;
-    Ok(Split::Frame(kind, body))
+    Ok(Split::Frame { kind, body })
 }
--- a/crates/gaparch-protocol/src/lib.rs
+++ b/crates/gaparch-protocol/src/lib.rs
@@ -1,9 +1,9 @@
-//! Codecs without I/O for everything gaparch says on a wire of its own.
+//! Codecs without I/O for gaparch's own protocols.
 //!
-//! [`engine`] is the framed protocol between router and engine (and engine and engine), [`list`] the one of
-//! the list service, [`fleet`] the datagrams between routers, [`versions`] what they tell one another of lists, [`ops`] the one between a router and its operators, [`client`] the messages API with its
-//! dialects. Nothing here opens a socket or reads a
-//! clock; bytes go in, values come out, and malformed bytes are an error, never a panic.
+//! [`engine`] is the framed protocol between router and engine (and between engines), [`list`] the one of the list
+//! service, [`ops`] the one between a router and its operators, [`fleet`] the datagrams between routers, [`versions`]
+//! what these say of endpoint lists and orders, [`client`] the messages API with its dialects. Nothing here opens a
+//! socket or reads a clock; bytes go in, values come out, and malformed bytes are an error, never a panic.
 
 pub mod client;
 pub mod engine;
--- a/crates/gaparch-protocol/src/list.rs
+++ b/crates/gaparch-protocol/src/list.rs
@@ -1,7 +1,7 @@
-//! The protocol of the list service: which engines there are, and in what state.
+//! The protocol of the list service, which says which engines there are and in what state.
 //!
-//! `docs/protocols/list.md` describes it. A router says hello, then asks to be told of changes
-//! ([`Watch`](ListFrame::Watch)) or for the whole list once ([`Fetch`](ListFrame::Fetch)).
+//! `docs/protocols/list.md` describes it. A router says hello, then subscribes to changes
+//! ([`Watch`](ListFrame::Watch)) or fetches the complete list once ([`Fetch`](ListFrame::Fetch)).
 
 use crate::frame::Frame;
 use crate::wire::{
@@ -12,36 +12,43 @@
 use winnow::binary::u8;
 use winnow::ModalResult;
 
-/// The first version, in which a service does not say which run of it this is.
+/// The first version, without epochs.
 pub const VERSION: u16 = 1;
-/// The version in which it does.
+/// The version with epochs: the service says which run of its version counter this is.
 pub const VERSION_EPOCHS: u16 = 2;
 
-/// How a list is to be taken.
+/// What the entries of an update are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Changes to the list held.
+    /// Changes since the version before.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Full,
 }
 
-/// One engine as the list knows it. Texts name what the settings name.
+/// One engine in the endpoint list.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct ListEntry {
+    /// Its name.
     pub engine: String,
+    /// Where it is reached.
     pub address: String,
+    /// Its kind, to which the settings give a role.
     pub kind: String,
+    /// The zone in which it stands.
     pub zone: String,
+    /// The rack in which it stands.
     pub rack: String,
-    #[serde(serialize_with = "as_word")]
+    /// Whether it gets requests.
+    #[serde(serialize_with = "serialize_state")]
     pub state: ServerState,
+    /// Its capacity relative to its peers, if the list says it.
     pub weight: Option<f64>,
-    /// When its process last began, nanoseconds since the Unix epoch.
+    /// When its process last started, in nanoseconds since the Unix epoch.
     pub started_at: Option<u64>,
 }
 
-fn as_word<S: serde::Serializer>(state: &ServerState, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_state<S: serde::Serializer>(state: &ServerState, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(match state {
         ServerState::Ready => "ready",
         ServerState::Draining => "draining",
@@ -49,32 +56,60 @@
     })
 }
 
+/// A frame of the list protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListFrame {
-    /// First in both directions. `epoch`, from [`VERSION_EPOCHS`] on: which run of the service's counting this is, another
-    /// with each start from nothing; 0 from routers, and where it is not known.
-    Hello { version: u16, name: String, epoch: u64 },
-    /// Router to service: send changes from now on, those missed first; or no more.
+    /// The first frame in both directions.
+    Hello {
+        /// The version that the sender speaks.
+        version: u16,
+        /// The sender's name.
+        name: String,
+        /// From [`VERSION_EPOCHS`] on: which run of the service's version counter this is. It changes with each start
+        /// from nothing; 0 from routers, and where it is not known.
+        epoch: u64,
+    },
+    /// Router to service: send changes from now on, beginning with those that were missed (true), or no more (false).
     Watch(bool),
-    /// Router to service: send the whole list once.
+    /// Router to service: send the complete list once.
     Fetch,
-    /// Service to router. Versions grow by one with each change.
-    Update { scope: Scope, version: u64, entries: Vec<ListEntry> },
+    /// Service to router: the list or a change of it.
+    Update {
+        /// What the entries are.
+        scope: Scope,
+        /// The version of the list; it grows by one with each change.
+        version: u64,
+        /// The entries.
+        entries: Vec<ListEntry>,
+    },
     /// Service to router: the call can't be answered.
-    Failed { reason: String },
-    /// Either side, last on a connection.
-    Bye { reason: String },
+    Failed {
+        /// Why not, for people.
+        reason: String,
+    },
+    /// The last frame of either side.
+    Bye {
+        /// Why the connection closes, for people.
+        reason: String,
+    },
 }
 
+const HELLO: u8 = 1;
+const WATCH: u8 = 2;
+const FETCH: u8 = 3;
+const UPDATE: u8 = 4;
+const FAILED: u8 = 5;
+const BYE: u8 = 63;
+
 impl Frame for ListFrame {
     fn kind(&self) -> u8 {
         match self {
-            ListFrame::Hello { .. } => 1,
-            ListFrame::Watch(_) => 2,
-            ListFrame::Fetch => 3,
-            ListFrame::Update { .. } => 4,
-            ListFrame::Failed { .. } => 5,
-            ListFrame::Bye { .. } => 63,
+            ListFrame::Hello { .. } => HELLO,
+            ListFrame::Watch(_) => WATCH,
+            ListFrame::Fetch => FETCH,
+            ListFrame::Update { .. } => UPDATE,
+            ListFrame::Failed { .. } => FAILED,
+            ListFrame::Bye { .. } => BYE,
         }
     }
 
@@ -94,7 +129,7 @@
                 out.put_u64(*version);
                 let count = entries.len().min(usize::from(u16::MAX));
                 out.put_u16(count as u16);
-                entries.iter().take(count).for_each(|e| put_entry(out, e));
+                entries.iter().take(count).for_each(|entry| put_entry(out, entry));
             }
             ListFrame::Failed { reason } | ListFrame::Bye { reason } => put_short_text(out, reason),
         }
@@ -102,20 +137,21 @@
 
     fn parse_body(kind: u8, body: &mut &[u8]) -> ModalResult<Self> {
         Ok(match kind {
-            1 => {
-                let (version, name) = (u16_(body)?, short_text(body)?);
+            HELLO => {
+                let version = u16_(body)?;
+                let name = short_text(body)?;
                 let epoch = if version >= VERSION_EPOCHS { u64_(body)? } else { 0 };
                 ListFrame::Hello { version, name, epoch }
             }
-            2 => ListFrame::Watch(flag(body)?),
-            3 => ListFrame::Fetch,
-            4 => ListFrame::Update {
+            WATCH => ListFrame::Watch(flag(body)?),
+            FETCH => ListFrame::Fetch,
+            UPDATE => ListFrame::Update {
                 scope: if flag(body)? { Scope::Full } else { Scope::Delta },
                 version: u64_(body)?,
                 entries: many(entry, body)?,
             },
-            5 => ListFrame::Failed { reason: short_text(body)? },
-            63 => ListFrame::Bye { reason: short_text(body)? },
+            FAILED => ListFrame::Failed { reason: short_text(body)? },
+            BYE => ListFrame::Bye { reason: short_text(body)? },
             _ => return malformed(),
         })
     }
@@ -130,7 +166,7 @@
         ServerState::Draining => 1,
         ServerState::Removed => 2,
     });
-    put_optional(out, entry.weight, |out, w| out.put_f64(w));
+    put_optional(out, entry.weight, |out, weight| out.put_f64(weight));
     put_optional(out, entry.started_at, |out, at| out.put_u64(at));
 }
 
@@ -152,7 +188,7 @@
     })
 }
 
-/// As in an update.
+/// The encoding is the one of an update.
 impl Wire for ListEntry {
     fn put(&self, out: &mut BytesMut) {
         put_entry(out, self);
--- /dev/null
+++ b/crates/gaparch-protocol/src/ops/update.rs
@@ -0,0 +1,55 @@
+//! What a router sends to subscribers.
+
+use super::intent::Intent;
+use super::outcome::RequestOutcome;
+use super::view::{EngineView, Event, RouterMetrics, Snapshot};
+use crate::wire::choice;
+
+choice! {
+    /// An update to a subscriber.
+    pub enum Update {
+        /// The router's metrics, some times a second.
+        #[serde(rename = "figures")]
+        1 => Metrics {
+            /// The metrics.
+            #[serde(rename = "figures")]
+            metrics: RouterMetrics,
+        },
+        /// Engines that look other than before.
+        2 => Engines {
+            /// These engines.
+            engines: Vec<EngineView>,
+        },
+        /// An event.
+        #[serde(rename = "happened")]
+        3 => Event {
+            /// The event.
+            event: Event,
+        },
+        /// A request was rejected, failed, or its client disconnected.
+        #[serde(rename = "ended")]
+        4 => RequestEnded {
+            /// The request's outcome.
+            #[serde(rename = "ending")]
+            outcome: Box<RequestOutcome>,
+        },
+        /// What is in force by operators' orders has changed.
+        5 => Intents {
+            /// The revision of the last change.
+            revision: u64,
+            /// All that is in force.
+            intents: Vec<Intent>,
+        },
+        /// The subscriber was too slow and missed updates. A new snapshot follows.
+        6 => Missed {
+            /// How many updates it missed.
+            updates: u64,
+        },
+        /// A new snapshot, on which further updates build.
+        #[serde(rename = "fresh")]
+        7 => Resync {
+            /// The snapshot.
+            snapshot: Box<Snapshot>,
+        },
+    }
+}
--- a/crates/gaparch-protocol/src/versions.rs
+++ b/crates/gaparch-protocol/src/versions.rs
@@ -4,7 +4,7 @@
 //! is made of it is decided in `gaparch-audit`.
 
 use crate::list::ListEntry;
-use crate::ops::intent::{Change, Note};
+use crate::ops::intent::{Change, ChangeNote};
 use crate::wire::{choice, record};
 
 /// Claims of others that one stamp passes on at most.
@@ -72,7 +72,7 @@
         /// What it takes the place of, as its router knew.
         pub over: Option<OrderId>,
         pub change: Change,
-        pub note: Note,
+        pub note: ChangeNote,
     }
 }
 
--- a/crates/gaparch-protocol/src/wire.rs
+++ b/crates/gaparch-protocol/src/wire.rs
@@ -1,4 +1,4 @@
-//! Primitives shared by the framed protocols: big-endian numbers, bounded texts, optional values.
+//! Encoding of the values that all framed protocols share: big-endian numbers, bounded texts, optional values, lists.
 
 use bytes::{BufMut, BytesMut};
 use winnow::binary::{be_f64, be_u16, be_u32, be_u64, u8};
@@ -7,7 +7,7 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser};
 
-/// The body of one frame; it is whole, so a missing byte is an error and not a wait.
+/// The body of one frame. It is complete, so a missing byte is an error.
 pub(crate) type Body<'a> = &'a [u8];
 
 pub(crate) fn malformed<T>() -> ModalResult<T> {
@@ -37,7 +37,7 @@
     utf8(usize::from(length), input)
 }
 
-/// A text bounded by its frame.
+/// A text that is bounded by the size of its frame only.
 pub(crate) fn long_text(input: &mut Body<'_>) -> ModalResult<String> {
     let length = be_u32(input)?;
     utf8(usize::try_from(length).unwrap_or(usize::MAX), input)
@@ -71,7 +71,7 @@
     be_u64(input)
 }
 
-/// Any number at all: whether it makes sense is for whoever uses it to judge.
+/// Any number, NaN and infinity among them: the caller decides which make sense.
 pub(crate) fn f64_(input: &mut Body<'_>) -> ModalResult<f64> {
     be_f64(input)
 }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Cut at a character's edge where it is longer than a short text can be.
+/// Appends a text of at most 65,535 bytes; a longer one is cut after its last character that fits.
 pub(crate) fn put_short_text(out: &mut BytesMut, text: &str) {
     let mut end = text.len().min(usize::from(u16::MAX));
     while !text.is_char_boundary(end) {
@@ -98,10 +98,15 @@
     out.put_slice(text.as_bytes());
 }
 
-/// A value that has one form as bytes.
+/// A value that has exactly one encoding.
 pub trait Wire: Sized {
+    /// Appends the encoding of the value.
     fn put(&self, out: &mut BytesMut);
 
+    /// Takes a value from the start of the bytes.
+    ///
+    /// # Errors
+    /// When the bytes are not such a value, or end too early.
     fn take(body: &mut &[u8]) -> ModalResult<Self>;
 }
 
@@ -176,7 +181,7 @@
 
     fn take(body: &mut &[u8]) -> ModalResult<Self> {
         let count = usize::try_from(be_u32(body)?).unwrap_or(usize::MAX);
-        // Every item takes a byte at least: a count past that is a lie, and must not make room.
+        // Every item takes at least one byte: a higher count is wrong, and must not reserve memory.
         if count > body.len() {
             return malformed();
         }
@@ -205,40 +210,27 @@
     };
 }
 
-/// An enum without values: a number on the wire, a word for people and scripts.
+/// An enum without values: a number on the wire, a name for people and scripts.
 macro_rules! closed_set {
     ($(#[$meta:meta])* pub enum $name:ident {
-        $($(#[$variant_meta:meta])* $variant:ident = $code:literal, $word:literal;)*
+        $($(#[$variant_meta:meta])* $variant:ident = $code:literal, $text:literal;)*
     }) => {
-        $(#[$meta])*
-        #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum $name {
-            $($(#[$variant_meta])* $variant,)*
-        }
-
-        impl $name {
-            pub const ALL: &'static [$name] = &[$($name::$variant,)*];
-
-            pub fn word(self) -> &'static str {
-                match self {
-                    $($name::$variant => $word,)*
-                }
-            }
-
-            pub fn from_word(word: &str) -> Option<$name> {
-                $name::ALL.iter().copied().find(|one| one.word() == word)
+        crate::named_enum::named_enum! {
+            $(#[$meta])*
+            pub enum $name {
+                $($(#[$variant_meta])* $variant = $text,)*
             }
         }
 
         impl std::fmt::Display for $name {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.pad(self.word())
+                f.pad(self.name())
             }
         }
 
         impl serde::Serialize for $name {
             fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-                serializer.serialize_str(self.word())
+                serializer.serialize_str(self.name())
             }
         }
 
--- a/crates/gaparch-protocol/tests/operations.rs
+++ b/crates/gaparch-protocol/tests/operations.rs
@@ -2,17 +2,20 @@
 
 use bytes::BytesMut;
 use gaparch_protocol::frame::encode;
-use gaparch_protocol::ops::ending::{
-    Cause, EndKind, Ending, EndingFilter, Evidence, FollowUp, Group, Kept, RequestName, Stage, Step, StepEnd,
-    WaitedFor,
+use gaparch_protocol::ops::intent::{
+    AcceptedChange, Change, ChangeNote, DrainMode, Intent, LimitView, Subject,
+};
+use gaparch_protocol::ops::outcome::{
+    AttemptEnd, AttemptRecord, EngineEvidence, FollowUp, GlobalRequestId, OutcomeCause, OutcomeFilter,
+    OutcomeGroup, OutcomeKind, QueueingReason, RequestOutcome, Stage, StoredOutcome,
 };
-use gaparch_protocol::ops::intent::{Change, Hold, Intent, LimitView, Note, Subject, Taken};
 use gaparch_protocol::ops::view::{
-    Avoid, EngineRole, EngineState, EngineView, Figures, Happening, LiveView, PartRest, Phase, Setting,
-    Severity, Snapshot, TenantView,
+    AvoidReason, EngineRole, EngineState, EngineView, Event, PartialEjection, Phase, RequestView,
+    RouterMetrics, Setting, Severity, Snapshot, TenantView,
 };
 use gaparch_protocol::ops::{
-    from_bytes, to_bytes, Answer, DenyCode, OpsFrame, OpsRole, Order, Query, Update, MAX_ASK, VERSION,
+    from_bytes, to_bytes, Answer, DenyCode, OpsFrame, Order, Query, SessionRole, Update, MAX_QUERY_BYTES,
+    VERSION,
 };
 use gaparch_protocol::{FrameDecoder, FrameError, Wire};
 use proptest::prelude::*;
@@ -27,135 +30,165 @@
     prop_oneof![Just(0.0), -1e12..1e12, Just(f64::INFINITY)]
 }
 
-fn name() -> impl Strategy<Value = RequestName> {
-    (any::<u64>(), any::<u64>()).prop_map(|(run, number)| RequestName { run, number })
+fn name() -> impl Strategy<Value = GlobalRequestId> {
+    (any::<u64>(), any::<u64>()).prop_map(|(run, number)| GlobalRequestId { run, number })
 }
 
-fn note() -> impl Strategy<Value = Note> {
-    (text(), text(), any::<u64>()).prop_map(|(who, why, at)| Note { who, why, at })
+fn note() -> impl Strategy<Value = ChangeNote> {
+    (text(), text(), any::<u64>()).prop_map(|(operator, reason, at)| ChangeNote { operator, reason, at })
 }
 
 fn change() -> impl Strategy<Value = Change> {
-    let hold = select(Hold::ALL);
+    let mode = select(DrainMode::ALL);
     prop_oneof![
-        (text(), hold).prop_map(|(engine, hold)| Change::Hold { engine, hold }),
-        text().prop_map(|engine| Change::Free { engine }),
+        (text(), mode).prop_map(|(engine, mode)| Change::Drain { engine, mode }),
+        text().prop_map(|engine| Change::Undrain { engine }),
         Just(Change::Pause {}),
         Just(Change::Resume {}),
-        (text(), proptest::option::of(figure())).prop_map(|(name, value)| Change::Limit { name, value }),
+        (text(), proptest::option::of(figure())).prop_map(|(name, value)| Change::SetLimit { name, value }),
         Just(Change::Stop {}),
     ]
 }
 
 fn order() -> impl Strategy<Value = Order> {
     let rest = (text(), any::<bool>(), proptest::option::of(any::<u64>()));
-    (change(), rest).prop_map(|(change, (why, force, revision))| Order { change, why, force, revision })
+    (change(), rest).prop_map(|(change, (reason, force, revision))| Order { change, reason, force, revision })
 }
 
 fn intent() -> impl Strategy<Value = Intent> {
     let subject = prop_oneof![
-        (text(), select(Hold::ALL)).prop_map(|(engine, hold)| Subject::Engine { engine, hold }),
-        Just(Subject::Intake {}),
+        (text(), select(DrainMode::ALL)).prop_map(|(engine, mode)| Subject::Engine { engine, mode }),
+        Just(Subject::Admission {}),
         (text(), figure()).prop_map(|(name, value)| Subject::Limit { name, value }),
     ];
     let rest = (note(), any::<u64>(), any::<bool>());
-    (subject, rest).prop_map(|(subject, (note, revision, kept))| Intent { subject, note, revision, kept })
+    (subject, rest).prop_map(|(subject, (note, revision, persisted))| Intent {
+        subject,
+        note,
+        revision,
+        persisted,
+    })
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let all = (text(), select(Stage::ALL), any::<u64>(), any::<u64>(), select(StepEnd::ALL));
-    all.prop_map(|(engine, stage, from_us, took_us, end)| Step { engine, stage, from_us, took_us, end })
+fn attempt() -> impl Strategy<Value = AttemptRecord> {
+    let all = (text(), select(Stage::ALL), any::<u64>(), any::<u64>(), select(AttemptEnd::ALL));
+    all.prop_map(|(engine, stage, sent_after_us, took_us, end)| AttemptRecord {
+        engine,
+        stage,
+        sent_after_us,
+        took_us,
+        end,
+    })
 }
 
-fn evidence() -> impl Strategy<Value = Evidence> {
-    (text(), text(), figure(), figure(), figure()).prop_map(|(engine, avoided, memory, unread, pace)| {
-        Evidence { engine, avoided, memory, unread, pace }
-    })
+fn evidence() -> impl Strategy<Value = EngineEvidence> {
+    (text(), text(), figure(), figure(), figure()).prop_map(
+        |(engine, avoid_reason, memory_utilization, queued_prompt_tokens, latency_ratio)| EngineEvidence {
+            engine,
+            avoid_reason,
+            memory_utilization,
+            queued_prompt_tokens,
+            latency_ratio,
+        },
+    )
 }
 
-fn ending() -> impl Strategy<Value = Ending> {
-    let kinds = (select(EndKind::ALL), select(Cause::ALL), proptest::option::of(select(WaitedFor::ALL)));
+fn outcome() -> impl Strategy<Value = RequestOutcome> {
+    let kinds = (
+        select(OutcomeKind::ALL),
+        select(OutcomeCause::ALL),
+        proptest::option::of(select(QueueingReason::ALL)),
+    );
     let times =
         (any::<u64>(), any::<u64>(), proptest::option::of(any::<u64>()), proptest::option::of(any::<u64>()));
-    let lists = (proptest::collection::vec(step(), 0..4), proptest::collection::vec(evidence(), 0..4));
-    let follow_up = proptest::option::of((any::<u64>(), name(), select(EndKind::ALL)));
+    let lists = (proptest::collection::vec(attempt(), 0..4), proptest::collection::vec(evidence(), 0..4));
+    let follow_up = proptest::option::of((any::<u64>(), name(), select(OutcomeKind::ALL)));
     let rest = (text(), text(), any::<u32>(), any::<u64>());
     (name(), kinds, times, lists, follow_up, rest).prop_map(
-        |(request, kinds, times, lists, follow_up, rest)| Ending {
+        |(request, kinds, times, lists, follow_up, rest)| RequestOutcome {
             request,
-            asked_at: times.0,
+            received_at: times.0,
             ended_at: times.1,
             class: rest.0,
             tenant: rest.1,
             kind: kinds.0,
             cause: kinds.1,
-            waited_for: kinds.2,
+            queueing_reason: kinds.2,
             retry_after_ms: times.2,
-            first_after_us: times.3,
+            first_token_after_us: times.3,
             tokens: rest.2,
-            steps: lists.0,
+            attempts: lists.0,
             evidence: lists.1,
             fingerprint: rest.3,
-            follow_up: follow_up.map(|(asked_at, request, kind)| FollowUp { asked_at, request, kind }),
+            follow_up: follow_up.map(|(received_at, request, kind)| FollowUp { received_at, request, kind }),
         },
     )
 }
 
 fn engine() -> impl Strategy<Value = EngineView> {
     let states = (select(EngineRole::ALL), select(EngineState::ALL), select(EngineState::ALL), any::<bool>());
-    let avoided = proptest::option::of(select(Avoid::ALL));
-    let rests =
-        (text(), text(), any::<u64>()).prop_map(|(class, tenant, until)| PartRest { class, tenant, until });
+    let avoid_reason = proptest::option::of(select(AvoidReason::ALL));
+    let partial_ejections = (text(), text(), any::<u64>())
+        .prop_map(|(class, tenant, until)| PartialEjection { class, tenant, until });
     let figures =
         (figure(), figure(), proptest::option::of(figure()), figure(), proptest::option::of(figure()));
     let counts = (any::<u32>(), any::<u32>(), any::<u64>(), proptest::option::of(any::<u64>()));
-    (text(), text(), states, avoided, proptest::collection::vec(rests, 0..3), figures, counts).prop_map(
-        |(name, address, states, avoided, rests, figures, counts)| EngineView {
-            name,
-            role: states.0,
-            zone: address.clone(),
-            rack: String::new(),
-            address,
-            listed: states.1,
-            state: states.2,
-            connected: states.3,
-            avoided,
-            rests,
-            waiting: counts.0,
-            streaming: counts.1,
-            unread: figures.0,
-            memory: figures.1,
-            memory_said: figures.2,
-            pace: figures.3,
-            cold_budget: figures.4,
-            started_at: counts.3,
-            heard_at: counts.2,
-            attempts: counts.2,
-            failed: u64::from(counts.0),
-            called_off: u64::from(counts.1),
-        },
+    (
+        text(),
+        text(),
+        states,
+        avoid_reason,
+        proptest::collection::vec(partial_ejections, 0..3),
+        figures,
+        counts,
     )
+        .prop_map(|(name, address, states, avoid_reason, partial_ejections, figures, counts)| {
+            EngineView {
+                name,
+                role: states.0,
+                zone: address.clone(),
+                rack: String::new(),
+                address,
+                listed_state: states.1,
+                state: states.2,
+                connected: states.3,
+                avoid_reason,
+                partial_ejections,
+                awaiting_first_token: counts.0,
+                streaming: counts.1,
+                queued_prompt_tokens: figures.0,
+                memory_utilization: figures.1,
+                reported_memory_utilization: figures.2,
+                latency_ratio: figures.3,
+                slow_start_budget: figures.4,
+                started_at: counts.3,
+                last_response_at: counts.2,
+                attempts: counts.2,
+                failed: u64::from(counts.0),
+                cancelled: u64::from(counts.1),
+            }
+        })
 }
 
-fn event() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     (any::<u64>(), select(Severity::ALL), proptest::option::of(text()), text())
-        .prop_map(|(at, severity, engine, text)| Happening { at, severity, engine, text })
+        .prop_map(|(at, severity, engine, text)| Event { at, severity, engine, text })
 }
 
-fn live() -> impl Strategy<Value = LiveView> {
-    let rest = (select(Phase::ALL), proptest::option::of(select(EndKind::ALL)), any::<u32>());
-    (name(), text(), proptest::collection::vec(step(), 0..3), rest).prop_map(
-        |(request, class, steps, rest)| LiveView {
+fn live() -> impl Strategy<Value = RequestView> {
+    let rest = (select(Phase::ALL), proptest::option::of(select(OutcomeKind::ALL)), any::<u32>());
+    (name(), text(), proptest::collection::vec(attempt(), 0..3), rest).prop_map(
+        |(request, class, attempts, rest)| RequestView {
             request,
-            asked_at: u64::from(rest.2),
+            received_at: u64::from(rest.2),
             tenant: class.clone(),
             engine: class.clone(),
             class,
             phase: rest.0,
             kind: rest.1,
             tokens: rest.2,
-            took_us: 7,
-            steps,
+            elapsed_us: 7,
+            attempts,
         },
     )
 }
@@ -170,45 +203,50 @@
         Snapshot {
             run: number,
             revision: number,
-            began_at: number,
-            figures: Figures { at: number, held: 3, paused: number % 2 > 0, ..Figures::default() },
+            started_at: number,
+            metrics: RouterMetrics {
+                at: number,
+                queued: 3,
+                paused: number % 2 > 0,
+                ..RouterMetrics::default()
+            },
             engines,
             tenants: vec![TenantView {
                 name: router.clone(),
                 requests: number,
-                per_s: value,
+                quota_per_second: value,
                 ..TenantView::default()
             }],
             intents,
             limits: vec![LimitView {
                 name: router.clone(),
                 value,
-                by_settings: value,
-                least: 0.0,
-                most: value,
+                configured_value: value,
+                min: 0.0,
+                max: value,
                 unit: String::new(),
             }],
             events,
             settings: vec![Setting { name: router.clone(), value: router.clone() }],
-            not_kept: router.clone(),
+            storage_error: router.clone(),
             router,
         }
     })
 }
 
-fn filter() -> impl Strategy<Value = EndingFilter> {
+fn filter() -> impl Strategy<Value = OutcomeFilter> {
     let words = (proptest::option::of(text()), proptest::option::of(text()), proptest::option::of(text()));
-    (proptest::option::of(select(Cause::ALL)), words, any::<u32>()).prop_map(|(cause, words, most)| {
-        EndingFilter {
-            kind: Some(EndKind::Refused),
+    (proptest::option::of(select(OutcomeCause::ALL)), words, any::<u32>()).prop_map(|(cause, words, most)| {
+        OutcomeFilter {
+            kind: Some(OutcomeKind::Rejected),
             cause,
-            waited_for: Some(WaitedFor::OverShare),
+            queueing_reason: Some(QueueingReason::OverQuota),
             class: words.0,
             tenant: words.1,
             engine: words.2,
             since: Some(u64::from(most)),
             until: None,
-            most,
+            max: most,
         }
     })
 }
@@ -218,47 +256,48 @@
         Just(Query::Snapshot {}),
         Just(Query::Subscribe {}),
         order().prop_map(|order| Query::Order { order }),
-        filter().prop_map(|filter| Query::Groups { filter }),
-        filter().prop_map(|filter| Query::Endings { filter }),
-        name().prop_map(|request| Query::Story { request }),
+        filter().prop_map(|filter| Query::OutcomeGroups { filter }),
+        filter().prop_map(|filter| Query::Outcomes { filter }),
+        name().prop_map(|request| Query::RequestDetails { request }),
         (proptest::option::of(text()), any::<u64>(), any::<u32>())
-            .prop_map(|(engine, since, most)| Query::Events { engine, since, most }),
+            .prop_map(|(engine, since, max)| Query::Events { engine, since, max }),
     ];
-    let group = (name(), any::<u64>(), text()).prop_map(|(example, count, class)| Group {
-        kind: EndKind::Failed,
-        cause: Cause::BrokeOff,
-        waited_for: None,
+    let group = (name(), any::<u64>(), text()).prop_map(|(example, count, class)| OutcomeGroup {
+        kind: OutcomeKind::Failed,
+        cause: OutcomeCause::StreamBroken,
+        queueing_reason: None,
         tenant: class.clone(),
         class,
         count,
         first_at: 1,
         last_at: 2,
-        came_back: 3,
-        served_then: 4,
+        retried: 3,
+        served_on_retry: 4,
         example,
     });
     let answer = prop_oneof![
         snapshot().prop_map(|s| Answer::Snapshot { snapshot: Box::new(s) }),
         (any::<u64>(), text()).prop_map(|(revision, effect)| Answer::Done { revision, effect }),
         (select(DenyCode::ALL), text()).prop_map(|(code, message)| Answer::Denied { code, message }),
-        proptest::collection::vec(group, 0..3).prop_map(|groups| Answer::Groups { groups, total: 9 }),
-        proptest::collection::vec(ending(), 0..3).prop_map(|endings| Answer::Endings { endings, total: 9 }),
-        (proptest::option::of(ending()), proptest::option::of(live())).prop_map(|(ending, live)| {
-            Answer::Story { ending: ending.map(Box::new), live: live.map(Box::new) }
+        proptest::collection::vec(group, 0..3).prop_map(|groups| Answer::OutcomeGroups { groups, total: 9 }),
+        proptest::collection::vec(outcome(), 0..3)
+            .prop_map(|outcomes| Answer::Outcomes { outcomes, total: 9 }),
+        (proptest::option::of(outcome()), proptest::option::of(live())).prop_map(|(outcome, open)| {
+            Answer::RequestDetails { outcome: outcome.map(Box::new), open: open.map(Box::new) }
         }),
         proptest::collection::vec(intent(), 0..3).prop_map(|intents| Answer::Intents { intents }),
     ];
     let update = prop_oneof![
         proptest::collection::vec(engine(), 0..3).prop_map(|engines| Update::Engines { engines }),
-        event().prop_map(|event| Update::Happened { event }),
-        ending().prop_map(|e| Update::Ended { ending: Box::new(e) }),
+        event().prop_map(|event| Update::Event { event }),
+        outcome().prop_map(|e| Update::RequestEnded { outcome: Box::new(e) }),
         any::<u64>().prop_map(|updates| Update::Missed { updates }),
-        snapshot().prop_map(|s| Update::Fresh { snapshot: Box::new(s) }),
+        snapshot().prop_map(|s| Update::Resync { snapshot: Box::new(s) }),
     ];
     prop_oneof![
-        (proptest::option::of(text()), select(OpsRole::ALL), text())
-            .prop_map(|(key, role, who)| OpsFrame::Hello { version: VERSION, key, role, who }),
-        (any::<u32>(), query).prop_map(|(seq, query)| OpsFrame::Ask { seq, query }),
+        (proptest::option::of(text()), select(SessionRole::ALL), text())
+            .prop_map(|(key, role, operator)| OpsFrame::Hello { version: VERSION, key, role, operator }),
+        (any::<u32>(), query).prop_map(|(seq, query)| OpsFrame::Query { seq, query }),
         (any::<u32>(), answer).prop_map(|(seq, answer)| OpsFrame::Answer { seq, answer }),
         update.prop_map(OpsFrame::Update),
         text().prop_map(|reason| OpsFrame::Bye { reason }),
@@ -296,43 +335,43 @@
     }
 
     #[test]
-    fn records_on_disk_are_whole_or_nothing(change in change(), note in note(), ending in ending(), event in event()) {
-        whole_or_nothing(&Taken { revision: 3, change, note })?;
+    fn records_on_disk_are_whole_or_nothing(change in change(), note in note(), outcome in outcome(), event in event()) {
+        whole_or_nothing(&AcceptedChange { revision: 3, change, note })?;
         whole_or_nothing(&event)?;
-        whole_or_nothing(&Kept::Ending { ending: Box::new(ending) })?;
+        whole_or_nothing(&StoredOutcome::Outcome { outcome: Box::new(outcome) })?;
     }
 
     #[test]
     fn no_bytes_make_it_panic_or_take_room(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let mut decoder = FrameDecoder::new(MAX_ASK);
+        let mut decoder = FrameDecoder::new(MAX_QUERY_BYTES);
         decoder.buffer().extend_from_slice(&bytes);
         while let Ok(Some(_)) = decoder.next_frame::<OpsFrame>() {}
         let _ = from_bytes::<Snapshot>(&bytes);
-        let _ = from_bytes::<Kept>(&bytes);
+        let _ = from_bytes::<StoredOutcome>(&bytes);
         let _ = from_bytes::<Vec<u64>>(&bytes);
     }
 }
 
 #[test]
 fn another_version_is_read_as_far_as_it_can_be_answered() {
-    let mut decoder = FrameDecoder::new(MAX_ASK);
+    let mut decoder = FrameDecoder::new(MAX_QUERY_BYTES);
     decoder.buffer().extend_from_slice(&[0, 0, 0, 6, 1, 0, 9, 1, 2, 3]);
     let hello = decoder.next_frame::<OpsFrame>().expect("read");
     assert!(matches!(hello, Some(OpsFrame::Hello { version: 9, .. })), "{hello:?}");
     decoder.buffer().extend_from_slice(&[0x40, 0, 0, 0, 1]);
     let oversized = decoder.next_frame::<OpsFrame>();
-    assert!(matches!(oversized, Err(FrameError::Oversized { max: MAX_ASK, .. })), "{oversized:?}");
+    assert!(matches!(oversized, Err(FrameError::Oversized { max: MAX_QUERY_BYTES, .. })), "{oversized:?}");
 }
 
 #[test]
-fn words_of_closed_sets_are_told_apart_and_read_back() {
-    for cause in Cause::ALL {
-        assert_eq!(Cause::from_word(cause.word()), Some(*cause));
-        assert_eq!(Cause::ALL.iter().filter(|c| c.word() == cause.word()).count(), 1);
+fn names_of_closed_sets_are_told_apart_and_read_back() {
+    for cause in OutcomeCause::ALL {
+        assert_eq!(OutcomeCause::from_name(cause.name()), Some(*cause));
+        assert_eq!(OutcomeCause::ALL.iter().filter(|c| c.name() == cause.name()).count(), 1);
     }
-    let name = RequestName { run: 0x18a2b3, number: 42 };
+    let name = GlobalRequestId { run: 0x18a2b3, number: 42 };
     assert_eq!((name.to_string().as_str(), "msg_18a2b3_42".parse()), ("msg_18a2b3_42", Ok(name)));
     for wrong in ["", "42", "msg_x_1", "msg_1", "msg_1_x"] {
-        assert!(wrong.parse::<RequestName>().is_err(), "{wrong}");
+        assert!(wrong.parse::<GlobalRequestId>().is_err(), "{wrong}");
     }
 }
