--- a/crates/gaparch-protocol/tests/pinned_operations.rs
+++ b/crates/gaparch-protocol/tests/pinned_operations.rs
@@ -5,160 +5,163 @@
 
 use common::{assert_frame, assert_json, assert_record};
 use gaparch_protocol::fleet::MemberState;
-use gaparch_protocol::ops::ending::{
-    Cause, EndKind, Ending, EndingFilter, Evidence, FollowUp, Group, Kept, RequestName, Stage, Step, StepEnd,
-    WaitedFor,
+use gaparch_protocol::ops::intent::{
+    AcceptedChange, Change, ChangeNote, DrainMode, Intent, LimitView, Subject,
+};
+use gaparch_protocol::ops::outcome::{
+    AttemptEnd, AttemptRecord, EngineEvidence, FollowUp, GlobalRequestId, OutcomeCause, OutcomeFilter,
+    OutcomeGroup, OutcomeKind, QueueingReason, RequestOutcome, Stage, StoredOutcome,
 };
-use gaparch_protocol::ops::intent::{Change, Hold, Intent, LimitView, Note, Subject, Taken};
 use gaparch_protocol::ops::view::{
-    AuditOf, AuditView, Avoid, EdgeRow, EngineRole, EngineState, EngineView, Figures, FleetView, Happening,
-    LiveView, MemberRow, Overtaken, PartRest, Phase, Setting, Severity, Snapshot, SpreadRow, SpreadView,
-    TenantView, VersionRow, VersionsView,
+    AuditView, AvoidReason, EngineRole, EngineState, EngineView, Event, FleetView, LinkFault, ListVersionRow,
+    ListVersionsView, MemberView, OrderReplicationView, PartialEjection, Phase, ReplicationRow, RequestView,
+    RouterAuditRow, RouterMetrics, Setting, Severity, Snapshot, SupersededOrder, TenantView,
 };
-use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, OpsRole, Order, Query, Update};
+use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, Order, Query, SessionRole, Update};
 use gaparch_protocol::versions::{AuditFilter, FleetOrder, ListVersion, OrderId, Sends};
 
-const NAME: RequestName = RequestName { run: 0x18a2b3, number: 42 };
+const NAME: GlobalRequestId = GlobalRequestId { run: 0x18a2b3, number: 42 };
 const NOW: u64 = 1_700_000_000_000_000_000;
 
-fn note() -> Note {
-    Note { who: "ann".to_owned(), why: "noise".to_owned(), at: NOW }
+fn note() -> ChangeNote {
+    ChangeNote { operator: "ann".to_owned(), reason: "noise".to_owned(), at: NOW }
 }
 
-fn hold() -> Change {
-    Change::Hold { engine: "w0".to_owned(), hold: Hold::Drain }
+fn drain() -> Change {
+    Change::Drain { engine: "w0".to_owned(), mode: DrainMode::Drain }
 }
 
 fn changes() -> [Change; 7] {
     [
-        hold(),
-        Change::Free { engine: "w0".to_owned() },
+        drain(),
+        Change::Undrain { engine: "w0".to_owned() },
         Change::Pause {},
         Change::Resume {},
-        Change::Limit { name: "open-requests".to_owned(), value: Some(50.0) },
-        Change::Limit { name: "open-requests".to_owned(), value: None },
+        Change::SetLimit { name: "open-requests".to_owned(), value: Some(50.0) },
+        Change::SetLimit { name: "open-requests".to_owned(), value: None },
         Change::Stop {},
     ]
 }
 
 fn order(change: Change) -> Order {
-    Order { change, why: "noise".to_owned(), force: true, revision: Some(7) }
+    Order { change, reason: "noise".to_owned(), force: true, revision: Some(7) }
 }
 
 fn intents() -> Vec<Intent> {
     let subjects = [
-        Subject::Engine { engine: "w0".to_owned(), hold: Hold::Aside },
-        Subject::Intake {},
+        Subject::Engine { engine: "w0".to_owned(), mode: DrainMode::Detach },
+        Subject::Admission {},
         Subject::Limit { name: "open-requests".to_owned(), value: 50.0 },
     ];
-    subjects.map(|subject| Intent { subject, note: note(), revision: 3, kept: true }).to_vec()
+    subjects.map(|subject| Intent { subject, note: note(), revision: 3, persisted: true }).to_vec()
 }
 
 fn limit() -> LimitView {
     LimitView {
         name: "open-requests".to_owned(),
         value: 50.0,
-        by_settings: 100.0,
-        least: 1.0,
-        most: 1000.0,
+        configured_value: 100.0,
+        min: 1.0,
+        max: 1000.0,
         unit: "requests".to_owned(),
     }
 }
 
-fn steps() -> Vec<Step> {
-    let step = |stage, end| Step { engine: "r0".to_owned(), stage, from_us: 10, took_us: 20, end };
-    vec![step(Stage::Read, StepEnd::Done), step(Stage::Write, StepEnd::CalledOff)]
+fn attempts() -> Vec<AttemptRecord> {
+    let attempt =
+        |stage, end| AttemptRecord { engine: "r0".to_owned(), stage, sent_after_us: 10, took_us: 20, end };
+    vec![attempt(Stage::Prefill, AttemptEnd::Completed), attempt(Stage::Decode, AttemptEnd::Cancelled)]
 }
 
-fn ending() -> Ending {
-    Ending {
+fn outcome() -> RequestOutcome {
+    RequestOutcome {
         class: "question".to_owned(),
         tenant: "app".to_owned(),
-        waited_for: Some(WaitedFor::WritersFull),
+        queueing_reason: Some(QueueingReason::DecodeWorkersSaturated),
         retry_after_ms: Some(1500),
-        first_after_us: Some(2500),
+        first_token_after_us: Some(2500),
         tokens: 20,
-        steps: steps(),
-        evidence: vec![Evidence {
+        attempts: attempts(),
+        evidence: vec![EngineEvidence {
             engine: "w0".to_owned(),
-            avoided: "full".to_owned(),
-            memory: 0.75,
-            unread: 1000.0,
-            pace: 1.25,
+            avoid_reason: "full".to_owned(),
+            memory_utilization: 0.75,
+            queued_prompt_tokens: 1000.0,
+            latency_ratio: 1.25,
         }],
         fingerprint: 99,
-        follow_up: Some(FollowUp { asked_at: NOW + 9, request: NAME, kind: EndKind::Served }),
-        ..bare_ending()
+        follow_up: Some(FollowUp { received_at: NOW + 9, request: NAME, kind: OutcomeKind::Served }),
+        ..bare_outcome()
     }
 }
 
-fn bare_ending() -> Ending {
-    Ending::bare(NAME, NOW, NOW + 5, EndKind::Refused, Cause::AimLost)
+fn bare_outcome() -> RequestOutcome {
+    RequestOutcome::bare(NAME, NOW, NOW + 5, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
 }
 
-fn filter() -> EndingFilter {
-    EndingFilter {
-        kind: Some(EndKind::Failed),
-        cause: Some(Cause::Deadline),
-        waited_for: Some(WaitedFor::NoReader),
+fn filter() -> OutcomeFilter {
+    OutcomeFilter {
+        kind: Some(OutcomeKind::Failed),
+        cause: Some(OutcomeCause::DeadlineExceeded),
+        queueing_reason: Some(QueueingReason::NoPrefillWorker),
         class: Some("question".to_owned()),
         tenant: Some("app".to_owned()),
         engine: Some("w0".to_owned()),
         since: Some(1),
         until: Some(2),
-        most: 3,
+        max: 3,
     }
 }
 
-fn group() -> Group {
-    Group {
-        kind: EndKind::Refused,
-        cause: Cause::AimLost,
-        waited_for: Some(WaitedFor::OverShare),
+fn group() -> OutcomeGroup {
+    OutcomeGroup {
+        kind: OutcomeKind::Rejected,
+        cause: OutcomeCause::ObjectiveMissed,
+        queueing_reason: Some(QueueingReason::OverQuota),
         class: "question".to_owned(),
         tenant: "app".to_owned(),
         count: 5,
         first_at: 1,
         last_at: 2,
-        came_back: 3,
-        served_then: 4,
+        retried: 3,
+        served_on_retry: 4,
         example: NAME,
     }
 }
 
-fn live() -> LiveView {
-    LiveView {
+fn open_request() -> RequestView {
+    RequestView {
         request: NAME,
-        asked_at: NOW,
+        received_at: NOW,
         class: "question".to_owned(),
         tenant: "app".to_owned(),
-        phase: Phase::Writing,
-        kind: Some(EndKind::Left),
+        phase: Phase::Decoding,
+        kind: Some(OutcomeKind::ClientDisconnected),
         engine: "w0".to_owned(),
         tokens: 6,
-        took_us: 7,
-        steps: steps(),
+        elapsed_us: 7,
+        attempts: attempts(),
     }
 }
 
-fn event() -> Happening {
-    Happening { at: NOW, severity: Severity::Trouble, engine: Some("w0".to_owned()), text: "slow".to_owned() }
+fn event() -> Event {
+    Event { at: NOW, severity: Severity::Fault, engine: Some("w0".to_owned()), text: "slow".to_owned() }
 }
 
-fn figures() -> Figures {
-    Figures {
+fn metrics() -> RouterMetrics {
+    RouterMetrics {
         at: NOW,
-        held: 1,
-        reading: 2,
-        read: 3,
-        writing: 4,
+        queued: 1,
+        prefilling: 2,
+        prefilled: 3,
+        decoding: 4,
         streaming: 5,
         requests: 6,
         served: 7,
-        in_time: 8,
-        refused: 9,
+        served_in_time: 8,
+        rejected: 9,
         failed: 10,
-        left: 11,
+        client_disconnected: 11,
         tokens: 12,
         paused: true,
         lag_us: 13,
@@ -168,27 +171,31 @@
 fn engine() -> EngineView {
     EngineView {
         name: "w0".to_owned(),
-        role: EngineRole::Write,
+        role: EngineRole::Decode,
         zone: "north".to_owned(),
         rack: "n1".to_owned(),
         address: "10.0.0.2:7000".to_owned(),
-        listed: EngineState::Ready,
+        listed_state: EngineState::Ready,
         state: EngineState::Draining,
         connected: true,
-        avoided: Some(Avoid::Resting),
-        rests: vec![PartRest { class: "question".to_owned(), tenant: "app".to_owned(), until: NOW }],
-        waiting: 1,
+        avoid_reason: Some(AvoidReason::Ejected),
+        partial_ejections: vec![PartialEjection {
+            class: "question".to_owned(),
+            tenant: "app".to_owned(),
+            until: NOW,
+        }],
+        awaiting_first_token: 1,
         streaming: 2,
-        unread: 3.5,
-        memory: 0.25,
-        memory_said: Some(0.5),
-        pace: 1.5,
-        cold_budget: Some(2.0),
+        queued_prompt_tokens: 3.5,
+        memory_utilization: 0.25,
+        reported_memory_utilization: Some(0.5),
+        latency_ratio: 1.5,
+        slow_start_budget: Some(2.0),
         started_at: Some(NOW - 5),
-        heard_at: NOW - 1,
+        last_response_at: NOW - 1,
         attempts: 4,
         failed: 5,
-        called_off: 6,
+        cancelled: 6,
     }
 }
 
@@ -197,11 +204,11 @@
         name: "app".to_owned(),
         requests: 1,
         served: 2,
-        refused: 3,
+        rejected: 3,
         failed: 4,
-        left: 5,
+        client_disconnected: 5,
         tokens: 6,
-        per_s: 7.5,
+        quota_per_second: 7.5,
     }
 }
 
@@ -210,15 +217,15 @@
         router: "router-1".to_owned(),
         run: 0x18a2b3,
         revision: 3,
-        began_at: NOW,
-        figures: figures(),
+        started_at: NOW,
+        metrics: metrics(),
         engines: vec![engine()],
         tenants: vec![tenant()],
         intents: intents(),
         limits: vec![limit()],
         events: vec![event()],
         settings: vec![Setting { name: "retry-after".to_owned(), value: "1 s".to_owned() }],
-        not_kept: "the disk is full".to_owned(),
+        storage_error: "the disk is full".to_owned(),
     }
 }
 
@@ -234,10 +241,10 @@
         present: 2,
         counted: 3,
         divisor: 4,
-        hears_nobody: false,
-        unheard: true,
-        doubt: 5,
-        members: vec![MemberRow {
+        receives_nothing: false,
+        is_unanswered: true,
+        timeout_extension: 5,
+        members: vec![MemberView {
             name: "router-2".to_owned(),
             zone: "north".to_owned(),
             build: "1.0".to_owned(),
@@ -245,13 +252,13 @@
             incarnation: 6,
             state: MemberState::Suspect,
             since: NOW,
-            alive_at: NOW - 1,
-            heard_at: Some(NOW - 2),
-            accused_by: vec!["router-3".to_owned()],
-            twin_at: Some("10.0.0.4:7100".to_owned()),
-            hears_nobody: true,
+            last_alive_at: NOW - 1,
+            last_received_at: Some(NOW - 2),
+            suspected_by: vec!["router-3".to_owned()],
+            duplicate_at: Some("10.0.0.4:7100".to_owned()),
+            receives_nothing: true,
         }],
-        edges: vec![EdgeRow { from: "router-2".to_owned(), to: "router-1".to_owned(), since: NOW }],
+        link_faults: vec![LinkFault { from: "router-2".to_owned(), to: "router-1".to_owned(), since: NOW }],
         sent: 7,
         sent_bytes: 8,
         received: 9,
@@ -264,43 +271,43 @@
     }
 }
 
-fn versions() -> VersionsView {
-    VersionsView {
-        held: version(),
+fn versions() -> ListVersionsView {
+    ListVersionsView {
+        version: version(),
         entries: 6,
-        sure: Some(1000),
-        believed: Some(version()),
+        confirmed_ago: Some(1000),
+        latest_known: Some(version()),
         corroborated: true,
         behind_since: Some(NOW),
-        brought_up: 2,
-        refused: 3,
-        rows: vec![VersionRow {
+        lists_from_peers: 2,
+        rejected_claims: 3,
+        rows: vec![ListVersionRow {
             router: "router-2".to_owned(),
-            held: version(),
+            version: version(),
             digest: 4,
-            sure: None,
-            said_at: NOW,
+            confirmed_ago: None,
+            reported_at: NOW,
         }],
     }
 }
 
 fn fleet_order(number: u64, over: Option<OrderId>) -> FleetOrder {
     let id = OrderId { number, care: 2, router: "router-1".to_owned(), incarnation: 3 };
-    FleetOrder { id, over, change: hold(), note: note() }
+    FleetOrder { id, over, change: drain(), note: note() }
 }
 
-fn spread() -> SpreadView {
+fn order_replication() -> OrderReplicationView {
     let first = fleet_order(1, None);
     let second = fleet_order(2, Some(first.id.clone()));
-    SpreadView {
+    OrderReplicationView {
         complete: false,
         orders: vec![second.clone()],
-        overtaken: vec![Overtaken { order: first, by: second }],
-        rows: vec![SpreadRow {
+        superseded: vec![SupersededOrder { order: first, by: second }],
+        rows: vec![ReplicationRow {
             router: "router-2".to_owned(),
             state: MemberState::Alive,
-            keeps: true,
-            said_at: Some(NOW),
+            has_all: true,
+            reported_at: Some(NOW),
         }],
     }
 }
@@ -310,33 +317,33 @@
     AuditView {
         complete: false,
         unknown: vec!["router-3: no answer".to_owned()],
-        rows: vec![AuditOf { router: "router-2".to_owned(), list: version(), sure: true, sends }],
+        rows: vec![RouterAuditRow { router: "router-2".to_owned(), list: version(), confirmed: true, sends }],
     }
 }
 
-fn ask(query: Query) -> OpsFrame {
-    OpsFrame::Ask { seq: 5, query }
+fn query_frame(query: Query) -> OpsFrame {
+    OpsFrame::Query { seq: 5, query }
 }
 
-fn answer(answer: Answer) -> OpsFrame {
+fn answer_frame(answer: Answer) -> OpsFrame {
     OpsFrame::Answer { seq: 5, answer }
 }
 
 #[test]
 fn opening_and_closing_frames_keep_their_bytes() {
-    let who = || "ann".to_owned();
+    let operator = || "ann".to_owned();
     let key = Some("secret".to_owned());
     assert_frame(
-        &OpsFrame::Hello { version: 1, key, role: OpsRole::Change, who: who() },
+        &OpsFrame::Hello { version: 1, key, role: SessionRole::ReadWrite, operator: operator() },
         "00000012010001010006736563726574020003616e6e",
     );
     assert_frame(
-        &OpsFrame::Hello { version: 1, key: None, role: OpsRole::Watch, who: who() },
+        &OpsFrame::Hello { version: 1, key: None, role: SessionRole::ReadOnly, operator: operator() },
         "0000000a01000100010003616e6e",
     );
     let router = "router-1".to_owned();
     assert_frame(
-        &OpsFrame::Welcome { version: 1, router, run: 0x18a2b3, role: OpsRole::Watch },
+        &OpsFrame::Welcome { version: 1, router, run: 0x18a2b3, role: SessionRole::ReadOnly },
         "000000160200010008726f757465722d31000000000018a2b301",
     );
     assert_frame(&OpsFrame::Bye { reason: "no such key".to_owned() }, "0000000e3f000b6e6f2073756368206b6579");
@@ -344,40 +351,40 @@
 
 #[test]
 fn each_query_keeps_its_bytes() {
-    assert_frame(&ask(Query::Snapshot {}), "00000006030000000501");
-    assert_frame(&ask(Query::Subscribe {}), "00000006030000000502");
-    assert_frame(&ask(Query::Unsubscribe {}), "00000006030000000503");
+    assert_frame(&query_frame(Query::Snapshot {}), "00000006030000000501");
+    assert_frame(&query_frame(Query::Subscribe {}), "00000006030000000502");
+    assert_frame(&query_frame(Query::Unsubscribe {}), "00000006030000000503");
     assert_frame(
-        &ask(Query::Order { order: order(hold()) }),
+        &query_frame(Query::Order { order: order(drain()) }),
         "0000001d03000000050401000277300100056e6f69736501010000000000000007",
     );
     assert_frame(
-        &ask(Query::Groups { filter: filter() }),
+        &query_frame(Query::OutcomeGroups { filter: filter() }),
         "000000380300000005050103010301020100087175657374696f6e01000361707001000277300100000000000000\
          0101000000000000000200000003",
     );
     assert_frame(
-        &ask(Query::Endings { filter: EndingFilter::default() }),
+        &query_frame(Query::Outcomes { filter: OutcomeFilter::default() }),
         "00000012030000000506000000000000000000000000",
     );
     assert_frame(
-        &ask(Query::Story { request: NAME }),
+        &query_frame(Query::RequestDetails { request: NAME }),
         "00000016030000000507000000000018a2b3000000000000002a",
     );
-    assert_frame(&ask(Query::Live { most: 9 }), "0000000a03000000050800000009");
+    assert_frame(&query_frame(Query::OpenRequests { max: 9 }), "0000000a03000000050800000009");
     assert_frame(
-        &ask(Query::Events { engine: Some("w0".to_owned()), since: NOW, most: 9 }),
+        &query_frame(Query::Events { engine: Some("w0".to_owned()), since: NOW, max: 9 }),
         "00000017030000000509010002773017979cfe362a000000000009",
     );
-    assert_frame(&ask(Query::Limits {}), "0000000603000000050a");
-    assert_frame(&ask(Query::Intents {}), "0000000603000000050b");
-    assert_frame(&ask(Query::Members {}), "0000000603000000050c");
-    assert_frame(&ask(Query::Versions {}), "0000000603000000050d");
+    assert_frame(&query_frame(Query::Limits {}), "0000000603000000050a");
+    assert_frame(&query_frame(Query::Intents {}), "0000000603000000050b");
+    assert_frame(&query_frame(Query::Members {}), "0000000603000000050c");
+    assert_frame(&query_frame(Query::ListVersions {}), "0000000603000000050d");
     assert_frame(
-        &ask(Query::OrderHere { order: order(Change::Pause {}) }),
+        &query_frame(Query::LocalOrder { order: order(Change::Pause {}) }),
         "0000001803000000050e0300056e6f69736501010000000000000007",
     );
-    assert_frame(&ask(Query::Spread {}), "0000000603000000050f");
+    assert_frame(&query_frame(Query::OrderReplication {}), "0000000603000000050f");
     let filter = AuditFilter {
         engine: Some("w0".to_owned()),
         since: 1,
@@ -386,7 +393,7 @@
         request: Some(4),
     };
     assert_frame(
-        &ask(Query::Audit { filter }),
+        &query_frame(Query::Audit { filter }),
         "0000002e030000000510010002773000000000000000010100000000000000020100000000000000030100000000\
          00000004",
     );
@@ -395,7 +402,7 @@
 #[test]
 fn each_answer_keeps_its_bytes() {
     assert_frame(
-        &answer(Answer::Snapshot { snapshot: Box::new(snapshot()) }),
+        &answer_frame(Answer::Snapshot { snapshot: Box::new(snapshot()) }),
         "0000025b0400000005010008726f757465722d31000000000018a2b3000000000000000317979cfe362a00001797\
          9cfe362a000000000001000000020000000300000004000000050000000000000006000000000000000700000000\
          000000080000000000000009000000000000000a000000000000000b000000000000000c01000000000000000d00\
@@ -411,55 +418,55 @@
          2a00000301000277300004736c6f7700000001000b72657472792d61667465720003312073001074686520646973\
          6b2069732066756c6c",
     );
-    assert_frame(&answer(Answer::Subscribed {}), "00000006040000000502");
-    assert_frame(&answer(Answer::Unsubscribed {}), "00000006040000000503");
+    assert_frame(&answer_frame(Answer::Subscribed {}), "00000006040000000502");
+    assert_frame(&answer_frame(Answer::Unsubscribed {}), "00000006040000000503");
     assert_frame(
-        &answer(Answer::Done { revision: 4, effect: "drained".to_owned() }),
+        &answer_frame(Answer::Done { revision: 4, effect: "drained".to_owned() }),
         "0000001704000000050400000000000000040007647261696e6564",
     );
     let message = || "no".to_owned();
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::Role, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::ReadOnly, message: message() }),
         "0000000b0400000005050100026e6f",
     );
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::Unknown, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::Unknown, message: message() }),
         "0000000b0400000005050200026e6f",
     );
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::LeavesNone, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::LastOfRole, message: message() }),
         "0000000b0400000005050300026e6f",
     );
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::Changed, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::Conflict, message: message() }),
         "0000000b0400000005050400026e6f",
     );
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::Invalid, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::Invalid, message: message() }),
         "0000000b0400000005050500026e6f",
     );
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::NotKept, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::NotPersisted, message: message() }),
         "0000000b0400000005050600026e6f",
     );
     assert_frame(
-        &answer(Answer::Denied { code: DenyCode::Busy, message: message() }),
+        &answer_frame(Answer::Denied { code: DenyCode::Busy, message: message() }),
         "0000000b0400000005050700026e6f",
     );
     assert_frame(
-        &answer(Answer::Groups { groups: vec![group()], total: 9 }),
+        &answer_frame(Answer::OutcomeGroups { groups: vec![group()], total: 9 }),
         "0000005d040000000506000000010204010300087175657374696f6e000361707000000000000000050000000000\
          000001000000000000000200000000000000030000000000000004000000000018a2b3000000000000002a000000\
          0000000009",
     );
     assert_frame(
-        &answer(Answer::Endings { endings: vec![bare_ending()], total: 9 }),
+        &answer_frame(Answer::Outcomes { outcomes: vec![bare_outcome()], total: 9 }),
         "0000005004000000050700000001000000000018a2b3000000000000002a17979cfe362a000017979cfe362a0005\
          0000000002040000000000000000000000000000000000000000000000000000000000000009",
     );
-    let (ending, live_view) = (Some(Box::new(ending())), Some(Box::new(live())));
+    let (outcome, open) = (Some(Box::new(outcome())), Some(Box::new(open_request())));
     assert_frame(
-        &answer(Answer::Story { ending, live: live_view }),
+        &answer_frame(Answer::RequestDetails { outcome, open }),
         "0000013304000000050801000000000018a2b3000000000000002a17979cfe362a000017979cfe362a0005000871\
          75657374696f6e0003617070020401040100000000000005dc0100000000000009c4000000140000000200027230\
          01000000000000000a0000000000000014010002723002000000000000000a000000000000001407000000010002\
@@ -469,28 +476,28 @@
          0000000a0000000000000014010002723002000000000000000a000000000000001407",
     );
     assert_frame(
-        &answer(Answer::Live { live: vec![live()], total: 9 }),
+        &answer_frame(Answer::OpenRequests { requests: vec![open_request()], total: 9 }),
         "0000007c04000000050900000001000000000018a2b3000000000000002a17979cfe362a00000008717565737469\
          6f6e000361707004010400027730000000060000000000000007000000020002723001000000000000000a000000\
          0000000014010002723002000000000000000a0000000000000014070000000000000009",
     );
     assert_frame(
-        &answer(Answer::Events { events: vec![event()] }),
+        &answer_frame(Answer::Events { events: vec![event()] }),
         "0000001e04000000050a0000000117979cfe362a00000301000277300004736c6f77",
     );
     assert_frame(
-        &answer(Answer::Limits { limits: vec![limit()] }),
+        &answer_frame(Answer::Limits { limits: vec![limit()] }),
         "0000004304000000050b00000001000d6f70656e2d7265717565737473404900000000000040590000000000003f\
          f0000000000000408f40000000000000087265717565737473",
     );
     assert_frame(
-        &answer(Answer::Intents { intents: intents() }),
+        &answer_frame(Answer::Intents { intents: intents() }),
         "0000008004000000050c000000030100027730020003616e6e00056e6f69736517979cfe362a0000000000000000\
          000301020003616e6e00056e6f69736517979cfe362a000000000000000000030103000d6f70656e2d7265717565\
          73747340490000000000000003616e6e00056e6f69736517979cfe362a0000000000000000000301",
     );
     assert_frame(
-        &answer(Answer::Members { fleet: Box::new(fleet()) }),
+        &answer_frame(Answer::Members { fleet: Box::new(fleet()) }),
         "000000fd04000000050d0008726f757465722d310000000000000001010000000200000003000000040001000000\
          05000000010008726f757465722d3200056e6f7274680003312e30000d31302e302e302e333a3731303000000000\
          000000060217979cfe362a000017979cfe3629ffff0117979cfe3629fffe000000010008726f757465722d330100\
@@ -499,14 +506,14 @@
          00000c000000000000000d000000000000000e000000000000000f",
     );
     assert_frame(
-        &answer(Answer::Versions { versions: Box::new(versions()) }),
+        &answer_frame(Answer::ListVersions { versions: Box::new(versions()) }),
         "0000008904000000050e00000001000000000000004d000000000000000c000000060100000000000003e8010000\
          0001000000000000004d000000000000000c010117979cfe362a0000000000000000000200000000000000030000\
          00010008726f757465722d3200000001000000000000004d000000000000000c00000000000000040017979cfe36\
          2a0000",
     );
     assert_frame(
-        &answer(Answer::Spread { spread: Box::new(spread()) }),
+        &answer_frame(Answer::OrderReplication { replication: Box::new(order_replication()) }),
         "0000012304000000050f0000000001000000000000000200000000000000020008726f757465722d310000000000\
          00000301000000000000000100000000000000020008726f757465722d3100000000000000030100027730010003\
          616e6e00056e6f69736517979cfe362a000000000001000000000000000100000000000000020008726f75746572\
@@ -516,7 +523,7 @@
          726f757465722d3201010117979cfe362a0000",
     );
     assert_frame(
-        &answer(Answer::Audit { audit: Box::new(audit()) }),
+        &answer_frame(Answer::Audit { audit: Box::new(audit()) }),
         "0000006f04000000051000000000010013726f757465722d333a206e6f20616e73776572000000010008726f7574\
          65722d3200000001000000000000004d000000000000000c01000277300000000000000001000000000000000200\
          0000000000000300000000000000040000000000000005",
@@ -526,7 +533,7 @@
 #[test]
 fn each_update_keeps_its_bytes() {
     assert_frame(
-        &OpsFrame::Update(Update::Figures { figures: figures() }),
+        &OpsFrame::Update(Update::Metrics { metrics: metrics() }),
         "0000005f050117979cfe362a00000000000100000002000000030000000400000005000000000000000600000000\
          0000000700000000000000080000000000000009000000000000000a000000000000000b000000000000000c0100\
          0000000000000d",
@@ -539,11 +546,11 @@
          ffff000000000000000400000000000000050000000000000006",
     );
     assert_frame(
-        &OpsFrame::Update(Update::Happened { event: event() }),
+        &OpsFrame::Update(Update::Event { event: event() }),
         "00000016050317979cfe362a00000301000277300004736c6f77",
     );
     assert_frame(
-        &OpsFrame::Update(Update::Ended { ending: Box::new(ending()) }),
+        &OpsFrame::Update(Update::RequestEnded { outcome: Box::new(outcome()) }),
         "000000c30504000000000018a2b3000000000000002a17979cfe362a000017979cfe362a00050008717565737469\
          6f6e0003617070020401040100000000000005dc0100000000000009c40000001400000002000272300100000000\
          0000000a0000000000000014010002723002000000000000000a0000000000000014070000000100027730000466\
@@ -558,7 +565,7 @@
     );
     assert_frame(&OpsFrame::Update(Update::Missed { updates: 8 }), "0000000a05060000000000000008");
     assert_frame(
-        &OpsFrame::Update(Update::Fresh { snapshot: Box::new(snapshot()) }),
+        &OpsFrame::Update(Update::Resync { snapshot: Box::new(snapshot()) }),
         "0000025705070008726f757465722d31000000000018a2b3000000000000000317979cfe362a000017979cfe362a\
          00000000000100000002000000030000000400000005000000000000000600000000000000070000000000000008\
          0000000000000009000000000000000a000000000000000b000000000000000c01000000000000000d0000000100\
@@ -578,10 +585,10 @@
 
 #[test]
 fn records_on_disk_keep_their_bytes() {
-    let [hold, free, pause, resume, limit, reset, stop] =
-        changes().map(|change| Taken { revision: 4, change, note: note() });
-    assert_record(&hold, "00000000000000040100027730010003616e6e00056e6f69736517979cfe362a0000");
-    assert_record(&free, "000000000000000402000277300003616e6e00056e6f69736517979cfe362a0000");
+    let [drain, undrain, pause, resume, limit, reset, stop] =
+        changes().map(|change| AcceptedChange { revision: 4, change, note: note() });
+    assert_record(&drain, "00000000000000040100027730010003616e6e00056e6f69736517979cfe362a0000");
+    assert_record(&undrain, "000000000000000402000277300003616e6e00056e6f69736517979cfe362a0000");
     assert_record(&pause, "0000000000000004030003616e6e00056e6f69736517979cfe362a0000");
     assert_record(&resume, "0000000000000004040003616e6e00056e6f69736517979cfe362a0000");
     assert_record(
@@ -596,15 +603,15 @@
     assert_record(&stop, "0000000000000004060003616e6e00056e6f69736517979cfe362a0000");
     assert_record(&event(), "17979cfe362a00000301000277300004736c6f77");
     assert_record(
-        &Happening { engine: None, severity: Severity::Info, ..event() },
+        &Event { engine: None, severity: Severity::Info, ..event() },
         "17979cfe362a000001000004736c6f77",
     );
     assert_record(
-        &Happening { engine: None, severity: Severity::Warning, ..event() },
+        &Event { engine: None, severity: Severity::Warning, ..event() },
         "17979cfe362a000002000004736c6f77",
     );
     assert_record(
-        &Kept::Ending { ending: Box::new(ending()) },
+        &StoredOutcome::Outcome { outcome: Box::new(outcome()) },
         "01000000000018a2b3000000000000002a17979cfe362a000017979cfe362a000500087175657374696f6e000361\
          7070020401040100000000000005dc0100000000000009c400000014000000020002723001000000000000000a00\
          00000000000014010002723002000000000000000a0000000000000014070000000100027730000466756c6c3fe8\
@@ -612,13 +619,13 @@
          b3000000000000002a01",
     );
     assert_record(
-        &Kept::Ending { ending: Box::new(bare_ending()) },
+        &StoredOutcome::Outcome { outcome: Box::new(bare_outcome()) },
         "01000000000018a2b3000000000000002a17979cfe362a000017979cfe362a000500000000020400000000000000\
          0000000000000000000000000000000000",
     );
-    let follow_up = FollowUp { asked_at: NOW, request: NAME, kind: EndKind::Failed };
+    let follow_up = FollowUp { received_at: NOW, request: NAME, kind: OutcomeKind::Failed };
     assert_record(
-        &Kept::FollowUp { request: NAME, follow_up },
+        &StoredOutcome::FollowUp { request: NAME, follow_up },
         "02000000000018a2b3000000000000002a17979cfe362a0000000000000018a2b3000000000000002a03",
     );
 }
@@ -638,28 +645,28 @@
         r#"[{"hold":{"engine":"w0","hold":"drain"}},{"free":{"engine":"w0"}},{"pause":{}},{"resume":{}},{"limit":{"name":"open-requests","value":50.0}},{"limit":{"name":"open-requests","value":null}},{"stop":{}}]"#,
     );
     assert_json(
-        &order(hold()),
+        &order(drain()),
         r#"{"change":{"hold":{"engine":"w0","hold":"drain"}},"why":"noise","force":true,"revision":7}"#,
     );
     assert_json(
-        &Taken { revision: 4, change: hold(), note: note() },
+        &AcceptedChange { revision: 4, change: drain(), note: note() },
         r#"{"revision":4,"change":{"hold":{"engine":"w0","hold":"drain"}},"note":{"who":"ann","why":"noise","at":1700000000000000000}}"#,
     );
     assert_json(
-        &ending(),
+        &outcome(),
         r#"{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"ended_at":1700000000000000005,"class":"question","tenant":"app","kind":"refused","cause":"aim-lost","waited_for":"writers-full","retry_after_ms":1500,"first_after_us":2500,"tokens":20,"steps":[{"engine":"r0","stage":"read","from_us":10,"took_us":20,"end":"done"},{"engine":"r0","stage":"write","from_us":10,"took_us":20,"end":"called-off"}],"evidence":[{"engine":"w0","avoided":"full","memory":0.75,"unread":1000.0,"pace":1.25}],"fingerprint":99,"follow_up":{"asked_at":1700000000000000009,"request":{"run":1614515,"number":42},"kind":"served"}}"#,
     );
     assert_json(
-        &bare_ending(),
+        &bare_outcome(),
         r#"{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"ended_at":1700000000000000005,"class":"","tenant":"","kind":"refused","cause":"aim-lost","waited_for":null,"retry_after_ms":null,"first_after_us":null,"tokens":0,"steps":[],"evidence":[],"fingerprint":0,"follow_up":null}"#,
     );
     assert_json(
-        &Kept::Ending { ending: Box::new(bare_ending()) },
+        &StoredOutcome::Outcome { outcome: Box::new(bare_outcome()) },
         r#"{"ending":{"ending":{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"ended_at":1700000000000000005,"class":"","tenant":"","kind":"refused","cause":"aim-lost","waited_for":null,"retry_after_ms":null,"first_after_us":null,"tokens":0,"steps":[],"evidence":[],"fingerprint":0,"follow_up":null}}}"#,
     );
-    let follow_up = FollowUp { asked_at: NOW, request: NAME, kind: EndKind::Failed };
+    let follow_up = FollowUp { received_at: NOW, request: NAME, kind: OutcomeKind::Failed };
     assert_json(
-        &Kept::FollowUp { request: NAME, follow_up },
+        &StoredOutcome::FollowUp { request: NAME, follow_up },
         r#"{"follow-up":{"request":{"run":1614515,"number":42},"follow_up":{"asked_at":1700000000000000000,"request":{"run":1614515,"number":42},"kind":"failed"}}}"#,
     );
     assert_json(
@@ -671,7 +678,7 @@
         r#"{"kind":"refused","cause":"aim-lost","waited_for":"over-share","class":"question","tenant":"app","count":5,"first_at":1,"last_at":2,"came_back":3,"served_then":4,"example":{"run":1614515,"number":42}}"#,
     );
     assert_json(
-        &live(),
+        &open_request(),
         r#"{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"class":"question","tenant":"app","phase":"writing","kind":"left","engine":"w0","tokens":6,"took_us":7,"steps":[{"engine":"r0","stage":"read","from_us":10,"took_us":20,"end":"done"},{"engine":"r0","stage":"write","from_us":10,"took_us":20,"end":"called-off"}]}"#,
     );
     assert_json(&event(), r#"{"at":1700000000000000000,"severity":"trouble","engine":"w0","text":"slow"}"#);
@@ -684,7 +691,7 @@
         r#"{"held":{"rank":1,"epoch":77,"version":12},"entries":6,"sure":1000,"believed":{"rank":1,"epoch":77,"version":12},"corroborated":true,"behind_since":1700000000000000000,"brought_up":2,"refused":3,"rows":[{"router":"router-2","held":{"rank":1,"epoch":77,"version":12},"digest":4,"sure":null,"said_at":1700000000000000000}]}"#,
     );
     assert_json(
-        &spread(),
+        &order_replication(),
         r#"{"complete":false,"orders":[{"id":{"number":2,"care":2,"router":"router-1","incarnation":3},"over":{"number":1,"care":2,"router":"router-1","incarnation":3},"change":{"hold":{"engine":"w0","hold":"drain"}},"note":{"who":"ann","why":"noise","at":1700000000000000000}}],"overtaken":[{"order":{"id":{"number":1,"care":2,"router":"router-1","incarnation":3},"over":null,"change":{"hold":{"engine":"w0","hold":"drain"}},"note":{"who":"ann","why":"noise","at":1700000000000000000}},"by":{"id":{"number":2,"care":2,"router":"router-1","incarnation":3},"over":{"number":1,"care":2,"router":"router-1","incarnation":3},"change":{"hold":{"engine":"w0","hold":"drain"}},"note":{"who":"ann","why":"noise","at":1700000000000000000}}}],"rows":[{"router":"router-2","state":"alive","keeps":true,"said_at":1700000000000000000}]}"#,
     );
     assert_json(
@@ -692,16 +699,19 @@
         r#"{"complete":false,"unknown":["router-3: no answer"],"rows":[{"router":"router-2","list":{"rank":1,"epoch":77,"version":12},"sure":true,"sends":{"engine":"w0","reads":1,"writes":2,"probes":3,"first_at":4,"last_at":5}}]}"#,
     );
     assert_json(
-        &Query::OrderHere { order: order(Change::Pause {}) },
+        &Query::LocalOrder { order: order(Change::Pause {}) },
         r#"{"order-here":{"order":{"change":{"pause":{}},"why":"noise","force":true,"revision":7}}}"#,
     );
     assert_json(
         &Answer::Done { revision: 4, effect: "drained".to_owned() },
         r#"{"done":{"revision":4,"effect":"drained"}}"#,
     );
-    assert_json(&Answer::Story { ending: None, live: None }, r#"{"story":{"ending":null,"live":null}}"#);
     assert_json(
-        &Update::Happened { event: event() },
+        &Answer::RequestDetails { outcome: None, open: None },
+        r#"{"story":{"ending":null,"live":null}}"#,
+    );
+    assert_json(
+        &Update::Event { event: event() },
         r#"{"happened":{"event":{"at":1700000000000000000,"severity":"trouble","engine":"w0","text":"slow"}}}"#,
     );
     assert_json(&Update::Missed { updates: 8 }, r#"{"missed":{"updates":8}}"#);
@@ -709,38 +719,41 @@
 }
 
 #[test]
-fn members_of_closed_sets_keep_their_words_and_codes() {
-    assert_json(&EndKind::ALL, r#"["served","refused","failed","left"]"#);
+fn members_of_closed_sets_keep_their_names_and_codes() {
+    assert_json(&OutcomeKind::ALL, r#"["served","refused","failed","left"]"#);
     assert_json(
-        &Cause::ALL,
+        &OutcomeCause::ALL,
         r#"["answered","unknown-class","deadline","aim-lost","release-time","attempts-used","may-have-run","too-late","paused","stopping","too-much-open","broke-off","stalled","client-left","overdue"]"#,
     );
-    assert_json(&WaitedFor::ALL, r#"["no-writer","no-reader","over-share","writers-full","readers-full"]"#);
+    assert_json(
+        &QueueingReason::ALL,
+        r#"["no-writer","no-reader","over-share","writers-full","readers-full"]"#,
+    );
     assert_json(&Stage::ALL, r#"["read","write"]"#);
     assert_json(
-        &StepEnd::ALL,
+        &AttemptEnd::ALL,
         r#"["out","done","error","full","timeout","connect-failed","reset","called-off"]"#,
     );
-    assert_json(&Hold::ALL, r#"["drain","aside"]"#);
-    assert_json(&OpsRole::ALL, r#"["watch","change"]"#);
+    assert_json(&DrainMode::ALL, r#"["drain","aside"]"#);
+    assert_json(&SessionRole::ALL, r#"["watch","change"]"#);
     assert_json(&DenyCode::ALL, r#"["role","unknown","leaves-none","changed","invalid","not-kept","busy"]"#);
     assert_json(&EngineRole::ALL, r#"["read","write","both"]"#);
     assert_json(&EngineState::ALL, r#"["ready","draining","gone"]"#);
-    assert_json(&Avoid::ALL, r#"["not-ready","unreachable","resting","slow","cold","full"]"#);
+    assert_json(&AvoidReason::ALL, r#"["not-ready","unreachable","resting","slow","cold","full"]"#);
     assert_json(&Severity::ALL, r#"["info","warning","trouble"]"#);
     assert_json(&Phase::ALL, r#"["held","reading","read","writing","streaming","ended"]"#);
     assert_json(&MemberState::ALL, r#"["alive","suspect","dead","left"]"#);
-    assert_record(&EndKind::ALL.to_vec(), "0000000401020304");
-    assert_record(&Cause::ALL.to_vec(), "0000000f01020304050607081415161718191a");
-    assert_record(&WaitedFor::ALL.to_vec(), "000000050102030405");
+    assert_record(&OutcomeKind::ALL.to_vec(), "0000000401020304");
+    assert_record(&OutcomeCause::ALL.to_vec(), "0000000f01020304050607081415161718191a");
+    assert_record(&QueueingReason::ALL.to_vec(), "000000050102030405");
     assert_record(&Stage::ALL.to_vec(), "000000020102");
-    assert_record(&StepEnd::ALL.to_vec(), "000000080001020304050607");
-    assert_record(&Hold::ALL.to_vec(), "000000020102");
-    assert_record(&OpsRole::ALL.to_vec(), "000000020102");
+    assert_record(&AttemptEnd::ALL.to_vec(), "000000080001020304050607");
+    assert_record(&DrainMode::ALL.to_vec(), "000000020102");
+    assert_record(&SessionRole::ALL.to_vec(), "000000020102");
     assert_record(&DenyCode::ALL.to_vec(), "0000000701020304050607");
     assert_record(&EngineRole::ALL.to_vec(), "00000003010203");
     assert_record(&EngineState::ALL.to_vec(), "00000003010203");
-    assert_record(&Avoid::ALL.to_vec(), "00000006010203040506");
+    assert_record(&AvoidReason::ALL.to_vec(), "00000006010203040506");
     assert_record(&Severity::ALL.to_vec(), "00000003010203");
     assert_record(&Phase::ALL.to_vec(), "00000006010203040506");
     assert_record(&MemberState::ALL.to_vec(), "0000000401020304");
--- a/crates/gaparch-router/src/core/attempts.rs
+++ b/crates/gaparch-router/src/core/attempts.rs
@@ -4,7 +4,7 @@
 use super::timers::Timer;
 use super::{Core, Output, ToClient};
 use gaparch_protocol::engine::EngineFrame;
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{
     AttemptNumber, AttemptOutcome, AttemptStatus, Event, LoadReport, OutcomeNote, RequestId,
 };
@@ -108,7 +108,11 @@
         status: AttemptStatus,
         out: &mut Vec<Output>,
     ) {
-        let cause = if status == AttemptStatus::Timeout { Cause::Stalled } else { Cause::BrokeOff };
+        let cause = if status == AttemptStatus::Timeout {
+            OutcomeCause::StreamStalled
+        } else {
+            OutcomeCause::StreamBroken
+        };
         self.answer(id, ToClient::Failed { why: "the answer broke off", cause }, out);
         self.close(id, attempt, status, 0, None);
     }
@@ -148,7 +152,11 @@
             return;
         }
         self.counts.overdue += 1;
-        self.answer(id, ToClient::Failed { why: "it was not ended in time", cause: Cause::Overdue }, out);
+        self.answer(
+            id,
+            ToClient::Failed { why: "it was not ended in time", cause: OutcomeCause::Overdue },
+            out,
+        );
         self.events.push_back(Event::ClientDisconnected(id));
         self.forget_if_done(id);
     }
--- a/crates/gaparch-router/src/core/clients.rs
+++ b/crates/gaparch-router/src/core/clients.rs
@@ -4,7 +4,7 @@
 use super::timers::Timer;
 use super::{Core, Output, ToClient};
 use gaparch_ops::limits::OPEN_REQUESTS;
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Core {
@@ -12,14 +12,14 @@
         self.counts.requests += 1;
         if self.live.contains_key(&id) {
             self.counts.refused += 1;
-            return out.push(Output::Client { id, event: self.closed(Cause::TooMuchOpen) });
+            return out.push(Output::Client { id, event: self.closed(OutcomeCause::TooManyOpen) });
         }
         let request = ask.request(id, &self.config.module, self.now);
         let most = self.book.limit(OPEN_REQUESTS).map_or(usize::MAX, |most| most as usize);
         let closed = match () {
-            () if self.stop_at.is_some_and(|at| self.now >= at) => Some(Cause::Stopping),
-            () if self.book.paused() => Some(Cause::Paused),
-            () if self.owed >= most => Some(Cause::TooMuchOpen),
+            () if self.stop_at.is_some_and(|at| self.now >= at) => Some(OutcomeCause::Stopping),
+            () if self.book.is_paused() => Some(OutcomeCause::Paused),
+            () if self.owed >= most => Some(OutcomeCause::TooManyOpen),
             () => None,
         };
         self.owed += 1;
@@ -37,7 +37,7 @@
     }
 
     /// The refusal of what is not accepted.
-    pub(super) fn closed(&self, cause: Cause) -> ToClient {
+    pub(super) fn closed(&self, cause: OutcomeCause) -> ToClient {
         let retry_after = self.config.module.advertised_retry_after();
         ToClient::Refused { retry_after, cause, waited_for: None }
     }
@@ -70,11 +70,11 @@
             ToClient::Finished { .. } => self.counts.served += 1,
             ToClient::Refused { cause, .. } => {
                 self.counts.refused += 1;
-                self.reasons.refused.count(cause.word());
+                self.reasons.refused.count(cause.name());
             }
             ToClient::Failed { cause, .. } => {
                 self.counts.failed += 1;
-                self.reasons.failed.count(cause.word());
+                self.reasons.failed.count(cause.name());
             }
             ToClient::Opened { .. } | ToClient::Part { .. } => self.counts.failed += 1,
         }
@@ -99,8 +99,8 @@
             // What was never sent anywhere is harmless to repeat; of the rest nothing is promised.
             let untouched = self.live.get(&id).is_some_and(|l| l.next_attempt == 0);
             let answer = match untouched {
-                true => self.closed(Cause::Stopping),
-                false => ToClient::Failed { why: "the router was stopped", cause: Cause::Stopping },
+                true => self.closed(OutcomeCause::Stopping),
+                false => ToClient::Failed { why: "the router was stopped", cause: OutcomeCause::Stopping },
             };
             self.answer(id, answer, out);
             self.events.push_back(Event::ClientDisconnected(id));
--- a/crates/gaparch-router/src/core/links.rs
+++ b/crates/gaparch-router/src/core/links.rs
@@ -7,7 +7,7 @@
 use super::{Core, Output, ToClient};
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::{AttemptKey, EngineFacts, EngineFrame};
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{
     AttemptNumber, AttemptStatus, EndpointUpdate, Event, LoadReport, Nanos, RequestId, ServerId,
 };
@@ -265,7 +265,7 @@
         if status != AttemptStatus::Ok {
             return match attempt.begun {
                 true => {
-                    let cause = Cause::BrokeOff;
+                    let cause = OutcomeCause::StreamBroken;
                     self.answer(id, ToClient::Failed { why: "the answer broke off", cause }, out);
                     self.close(id, attempt, status, note, report);
                 }
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -22,11 +22,11 @@
 
 use engines::EngineLink;
 use gaparch_config::Config;
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, RouterRun, StateAt};
-use gaparch_protocol::ops::ending::{Cause, Ending, Evidence, WaitedFor};
-use gaparch_protocol::ops::intent::Taken;
+use gaparch_protocol::ops::intent::AcceptedChange;
+use gaparch_protocol::ops::outcome::{EngineEvidence, OutcomeCause, QueueingReason, RequestOutcome};
 use gaparch_scheduler::api::{AttemptStatus, EndpointUpdate, Event, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::permits::Denials;
 use gaparch_scheduler::policy::Policy;
@@ -81,7 +81,7 @@
     /// How many routers share limits and parts now, this one among them.
     Routers(u32),
     /// An operator's change, [proposed](Core::propose) or found again at the start.
-    Taken(Taken),
+    Taken(AcceptedChange),
     /// Takes nothing new from that time on.
     StopAt(Nanos),
     /// Ends what still runs.
@@ -106,13 +106,13 @@
     /// Not done; a retry is harmless.
     Refused {
         retry_after: Nanos,
-        cause: Cause,
-        waited_for: Option<WaitedFor>,
+        cause: OutcomeCause,
+        waited_for: Option<QueueingReason>,
     },
     /// Nothing is promised.
     Failed {
         why: &'static str,
-        cause: Cause,
+        cause: OutcomeCause,
     },
 }
 
@@ -159,7 +159,7 @@
     CloseIdle(ServerId),
     Log(String),
     /// A request has ended. Only where there is somebody to keep it.
-    Ended(Box<Ending>),
+    Ended(Box<RequestOutcome>),
 }
 
 /// What went wrong that was survived, counted from the start.
@@ -207,11 +207,11 @@
     /// From when on nothing new is taken.
     stop_at: Option<Nanos>,
     /// The operators' orders.
-    book: Book,
+    book: OrderRegistry,
     /// Requests whose final answer is owed.
     owed: usize,
     /// How the engines looked a moment ago, for requests that are given up in one go.
-    evidence: Option<(Nanos, Vec<Evidence>)>,
+    evidence: Option<(Nanos, Vec<EngineEvidence>)>,
     /// Engines that may have nothing more of ours, and are no longer listed or set aside.
     leaving: Vec<ServerId>,
     /// Frames to hand over at the end of the action.
@@ -223,7 +223,13 @@
 impl Core {
     /// A router that starts now, with what its operators have ordered before. `run` must differ from that of
     /// any earlier run.
-    pub fn new(config: Config, book: Book, run: RouterRun, now: Nanos, out: &mut Vec<Output>) -> Core {
+    pub fn new(
+        config: Config,
+        book: OrderRegistry,
+        run: RouterRun,
+        now: Nanos,
+        out: &mut Vec<Output>,
+    ) -> Core {
         let mut core = Core {
             policy: Policy::new(config.module.clone()),
             roster: Roster::default(),
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -3,20 +3,22 @@
 use super::request::{Live, Stage};
 use super::{Core, Output, ToClient};
 use gaparch_config::Span;
-use gaparch_ops::book::{Denied, EngineStanding, Standing};
 use gaparch_ops::limits::{limited_tenant, tenant_limit, OPEN_REQUESTS};
-use gaparch_protocol::ops::ending::{
-    self, Cause, EndKind, Ending, Evidence, RequestName, Step, MAX_EVIDENCE,
+use gaparch_ops::{EngineStatus, OrderDenied, SiteStatus};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, LimitView};
+use gaparch_protocol::ops::outcome::{
+    self, AttemptRecord, EngineEvidence, GlobalRequestId, OutcomeCause, OutcomeKind, RequestOutcome,
+    MAX_EVIDENCE,
 };
-use gaparch_protocol::ops::intent::{Change, LimitView, Note, Taken};
 use gaparch_protocol::ops::view::{
-    Avoid, EngineRole, EngineState, EngineView, Figures, LiveView, PartRest, Phase, Setting,
+    AvoidReason, EngineRole, EngineState, EngineView, PartialEjection, Phase, RequestView, RouterMetrics,
+    Setting,
 };
 use gaparch_protocol::ops::Order;
 use gaparch_scheduler::api::{
     EndpointUpdate, Event, Idempotency, Nanos, RequestId, Role, ServerId, ServerState, TenantId,
 };
-use gaparch_scheduler::view::{AvoidReason, ServerView};
+use gaparch_scheduler::view::{self, ServerView};
 use std::collections::BTreeMap;
 
 /// Evidence younger than this is used again: requests given up together saw the same.
@@ -28,7 +30,7 @@
     match state {
         ServerState::Ready => EngineState::Ready,
         ServerState::Draining => EngineState::Draining,
-        ServerState::Removed => EngineState::Gone,
+        ServerState::Removed => EngineState::Removed,
     }
 }
 
@@ -36,26 +38,26 @@
     match state {
         EngineState::Ready => ServerState::Ready,
         EngineState::Draining => ServerState::Draining,
-        EngineState::Gone => ServerState::Removed,
+        EngineState::Removed => ServerState::Removed,
     }
 }
 
 fn role(role: Role) -> EngineRole {
     match role {
-        Role::Prefill => EngineRole::Read,
-        Role::Decode => EngineRole::Write,
-        Role::Mixed => EngineRole::Both,
+        Role::Prefill => EngineRole::Prefill,
+        Role::Decode => EngineRole::Decode,
+        Role::Mixed => EngineRole::Mixed,
     }
 }
 
-fn avoid(avoided: AvoidReason) -> Avoid {
+fn avoid(avoided: view::AvoidReason) -> AvoidReason {
     match avoided {
-        AvoidReason::NotReady => Avoid::NotReady,
-        AvoidReason::Unreachable => Avoid::Unreachable,
-        AvoidReason::Ejected { .. } => Avoid::Resting,
-        AvoidReason::Outlier => Avoid::Slow,
-        AvoidReason::WarmingUp => Avoid::Cold,
-        AvoidReason::Saturated => Avoid::Full,
+        view::AvoidReason::NotReady => AvoidReason::NotReady,
+        view::AvoidReason::Unreachable => AvoidReason::Unreachable,
+        view::AvoidReason::Ejected { .. } => AvoidReason::Ejected,
+        view::AvoidReason::Outlier => AvoidReason::Outlier,
+        view::AvoidReason::WarmingUp => AvoidReason::WarmingUp,
+        view::AvoidReason::Saturated => AvoidReason::Saturated,
     }
 }
 
@@ -71,7 +73,7 @@
 /// An order that may be carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
-    pub taken: Taken,
+    pub taken: AcceptedChange,
     /// What it does to the requests at hand, in words.
     pub effect: String,
 }
@@ -81,9 +83,9 @@
     ///
     /// # Errors
     /// When it may not; the message says why.
-    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, Denied> {
-        let (taken, effect) = self.book.propose(order, who, now, &self.standing())?;
-        Ok(Proposal { taken, effect })
+    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, OrderDenied> {
+        let proposed = self.book.propose(order, who, now, &self.standing())?;
+        Ok(Proposal { taken: proposed.change, effect: proposed.effect })
     }
 
     /// The number of the last change by an operator.
@@ -100,24 +102,25 @@
     ///
     /// # Errors
     /// When it makes no sense here; the message says why.
-    pub fn adopt(&self, change: &Change, note: &Note) -> Result<Option<Taken>, Denied> {
+    pub fn adopt(&self, change: &Change, note: &ChangeNote) -> Result<Option<AcceptedChange>, OrderDenied> {
         self.book.adopt(change, note, &self.limits())
     }
 
-    fn standing(&self) -> Standing {
-        let standing = |view: EngineView| EngineStanding {
-            takes_new: view.state == EngineState::Ready && view.avoided != Some(Avoid::Unreachable),
+    fn standing(&self) -> SiteStatus {
+        let standing = |view: EngineView| EngineStatus {
+            accepts_requests: view.state == EngineState::Ready
+                && view.avoid_reason != Some(AvoidReason::Unreachable),
             name: view.name,
             role: view.role,
-            waiting: view.waiting,
+            awaiting_first_token: view.awaiting_first_token,
             streaming: view.streaming,
         };
         let figures = self.figures();
-        Standing {
+        SiteStatus {
             engines: self.engine_views().into_iter().map(standing).collect(),
-            held: figures.held,
-            reading: figures.reading,
-            self_prefill: self.config.module.decode_workers_can_prefill,
+            queued: figures.queued,
+            prefilling: figures.prefilling,
+            decode_workers_can_prefill: self.config.module.decode_workers_can_prefill,
             limits: self.limits(),
         }
     }
@@ -128,9 +131,9 @@
         let limit = |name: String, by_settings: f64, least, most, unit: &str| LimitView {
             value: self.book.limit(&name).unwrap_or(by_settings),
             name,
-            by_settings,
-            least,
-            most,
+            configured_value: by_settings,
+            min: least,
+            max: most,
             unit: unit.to_owned(),
         };
         let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
@@ -151,11 +154,11 @@
         }
     }
 
-    pub(super) fn on_taken(&mut self, taken: Taken, out: &mut Vec<Output>) {
+    pub(super) fn on_taken(&mut self, taken: AcceptedChange, out: &mut Vec<Output>) {
         let change = taken.change.clone();
         self.book.apply(taken);
         match change {
-            Change::Hold { engine, .. } | Change::Free { engine } => {
+            Change::Drain { engine, .. } | Change::Undrain { engine } => {
                 if let Some(entry) = self.roster.hold_changed(&engine, &self.book) {
                     let entries = vec![entry].into();
                     self.events.push_back(Event::EndpointsChanged {
@@ -165,7 +168,7 @@
                     self.follow_roster(out);
                 }
             }
-            Change::Limit { name, value } => {
+            Change::SetLimit { name, value } => {
                 let tenant = limited_tenant(&name);
                 let tenant = tenant.and_then(|t| self.config.names.tenants.iter().position(|n| n == t));
                 if let Some(tenant) = tenant.map(TenantId) {
@@ -192,7 +195,7 @@
             let seen = seen.get(id)?;
             let link = self.engines.get(id);
             let tally = link.map(|l| l.tally).unwrap_or_default();
-            let part = |rest: &gaparch_scheduler::view::PartialEjection| PartRest {
+            let part = |rest: &gaparch_scheduler::view::PartialEjection| PartialEjection {
                 class: self.config.names.classes.get(rest.class.0).cloned().unwrap_or_default(),
                 tenant: self.tenant_name(rest.tenant).to_owned(),
                 until: rest.until,
@@ -203,23 +206,23 @@
                 zone: known.listed.zone.clone(),
                 rack: known.listed.rack.clone(),
                 address: known.listed.address.clone(),
-                listed: listed_state(known.listed.state),
+                listed_state: listed_state(known.listed.state),
                 state: listed_state(known.entry.state),
                 connected: link.is_some_and(|l| l.is_up()),
-                avoided: seen.avoid_reason.map(avoid),
-                rests: seen.partial_ejections.iter().map(part).collect(),
-                waiting: seen.awaiting_first_token,
+                avoid_reason: seen.avoid_reason.map(avoid),
+                partial_ejections: seen.partial_ejections.iter().map(part).collect(),
+                awaiting_first_token: seen.awaiting_first_token,
                 streaming: streaming.get(id).copied().unwrap_or(0),
-                unread: seen.queued_prompt_tokens,
-                memory: seen.memory_utilization,
-                memory_said: seen.reported_memory_utilization,
-                pace: seen.latency_ratio,
-                cold_budget: seen.slow_start_budget,
+                queued_prompt_tokens: seen.queued_prompt_tokens,
+                memory_utilization: seen.memory_utilization,
+                reported_memory_utilization: seen.reported_memory_utilization,
+                latency_ratio: seen.latency_ratio,
+                slow_start_budget: seen.slow_start_budget,
                 started_at: known.entry.started_at,
-                heard_at: seen.last_response_at,
+                last_response_at: seen.last_response_at,
                 attempts: tally.attempts,
                 failed: tally.failed,
-                called_off: tally.called_off,
+                cancelled: tally.called_off,
             })
         };
         let mut views: Vec<EngineView> = self.roster.all().filter_map(view).collect();
@@ -228,26 +231,26 @@
     }
 
     /// The router's own figures; the owner's lag is for the shell to fill in.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> RouterMetrics {
         let counts = self.counts;
-        let mut figures = Figures {
+        let mut figures = RouterMetrics {
             at: self.now,
             requests: counts.requests,
             served: counts.served,
-            in_time: counts.in_time,
-            refused: counts.refused,
+            served_in_time: counts.in_time,
+            rejected: counts.refused,
             failed: counts.failed,
-            left: counts.left,
+            client_disconnected: counts.left,
             tokens: counts.tokens,
-            paused: self.book.paused(),
-            ..Figures::default()
+            paused: self.book.is_paused(),
+            ..RouterMetrics::default()
         };
         for live in self.live.values() {
             match live.phase() {
-                super::Phase::Held => figures.held += 1,
-                super::Phase::Reading => figures.reading += 1,
-                super::Phase::Read => figures.read += 1,
-                super::Phase::Writing => figures.writing += 1,
+                super::Phase::Held => figures.queued += 1,
+                super::Phase::Reading => figures.prefilling += 1,
+                super::Phase::Read => figures.prefilled += 1,
+                super::Phase::Writing => figures.decoding += 1,
                 super::Phase::Streaming => figures.streaming += 1,
                 super::Phase::Ended => {}
             }
@@ -256,37 +259,37 @@
     }
 
     /// The oldest open requests, at most so many.
-    pub fn live_views(&self, most: usize) -> Vec<LiveView> {
+    pub fn live_views(&self, most: usize) -> Vec<RequestView> {
         let open = self.live.iter().filter(|(_, l)| !l.ended);
         open.take(most).map(|(id, live)| self.live_view(*id, live)).collect()
     }
 
     /// One that is open.
-    pub fn live_one(&self, id: RequestId) -> Option<LiveView> {
+    pub fn live_one(&self, id: RequestId) -> Option<RequestView> {
         self.live.get(&id).filter(|l| !l.ended).map(|live| self.live_view(id, live))
     }
 
-    fn live_view(&self, id: RequestId, live: &Live) -> LiveView {
+    fn live_view(&self, id: RequestId, live: &Live) -> RequestView {
         let phase = match live.phase() {
-            super::Phase::Held => Phase::Held,
-            super::Phase::Reading => Phase::Reading,
-            super::Phase::Read => Phase::Read,
-            super::Phase::Writing => Phase::Writing,
+            super::Phase::Held => Phase::Queued,
+            super::Phase::Reading => Phase::Prefilling,
+            super::Phase::Read => Phase::Prefilled,
+            super::Phase::Writing => Phase::Decoding,
             super::Phase::Streaming => Phase::Streaming,
             super::Phase::Ended => Phase::Ended,
         };
         let at = live.attempt.map(|a| a.server).or(live.state_at);
-        LiveView {
-            request: RequestName { run: self.run.0, number: id.0 },
-            asked_at: live.asked_at,
+        RequestView {
+            request: GlobalRequestId { run: self.run.0, number: id.0 },
+            received_at: live.asked_at,
             class: self.class_name(live).to_owned(),
             tenant: self.tenant_name(live.ask.tenant).to_owned(),
             phase,
             kind: None,
             engine: at.map(|server| self.roster.name(server)).unwrap_or_default().to_owned(),
             tokens: live.usage.output_tokens,
-            took_us: micros(self.now.saturating_sub(live.asked_at)),
-            steps: self.steps(live),
+            elapsed_us: micros(self.now.saturating_sub(live.asked_at)),
+            attempts: self.steps(live),
         }
     }
 
@@ -298,14 +301,14 @@
         tenant.and_then(|t| self.config.names.tenants.get(t.0)).map_or("", String::as_str)
     }
 
-    fn steps(&self, live: &Live) -> Vec<Step> {
-        let step = |note: &super::request::StepNote| Step {
+    fn steps(&self, live: &Live) -> Vec<AttemptRecord> {
+        let step = |note: &super::request::StepNote| AttemptRecord {
             engine: self.roster.name(note.server).to_owned(),
             stage: match note.stage {
-                Stage::Read => ending::Stage::Read,
-                Stage::Write => ending::Stage::Write,
+                Stage::Read => outcome::Stage::Prefill,
+                Stage::Write => outcome::Stage::Decode,
             },
-            from_us: micros(note.from.saturating_sub(live.asked_at)),
+            sent_after_us: micros(note.from.saturating_sub(live.asked_at)),
             took_us: micros(note.took),
             end: note.end,
         };
@@ -327,34 +330,34 @@
             return;
         }
         let (kind, cause, waited_for, retry_after) = match event {
-            None => (EndKind::Left, Cause::ClientLeft, None, None),
+            None => (OutcomeKind::ClientDisconnected, OutcomeCause::ClientDisconnected, None, None),
             Some(ToClient::Refused { retry_after, cause, waited_for }) => {
-                (EndKind::Refused, *cause, *waited_for, Some(*retry_after))
+                (OutcomeKind::Rejected, *cause, *waited_for, Some(*retry_after))
             }
-            Some(ToClient::Failed { cause, .. }) => (EndKind::Failed, *cause, None, None),
-            Some(_) => (EndKind::Served, Cause::Answered, None, None),
+            Some(ToClient::Failed { cause, .. }) => (OutcomeKind::Failed, *cause, None, None),
+            Some(_) => (OutcomeKind::Served, OutcomeCause::Answered, None, None),
         };
-        let lost = matches!(kind, EndKind::Refused | EndKind::Failed);
+        let lost = matches!(kind, OutcomeKind::Rejected | OutcomeKind::Failed);
         let evidence = if lost { self.evidence() } else { Vec::new() };
         let Some(live) = self.live.get(&id) else { return };
-        let request = RequestName { run: self.run.0, number: id.0 };
-        let ending = Ending {
+        let request = GlobalRequestId { run: self.run.0, number: id.0 };
+        let ending = RequestOutcome {
             class: self.class_name(live).to_owned(),
             tenant: self.tenant_name(live.ask.tenant).to_owned(),
-            waited_for,
+            queueing_reason: waited_for,
             retry_after_ms: retry_after.and_then(told_to_stay_away),
-            first_after_us: live.first_at.map(|at| micros(at.saturating_sub(live.asked_at))),
+            first_token_after_us: live.first_at.map(|at| micros(at.saturating_sub(live.asked_at))),
             tokens: live.usage.output_tokens,
-            steps: self.steps(live),
+            attempts: self.steps(live),
             evidence,
             fingerprint: live.ask.fingerprint,
-            ..Ending::bare(request, live.asked_at, self.now, kind, cause)
+            ..RequestOutcome::bare(request, live.asked_at, self.now, kind, cause)
         };
         out.push(Output::Ended(Box::new(ending)));
     }
 
     /// How the engines look now, those avoided first.
-    fn evidence(&mut self) -> Vec<Evidence> {
+    fn evidence(&mut self) -> Vec<EngineEvidence> {
         if let Some((at, evidence)) = &self.evidence {
             if self.now < at.saturating_add(EVIDENCE_FOR) {
                 return evidence.clone();
@@ -362,14 +365,14 @@
         }
         let mut views: Vec<ServerView> = self.policy.views().collect();
         views.sort_by_key(|v| v.avoid_reason.is_none());
-        let one = |view: &ServerView| Evidence {
+        let one = |view: &ServerView| EngineEvidence {
             engine: self.roster.name(view.server).to_owned(),
-            avoided: view.avoid_reason.map(|a| avoid(a).word().to_owned()).unwrap_or_default(),
-            memory: view.memory_utilization,
-            unread: view.queued_prompt_tokens,
-            pace: view.latency_ratio,
+            avoid_reason: view.avoid_reason.map(|a| avoid(a).name().to_owned()).unwrap_or_default(),
+            memory_utilization: view.memory_utilization,
+            queued_prompt_tokens: view.queued_prompt_tokens,
+            latency_ratio: view.latency_ratio,
         };
-        let evidence: Vec<Evidence> = views.iter().take(MAX_EVIDENCE).map(one).collect();
+        let evidence: Vec<EngineEvidence> = views.iter().take(MAX_EVIDENCE).map(one).collect();
         self.evidence = Some((self.now, evidence.clone()));
         evidence
     }
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -4,7 +4,7 @@
 use gaparch_config::ClassTimes;
 use gaparch_protocol::client::Usage;
 use gaparch_protocol::engine::{AttemptKey, Job};
-use gaparch_protocol::ops::ending::{StepEnd, MAX_STEPS};
+use gaparch_protocol::ops::outcome::{AttemptEnd, MAX_ATTEMPTS};
 use gaparch_scheduler::api::{
     AffinityKey, AttemptNumber, AttemptStatus, ClassId, Nanos, Request, RequestId, ServerId, Settings,
     TenantId,
@@ -158,7 +158,7 @@
     pub stage: Stage,
     pub from: Nanos,
     pub took: Nanos,
-    pub end: StepEnd,
+    pub end: AttemptEnd,
 }
 
 impl Live {
@@ -187,24 +187,24 @@
 
     /// Notes an attempt that begins.
     pub fn step_begins(&mut self, server: ServerId, stage: Stage, now: Nanos) {
-        if self.steps.len() < MAX_STEPS {
-            self.steps.push(StepNote { server, stage, from: now, took: 0, end: StepEnd::Out });
+        if self.steps.len() < MAX_ATTEMPTS {
+            self.steps.push(StepNote { server, stage, from: now, took: 0, end: AttemptEnd::InFlight });
         }
     }
 
     /// Notes how the last attempt ended.
     pub fn step_ends(&mut self, status: AttemptStatus, now: Nanos) {
-        let out = self.steps.last_mut().filter(|s| s.end == StepEnd::Out);
+        let out = self.steps.last_mut().filter(|s| s.end == AttemptEnd::InFlight);
         if let Some(step) = out {
             step.took = now.saturating_sub(step.from);
             step.end = match status {
-                AttemptStatus::Ok | AttemptStatus::Prefilled => StepEnd::Done,
-                AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => StepEnd::Error,
-                AttemptStatus::Rejected => StepEnd::Full,
-                AttemptStatus::Timeout => StepEnd::Timeout,
-                AttemptStatus::ConnectFailed | AttemptStatus::NoSocket => StepEnd::ConnectFailed,
-                AttemptStatus::Reset => StepEnd::Reset,
-                AttemptStatus::Cancelled => StepEnd::CalledOff,
+                AttemptStatus::Ok | AttemptStatus::Prefilled => AttemptEnd::Completed,
+                AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => AttemptEnd::Error,
+                AttemptStatus::Rejected => AttemptEnd::Rejected,
+                AttemptStatus::Timeout => AttemptEnd::Timeout,
+                AttemptStatus::ConnectFailed | AttemptStatus::NoSocket => AttemptEnd::ConnectFailed,
+                AttemptStatus::Reset => AttemptEnd::Reset,
+                AttemptStatus::Cancelled => AttemptEnd::Cancelled,
             };
         }
     }
--- a/crates/gaparch-router/src/core/roster.rs
+++ b/crates/gaparch-router/src/core/roster.rs
@@ -3,8 +3,8 @@
 use super::{figures, state_at, Counts};
 use crate::core::operate::{listed_state, server_state};
 use gaparch_config::{server_id, Config, Links};
-use gaparch_ops::book::Book;
-use gaparch_ops::combine::combine;
+use gaparch_ops::effective_state;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{EngineFacts, StateAt};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{
@@ -53,9 +53,9 @@
 }
 
 /// What the list and the operators say together.
-fn state_of(listed: &ListEntry, book: &Book) -> ServerState {
-    let hold = book.hold(&listed.engine).map(|(hold, _)| hold);
-    server_state(combine(hold, listed_state(listed.state)))
+fn state_of(listed: &ListEntry, book: &OrderRegistry) -> ServerState {
+    let ordered = book.drain(&listed.engine).map(|drain| drain.mode);
+    server_state(effective_state(ordered, listed_state(listed.state)))
 }
 
 #[derive(Clone, Debug, Default)]
@@ -65,7 +65,7 @@
 }
 
 impl Roster {
-    pub fn take_settings(&mut self, config: &Config, book: &Book, now: Nanos) -> Vec<Endpoint> {
+    pub fn take_settings(&mut self, config: &Config, book: &OrderRegistry, now: Nanos) -> Vec<Endpoint> {
         let mut counts = Counts::default();
         for engine in &config.engines {
             let listed = ListEntry {
@@ -88,7 +88,7 @@
         &mut self,
         update: ListUpdate,
         config: &Config,
-        book: &Book,
+        book: &OrderRegistry,
         now: Nanos,
         counts: &mut Counts,
     ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
@@ -113,7 +113,7 @@
     }
 
     /// An operator has changed his word on an engine; the entry to tell of, if the engine is known.
-    pub fn hold_changed(&mut self, engine: &str, book: &Book) -> Option<Endpoint> {
+    pub fn hold_changed(&mut self, engine: &str, book: &OrderRegistry) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|k| k.listed.engine == engine)?;
         known.entry.state = state_of(&known.listed, book);
         Some(known.entry.clone())
@@ -163,7 +163,7 @@
         &mut self,
         Timed { listed, began, joins }: Timed,
         config: &Config,
-        book: &Book,
+        book: &OrderRegistry,
         now: Nanos,
         counts: &mut Counts,
     ) -> Option<Endpoint> {
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -10,7 +10,7 @@
     parse_request, Answer, ClientEvent, Dialect, ErrorKind, MessageRequest, Usage,
 };
 use gaparch_protocol::engine::RouterRun;
-use gaparch_protocol::ops::ending::{RequestName, WaitedFor};
+use gaparch_protocol::ops::outcome::{GlobalRequestId, QueueingReason};
 use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, RequestId, TenantId};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full, Limited};
@@ -211,7 +211,7 @@
     let class = class(shared, &ask)?;
     let (model, stream) = (ask.model.clone(), ask.stream);
     let mut ticket = submit(shared, accepted(shared, ask, class, tenant))?;
-    let id = RequestName { run: shared.run.0, number: ticket.id.0 }.to_string();
+    let id = GlobalRequestId { run: shared.run.0, number: ticket.id.0 }.to_string();
     let mut response = match first(&mut ticket).await {
         Err(refusal) => refusal.response(dialect),
         Ok(usage) if stream => {
@@ -327,8 +327,8 @@
     match first {
         Some(ToClient::Opened { usage }) => Ok(usage),
         Some(ToClient::Refused { retry_after, cause, waited_for }) => {
-            let over_share = waited_for == Some(WaitedFor::OverShare);
-            let why = waited_for.map_or(cause.word(), WaitedFor::word);
+            let over_share = waited_for == Some(QueueingReason::OverQuota);
+            let why = waited_for.map_or(cause.name(), QueueingReason::name);
             let message = format!("nothing was done; a retry is harmless ({why})");
             let refusal = Refusal::busy(retry_after, &message);
             // Its own share is what stands in its way: 429; else it is the site.
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -16,8 +16,8 @@
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::fleet::{MemberState, MOST_BYTES};
 use gaparch_protocol::ops::view::{
-    self, AuditOf, AuditView, EdgeRow, FleetView, MemberRow, Overtaken, Severity, SpreadRow, SpreadView,
-    VersionRow, VersionsView,
+    self, AuditView, FleetView, LinkFault, ListVersionRow, ListVersionsView, MemberView,
+    OrderReplicationView, ReplicationRow, RouterAuditRow, Severity, SupersededOrder,
 };
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::{AuditFilter, OrderId, Talk};
@@ -68,10 +68,10 @@
 
 enum Ask {
     Audit(AuditFilter, oneshot::Sender<Option<AuditView>>),
-    Spread(oneshot::Sender<Option<SpreadView>>),
+    Spread(oneshot::Sender<Option<OrderReplicationView>>),
     View(oneshot::Sender<FleetView>),
     /// `None`: lists are not followed here.
-    Versions(oneshot::Sender<Option<VersionsView>>),
+    Versions(oneshot::Sender<Option<ListVersionsView>>),
     Leave(oneshot::Sender<()>),
 }
 
@@ -95,14 +95,14 @@
     }
 
     /// Which router keeps the orders of the fleet; `None` once the router has ended.
-    pub async fn spread(&self) -> Option<Option<SpreadView>> {
+    pub async fn spread(&self) -> Option<Option<OrderReplicationView>> {
         let (reply, wait) = oneshot::channel();
         self.0.send(Ask::Spread(reply)).await.ok()?;
         wait.await.ok()
     }
 
     /// Which router holds which version; `None` once the router has ended.
-    pub async fn versions(&self) -> Option<Option<VersionsView>> {
+    pub async fn versions(&self) -> Option<Option<ListVersionsView>> {
         let (reply, wait) = oneshot::channel();
         self.0.send(Ask::Versions(reply)).await.ok()?;
         wait.await.ok()
@@ -196,7 +196,7 @@
             // A missing key must not keep a router from routing.
             let file = fleet.key_file.display();
             let text = format!("this router knows of no other: the fleet's key file {file}: {why}");
-            let event = view::Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text };
+            let event = view::Event { at: clock.now(), severity: Severity::Fault, engine: None, text };
             // The hub is not there yet, and its queue is empty.
             let _ = ports.news.try_send(News::Happened(event));
             return Ok(None);
@@ -512,25 +512,30 @@
 
     /// Who keeps the orders of the fleet. Whoever did not say that it leaves may be alive: one that counts as dead may only
     /// be cut off.
-    fn spread(&mut self) -> Option<SpreadView> {
+    fn spread(&mut self) -> Option<OrderReplicationView> {
         let orders = self.orders.as_mut()?;
         let view = self.core.view();
         let members: BTreeMap<String, MemberState> =
             view.members.into_iter().map(|m| (m.facts.name, m.state)).collect();
         let stay = members.iter().filter(|(_, state)| **state != MemberState::Left);
         let names: Vec<String> = stay.map(|(name, _)| name.clone()).collect();
-        let row = |acked: audit::Acked| SpreadRow {
+        let row = |acked: audit::Acked| ReplicationRow {
             state: members.get(&acked.router).copied().unwrap_or(MemberState::Alive),
             router: acked.router,
-            keeps: acked.keeps,
-            said_at: acked.said_at,
+            has_all: acked.keeps,
+            reported_at: acked.said_at,
         };
-        let rows: Vec<SpreadRow> = orders.acked(&names).into_iter().map(row).collect();
+        let rows: Vec<ReplicationRow> = orders.acked(&names).into_iter().map(row).collect();
         let overtaken = orders
             .overtaken()
-            .map(|(order, by)| Overtaken { order: order.clone(), by: by.clone() })
+            .map(|(order, by)| SupersededOrder { order: order.clone(), by: by.clone() })
             .collect();
-        Some(SpreadView { complete: rows.iter().all(|r| r.keeps), orders: orders.all(), overtaken, rows })
+        Some(OrderReplicationView {
+            complete: rows.iter().all(|r| r.has_all),
+            orders: orders.all(),
+            superseded: overtaken,
+            rows,
+        })
     }
 
     /// Lets the one that follows lists do something, and does what it wants.
@@ -558,7 +563,7 @@
     }
 
     fn tell(&self, severity: Severity, text: String) {
-        let event = view::Happening { at: self.clock.now(), severity, engine: None, text };
+        let event = view::Event { at: self.clock.now(), severity, engine: None, text };
         // The hub counts what it lost by its own inbox; here the log has it at least.
         if let Err(error) = self.news.try_send(News::Happened(event)) {
             tracing::warn!(%error, "an event of the fleet could not be told");
@@ -567,7 +572,7 @@
 
     fn view(&self) -> FleetView {
         let view: View = self.core.view();
-        let member = |m: gaparch_membership::MemberView| MemberRow {
+        let member = |m: gaparch_membership::MemberView| MemberView {
             name: m.facts.name,
             zone: m.facts.zone,
             build: m.facts.build,
@@ -575,13 +580,13 @@
             incarnation: m.facts.incarnation,
             state: m.state,
             since: m.since,
-            alive_at: m.alive_at,
-            heard_at: m.direct_at,
-            accused_by: m.accused_by,
-            twin_at: m.twin_at,
-            hears_nobody: m.hears_nobody,
+            last_alive_at: m.alive_at,
+            last_received_at: m.direct_at,
+            suspected_by: m.accused_by,
+            duplicate_at: m.twin_at,
+            receives_nothing: m.hears_nobody,
         };
-        let edge = |e: gaparch_membership::EdgeView| EdgeRow { from: e.from, to: e.to, since: e.since };
+        let edge = |e: gaparch_membership::EdgeView| LinkFault { from: e.from, to: e.to, since: e.since };
         FleetView {
             router: view.me.name,
             incarnation: view.me.incarnation,
@@ -589,11 +594,11 @@
             present: view.present,
             counted: view.counted,
             divisor: view.divisor,
-            hears_nobody: view.hears_nobody,
-            unheard: view.unheard,
-            doubt: view.doubt,
+            receives_nothing: view.hears_nobody,
+            is_unanswered: view.unheard,
+            timeout_extension: view.doubt,
             members: view.members.into_iter().map(member).collect(),
-            edges: view.edges.into_iter().map(edge).collect(),
+            link_faults: view.edges.into_iter().map(edge).collect(),
             sent: view.counters.sent,
             sent_bytes: view.counters.sent_bytes,
             received: view.counters.received,
@@ -617,33 +622,33 @@
             Some(0) => {}
             Some(gaps) => unknown.push(format!("{} has {gaps} gaps in its record", one.router)),
         }
-        rows.extend(one.rows.into_iter().map(|row| AuditOf {
+        rows.extend(one.rows.into_iter().map(|row| RouterAuditRow {
             router: one.router.clone(),
             list: row.list,
-            sure: row.sure,
+            confirmed: row.sure,
             sends: row.sends,
         }));
     }
     AuditView { complete: unknown.is_empty(), unknown, rows }
 }
 
-fn versions(view: audit::View) -> VersionsView {
-    let row = |row: audit::Row| VersionRow {
+fn versions(view: audit::View) -> ListVersionsView {
+    let row = |row: audit::Row| ListVersionRow {
         router: row.router,
-        held: row.held,
+        version: row.held,
         digest: row.digest,
-        sure: row.sure,
-        said_at: row.said_at,
+        confirmed_ago: row.sure,
+        reported_at: row.said_at,
     };
-    VersionsView {
-        held: view.held,
+    ListVersionsView {
+        version: view.held,
         entries: view.entries,
-        sure: view.sure,
-        believed: view.believed,
+        confirmed_ago: view.sure,
+        latest_known: view.believed,
         corroborated: view.corroborated,
         behind_since: view.behind_since,
-        brought_up: view.brought_up,
-        refused: view.refused,
+        lists_from_peers: view.brought_up,
+        rejected_claims: view.refused,
         rows: view.rows.into_iter().map(row).collect(),
     }
 }
@@ -658,7 +663,7 @@
         | audit::Happening::Harmed { .. } => Severity::Warning,
         audit::Happening::SourceIsOld { .. }
         | audit::Happening::TwoSources { .. }
-        | audit::Happening::Outlier { .. } => Severity::Trouble,
+        | audit::Happening::Outlier { .. } => Severity::Fault,
     }
 }
 
@@ -671,7 +676,7 @@
         | Happening::DiskLied { .. }
         | Happening::Unheard
         | Happening::HearsNobody
-        | Happening::NoMajority { .. } => Severity::Trouble,
+        | Happening::NoMajority { .. } => Severity::Fault,
         Happening::EdgeLost { .. }
         | Happening::Woke { .. }
         | Happening::WasGivenUp { .. }
--- a/crates/gaparch-router/src/shell/fleet_orders.rs
+++ b/crates/gaparch-router/src/shell/fleet_orders.rs
@@ -3,7 +3,7 @@
 use super::ops::News;
 use super::owner::Control;
 use gaparch_audit::FleetOrder;
-use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::OrderId;
 use gaparch_store::{Disk, Journal};
@@ -21,7 +21,7 @@
 const SCHEMA: u16 = 1;
 
 /// An order given here, in force already.
-pub(super) type Issued = (Change, Note);
+pub(super) type Issued = (Change, ChangeNote);
 
 /// All orders, as they are to be on disk, or are.
 pub(super) type Kept = Arc<Vec<FleetOrder>>;
--- a/crates/gaparch-router/src/shell/ops/historian.rs
+++ b/crates/gaparch-router/src/shell/ops/historian.rs
@@ -1,11 +1,11 @@
 //! Puts what happened on disk, as far as there is time and room.
 
 use super::News;
-use gaparch_ops::chronicle::Chronicle;
-use gaparch_ops::ledger::{self, Followed, Ledger};
-use gaparch_protocol::ops::ending::Kept;
+use gaparch_ops::EventLog;
+use gaparch_ops::{ObservedFollowUp, OutcomeLog, OUTCOME_SCHEMA};
 use gaparch_protocol::ops::from_bytes;
-use gaparch_protocol::ops::view::Happening;
+use gaparch_protocol::ops::outcome::StoredOutcome;
+use gaparch_protocol::ops::view::Event;
 use gaparch_store::{Disk, History, HistoryLimits, StoreError};
 use tokio::sync::{mpsc, oneshot};
 
@@ -35,23 +35,23 @@
         events: Box<dyn Disk>,
         endings: Box<dyn Disk>,
         bytes: u64,
-        chronicle: &mut Chronicle,
-        ledger: &mut Ledger,
+        chronicle: &mut EventLog,
+        ledger: &mut OutcomeLog,
     ) -> Result<Historian, StoreError> {
         let limits =
             |bytes: u64| HistoryLimits { segment_bytes: bytes / SEGMENTS as u64, max_segments: SEGMENTS };
         let take_event = |_, bytes: &[u8]| {
-            from_bytes::<Happening>(bytes).into_iter().for_each(|event| chronicle.add(event));
+            from_bytes::<Event>(bytes).into_iter().for_each(|event| chronicle.push(event));
         };
         let events = History::open(events, "events", 1, limits(bytes / 4), take_event)?;
-        let take_ending = |_, bytes: &[u8]| match from_bytes::<Kept>(bytes) {
-            Some(Kept::Ending { ending }) => ledger.restore(*ending),
-            Some(Kept::FollowUp { request, follow_up }) => {
-                ledger.restore_follow_up(Followed { request, follow_up });
+        let take_ending = |_, bytes: &[u8]| match from_bytes::<StoredOutcome>(bytes) {
+            Some(StoredOutcome::Outcome { outcome }) => ledger.restore(*outcome),
+            Some(StoredOutcome::FollowUp { request, follow_up }) => {
+                ledger.restore_follow_up(ObservedFollowUp { request, follow_up });
             }
             None => {}
         };
-        let endings = History::open(endings, "endings", ledger::SCHEMA, limits(bytes / 4 * 3), take_ending)?;
+        let endings = History::open(endings, "endings", OUTCOME_SCHEMA, limits(bytes / 4 * 3), take_ending)?;
         Ok(Historian { parts: Some((events, endings)) })
     }
 
--- a/crates/gaparch-router/src/shell/ops/hub.rs
+++ b/crates/gaparch-router/src/shell/ops/hub.rs
@@ -3,14 +3,14 @@
 use super::historian::Batch;
 use super::{Board, News};
 use gaparch_net::Clock;
-use gaparch_ops::book::{words, Book};
-use gaparch_ops::chronicle::Chronicle;
-use gaparch_ops::feed::{Feed, Offer};
-use gaparch_ops::ledger::Ledger;
-use gaparch_ops::watch::Watch;
-use gaparch_protocol::ops::ending::{EndKind, Ending, Kept};
-use gaparch_protocol::ops::intent::{Intent, Taken};
-use gaparch_protocol::ops::view::{Happening, LiveView, Phase, Setting, Severity, Snapshot};
+use gaparch_ops::EventLog;
+use gaparch_ops::Monitor;
+use gaparch_ops::OutcomeLog;
+use gaparch_ops::{change_text, OrderRegistry};
+use gaparch_ops::{Delivery, SubscriberFeed};
+use gaparch_protocol::ops::intent::{AcceptedChange, Intent};
+use gaparch_protocol::ops::outcome::{OutcomeKind, RequestOutcome, StoredOutcome};
+use gaparch_protocol::ops::view::{Event, Phase, RequestView, Setting, Severity, Snapshot};
 use gaparch_protocol::ops::{to_bytes, Answer, DenyCode, Query, Update};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -36,17 +36,17 @@
 
 struct Subscriber {
     updates: mpsc::Sender<Update>,
-    feed: Feed,
+    feed: SubscriberFeed,
 }
 
 pub(super) struct Hub {
     identity: Identity,
-    book: Book,
+    book: OrderRegistry,
     /// Changes up to this one are on disk.
     kept: u64,
-    chronicle: Chronicle,
-    ledger: Ledger,
-    watch: Watch,
+    chronicle: EventLog,
+    ledger: OutcomeLog,
+    watch: Monitor,
     board: Option<Box<Board>>,
     subscribers: BTreeMap<u64, Subscriber>,
     not_kept: BTreeMap<&'static str, String>,
@@ -60,9 +60,9 @@
 impl Hub {
     pub fn new(
         identity: Identity,
-        book: Book,
-        chronicle: Chronicle,
-        ledger: Ledger,
+        book: OrderRegistry,
+        chronicle: EventLog,
+        ledger: OutcomeLog,
         history: mpsc::Sender<Batch>,
     ) -> Hub {
         Hub {
@@ -71,7 +71,7 @@
             book,
             chronicle,
             ledger,
-            watch: Watch::default(),
+            watch: Monitor::default(),
             board: None,
             subscribers: BTreeMap::new(),
             not_kept: BTreeMap::new(),
@@ -86,9 +86,9 @@
     pub async fn run(mut self, mut news: mpsc::Receiver<News>, clock: Clock, locked_out: Vec<String>) {
         let held = self.book.intents(|_| true).len();
         let text = format!("the router has begun; {held} orders of operators are in force");
-        self.happened(Happening { at: clock.now(), severity: Severity::Info, engine: None, text });
+        self.happened(Event { at: clock.now(), severity: Severity::Info, engine: None, text });
         for text in locked_out {
-            self.happened(Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text });
+            self.happened(Event { at: clock.now(), severity: Severity::Fault, engine: None, text });
         }
         let mut keep = interval(KEEP_EVERY);
         keep.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -122,8 +122,8 @@
             }
             News::Subscribe(session, updates) => {
                 // Its queue is empty: the first update is all as it stands.
-                let _ = updates.try_send(Update::Fresh { snapshot: Box::new(self.snapshot()) });
-                self.subscribers.insert(session, Subscriber { updates, feed: Feed::default() });
+                let _ = updates.try_send(Update::Resync { snapshot: Box::new(self.snapshot()) });
+                self.subscribers.insert(session, Subscriber { updates, feed: SubscriberFeed::default() });
             }
             News::Finish(written) => {
                 self.waiting.written = Some(written);
@@ -135,7 +135,7 @@
 
     fn on_board(&mut self, board: Box<Board>) {
         let book = &self.book;
-        for event in self.watch.look(&board.figures, &board.engines, |engine| book.hold(engine)) {
+        for event in self.watch.observe(&board.figures, &board.engines, |engine| book.drain(engine)) {
             self.happened(event);
         }
         let lost = board.lost + self.left_out;
@@ -144,38 +144,42 @@
                 format!("{} things were not recorded: too much happened at once", lost - self.lost_told);
             let at = board.figures.at;
             self.lost_told = lost;
-            self.happened(Happening { at, severity: Severity::Warning, engine: None, text });
+            self.happened(Event { at, severity: Severity::Warning, engine: None, text });
         }
         let before = self.board.replace(board);
         let Some(board) = &self.board else { return };
         let known = before.as_ref().map_or(&[][..], |b| &b.engines);
         let changed = board.engines.iter().filter(|e| !known.contains(e)).cloned().collect::<Vec<_>>();
         let figures = board.figures;
-        self.publish(|| Update::Figures { figures });
+        self.publish(|| Update::Metrics { metrics: figures });
         if !changed.is_empty() {
             self.publish(|| Update::Engines { engines: changed.clone() });
         }
     }
 
-    fn on_ended(&mut self, ending: Box<Ending>) {
-        let lost = ending.kind != EndKind::Served;
+    fn on_ended(&mut self, ending: Box<RequestOutcome>) {
+        let lost = ending.kind != OutcomeKind::Served;
         if lost {
-            self.publish(|| Update::Ended { ending: ending.clone() });
-            self.keep_ending(&Kept::Ending { ending: ending.clone() });
+            self.publish(|| Update::RequestEnded { outcome: ending.clone() });
+            self.keep_ending(&StoredOutcome::Outcome { outcome: ending.clone() });
         }
         for followed in self.ledger.add(*ending) {
-            self.keep_ending(&Kept::FollowUp { request: followed.request, follow_up: followed.follow_up });
+            self.keep_ending(&StoredOutcome::FollowUp {
+                request: followed.request,
+                follow_up: followed.follow_up,
+            });
         }
     }
 
-    fn on_taken(&mut self, taken: Taken) {
+    fn on_taken(&mut self, taken: AcceptedChange) {
         let engine = match &taken.change {
-            gaparch_protocol::ops::intent::Change::Hold { engine, .. }
-            | gaparch_protocol::ops::intent::Change::Free { engine } => Some(engine.clone()),
+            gaparch_protocol::ops::intent::Change::Drain { engine, .. }
+            | gaparch_protocol::ops::intent::Change::Undrain { engine } => Some(engine.clone()),
             _ => None,
         };
-        let text = format!("{} by {}: {}", words(&taken.change), taken.note.who, taken.note.why);
-        self.happened(Happening { at: taken.note.at, severity: Severity::Info, engine, text });
+        let text =
+            format!("{} by {}: {}", change_text(&taken.change), taken.note.operator, taken.note.reason);
+        self.happened(Event { at: taken.note.at, severity: Severity::Info, engine, text });
         self.book.apply(taken);
         self.tell_intents();
     }
@@ -186,14 +190,14 @@
             None => self.not_kept.remove(what),
         };
         let (severity, text) = match (was.is_some(), trouble) {
-            (false, Some(why)) => (Severity::Trouble, format!("{what} can't be kept on disk: {why}")),
+            (false, Some(why)) => (Severity::Fault, format!("{what} can't be kept on disk: {why}")),
             (true, None) => (Severity::Info, format!("{what} are kept on disk again")),
             _ => return,
         };
-        self.happened(Happening { at: now, severity, engine: None, text });
+        self.happened(Event { at: now, severity, engine: None, text });
     }
 
-    fn happened(&mut self, event: Happening) {
+    fn happened(&mut self, event: Event) {
         match event.severity {
             Severity::Info => tracing::info!(engine = event.engine, "{}", event.text),
             _ => tracing::warn!(engine = event.engine, "{}", event.text),
@@ -202,11 +206,11 @@
         if self.has_room(record.len()) {
             self.waiting.events.push(record);
         }
-        self.publish(|| Update::Happened { event: event.clone() });
-        self.chronicle.add(event);
+        self.publish(|| Update::Event { event: event.clone() });
+        self.chronicle.push(event);
     }
 
-    fn keep_ending(&mut self, kept: &Kept) {
+    fn keep_ending(&mut self, kept: &StoredOutcome) {
         let record = to_bytes(kept);
         if self.has_room(record.len()) {
             self.waiting.endings.push(record);
@@ -250,10 +254,10 @@
         self.subscribers.retain(|session, subscriber| {
             let room = subscriber.updates.max_capacity();
             let waiting = room - subscriber.updates.capacity();
-            match subscriber.feed.offer(waiting, room) {
-                Offer::Send => drop(subscriber.updates.try_send(update())),
-                Offer::Skip => {}
-                Offer::Resync { missed } => {
+            match subscriber.feed.next(waiting, room) {
+                Delivery::Send => drop(subscriber.updates.try_send(update())),
+                Delivery::Skip => {}
+                Delivery::Resync { missed } => {
                     drop(subscriber.updates.try_send(Update::Missed { updates: missed }));
                     fresh.push(*session);
                 }
@@ -263,7 +267,7 @@
         for session in fresh {
             let snapshot = Box::new(self.snapshot());
             if let Some(subscriber) = self.subscribers.get(&session) {
-                drop(subscriber.updates.try_send(Update::Fresh { snapshot }));
+                drop(subscriber.updates.try_send(Update::Resync { snapshot }));
             }
         }
     }
@@ -274,7 +278,7 @@
         let mut tenants = self.ledger.tenants();
         for tenant in &mut tenants {
             let name = gaparch_ops::limits::tenant_limit(&tenant.name);
-            tenant.per_s = limits.iter().find(|l| l.name == name).map_or(0.0, |l| l.value);
+            tenant.quota_per_second = limits.iter().find(|l| l.name == name).map_or(0.0, |l| l.value);
         }
         let not_kept: Vec<String> =
             self.not_kept.iter().map(|(what, why)| format!("{what}: {why}")).collect();
@@ -282,42 +286,42 @@
             router: self.identity.router.clone(),
             run: self.identity.run,
             revision: self.book.revision(),
-            began_at: self.identity.began_at,
-            figures: board.map(|b| b.figures).unwrap_or_default(),
+            started_at: self.identity.began_at,
+            metrics: board.map(|b| b.figures).unwrap_or_default(),
             engines: board.map(|b| b.engines.clone()).unwrap_or_default(),
             tenants,
             intents: self.intents(),
             limits,
-            events: self.chronicle.list(None, 0, SNAPSHOT_EVENTS),
+            events: self.chronicle.latest(None, 0, SNAPSHOT_EVENTS),
             settings: self.identity.settings.clone(),
-            not_kept: not_kept.join("; "),
+            storage_error: not_kept.join("; "),
         }
     }
 
     fn answer(&self, query: Query) -> Answer {
         match query {
             Query::Snapshot {} => Answer::Snapshot { snapshot: Box::new(self.snapshot()) },
-            Query::Groups { filter } => {
+            Query::OutcomeGroups { filter } => {
                 let (groups, total) = self.ledger.groups(&filter);
-                Answer::Groups { groups, total }
+                Answer::OutcomeGroups { groups, total }
             }
-            Query::Endings { filter } => {
-                let (endings, total) = self.ledger.endings(&filter, MOST_ENDINGS);
-                Answer::Endings { endings, total }
+            Query::Outcomes { filter } => {
+                let (endings, total) = self.ledger.outcomes(&filter, MOST_ENDINGS);
+                Answer::Outcomes { outcomes: endings, total }
             }
-            Query::Story { request } => {
-                Answer::Story { ending: self.ledger.story(request).map(Box::new), live: None }
+            Query::RequestDetails { request } => {
+                Answer::RequestDetails { outcome: self.ledger.find(request).map(Box::new), open: None }
             }
             // The open ones are put before these by the session.
-            Query::Live { most } => {
-                let lately: Vec<LiveView> =
-                    self.ledger.recent().rev().take(most as usize).map(ended_view).collect();
+            Query::OpenRequests { max: most } => {
+                let lately: Vec<RequestView> =
+                    self.ledger.served().rev().take(most as usize).map(ended_view).collect();
                 let total = lately.len() as u64;
-                Answer::Live { live: lately, total }
+                Answer::OpenRequests { requests: lately, total }
             }
-            Query::Events { engine, since, most } => {
+            Query::Events { engine, since, max: most } => {
                 let most = if most == 0 { MOST_EVENTS } else { MOST_EVENTS.min(most as usize) };
-                Answer::Events { events: self.chronicle.list(engine.as_deref(), since, most) }
+                Answer::Events { events: self.chronicle.latest(engine.as_deref(), since, most) }
             }
             Query::Limits {} => {
                 Answer::Limits { limits: self.board.as_ref().map(|b| b.limits.clone()).unwrap_or_default() }
@@ -326,11 +330,11 @@
             Query::Subscribe {}
             | Query::Unsubscribe {}
             | Query::Order { .. }
-            | Query::OrderHere { .. }
-            | Query::Spread {}
+            | Query::LocalOrder { .. }
+            | Query::OrderReplication {}
             | Query::Audit { .. }
             | Query::Members {}
-            | Query::Versions {} => {
+            | Query::ListVersions {} => {
                 let message = "that is for the session to do".to_owned();
                 Answer::Denied { code: DenyCode::Invalid, message }
             }
@@ -338,17 +342,17 @@
     }
 }
 
-fn ended_view(ending: &Ending) -> LiveView {
-    LiveView {
+fn ended_view(ending: &RequestOutcome) -> RequestView {
+    RequestView {
         request: ending.request,
-        asked_at: ending.asked_at,
+        received_at: ending.received_at,
         class: ending.class.clone(),
         tenant: ending.tenant.clone(),
         phase: Phase::Ended,
         kind: Some(ending.kind),
-        engine: ending.steps.last().map(|s| s.engine.clone()).unwrap_or_default(),
+        engine: ending.attempts.last().map(|s| s.engine.clone()).unwrap_or_default(),
         tokens: ending.tokens,
-        took_us: ending.ended_at.saturating_sub(ending.asked_at) / 1000,
-        steps: ending.steps.clone(),
+        elapsed_us: ending.ended_at.saturating_sub(ending.received_at) / 1000,
+        attempts: ending.attempts.clone(),
     }
 }
--- a/crates/gaparch-router/src/shell/ops/keeper.rs
+++ b/crates/gaparch-router/src/shell/ops/keeper.rs
@@ -1,8 +1,8 @@
 //! Puts operators' orders on disk before they are acknowledged.
 
 use super::{Done, News, OrderReply};
-use gaparch_ops::book::{read_change, Book, Denied, SCHEMA};
-use gaparch_protocol::ops::intent::Taken;
+use gaparch_ops::{read_change, OrderDenied, OrderRegistry, CHANGE_SCHEMA};
+use gaparch_protocol::ops::intent::AcceptedChange;
 use gaparch_protocol::ops::{to_bytes, DenyCode};
 use gaparch_store::{Disk, Journal, StoreError};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 /// An order that was carried out and is to be kept.
 pub struct Keep {
-    pub taken: Taken,
+    pub taken: AcceptedChange,
     pub effect: String,
     pub reply: OrderReply,
 }
@@ -29,17 +29,17 @@
 pub(super) struct Keeper {
     /// `None` while a blocking thread has it.
     journal: Option<IntentJournal>,
-    book: Book,
+    book: OrderRegistry,
     /// The journal lacks something: all is written anew as soon as it can be.
     behind: Option<String>,
 }
 
 impl Keeper {
     /// Reads what is kept. A disk that can't be written does not keep a router from starting.
-    pub fn open(disk: Box<dyn Disk>) -> Result<(Keeper, Book), StoreError> {
-        let (mut journal, found) = Journal::open(disk, "intents", SCHEMA)?;
-        let schema = found.schema.unwrap_or(SCHEMA);
-        let mut book = Book::default();
+    pub fn open(disk: Box<dyn Disk>) -> Result<(Keeper, OrderRegistry), StoreError> {
+        let (mut journal, found) = Journal::open(disk, "intents", CHANGE_SCHEMA)?;
+        let schema = found.schema.unwrap_or(CHANGE_SCHEMA);
+        let mut book = OrderRegistry::default();
         let mut unread = found.damaged;
         for record in &found.records {
             match read_change(schema, record, book.revision() + 1) {
@@ -106,7 +106,7 @@
                 None => Ok(Done { revision: taken.revision, effect }),
                 Some(why) => {
                     let message = format!("in force, but not kept ({why}): a restart would forget it");
-                    Err(Denied::new(DenyCode::NotKept, message))
+                    Err(OrderDenied::new(DenyCode::NotPersisted, message))
                 }
             };
             // Who asked may have left meanwhile.
--- a/crates/gaparch-router/src/shell/ops/mod.rs
+++ b/crates/gaparch-router/src/shell/ops/mod.rs
@@ -22,14 +22,14 @@
 use crate::core::{told_to_stay_away, Proposal};
 use gaparch_config::{Config, KeySource, Operations};
 use gaparch_net::{read_key, Clock};
-use gaparch_ops::book::{Book, Denied};
-use gaparch_ops::chronicle::Chronicle;
-use gaparch_ops::ledger::{Bounds, Ledger};
+use gaparch_ops::EventLog;
+use gaparch_ops::{OrderDenied, OrderRegistry};
+use gaparch_ops::{OutcomeLog, OutcomeLogLimits};
 use gaparch_protocol::engine::RouterRun;
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, RequestName};
-use gaparch_protocol::ops::intent::{LimitView, Taken};
-use gaparch_protocol::ops::view::{EngineView, Figures, Happening, Setting, Severity};
-use gaparch_protocol::ops::OpsRole;
+use gaparch_protocol::ops::intent::{AcceptedChange, LimitView};
+use gaparch_protocol::ops::outcome::{GlobalRequestId, OutcomeCause, OutcomeKind, RequestOutcome};
+use gaparch_protocol::ops::view::{EngineView, Event, RouterMetrics, Setting, Severity};
+use gaparch_protocol::ops::SessionRole;
 use gaparch_scheduler::api::{Nanos, RequestId};
 use gaparch_store::{Disk, StateDirectory, StoreError};
 use std::net::SocketAddr;
@@ -104,7 +104,7 @@
 /// How all stands, as the owner shows it.
 #[derive(Clone, Debug)]
 pub(super) struct Board {
-    pub figures: Figures,
+    pub figures: RouterMetrics,
     pub engines: Vec<EngineView>,
     pub limits: Vec<LimitView>,
     /// News that there was no room for, since the start.
@@ -112,7 +112,7 @@
 }
 
 /// A reply to an order.
-pub(super) type OrderReply = oneshot::Sender<Result<Done, Denied>>;
+pub(super) type OrderReply = oneshot::Sender<Result<Done, OrderDenied>>;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Done {
@@ -122,9 +122,9 @@
 
 pub(super) enum News {
     Board(Box<Board>),
-    Ended(Box<Ending>),
-    Taken(Taken),
-    Happened(Happening),
+    Ended(Box<RequestOutcome>),
+    Taken(AcceptedChange),
+    Happened(Event),
     /// All changes up to that one are on disk.
     Kept(u64),
     /// What is not being kept on disk now, and why; no reason: it is again.
@@ -150,13 +150,13 @@
     pub fn turn_away(&self, id: RequestId, class: &str, tenant: &str, retry_after: Nanos, fingerprint: u64) {
         self.turned_away.fetch_add(1, Ordering::Relaxed);
         let now = self.clock.now();
-        let request = RequestName { run: self.run.0, number: id.0 };
-        let ending = Ending {
+        let request = GlobalRequestId { run: self.run.0, number: id.0 };
+        let ending = RequestOutcome {
             class: class.to_owned(),
             tenant: tenant.to_owned(),
             retry_after_ms: told_to_stay_away(retry_after),
             fingerprint,
-            ..Ending::bare(request, now, now, EndKind::Refused, Cause::TooMuchOpen)
+            ..RequestOutcome::bare(request, now, now, OutcomeKind::Rejected, OutcomeCause::TooManyOpen)
         };
         // The count is what must not be lost.
         let _ = self.news.try_send(News::Ended(Box::new(ending)));
@@ -182,10 +182,10 @@
         self.lost += u64::from(self.news.try_send(news).is_err());
     }
 
-    pub fn show(&mut self, figures: Figures, engines: Vec<EngineView>, limits: Vec<LimitView>) {
+    pub fn show(&mut self, figures: RouterMetrics, engines: Vec<EngineView>, limits: Vec<LimitView>) {
         let turned_away = self.door.turned_away.load(Ordering::Relaxed);
-        let (requests, refused) = (figures.requests + turned_away, figures.refused + turned_away);
-        let figures = Figures { requests, refused, ..figures };
+        let (requests, refused) = (figures.requests + turned_away, figures.rejected + turned_away);
+        let figures = RouterMetrics { requests, rejected: refused, ..figures };
         let board = Board { figures, engines, limits, lost: self.lost };
         self.tell(News::Board(Box::new(board)));
     }
@@ -204,7 +204,7 @@
     /// An operator wants the router to end.
     pub fn stop(&mut self, at: u64, who: &str, why: &str) {
         let text = format!("{who} stops the router: {why}");
-        self.tell(News::Happened(Happening { at, severity: Severity::Warning, engine: None, text }));
+        self.tell(News::Happened(Event { at, severity: Severity::Warning, engine: None, text }));
         self.stop.notify_one();
     }
 }
@@ -213,7 +213,7 @@
 #[derive(Clone)]
 pub(super) struct KnownOperator {
     pub name: String,
-    pub role: OpsRole,
+    pub role: SessionRole,
     pub key: Vec<u8>,
 }
 
@@ -237,11 +237,11 @@
 
 /// The state that was found, before anything runs.
 pub(super) struct Prepared {
-    pub book: Book,
+    pub book: OrderRegistry,
     keeper: keeper::Keeper,
     historian: historian::Historian,
-    chronicle: Chronicle,
-    ledger: Ledger,
+    chronicle: EventLog,
+    ledger: OutcomeLog,
     operators: Vec<KnownOperator>,
     /// Operators that can't come in, and why.
     locked_out: Vec<String>,
@@ -258,8 +258,8 @@
             None => Disks::open(&settings)?,
         };
         let (keeper, book) = keeper::Keeper::open(disks.intents)?;
-        let mut ledger = Ledger::new(Bounds { bytes: settings.refusals });
-        let mut chronicle = Chronicle::default();
+        let mut ledger = OutcomeLog::new(OutcomeLogLimits { max_bytes: settings.refusals });
+        let mut chronicle = EventLog::default();
         let historian = historian::Historian::open(
             disks.events,
             disks.endings,
@@ -285,7 +285,7 @@
             KeySource::Text(key) => Ok(key.clone()),
             KeySource::File(file) => read_key(file).map_err(|e| format!("key file {}: {e}", file.display())),
         };
-        let role = if operator.may_change { OpsRole::Change } else { OpsRole::Watch };
+        let role = if operator.may_change { SessionRole::ReadWrite } else { SessionRole::ReadOnly };
         match key {
             Ok(key) => known.push(KnownOperator { name: operator.name.clone(), role, key: key.into_bytes() }),
             Err(why) => locked_out.push(format!("operator {} can't come in by a key: {why}", operator.name)),
--- a/crates/gaparch-router/src/shell/ops/session.rs
+++ b/crates/gaparch-router/src/shell/ops/session.rs
@@ -5,7 +5,9 @@
 use bytes::BytesMut;
 use gaparch_net::{FrameReader, ReadError};
 use gaparch_protocol::frame::encode;
-use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, OpsRole, Order, Query, Update, MAX_ASK, VERSION};
+use gaparch_protocol::ops::{
+    Answer, DenyCode, OpsFrame, Order, Query, SessionRole, Update, MAX_QUERY_BYTES, VERSION,
+};
 use gaparch_scheduler::api::RequestId;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -66,7 +68,7 @@
         let Ok(_permit) = Arc::clone(&lobby.sessions).try_acquire_owned() else {
             return session.bye("too many sessions are open").await;
         };
-        session.run(FrameReader::new(reader, MAX_ASK), local, &lobby).await;
+        session.run(FrameReader::new(reader, MAX_QUERY_BYTES), local, &lobby).await;
     });
 }
 
@@ -74,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Guest {
     who: String,
-    role: OpsRole,
+    role: SessionRole,
 }
 
 /// By a key its operator; without one only whoever may open the local socket, by the name it says.
@@ -82,11 +84,11 @@
     operators: &[KnownOperator],
     local: bool,
     key: Option<&str>,
-    asked: OpsRole,
+    asked: SessionRole,
     who: &str,
 ) -> Result<Guest, &'static str> {
     let (name, most) = match key {
-        None if local => (if who.is_empty() { "someone" } else { who }, OpsRole::Change),
+        None if local => (if who.is_empty() { "someone" } else { who }, SessionRole::ReadWrite),
         None => return Err("a key is wanted"),
         Some(key) => {
             // All are looked at, and each in constant time: how long it takes tells nothing of a key.
@@ -146,7 +148,7 @@
         lobby: &Lobby,
     ) -> Result<Guest, String> {
         match reader.read_one().await.map_err(|e| e.to_string())? {
-            OpsFrame::Hello { version: VERSION, key, role, who } => {
+            OpsFrame::Hello { version: VERSION, key, role, operator: who } => {
                 let guest = admit(&lobby.operators, local, key.as_deref(), role, &who)?;
                 let welcome = OpsFrame::Welcome {
                     version: VERSION,
@@ -179,7 +181,7 @@
                 read = reader.read(&mut frames) => {
                     for frame in frames.drain(..) {
                         match frame {
-                            OpsFrame::Ask { seq, query } => {
+                            OpsFrame::Query { seq, query } => {
                                 let answer = ask(query, guest, session, &updates, lobby).await?;
                                 self.write(&OpsFrame::Answer { seq, answer }).await.map_err(|e| e.to_string())?;
                             }
@@ -226,13 +228,13 @@
             unsubscribed.map(|()| Answer::Unsubscribed {}).map_err(|_| ENDED.to_owned())
         }
         Query::Order { order } => carry_out(order, false, guest, lobby).await,
-        Query::OrderHere { order } => carry_out(order, true, guest, lobby).await,
-        Query::Spread {} => {
+        Query::LocalOrder { order } => carry_out(order, true, guest, lobby).await,
+        Query::OrderReplication {} => {
             let spread = match &lobby.fleet {
                 Some(fleet) => fleet.spread().await.ok_or(ENDED)?,
                 None => None,
             };
-            Ok(spread.map_or_else(alone, |spread| Answer::Spread { spread: Box::new(spread) }))
+            Ok(spread.map_or_else(alone, |spread| Answer::OrderReplication { replication: Box::new(spread) }))
         }
         Query::Members {} => Ok(match &lobby.fleet {
             Some(fleet) => {
@@ -254,34 +256,36 @@
             };
             Ok(audit.map_or_else(alone, |audit| Answer::Audit { audit: Box::new(audit) }))
         }
-        Query::Versions {} => {
+        Query::ListVersions {} => {
             let versions = match &lobby.fleet {
                 Some(fleet) => fleet.versions().await.ok_or(ENDED)?,
                 None => None,
             };
-            Ok(versions.map_or_else(alone, |versions| Answer::Versions { versions: Box::new(versions) }))
+            Ok(versions.map_or_else(alone, |versions| Answer::ListVersions { versions: Box::new(versions) }))
         }
-        Query::Live { most } => {
+        Query::OpenRequests { max: most } => {
             let most = most.clamp(1, MOST_LIVE);
             let (reply, wait) = oneshot::channel();
             lobby.control.send(Control::Live(most as usize, reply)).await.map_err(|_| ENDED)?;
             let (mut live, mut total) = wait.await.map_err(|_| ENDED)?;
             let left = most.saturating_sub(live.len() as u32);
-            if let Answer::Live { live: lately, total: more } =
-                ask_hub(Query::Live { most: left }, lobby).await?
+            if let Answer::OpenRequests { requests: lately, total: more } =
+                ask_hub(Query::OpenRequests { max: left }, lobby).await?
             {
                 live.extend(lately);
                 total += more;
             }
-            Ok(Answer::Live { live, total })
+            Ok(Answer::OpenRequests { requests: live, total })
         }
-        Query::Story { request } => {
+        Query::RequestDetails { request } => {
             let (reply, wait) = oneshot::channel();
             let open = RequestId(request.number);
             lobby.control.send(Control::One(open, reply)).await.map_err(|_| ENDED)?;
             let live = wait.await.map_err(|_| ENDED)?.filter(|l| l.request == request).map(Box::new);
-            match ask_hub(Query::Story { request }, lobby).await? {
-                Answer::Story { ending, .. } => Ok(Answer::Story { ending, live }),
+            match ask_hub(Query::RequestDetails { request }, lobby).await? {
+                Answer::RequestDetails { outcome: ending, .. } => {
+                    Ok(Answer::RequestDetails { outcome: ending, open: live })
+                }
                 other => Ok(other),
             }
         }
@@ -302,9 +306,9 @@
 }
 
 async fn carry_out(order: Order, here: bool, guest: &Guest, lobby: &Lobby) -> Result<Answer, String> {
-    if guest.role != OpsRole::Change {
+    if guest.role != SessionRole::ReadWrite {
         let message = format!("{} may look, and change nothing", guest.who);
-        return Ok(Answer::Denied { code: DenyCode::Role, message });
+        return Ok(Answer::Denied { code: DenyCode::ReadOnly, message });
     }
     let (reply, wait) = oneshot::channel();
     let who = guest.who.clone();
--- a/crates/gaparch-router/src/shell/owner.rs
+++ b/crates/gaparch-router/src/shell/owner.rs
@@ -9,10 +9,10 @@
 use gaparch_audit::Kind;
 use gaparch_config::Config;
 use gaparch_net::Clock;
-use gaparch_ops::book::Denied;
+use gaparch_ops::OrderDenied;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame};
-use gaparch_protocol::ops::intent::{Change, Note};
-use gaparch_protocol::ops::view::{Figures, Happening, LiveView, Severity};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
+use gaparch_protocol::ops::view::{Event, RequestView, RouterMetrics, Severity};
 use gaparch_protocol::ops::{DenyCode, Order};
 use gaparch_protocol::versions::FleetOrder;
 use gaparch_scheduler::api::{RequestId, ServerId};
@@ -63,8 +63,8 @@
         reply: oneshot::Sender<bool>,
     },
     /// The oldest open requests, at most so many, and how many there are.
-    Live(usize, oneshot::Sender<(Vec<LiveView>, u64)>),
-    One(RequestId, oneshot::Sender<Option<LiveView>>),
+    Live(usize, oneshot::Sender<(Vec<RequestView>, u64)>),
+    One(RequestId, oneshot::Sender<Option<RequestView>>),
     /// So many routers may be at work.
     Routers(u32),
     /// A list that another router has handed on.
@@ -246,19 +246,19 @@
             Err(denied) => return drop(reply.send(Err(denied))),
         };
         if proposal.taken.change == (Change::Stop {}) {
-            desk.stop(now, who, &order.why);
+            desk.stop(now, who, &order.reason);
             let done = Done { revision: proposal.taken.revision - 1, effect: proposal.effect };
             return drop(reply.send(Ok(done)));
         }
         let Some(permit) = desk.reserve() else {
             let message = "too many orders wait to be kept; nothing was changed";
-            return drop(reply.send(Err(Denied::new(DenyCode::Busy, message))));
+            return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
         };
         let fleet = self.versions.as_ref().filter(|_| !here);
         if let Some(versions) = fleet {
             let Some(permit) = versions.reserve() else {
                 let message = "too many orders are on their way to the other routers; nothing was changed";
-                return drop(reply.send(Err(Denied::new(DenyCode::Busy, message))));
+                return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
             };
             permit.send((proposal.taken.change.clone(), proposal.taken.note.clone()));
         }
@@ -274,15 +274,15 @@
     /// Puts an order of another router in force, and keeps it as one given here; whether it is in force now.
     fn on_fleet_order(&mut self, order: &FleetOrder, out: &mut Vec<Output>) -> bool {
         let now = self.clock.now();
-        let who = format!("{} at {}", order.note.who, order.id.router);
-        let note = Note { who, ..order.note.clone() };
+        let who = format!("{} at {}", order.note.operator, order.id.router);
+        let note = ChangeNote { operator: who, ..order.note.clone() };
         let Some(desk) = &mut self.desk else { return false };
         let taken = match self.core.adopt(&order.change, &note) {
             Ok(None) => return true,
             Ok(Some(taken)) => taken,
             Err(denied) => {
                 let text = format!("an order of the fleet can't be in force here: {denied}");
-                let event = Happening { at: now, severity: Severity::Trouble, engine: None, text };
+                let event = Event { at: now, severity: Severity::Fault, engine: None, text };
                 desk.tell(News::Happened(event));
                 return false;
             }
@@ -303,7 +303,7 @@
     fn show(&mut self) {
         let Some(desk) = &mut self.desk else { return };
         let lag_us = u64::try_from(std::mem::take(&mut self.board_lag).as_micros()).unwrap_or(u64::MAX);
-        let figures = Figures { at: self.clock.now(), lag_us, ..self.core.figures() };
+        let figures = RouterMetrics { at: self.clock.now(), lag_us, ..self.core.figures() };
         desk.show(figures, self.core.engine_views(), self.core.limits());
     }
 
@@ -362,7 +362,7 @@
         let Some(versions) = &mut self.versions else { return Verdict::Act };
         let (verdict, text) = versions.on_update(update, now);
         if let (Some(desk), Some(text)) = (&mut self.desk, text) {
-            let event = Happening { at: now, severity: Severity::Warning, engine: None, text };
+            let event = Event { at: now, severity: Severity::Warning, engine: None, text };
             desk.tell(News::Happened(event));
         }
         verdict
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -1,11 +1,11 @@
 //! The core alone: frames that make no sense, outcomes that come twice or late, drains, the end.
 
 use gaparch_config::{server_id, Config, EXAMPLE};
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{AttemptKey, EngineFacts, EngineFrame, RouterRun};
 use gaparch_protocol::list::{ListEntry, Scope};
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending};
-use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, DrainMode};
+use gaparch_protocol::ops::outcome::{OutcomeCause, OutcomeKind, RequestOutcome};
 use gaparch_protocol::ops::view::EngineState;
 use gaparch_protocol::ops::Order;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, Phase, ToClient};
@@ -37,7 +37,7 @@
     fn connecting() -> Bench {
         let config = Config::parse(EXAMPLE).expect("sound");
         let mut out = Vec::new();
-        let core = Core::new(config, Book::default(), RouterRun(1), 1000 * S, &mut out);
+        let core = Core::new(config, OrderRegistry::default(), RouterRun(1), 1000 * S, &mut out);
         let mut bench = Bench { core, now: 1000 * S, conns: BTreeMap::new(), seen: Vec::new() };
         for output in out {
             if let Output::Connect { engine, conn, .. } = output {
@@ -382,7 +382,7 @@
 }
 
 fn order(change: Change) -> Order {
-    Order { change, why: "a test".to_owned(), force: false, revision: None }
+    Order { change, reason: "a test".to_owned(), force: false, revision: None }
 }
 
 impl Bench {
@@ -395,7 +395,7 @@
         self.input(Input::Taken(proposal.taken))
     }
 
-    fn endings(&self) -> Vec<&Ending> {
+    fn endings(&self) -> Vec<&RequestOutcome> {
         self.seen
             .iter()
             .filter_map(|o| if let Output::Ended(ending) = o { Some(ending.as_ref()) } else { None })
@@ -406,7 +406,7 @@
 #[test]
 fn an_operator_s_drain_holds_whatever_the_list_says() {
     let mut bench = Bench::new();
-    let hold = |engine: &str| Change::Hold { engine: engine.to_owned(), hold: Hold::Drain };
+    let hold = |engine: &str| Change::Drain { engine: engine.to_owned(), mode: DrainMode::Drain };
     bench.order(hold("read-1"));
     for version in 1..4 {
         let entry = ListEntry {
@@ -429,8 +429,8 @@
     };
     assert_eq!(reads(&bench), 0);
     let view = bench.core.engine_views().into_iter().find(|v| v.name == "read-1").expect("known");
-    assert_eq!((view.listed, view.state), (EngineState::Ready, EngineState::Draining));
-    bench.order(Change::Free { engine: "read-1".to_owned() });
+    assert_eq!((view.listed_state, view.state), (EngineState::Ready, EngineState::Draining));
+    bench.order(Change::Undrain { engine: "read-1".to_owned() });
     let view = bench.core.engine_views().into_iter().find(|v| v.name == "read-1").expect("known");
     assert_eq!(view.state, EngineState::Ready);
 }
@@ -444,14 +444,14 @@
     let left = |out: &[Output]| {
         out.iter().any(|o| matches!(o, Output::Disconnect { engine, .. } if *engine == reader))
     };
-    let out = bench.order(Change::Hold { engine: name.clone(), hold: Hold::Aside });
+    let out = bench.order(Change::Drain { engine: name.clone(), mode: DrainMode::Detach });
     assert!(!left(&out), "it reads");
     let out = bench.frame(reader, EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None });
     assert!(!left(&out), "its state is to be fetched");
     let (writer, key) = sent(&out).expect("a write");
     let out = bench.frame(writer, EngineFrame::Tokens { key, from: 0, count: 1, text: "a".to_owned() });
     assert!(left(&out), "the state was taken, and nothing more is there: {out:?}");
-    let out = bench.order(Change::Free { engine: name });
+    let out = bench.order(Change::Undrain { engine: name });
     assert!(out.iter().any(|o| matches!(o, Output::Connect { engine, .. } if *engine == reader)));
 }
 
@@ -461,34 +461,37 @@
     bench.ask(1);
     bench.order(Change::Pause {});
     let refused = bench.ask_raw(2);
-    assert!(matches!(answers(&refused, 2)[..], [ToClient::Refused { cause: Cause::Paused, .. }]));
+    assert!(matches!(answers(&refused, 2)[..], [ToClient::Refused { cause: OutcomeCause::Paused, .. }]));
     bench.order(Change::Resume {});
     bench.ask(3);
-    bench.order(Change::Limit { name: "open-requests".to_owned(), value: Some(2.0) });
+    bench.order(Change::SetLimit { name: "open-requests".to_owned(), value: Some(2.0) });
     let refused = bench.ask_raw(4);
-    assert!(matches!(answers(&refused, 4)[..], [ToClient::Refused { cause: Cause::TooMuchOpen, .. }]));
-    let causes: Vec<Cause> = bench.endings().iter().map(|e| e.cause).collect();
-    assert_eq!(causes, [Cause::Paused, Cause::TooMuchOpen]);
+    assert!(matches!(answers(&refused, 4)[..], [ToClient::Refused { cause: OutcomeCause::TooManyOpen, .. }]));
+    let causes: Vec<OutcomeCause> = bench.endings().iter().map(|e| e.cause).collect();
+    assert_eq!(causes, [OutcomeCause::Paused, OutcomeCause::TooManyOpen]);
     bench.input(Input::ClientGone(RequestId(1)));
     let left = bench.endings().pop().expect("an ending");
-    assert_eq!((left.kind, left.steps.len(), left.evidence.len()), (EndKind::Left, 1, 0));
+    assert_eq!(
+        (left.kind, left.attempts.len(), left.evidence.len()),
+        (OutcomeKind::ClientDisconnected, 1, 0)
+    );
     assert_eq!(bench.core.open(), 1);
 }
 
 #[test]
 fn a_router_that_starts_again_keeps_to_the_orders_before_its_first_request() {
     let config = Config::parse(EXAMPLE).expect("sound");
-    let note = Note { who: "someone".to_owned(), why: "noise".to_owned(), at: 1 };
-    let taken = |revision, change| Taken { revision, change, note: note.clone() };
-    let hold = Change::Hold { engine: "write-2".to_owned(), hold: Hold::Aside };
-    let book = Book::restore([taken(1, hold), taken(2, Change::Pause {})]);
+    let note = ChangeNote { operator: "someone".to_owned(), reason: "noise".to_owned(), at: 1 };
+    let taken = |revision, change| AcceptedChange { revision, change, note: note.clone() };
+    let hold = Change::Drain { engine: "write-2".to_owned(), mode: DrainMode::Detach };
+    let book = OrderRegistry::restore([taken(1, hold), taken(2, Change::Pause {})]);
     let mut out = Vec::new();
     let mut core = Core::new(config, book, RouterRun(2), 1000 * S, &mut out);
     let asked = |o: &Output| matches!(o, Output::Connect { name, .. } if name == "write-2");
     assert!(!out.iter().any(asked), "no connection to what is set aside");
     let mut out = Vec::new();
     core.handle(1000 * S, Input::Ask { id: RequestId(1), ask: question() }, &mut out);
-    assert!(matches!(answers(&out, 1)[..], [ToClient::Refused { cause: Cause::Paused, .. }]));
+    assert!(matches!(answers(&out, 1)[..], [ToClient::Refused { cause: OutcomeCause::Paused, .. }]));
 }
 
 #[test]
@@ -501,8 +504,9 @@
     bench.ask_raw(1);
     bench.pass(6 * S);
     let ending = bench.endings().pop().expect("given up").clone();
-    assert_eq!(ending.kind, EndKind::Refused, "{ending:?}");
-    let down = |name: &str| ending.evidence.iter().any(|e| e.engine == name && e.avoided == "unreachable");
+    assert_eq!(ending.kind, OutcomeKind::Rejected, "{ending:?}");
+    let down =
+        |name: &str| ending.evidence.iter().any(|e| e.engine == name && e.avoid_reason == "unreachable");
     assert!(down("write-1") && down("write-2"), "{:?}", ending.evidence);
 }
 
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -2,7 +2,7 @@
 //! any of them, and nothing is left behind by a day of new requests and new engines.
 
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
@@ -39,7 +39,7 @@
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
         config.module.can_probe = false;
         let mut out = Vec::new();
-        let core = Core::new(config, Book::default(), RouterRun(1), 1000 * S, &mut out);
+        let core = Core::new(config, OrderRegistry::default(), RouterRun(1), 1000 * S, &mut out);
         let mut bench = Bench { core, now: 1000 * S, out };
         let ready = |name: &str| entry(name, ServerState::Ready);
         let entries = vec![ready("r-1"), ready("r-2"), ready("w-1"), ready("w-2")];
--- a/crates/gaparch-router/tests/long_lists.rs
+++ b/crates/gaparch-router/tests/long_lists.rs
@@ -1,7 +1,7 @@
 //! Lists of ten thousand engines: doubled entries, names that hash alike, changes one after the other.
 
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Core, Input, ListUpdate, Output};
@@ -20,7 +20,7 @@
     fn new() -> Bench {
         let mut config = Config::parse(EXAMPLE).expect("sound");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
-        let core = Core::new(config, Book::default(), RouterRun(1), NOW, &mut Vec::new());
+        let core = Core::new(config, OrderRegistry::default(), RouterRun(1), NOW, &mut Vec::new());
         Bench { core, version: 0 }
     }
 
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -2,7 +2,7 @@
 //! catalogue's. Slow start goes by the time that has really passed.
 
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Core, Input, ListUpdate};
@@ -43,7 +43,7 @@
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
         config.module.slow_start_duration = 14 * S;
         let at = Router::clock(offset, 0);
-        let core = Core::new(config, Book::default(), RouterRun(1), at, &mut Vec::new());
+        let core = Core::new(config, OrderRegistry::default(), RouterRun(1), at, &mut Vec::new());
         let mut router = Router { core, offset, version: 0 };
         router.list(Scope::Full, 0, entries);
         router
--- a/crates/gaparch-testbed/examples/operations.rs
+++ b/crates/gaparch-testbed/examples/operations.rs
@@ -9,10 +9,12 @@
 
 use gaparch_engine::observe::Way;
 use gaparch_net::{Incoming, OpsClient};
-use gaparch_ops::book::{read_change, Book, SCHEMA};
-use gaparch_ops::ledger::{Bounds, Ledger};
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, Evidence, RequestName, Step, StepEnd};
-use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
+use gaparch_ops::{read_change, OrderRegistry, CHANGE_SCHEMA};
+use gaparch_ops::{OutcomeLog, OutcomeLogLimits};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, DrainMode};
+use gaparch_protocol::ops::outcome::{
+    AttemptEnd, AttemptRecord, EngineEvidence, GlobalRequestId, OutcomeCause, OutcomeKind, RequestOutcome,
+};
 use gaparch_protocol::ops::{to_bytes, Answer, Query};
 use gaparch_store::{Journal, StateDirectory};
 use gaparch_testbed::load::{closed, Client, Question};
@@ -121,16 +123,21 @@
     }
 }
 
-fn taken(revision: u64) -> Taken {
-    let change = Change::Hold { engine: format!("write-{}", revision % 400), hold: Hold::Drain };
-    let note = Note { who: "office".to_owned(), why: "a measurement of the store".to_owned(), at: revision };
-    Taken { revision, change, note }
+fn taken(revision: u64) -> AcceptedChange {
+    let change = Change::Drain { engine: format!("write-{}", revision % 400), mode: DrainMode::Drain };
+    let note = ChangeNote {
+        operator: "office".to_owned(),
+        reason: "a measurement of the store".to_owned(),
+        at: revision,
+    };
+    AcceptedChange { revision, change, note }
 }
 
 fn store() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut journal, _) =
-        Journal::open(StateDirectory::open(folder.path()).expect("free"), "intents", SCHEMA).expect("opens");
+        Journal::open(StateDirectory::open(folder.path()).expect("free"), "intents", CHANGE_SCHEMA)
+            .expect("opens");
     journal.rewrite::<Vec<u8>>([]).expect("written");
     let one_by_one = Instant::now();
     (0..2000).for_each(|n| journal.append(&[to_bytes(&taken(n))]).expect("kept"));
@@ -147,10 +154,10 @@
     drop(journal);
     let began = Instant::now();
     let folder = StateDirectory::open(folder.path()).expect("free");
-    let (mut journal, found) = Journal::open(folder, "intents", SCHEMA).expect("opens");
+    let (mut journal, found) = Journal::open(folder, "intents", CHANGE_SCHEMA).expect("opens");
     let read = began.elapsed();
-    let changes = found.records.iter().filter_map(|record| read_change(SCHEMA, record, 0));
-    let book = Book::restore(changes);
+    let changes = found.records.iter().filter_map(|record| read_change(CHANGE_SCHEMA, record, 0));
+    let book = OrderRegistry::restore(changes);
     println!(
         "store: {} records ({} MiB) read in {} ms, the book restored in {} ms in all",
         found.records.len(),
@@ -170,35 +177,35 @@
 
 fn ledger() {
     let before = resident_kib();
-    let mut ledger = Ledger::new(Bounds { bytes: 32 << 20 });
+    let mut ledger = OutcomeLog::new(OutcomeLogLimits { max_bytes: 32 << 20 });
     let evidence = |n: u64| {
-        let one = |engine: u64| Evidence {
+        let one = |engine: u64| EngineEvidence {
             engine: format!("write-{engine}"),
-            avoided: "full".to_owned(),
-            memory: (n / 50) as f64,
-            unread: 0.0,
-            pace: 1.0,
+            avoid_reason: "full".to_owned(),
+            memory_utilization: (n / 50) as f64,
+            queued_prompt_tokens: 0.0,
+            latency_ratio: 1.0,
         };
         (0..24).map(one).collect()
     };
-    let step = |n: u64| Step {
+    let step = |n: u64| AttemptRecord {
         engine: format!("read-{}", n % 8),
-        stage: gaparch_protocol::ops::ending::Stage::Read,
-        from_us: n,
+        stage: gaparch_protocol::ops::outcome::Stage::Prefill,
+        sent_after_us: n,
         took_us: 9,
-        end: StepEnd::Done,
+        end: AttemptEnd::Completed,
     };
     let began = Instant::now();
     for n in 0..300_000 {
-        let request = RequestName { run: 1, number: n };
-        let ending = Ending {
+        let request = GlobalRequestId { run: 1, number: n };
+        let ending = RequestOutcome {
             class: "question".to_owned(),
             tenant: "app".to_owned(),
             retry_after_ms: Some(1000),
-            steps: (0..3).map(step).collect(),
+            attempts: (0..3).map(step).collect(),
             evidence: evidence(n),
             fingerprint: n,
-            ..Ending::bare(request, n, n, EndKind::Refused, Cause::AimLost)
+            ..RequestOutcome::bare(request, n, n, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
         };
         drop(ledger.add(ending));
     }
--- a/crates/gaparch-testbed/src/badday.rs
+++ b/crates/gaparch-testbed/src/badday.rs
@@ -8,7 +8,7 @@
 use gaparch_engine::Fault;
 use gaparch_net::Clock;
 use gaparch_protocol::client::Dialect;
-use gaparch_protocol::ops::intent::{Change, Hold};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
 use gaparch_protocol::ops::Answer;
 use gaparch_scheduler::api::{Nanos, ServerState};
 use rand::{RngExt, SeedableRng};
@@ -211,8 +211,8 @@
             }
             Trouble::Drain(engine, drained) => {
                 let change = match drained {
-                    true => Change::Hold { engine, hold: Hold::Drain },
-                    false => Change::Free { engine },
+                    true => Change::Drain { engine, mode: DrainMode::Drain },
+                    false => Change::Undrain { engine },
                 };
                 for router in 0..ROUTERS {
                     order(&site, router, change.clone(), &mut orders).await;
--- a/crates/gaparch-testbed/src/fleet/invariants.rs
+++ b/crates/gaparch-testbed/src/fleet/invariants.rs
@@ -43,15 +43,15 @@
         WishKind::Left => known(look, &routers, MemberState::Left),
         WishKind::Majority => look.view.majority,
         WishKind::NoMajority => !look.view.majority,
-        WishKind::Deaf => look.view.hears_nobody && !look.view.unheard,
-        WishKind::Mute => look.view.unheard && !look.view.hears_nobody,
+        WishKind::Deaf => look.view.receives_nothing && !look.view.is_unanswered,
+        WishKind::Mute => look.view.is_unanswered && !look.view.receives_nothing,
         WishKind::Forged => look.view.forged > 0 && look.view.replayed + look.view.misdirected > 0,
         WishKind::Edges => {
             let name = Site::router_name;
             let mut wanted: Vec<(String, String)> =
                 want.links(day.routers).into_iter().map(|(from, to)| (name(from), name(to))).collect();
             let mut edges: Vec<(String, String)> =
-                look.view.edges.iter().map(|e| (e.from.clone(), e.to.clone())).collect();
+                look.view.link_faults.iter().map(|e| (e.from.clone(), e.to.clone())).collect();
             wanted.sort();
             edges.sort();
             edges == wanted
@@ -61,14 +61,14 @@
             let living = (0..day.routers).filter(|r| seen.lives(*r, look.asked)).map(Site::router_name);
             let living: Vec<String> = living.collect();
             let accused = look.view.members.iter().filter(|m| living.contains(&m.name));
-            !accused.flat_map(|m| &m.accused_by).any(|by| accusers.contains(by))
+            !accused.flat_map(|m| &m.suspected_by).any(|by| accusers.contains(by))
         }
         WishKind::Latest => match (&look.versions, seen.list(look.asked)) {
-            (Some(view), Some(now)) => (view.held.epoch, view.held.version) >= (now.epoch, now.version),
+            (Some(view), Some(now)) => (view.version.epoch, view.version.version) >= (now.epoch, now.version),
             _ => false,
         },
-        WishKind::BroughtUp => look.versions.as_ref().is_some_and(|v| v.brought_up > 0),
-        WishKind::NotBroughtUp => look.versions.as_ref().is_some_and(|v| v.brought_up == 0),
+        WishKind::BroughtUp => look.versions.as_ref().is_some_and(|v| v.lists_from_peers > 0),
+        WishKind::NotBroughtUp => look.versions.as_ref().is_some_and(|v| v.lists_from_peers == 0),
         WishKind::Held => want.text.as_ref().is_some_and(|engine| look.held.contains(engine)),
         WishKind::Free => want.text.as_ref().is_some_and(|engine| !look.held.contains(engine)),
         WishKind::Event | WishKind::Complete | WishKind::NotComplete | WishKind::Audit => false,
@@ -118,7 +118,7 @@
         let newest = audit.rows.iter().map(|r| r.list.version).max().unwrap_or(0);
         let old = |router: &String, engine: &String| {
             let of = audit.rows.iter().filter(|r| r.router == *router && r.sends.engine == *engine);
-            of.clone().any(|r| r.list.version < newest && !r.sure)
+            of.clone().any(|r| r.list.version < newest && !r.confirmed)
         };
         let named = late.iter().any(|(router, engine)| router == name && old(router, engine));
         if !named {
@@ -210,7 +210,7 @@
                     let states: Vec<String> =
                         l.view.members.iter().map(|m| format!("{} {}", m.name, m.state)).collect();
                     let edges: Vec<String> =
-                        l.view.edges.iter().map(|e| format!("{}->{}", e.from, e.to)).collect();
+                        l.view.link_faults.iter().map(|e| format!("{}->{}", e.from, e.to)).collect();
                     format!("majority {}, {}; cut {}", l.view.majority, states.join(", "), edges.join(", "))
                 });
                 short = Some(format!("router {router} never saw it; at last {}", view.unwrap_or_default()));
--- a/crates/gaparch-testbed/src/fleet/invariants_tests.rs
+++ b/crates/gaparch-testbed/src/fleet/invariants_tests.rs
@@ -1,12 +1,12 @@
 //! Each invariant can fail: a planted defect for each.
 
 use super::*;
-use gaparch_protocol::ops::view::{FleetView, MemberRow};
+use gaparch_protocol::ops::view::{FleetView, MemberView};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn row(router: usize, state: MemberState) -> MemberRow {
-    MemberRow {
+fn row(router: usize, state: MemberState) -> MemberView {
+    MemberView {
         name: Site::router_name(router),
         zone: String::new(),
         build: String::new(),
@@ -14,11 +14,11 @@
         incarnation: 1,
         state,
         since: 0,
-        alive_at: 0,
-        heard_at: None,
-        accused_by: Vec::new(),
-        twin_at: None,
-        hears_nobody: false,
+        last_alive_at: 0,
+        last_received_at: None,
+        suspected_by: Vec::new(),
+        duplicate_at: None,
+        receives_nothing: false,
     }
 }
 
@@ -31,11 +31,11 @@
         present: 3,
         counted: 3,
         divisor,
-        hears_nobody: false,
-        unheard: false,
-        doubt: 0,
+        receives_nothing: false,
+        is_unanswered: false,
+        timeout_extension: 0,
         members: names.map(|(of, state)| row(of, state)).collect(),
-        edges: Vec::new(),
+        link_faults: Vec::new(),
         sent: 0,
         sent_bytes: 0,
         received: 0,
@@ -111,7 +111,7 @@
     assert!(short(want, &seen()).is_empty());
     let mut accused = seen();
     let mut by_one = look(Duration::from_millis(1450), 0, [MemberState::Alive, MemberState::Suspect], 3);
-    by_one.view.members[1].accused_by = vec![Site::router_name(1)];
+    by_one.view.members[1].suspected_by = vec![Site::router_name(1)];
     let at = accused.looks.iter().position(|l| l.at > by_one.at).expect("there are later ones");
     accused.looks.insert(at, by_one);
     assert_eq!(short(want, &accused).len(), 1);
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -6,7 +6,7 @@
 use gaparch_audit::{subject, FleetOrder};
 use gaparch_membership::{Membership, Output, Settings, SiteKey};
 use gaparch_net::Clock;
-use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::{Claim, ListVersion, OrderId, Talk};
 use std::net::SocketAddr;
@@ -110,10 +110,10 @@
 
     /// An order that would go before all others for ever.
     fn order(&self) -> Talk {
-        let change = Change::Free { engine: "read-0".to_owned() };
+        let change = Change::Undrain { engine: "read-0".to_owned() };
         debug_assert!(subject(&change).is_some());
         let id = OrderId { number: FAR, care: 0, router: self.name.clone(), incarnation: 1_000 };
-        let note = Note { who: "nobody".to_owned(), why: "a defect".to_owned(), at: 0 };
+        let note = ChangeNote { operator: "nobody".to_owned(), reason: "a defect".to_owned(), at: 0 };
         Talk::Order { order: FleetOrder { id, over: None, change, note } }
     }
 }
--- a/crates/gaparch-testbed/src/fleet/observations.rs
+++ b/crates/gaparch-testbed/src/fleet/observations.rs
@@ -1,6 +1,6 @@
 //! What was observed of a fleet, and what was truly done to it.
 
-use gaparch_protocol::ops::view::{AuditView, FleetView, VersionsView};
+use gaparch_protocol::ops::view::{AuditView, FleetView, ListVersionsView};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     pub router: usize,
     pub view: FleetView,
     /// Where it follows lists.
-    pub versions: Option<VersionsView>,
+    pub versions: Option<ListVersionsView>,
     /// Engines that operators hold.
     pub held: BTreeSet<String>,
 }
--- a/crates/gaparch-testbed/src/fleet/report.rs
+++ b/crates/gaparch-testbed/src/fleet/report.rs
@@ -144,7 +144,7 @@
             let word = if audit.complete { "complete" } else { "incomplete" };
             write!(f, "; audit of {} rows {word}", audit.rows.len())?;
             let newest = audit.rows.iter().map(|r| r.list.version).max().unwrap_or(0);
-            for row in audit.rows.iter().filter(|r| r.list.version < newest && !r.sure) {
+            for row in audit.rows.iter().filter(|r| r.list.version < newest && !r.confirmed) {
                 let late =
                     self.seen.stale.iter().filter(|s| s.router == row.router && s.engine == row.sends.engine);
                 let late: Vec<&Stale> = late.filter(|s| s.late > LATE_AFTER_DRAIN).collect();
--- a/crates/gaparch-testbed/src/fleet/rig.rs
+++ b/crates/gaparch-testbed/src/fleet/rig.rs
@@ -22,9 +22,9 @@
 use crate::site::{self, Plan, Site, SiteError, OFFICE_KEY};
 use gaparch_engine::ConnId;
 use gaparch_net::{Credentials, OpsClient, Place};
-use gaparch_protocol::ops::intent::{Change, Hold, Intent, Subject};
-use gaparch_protocol::ops::view::{FleetView, Happening};
-use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
+use gaparch_protocol::ops::intent::{Change, DrainMode, Intent, Subject};
+use gaparch_protocol::ops::view::{Event, FleetView};
+use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
 use gaparch_protocol::versions::AuditFilter;
 use gaparch_scheduler::api::ServerState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -326,9 +326,9 @@
             }
             DeedKind::Order => {
                 let change = match (deed.order, deed.engine.clone().unwrap_or_default()) {
-                    (Some(Wanted::Aside), engine) => Change::Hold { engine, hold: Hold::Aside },
-                    (Some(Wanted::Undrain), engine) => Change::Free { engine },
-                    (Some(Wanted::Drain) | None, engine) => Change::Hold { engine, hold: Hold::Drain },
+                    (Some(Wanted::Aside), engine) => Change::Drain { engine, mode: DrainMode::Detach },
+                    (Some(Wanted::Undrain), engine) => Change::Undrain { engine },
+                    (Some(Wanted::Drain) | None, engine) => Change::Drain { engine, mode: DrainMode::Drain },
                 };
                 if let Some(router) = deed.routers(of).first().copied() {
                     let operator = Operator {
@@ -426,8 +426,11 @@
     async fn ask_records(&self) {
         for router in (0..self.day.routers).filter(|r| self.day.confirm_of(*r).is_some()) {
             let place = Place::Socket(self.site.state_folder(router).with_extension("sock"));
-            let office =
-                Credentials { key: Some(OFFICE_KEY.to_owned()), role: OpsRole::Watch, who: "rig".to_owned() };
+            let office = Credentials {
+                key: Some(OFFICE_KEY.to_owned()),
+                role: SessionRole::ReadOnly,
+                who: "rig".to_owned(),
+            };
             let ask = async {
                 let mut client = OpsClient::connect(&place, &office).await.ok()?;
                 match client.ask(Query::Audit { filter: AuditFilter::default() }).await.ok()? {
@@ -546,7 +549,7 @@
 fn held_engine(intent: Intent) -> Option<String> {
     match intent.subject {
         Subject::Engine { engine, .. } => Some(engine),
-        Subject::Intake {} | Subject::Limit { .. } => None,
+        Subject::Admission {} | Subject::Limit { .. } => None,
     }
 }
 
@@ -597,8 +600,8 @@
         };
         let note = |at: Option<u64>, routers: &mut dyn Iterator<Item = usize>| {
             let (engine, drained) = match &change {
-                Change::Hold { engine, .. } => (engine.clone(), true),
-                Change::Free { engine } => (engine.clone(), false),
+                Change::Drain { engine, .. } => (engine.clone(), true),
+                Change::Undrain { engine } => (engine.clone(), false),
                 _ => return,
             };
             for router in routers {
@@ -608,14 +611,21 @@
             }
         };
         // What may be sent again is so at whichever router knows first.
-        if matches!(change, Change::Free { .. }) {
+        if matches!(change, Change::Undrain { .. }) {
             note(None, &mut (0..self.routers));
         }
-        let office =
-            Credentials { key: Some(OFFICE_KEY.to_owned()), role: OpsRole::Change, who: "rig".to_owned() };
+        let office = Credentials {
+            key: Some(OFFICE_KEY.to_owned()),
+            role: SessionRole::ReadWrite,
+            who: "rig".to_owned(),
+        };
         let Ok(mut client) = OpsClient::connect(&self.place, &office).await else { return };
-        let order =
-            Order { change: change.clone(), why: "a day of the rig".to_owned(), force: true, revision: None };
+        let order = Order {
+            change: change.clone(),
+            reason: "a day of the rig".to_owned(),
+            force: true,
+            revision: None,
+        };
         let answer = client.ask(Query::Order { order }).await;
         let done = matches!(answer, Ok(Answer::Done { .. }));
         {
@@ -625,13 +635,13 @@
         if !done {
             return;
         }
-        let held = matches!(change, Change::Hold { .. });
+        let held = matches!(change, Change::Drain { .. });
         if held {
             note(None, &mut std::iter::once(self.router));
         }
         loop {
-            match client.ask(Query::Spread {}).await {
-                Ok(Answer::Spread { spread }) if spread.complete => break,
+            match client.ask(Query::OrderReplication {}).await {
+                Ok(Answer::OrderReplication { replication: spread }) if spread.complete => break,
                 Ok(_) => sleep(SPREAD_EVERY).await,
                 Err(_) => return,
             }
@@ -688,8 +698,11 @@
     /// Asks the router for its view, all the time, and what it told of.
     async fn look(self, place: Place) {
         let Eye { router, began, began_at, follows, seen, lives } = self;
-        let office =
-            Credentials { key: Some(OFFICE_KEY.to_owned()), role: OpsRole::Watch, who: "rig".to_owned() };
+        let office = Credentials {
+            key: Some(OFFICE_KEY.to_owned()),
+            role: SessionRole::ReadOnly,
+            who: "rig".to_owned(),
+        };
         let mut client: Option<OpsClient> = None;
         loop {
             sleep(LOOK_EVERY).await;
@@ -705,14 +718,14 @@
                     Answer::Members { fleet } => *fleet,
                     _ => return None,
                 };
-                let events: Vec<Happening> =
-                    match client.ask(Query::Events { engine: None, since, most: EVENTS }).await.ok()? {
+                let events: Vec<Event> =
+                    match client.ask(Query::Events { engine: None, since, max: EVENTS }).await.ok()? {
                         Answer::Events { events } => events,
                         _ => return None,
                     };
                 let versions = match follows {
-                    true => match client.ask(Query::Versions {}).await.ok()? {
-                        Answer::Versions { versions } => Some(*versions),
+                    true => match client.ask(Query::ListVersions {}).await.ok()? {
+                        Answer::ListVersions { versions } => Some(*versions),
                         _ => return None,
                     },
                     false => None,
--- a/crates/gaparch-testbed/src/site.rs
+++ b/crates/gaparch-testbed/src/site.rs
@@ -14,9 +14,9 @@
 use gaparch_net::{Clock, Credentials, OpsClient, OpsError, Place};
 use gaparch_protocol::client::Dialect;
 use gaparch_protocol::list::ListEntry;
-use gaparch_protocol::ops::intent::{Change, Hold};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
 use gaparch_protocol::ops::view::Snapshot;
-use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
+use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
 use gaparch_router::core::Counts;
 use gaparch_router::shell::{serve_on, Disks};
 use gaparch_router::{RouterHandle, ServeError};
@@ -385,8 +385,11 @@
     /// When it has no operations side, or is not there.
     pub async fn operator(&self, router: usize) -> Result<Operator, OpsError> {
         let place = self.operations(router).ok_or(OpsError::Protocol)?;
-        let office =
-            Credentials { key: Some(OFFICE_KEY.to_owned()), role: OpsRole::Change, who: String::new() };
+        let office = Credentials {
+            key: Some(OFFICE_KEY.to_owned()),
+            role: SessionRole::ReadWrite,
+            who: String::new(),
+        };
         let client = OpsClient::connect(&place, &office).await?;
         let router = Site::router_name(router);
         Ok(Operator { client, router, clock: self.clock, record: self.record.clone() })
@@ -420,8 +423,8 @@
     /// When the connection is gone.
     pub async fn order(&mut self, change: Change, force: bool) -> Result<(Nanos, Answer), OpsError> {
         let hold = match &change {
-            Change::Hold { engine, .. } => Some((engine.clone(), true)),
-            Change::Free { engine } => Some((engine.clone(), false)),
+            Change::Drain { engine, .. } => Some((engine.clone(), true)),
+            Change::Undrain { engine } => Some((engine.clone(), false)),
             _ => None,
         };
         let at = self.clock.now();
@@ -432,7 +435,7 @@
         // What may be sent again is so before the router knows; what may not, from when it was told.
         let freed = hold.clone().filter(|(_, drained)| !drained);
         freed.into_iter().for_each(|freed| note(at, freed));
-        let order = Order { change, why: "an operator's test".to_owned(), force, revision: None };
+        let order = Order { change, reason: "an operator's test".to_owned(), force, revision: None };
         let answer = self.client.ask(Query::Order { order }).await?;
         if matches!(answer, Answer::Done { .. }) {
             hold.filter(|(_, drained)| *drained).into_iter().for_each(|drained| note(at, drained));
@@ -445,7 +448,7 @@
     /// # Errors
     /// As for [`order`](Operator::order).
     pub async fn drain(&mut self, engine: &str) -> Result<(Nanos, Answer), OpsError> {
-        self.order(Change::Hold { engine: engine.to_owned(), hold: Hold::Drain }, false).await
+        self.order(Change::Drain { engine: engine.to_owned(), mode: DrainMode::Drain }, false).await
     }
 
     /// Takes a drain back.
@@ -453,7 +456,7 @@
     /// # Errors
     /// As for [`order`](Operator::order).
     pub async fn undrain(&mut self, engine: &str) -> Result<(Nanos, Answer), OpsError> {
-        self.order(Change::Free { engine: engine.to_owned() }, false).await
+        self.order(Change::Undrain { engine: engine.to_owned() }, false).await
     }
 
     /// How all stands.
--- a/crates/gaparch-testbed/tests/appliance.rs
+++ b/crates/gaparch-testbed/tests/appliance.rs
@@ -3,10 +3,10 @@
 use gaparch_engine::observe::Way;
 use gaparch_engine::Fault;
 use gaparch_net::{Credentials, Incoming, OpsClient, OpsError, Place};
-use gaparch_protocol::ops::ending::{Cause, EndKind, EndingFilter, WaitedFor};
-use gaparch_protocol::ops::intent::{Change, Hold, Subject};
-use gaparch_protocol::ops::view::Happening;
-use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Order, Query, Update};
+use gaparch_protocol::ops::intent::{Change, DrainMode, Subject};
+use gaparch_protocol::ops::outcome::{OutcomeCause, OutcomeFilter, OutcomeKind, QueueingReason};
+use gaparch_protocol::ops::view::Event;
+use gaparch_protocol::ops::{Answer, DenyCode, Order, Query, SessionRole, Update};
 use gaparch_router::shell::{Disks, FleetDisks};
 use gaparch_scheduler::api::{Nanos, ServerState};
 use gaparch_store::faulty::{Faults, FaultyDisk, Unsynced};
@@ -51,14 +51,14 @@
     site.router(0).and_then(|r| r.operations_address()).expect("an operations side")
 }
 
-async fn come_in(site: &Site, key: &str, role: OpsRole) -> Result<OpsClient, OpsError> {
+async fn come_in(site: &Site, key: &str, role: SessionRole) -> Result<OpsClient, OpsError> {
     let credentials = Credentials { key: Some(key.to_owned()), role, who: String::new() };
     OpsClient::connect(&Place::Address(address(site)), &credentials).await
 }
 
 /// A console that subscribes, and reads nothing any more.
 async fn stopped_console(site: &Site) -> OpsClient {
-    let mut console = come_in(site, WALL_KEY, OpsRole::Watch).await.expect("it comes in");
+    let mut console = come_in(site, WALL_KEY, SessionRole::ReadOnly).await.expect("it comes in");
     console.put(Query::Subscribe {}).await.expect("asked");
     console
 }
@@ -75,9 +75,9 @@
     entries.iter().rev().find(|e| e.at >= from && e.at < to && new(&e.what)).map(|e| e.at)
 }
 
-async fn events(site: &Site) -> Vec<Happening> {
+async fn events(site: &Site) -> Vec<Event> {
     let mut operator = site.operator(0).await.expect("in");
-    match operator.client.ask(Query::Events { engine: None, since: 0, most: 0 }).await {
+    match operator.client.ask(Query::Events { engine: None, since: 0, max: 0 }).await {
         Ok(Answer::Events { events }) => events,
         other => panic!("{other:?}"),
     }
@@ -158,8 +158,8 @@
             for round in 0..10 {
                 stopped.push(stopped_console(&site).await);
                 // One that is gone in the middle of a question, and one in the middle of a frame.
-                let mut gone = come_in(&site, OFFICE_KEY, OpsRole::Change).await.expect("in");
-                gone.put(Query::Live { most: 500 }).await.expect("asked");
+                let mut gone = come_in(&site, OFFICE_KEY, SessionRole::ReadWrite).await.expect("in");
+                gone.put(Query::OpenRequests { max: 500 }).await.expect("asked");
                 drop(gone);
                 let mut torn = TcpStream::connect(address(&site)).await.expect("connected");
                 torn.write_all(&[0, 0, 0, 90, 1, 0]).await.expect("written");
@@ -189,8 +189,8 @@
     let last_name = "tenant.h.requests-per-second";
     for n in 0..2400 {
         let name = format!("tenant.{}.requests-per-second", names[n % 8]);
-        let change = Change::Limit { name, value: Some(n as f64) };
-        let order = Order { change, why: "x".repeat(480), force: false, revision: None };
+        let change = Change::SetLimit { name, value: Some(n as f64) };
+        let order = Order { change, reason: "x".repeat(480), force: false, revision: None };
         let answer = operator.client.ask(Query::Order { order }).await.expect("answered");
         assert!(done(&answer), "{answer:?}");
     }
@@ -200,7 +200,7 @@
         while shown != Some(2399.0) {
             match console.next().await.expect("it goes on") {
                 Incoming::Update(Update::Missed { updates }) => missed += updates,
-                Incoming::Update(Update::Fresh { snapshot }) => {
+                Incoming::Update(Update::Resync { snapshot }) => {
                     shown = snapshot.limits.iter().find(|l| l.name == last_name).map(|l| l.value);
                 }
                 _ => {}
@@ -228,7 +228,11 @@
         assert_eq!(last_new(&site, engine, killed, Nanos::MAX), None, "round {round}");
         let mut operator = site.operator(0).await.expect("in");
         let snapshot = operator.snapshot().await.expect("shown");
-        assert!(snapshot.intents.iter().all(|i| i.kept && i.note.who == "office"), "{:?}", snapshot.intents);
+        assert!(
+            snapshot.intents.iter().all(|i| i.persisted && i.note.operator == "office"),
+            "{:?}",
+            snapshot.intents
+        );
         assert!(done(&operator.undrain(engine).await.expect("answered").1));
     }
 }
@@ -245,13 +249,13 @@
     let mut site = site(plan(2, 3)).await;
     site.kill_router(0);
     let changes = || {
-        let hold = |engine: &str, hold| Change::Hold { engine: engine.to_owned(), hold };
+        let hold = |engine: &str, hold| Change::Drain { engine: engine.to_owned(), mode: hold };
         [
-            hold("write-0", Hold::Drain),
-            hold("write-1", Hold::Aside),
-            Change::Free { engine: "write-0".to_owned() },
+            hold("write-0", DrainMode::Drain),
+            hold("write-1", DrainMode::Detach),
+            Change::Undrain { engine: "write-0".to_owned() },
             Change::Pause {},
-            Change::Limit { name: "open-requests".to_owned(), value: Some(7.0) },
+            Change::SetLimit { name: "open-requests".to_owned(), value: Some(7.0) },
         ]
     };
     for crash_at in 0..16 {
@@ -263,7 +267,7 @@
         for change in changes() {
             match operator.order(change.clone(), false).await.expect("answered").1 {
                 Answer::Done { .. } => kept.push(change),
-                answer => assert_eq!(code(&answer), Some(DenyCode::NotKept), "{answer:?}"),
+                answer => assert_eq!(code(&answer), Some(DenyCode::NotPersisted), "{answer:?}"),
             }
         }
         assert!(disk.has_crashed() == (kept.len() < 5), "crash at {crash_at}: {kept:?}");
@@ -273,8 +277,8 @@
             site.start_router_on(0, Some(after)).await.expect("it starts");
             let snapshot = site.operator(0).await.expect("in").snapshot().await.expect("shown");
             let has = |wanted: &Subject| snapshot.intents.iter().any(|i| i.subject == *wanted);
-            let aside = Subject::Engine { engine: "write-1".to_owned(), hold: Hold::Aside };
-            let drained = Subject::Engine { engine: "write-0".to_owned(), hold: Hold::Drain };
+            let aside = Subject::Engine { engine: "write-1".to_owned(), mode: DrainMode::Detach };
+            let drained = Subject::Engine { engine: "write-0".to_owned(), mode: DrainMode::Drain };
             assert!(kept.len() < 2 || has(&aside), "crash at {crash_at}: {:?}", snapshot.intents);
             assert!(
                 kept.is_empty() || kept.len() > 2 || has(&drained),
@@ -282,7 +286,7 @@
                 snapshot.intents
             );
             assert!(kept.len() < 3 || !has(&drained), "crash at {crash_at}: a freed engine is held again");
-            assert!(kept.len() < 4 || has(&Subject::Intake {}), "crash at {crash_at}");
+            assert!(kept.len() < 4 || has(&Subject::Admission {}), "crash at {crash_at}");
             site.kill_router(0);
         }
     }
@@ -305,22 +309,22 @@
     {
         disk.set_faults(faults);
         let (pressed, answer) = operator.drain("write-0").await.expect("answered");
-        assert_eq!(code(&answer), Some(DenyCode::NotKept), "{answer:?}");
+        assert_eq!(code(&answer), Some(DenyCode::NotPersisted), "{answer:?}");
         let questions = (0..10).map(|n| site.question(100 * round as u64 + n, 5)).collect();
         assert_eq!(served(&site.ask_all(questions, ms(10)).await), 10);
         assert_eq!(last_new(&site, "write-0", pressed + 100_000_000, Nanos::MAX), None, "it is in force");
         let snapshot = operator.snapshot().await.expect("shown");
-        assert!(snapshot.not_kept.contains("orders"), "{}", snapshot.not_kept);
-        assert!(snapshot.intents.iter().any(|i| !i.kept));
+        assert!(snapshot.storage_error.contains("orders"), "{}", snapshot.storage_error);
+        assert!(snapshot.intents.iter().any(|i| !i.persisted));
         // Room again: it is kept by itself.
         disk.set_faults(Faults::default());
         let until = Instant::now() + Duration::from_secs(20);
         loop {
             let snapshot = operator.snapshot().await.expect("shown");
-            if snapshot.not_kept.is_empty() && snapshot.intents.iter().all(|i| i.kept) {
+            if snapshot.storage_error.is_empty() && snapshot.intents.iter().all(|i| i.persisted) {
                 break;
             }
-            assert!(Instant::now() < until, "{}", snapshot.not_kept);
+            assert!(Instant::now() < until, "{}", snapshot.storage_error);
             sleep(ms(100)).await;
         }
         assert!(done(&operator.undrain("write-0").await.expect("answered").1));
@@ -346,8 +350,10 @@
         Err(other) => panic!("{other}"),
         Ok(_) => panic!("it came in"),
     };
-    assert!(sent_away(come_in(&site, "office-key-0000002", OpsRole::Watch).await).contains("not known"));
-    let nobody = Credentials { key: None, role: OpsRole::Watch, who: "someone".to_owned() };
+    assert!(
+        sent_away(come_in(&site, "office-key-0000002", SessionRole::ReadOnly).await).contains("not known")
+    );
+    let nobody = Credentials { key: None, role: SessionRole::ReadOnly, who: "someone".to_owned() };
     let result = OpsClient::connect(&Place::Address(address(&site)), &nobody).await;
     assert!(sent_away(result).contains("a key is wanted"));
     // Raw bytes: garbage, a frame of 1 GiB, another version.
@@ -364,17 +370,17 @@
         let said = String::from_utf8_lossy(&said).into_owned();
         assert!(said.contains(word), "{said:?} for {bytes:?}");
     }
-    let mut wall = come_in(&site, WALL_KEY, OpsRole::Change).await.expect("in");
-    assert_eq!(wall.role, OpsRole::Watch);
-    let order = Order { change: Change::Pause {}, why: "no".to_owned(), force: true, revision: None };
+    let mut wall = come_in(&site, WALL_KEY, SessionRole::ReadWrite).await.expect("in");
+    assert_eq!(wall.role, SessionRole::ReadOnly);
+    let order = Order { change: Change::Pause {}, reason: "no".to_owned(), force: true, revision: None };
     let answer = wall.ask(Query::Order { order }).await.expect("answered");
-    assert_eq!(code(&answer), Some(DenyCode::Role));
+    assert_eq!(code(&answer), Some(DenyCode::ReadOnly));
     let answers = site.ask_all(vec![site.question(1, 5)], ms(1)).await;
     assert_eq!(served(&answers), 1);
     // Sessions are bounded, and each that ends makes room.
     let mut open = Vec::new();
     while open.len() < 40 {
-        match come_in(&site, WALL_KEY, OpsRole::Watch).await {
+        match come_in(&site, WALL_KEY, SessionRole::ReadOnly).await {
             Ok(client) => open.push(client),
             Err(error) => {
                 assert!(error.to_string().contains("too many sessions"), "{error}");
@@ -385,7 +391,7 @@
     assert_eq!(open.len(), 31);
     open.truncate(10);
     let until = Instant::now() + Duration::from_secs(10);
-    while come_in(&site, WALL_KEY, OpsRole::Watch).await.is_err() {
+    while come_in(&site, WALL_KEY, SessionRole::ReadOnly).await.is_err() {
         assert!(Instant::now() < until, "no room was made");
         sleep(ms(20)).await;
     }
@@ -399,16 +405,20 @@
     let (first, second) = tokio::join!(one.drain("read-0"), other.drain("read-1"));
     let answers = [first.expect("answered").1, second.expect("answered").1];
     assert_eq!(answers.iter().filter(|a| done(a)).count(), 1, "{answers:?}");
-    assert_eq!(answers.iter().filter_map(code).collect::<Vec<_>>(), [DenyCode::LeavesNone]);
+    assert_eq!(answers.iter().filter_map(code).collect::<Vec<_>>(), [DenyCode::LastOfRole]);
     // Both have looked; the second to change the same engine is told of the first.
     let seen = one.snapshot().await.expect("shown").revision;
-    let change =
-        |change| Order { change, why: "seen on the screen".to_owned(), force: false, revision: Some(seen) };
-    let aside = Change::Hold { engine: "write-0".to_owned(), hold: Hold::Aside };
+    let change = |change| Order {
+        change,
+        reason: "seen on the screen".to_owned(),
+        force: false,
+        revision: Some(seen),
+    };
+    let aside = Change::Drain { engine: "write-0".to_owned(), mode: DrainMode::Detach };
     let answer = one.client.ask(Query::Order { order: change(aside.clone()) }).await.expect("answered");
     assert!(done(&answer), "{answer:?}");
     let answer = other.client.ask(Query::Order { order: change(aside) }).await.expect("answered");
-    assert_eq!(code(&answer), Some(DenyCode::Changed), "{answer:?}");
+    assert_eq!(code(&answer), Some(DenyCode::Conflict), "{answer:?}");
     let answers = site.ask_all((0..10).map(|n| site.question(n, 5)).collect(), ms(10)).await;
     assert_eq!(served(&answers), 10);
 }
@@ -429,26 +439,30 @@
     let answers = site.ask_all((0..6).map(|n| site.question(n, 5)).collect(), ms(10)).await;
     assert_eq!(served(&answers), 6, "{answers:?}");
     let mut operator = site.operator(0).await.expect("in");
-    let filter = EndingFilter { kind: Some(EndKind::Refused), ..EndingFilter::default() };
-    let Ok(Answer::Groups { groups, total }) = operator.client.ask(Query::Groups { filter }).await else {
+    let filter = OutcomeFilter { kind: Some(OutcomeKind::Rejected), ..OutcomeFilter::default() };
+    let Ok(Answer::OutcomeGroups { groups, total }) =
+        operator.client.ask(Query::OutcomeGroups { filter }).await
+    else {
         panic!("groups are wanted")
     };
-    let came_back: u64 = groups.iter().map(|g| g.came_back).sum();
-    assert_eq!((total, came_back, groups.iter().map(|g| g.served_then).sum()), (6, 6, 6), "{groups:?}");
-    let group = groups.iter().find(|g| g.cause == Cause::AimLost || g.cause == Cause::AttemptsUsed);
+    let came_back: u64 = groups.iter().map(|g| g.retried).sum();
+    assert_eq!((total, came_back, groups.iter().map(|g| g.served_on_retry).sum()), (6, 6, 6), "{groups:?}");
+    let group = groups
+        .iter()
+        .find(|g| g.cause == OutcomeCause::ObjectiveMissed || g.cause == OutcomeCause::AttemptsExhausted);
     let group = group.unwrap_or_else(|| panic!("{groups:?}"));
-    let story = operator.client.ask(Query::Story { request: group.example }).await;
-    let Ok(Answer::Story { ending: Some(ending), .. }) = story else { panic!("{story:?}") };
-    assert!(ending.evidence.iter().any(|e| e.engine.starts_with("write-") && !e.avoided.is_empty()));
-    assert!(ending.waited_for.is_none_or(|w| w != WaitedFor::OverShare));
+    let story = operator.client.ask(Query::RequestDetails { request: group.example }).await;
+    let Ok(Answer::RequestDetails { outcome: Some(ending), .. }) = story else { panic!("{story:?}") };
+    assert!(ending.evidence.iter().any(|e| e.engine.starts_with("write-") && !e.avoid_reason.is_empty()));
+    assert!(ending.queueing_reason.is_none_or(|w| w != QueueingReason::OverQuota));
     // It is found again after a restart.
     drop(operator);
     sleep(ms(2500)).await;
     site.kill_router(0);
     site.start_again(0).await.expect("it starts");
     let mut operator = site.operator(0).await.expect("in");
-    let story = operator.client.ask(Query::Story { request: group.example }).await;
-    assert_eq!(story.ok(), Some(Answer::Story { ending: Some(ending), live: None }));
+    let story = operator.client.ask(Query::RequestDetails { request: group.example }).await;
+    assert_eq!(story.ok(), Some(Answer::RequestDetails { outcome: Some(ending), open: None }));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -458,12 +472,12 @@
     let refused = answers.iter().filter(|a| matches!(a.end, Some(End::Refused { .. }))).count() as u64;
     assert!(refused >= 4, "{answers:?}");
     let mut operator = site.operator(0).await.expect("in");
-    let filter = EndingFilter { cause: Some(Cause::TooMuchOpen), ..EndingFilter::default() };
+    let filter = OutcomeFilter { cause: Some(OutcomeCause::TooManyOpen), ..OutcomeFilter::default() };
     let until = Instant::now() + Duration::from_secs(10);
     loop {
-        let answer = operator.client.ask(Query::Groups { filter: filter.clone() }).await;
-        let Ok(Answer::Groups { total, .. }) = answer else { panic!("{answer:?}") };
-        let counted = operator.snapshot().await.expect("shown").figures.refused;
+        let answer = operator.client.ask(Query::OutcomeGroups { filter: filter.clone() }).await;
+        let Ok(Answer::OutcomeGroups { total, .. }) = answer else { panic!("{answer:?}") };
+        let counted = operator.snapshot().await.expect("shown").metrics.rejected;
         if (total, counted) == (refused, refused) {
             break;
         }
