--- /dev/null
+++ b/crates/gaparch-config/src/check/dialects.rs
@@ -0,0 +1,100 @@
+//! Listeners, and the dialects of the client protocol that they speak.
+
+use super::Check;
+use crate::config::Listener;
+use crate::document::Problem;
+use crate::raw;
+use gaparch_protocol::client::{
+    Dialect, DialectParts, EventKind, EventShape, Field, Path, RequestField, Source, Value, Word,
+};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+impl Check<'_> {
+    pub(super) fn listeners(
+        &mut self,
+        all: &[raw::Listen],
+        dialects: &BTreeMap<String, Arc<Dialect>>,
+    ) -> Vec<Listener> {
+        let fixed = |l: &raw::Listen| !l.address.ends_with(":0");
+        self.unique("listen", "address", all.iter().filter(|l| fixed(l)).map(|l| l.address.as_str()));
+        let mut listeners = Vec::new();
+        for (n, listen) in all.iter().enumerate() {
+            let address = self.address("listen", n, &listen.address);
+            let Some(dialect) = dialects.get(&listen.dialect) else {
+                self.wrong("listen", n, "dialect", format!("there is no dialect '{}'", listen.dialect));
+                continue;
+            };
+            listeners.extend(address.map(|address| Listener { address, dialect: Arc::clone(dialect) }));
+        }
+        listeners
+    }
+
+    pub(super) fn dialects(&mut self, raw: Option<&raw::Dialects>) -> BTreeMap<String, Arc<Dialect>> {
+        let builtin = |name: &str| Dialect::builtin(name).map(|d| (name.to_owned(), Arc::new(d)));
+        let mut all: BTreeMap<String, Arc<Dialect>> =
+            ["own", "messages"].into_iter().filter_map(builtin).collect();
+        let raw: &[raw::Dialect] = raw.map_or(&[], |d| &d.dialect);
+        let events_before = |n: usize| raw[..n].iter().map(|d| d.event.len()).sum::<usize>();
+        for (n, dialect) in raw.iter().enumerate() {
+            if all.contains_key(&dialect.id) {
+                self.wrong("dialect", n, "id", format!("there is a dialect '{}' already", dialect.id));
+                continue;
+            }
+            let base = match dialect.based_on.as_str() {
+                "own" => DialectParts::own(),
+                "messages" => DialectParts::messages(),
+                other => {
+                    self.wrong("dialect", n, "based-on", format!("'{other}' is neither own nor messages"));
+                    continue;
+                }
+            };
+            let parts = self.dialect(dialect, base, events_before(n));
+            match Dialect::new(parts) {
+                Ok(ready) => drop(all.insert(dialect.id.clone(), Arc::new(ready))),
+                Err(errors) => {
+                    let node = self.nth("dialect", n);
+                    self.problems.extend(errors.iter().map(|e| Problem::at(node, e.to_string())));
+                }
+            }
+        }
+        all
+    }
+
+    pub(super) fn dialect(
+        &mut self,
+        raw: &raw::Dialect,
+        base: DialectParts,
+        events_before: usize,
+    ) -> DialectParts {
+        let mut parts = DialectParts { name: raw.id.clone(), ..base };
+        for (n, event) in raw.event.iter().enumerate() {
+            let Some(kind) = EventKind::parse(&event.kind) else { continue };
+            let mut fields = Vec::new();
+            for field in &event.field {
+                let source = match (&field.value, &field.text) {
+                    (Some(value), None) => Value::parse(value).map(Source::Value),
+                    (None, Some(text)) => Some(Source::Fixed(serde_json::Value::String(text.clone()))),
+                    _ => None,
+                };
+                match (Path::parse(&field.path), source) {
+                    (Some(path), Some(source)) => fields.push(Field { path, source }),
+                    _ => {
+                        let message =
+                            format!("field '{}' needs a sound path and either value or text", field.path);
+                        self.wrong("event", events_before + n, "kind", message);
+                    }
+                }
+            }
+            parts.events.insert(kind, EventShape { name: event.name.clone(), fields });
+        }
+        for word in &raw.word {
+            parts.words.extend(Word::parse(&word.of).map(|w| (w, word.spelt.clone())));
+        }
+        for request in &raw.request {
+            let field = RequestField::parse(&request.field).zip(Path::parse(&request.path));
+            parts.request.extend(field);
+        }
+        parts
+    }
+}
--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -1,93 +1,105 @@
-//! The settings in the terms of the program.
+//! The checked settings, as the router uses them.
 
-use crate::check;
-use crate::document::{self, Problem};
-use crate::raw;
-use crate::schema::Schema;
 use crate::units::Span;
 use gaparch_protocol::client::Dialect;
 use gaparch_scheduler::api::{
-    AffinityKey, CellId, ClassId, DeduplicationScope, Idempotency, KindId, Nanos, Role, ServerId, ServerKind,
-    ServerState, Settings, Tenant, TenantId, TrafficClass, ZoneId,
+    AffinityKey, CellId, ClassId, KindId, Nanos, ServerId, ServerState, Settings, TenantId, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The number by which every router knows an engine of this name.
+/// The id of the engine with this name, the same on every router.
 pub fn server_id(name: &str) -> ServerId {
     let digest = AffinityKey::from_text(name).0;
     ServerId((digest ^ (digest >> 32)) as u32)
 }
 
-/// All that a router is told at its start.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// Name of this router.
     pub router: String,
+    /// Addresses at which clients connect.
     pub listeners: Vec<Listener>,
-    /// What the decision module is told.
+    /// Settings of the scheduler.
     pub module: Settings,
+    /// The names of what the scheduler knows by index.
     pub names: Names,
-    /// Bounds of a begun stream, by class.
+    /// Time limits of a stream that has started, by class.
     pub class_times: Vec<ClassTimes>,
+    /// Class of a request that names none; `None`: a request has to name one.
     pub default_class: Option<ClassId>,
-    /// Tenants by key; none: no key is asked for.
+    /// Tenants by API key; empty: clients need no key.
     pub keys: BTreeMap<String, TenantId>,
+    /// Engines that the settings list.
     pub engines: Vec<EngineConfig>,
+    /// The service that publishes the endpoint list; `None`: the engines of the settings are all.
     pub list: Option<ListConfig>,
+    /// How engines are connected to.
     pub links: Links,
+    /// Timing of probes and of reconnects.
     pub attempts: Attempts,
+    /// Bounds of what is held at once.
     pub limits: Limits,
+    /// The operations interface; `None`: there is none.
     pub operations: Option<Operations>,
-    /// The other routers; none: this one knows of no other.
+    /// Membership among the routers of the site; `None`: this router knows of no other.
     pub fleet: Option<Fleet>,
 }
 
-/// How this router and the others of its site find one another.
+/// How this router and the others of its site find one another, and monitor one another (SWIM).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where their datagrams come in, and where they are told to send them.
+    /// Address at which datagrams are received.
     pub listen: SocketAddr,
+    /// Address that the other routers send them to.
     pub address: SocketAddr,
-    /// Its first line is the site's key.
+    /// File whose first line is the key shared by the routers of the site.
     pub key_file: PathBuf,
+    /// Addresses of routers to join.
     pub seeds: Vec<SocketAddr>,
-    /// Between two probes.
+    /// Time between two probes, in nanoseconds.
     pub period: Nanos,
-    /// How long a dead one is counted on.
+    /// How long a dead router still counts among those that share the site, in nanoseconds.
     pub hold: Nanos,
-    /// For how long the list of engines may go unconfirmed before another router is asked for it; none: it never is.
+    /// How long the endpoint list may go unconfirmed before another router is asked for it, in nanoseconds; `None`:
+    /// no router ever is.
     pub confirm: Option<Nanos>,
-    /// Without: plain SWIM, to compare with.
+    /// Whether the refinements of SWIM are on; plain SWIM is there to compare with.
     pub refined: bool,
 }
 
 impl Fleet {
-    /// With a relative key file counted from a folder.
+    /// These settings with a relative key file resolved against a folder.
     pub fn at(mut self, folder: &Path) -> Fleet {
         self.key_file = folder.join(&self.key_file);
         self
     }
 }
 
-/// How the router is run.
+/// Settings of the operations interface.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operations {
-    /// The folder for what must survive a restart.
+    /// Folder for what must survive a restart.
     pub state: PathBuf,
+    /// Unix socket to listen at.
     pub socket: Option<PathBuf>,
+    /// Loopback TCP address to listen at.
     pub address: Option<SocketAddr>,
-    /// Consoles and scripts at once.
+    /// Most consoles and scripts that are connected at once.
     pub sessions: usize,
-    /// Bytes of history on disk, and of refusals in memory.
+    /// Most bytes of history on disk.
     pub history: usize,
+    /// Most bytes of rejections kept in memory.
     pub refusals: usize,
+    /// Operators who may connect over TCP.
     pub operators: Vec<Operator>,
 }
 
 impl Operations {
-    /// With relative paths counted from a folder.
+    /// These settings with relative paths resolved against a folder.
     pub fn at(mut self, folder: &Path) -> Operations {
         self.state = folder.join(&self.state);
         self.socket = self.socket.map(|socket| folder.join(socket));
@@ -100,18 +112,23 @@
     }
 }
 
+/// An operator and what they may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
+    /// Name, as it appears in the records of their orders.
     pub name: String,
-    /// May change things; else look only.
+    /// Whether they may give orders; else they may only read.
     pub may_change: bool,
+    /// Key by which they identify themselves.
     pub key: KeySource,
 }
 
+/// Where an operator's key comes from.
 #[derive(Clone, PartialEq)]
 pub enum KeySource {
-    /// Its first line is the key.
+    /// The first line of a file.
     File(PathBuf),
+    /// The settings themselves.
     Text(String),
 }
 
@@ -125,105 +142,131 @@
     }
 }
 
+/// An address at which clients connect.
 #[derive(Clone, Debug)]
 pub struct Listener {
+    /// The address.
     pub address: SocketAddr,
+    /// The dialect that is spoken there.
     pub dialect: Arc<Dialect>,
 }
 
-/// What the module knows by index only.
+/// The names of what the scheduler knows by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// Traffic classes.
     pub classes: ClassNames,
+    /// Tenants.
     pub tenants: Vec<String>,
+    /// Zones.
     pub zones: Vec<String>,
+    /// Kinds of engines.
     pub kinds: Vec<String>,
 }
 
+/// The names of the traffic classes, by their index.
 pub type ClassNames = Vec<String>;
 
 impl Names {
+    /// The class of this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|n| n == name).map(ClassId)
     }
 
+    /// The zone of this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         self.zones.iter().position(|n| n == name).map(ZoneId)
     }
 
+    /// The kind of engine of this name.
     pub fn kind(&self, name: &str) -> Option<KindId> {
         self.kinds.iter().position(|n| n == name).map(KindId)
     }
 
-    /// The number of a rack: the same on every router, whatever it lists.
+    /// The cell of a rack, the same on every router whatever its settings list; `None` without a rack.
     pub fn cell(&self, zone: &str, rack: &str) -> Option<CellId> {
         (!rack.is_empty()).then(|| CellId(AffinityKey::from_text(&format!("{zone}/{rack}")).0))
     }
 }
 
+/// Time limits of a stream that has started, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassTimes {
-    /// An answer's whole time, once begun.
+    /// Longest duration of the whole stream.
     pub stream: Nanos,
-    /// The longest pause within it.
+    /// Longest pause between two events.
     pub silence: Nanos,
 }
 
+/// An engine that the settings list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineConfig {
+    /// Name, unique in the site.
     pub name: String,
+    /// Address of the engine protocol.
     pub address: SocketAddr,
+    /// Name of its kind.
     pub kind: String,
+    /// Name of its zone; empty: none.
     pub zone: String,
+    /// Name of its rack; empty: none.
     pub rack: String,
+    /// Capacity relative to other engines of its role; `None`: 1.
     pub weight: Option<f64>,
+    /// Whether it takes requests.
     pub state: ServerState,
 }
 
-/// How engines are reached.
+/// How engines are connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Links {
-    /// One connection to each carries all; what an engine holds goes with it.
+    /// One connection to each engine carries all attempts; what the engine holds is lost with it.
     Connections,
-    /// Each attempt has an exchange of its own, and only that can fail: an engine counts as reachable while listed.
+    /// Each attempt has an HTTP exchange of its own, and only that can fail: an engine counts as reachable while it is
+    /// listed.
     Exchanges,
 }
 
+/// The service that publishes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListConfig {
+    /// Its address.
     pub address: SocketAddr,
 }
 
-/// What the core has to know of attempts besides the module's settings.
+/// Timing of probes and reconnects, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempts {
+    /// How long a probe may take.
     pub probe_timeout: Nanos,
-    /// Wait before a connection is tried again; doubles up to the second.
+    /// First backoff before a reconnect; it doubles with each failure.
     pub reconnect_after: Nanos,
+    /// Longest backoff before a reconnect.
     pub reconnect_most: Nanos,
 }
 
 /// Bounds of what is held at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's body.
+    /// Most bytes of a request's body.
     pub body: usize,
-    /// Client connections.
+    /// Most client connections.
     pub connections: usize,
-    /// Requests taken and not yet ended.
+    /// Most requests that are accepted and not yet ended.
     pub open_requests: usize,
-    /// Requests that wait to be taken.
+    /// Most requests that wait to be accepted.
     pub inbox: usize,
-    /// Events of one stream that wait for its client.
+    /// Most events of one stream that wait for its client.
     pub stream_buffer: usize,
-    /// Bytes of a frame.
+    /// Most bytes of a frame of the engine protocol.
     pub frame: usize,
-    /// For the head of a request, and for its body.
+    /// Time for the head of a request to arrive.
     pub head_time: Span,
+    /// Time for the body of a request to arrive.
     pub body_time: Span,
-    /// Between two keep-alive events while nothing else is sent.
+    /// Time between two keep-alive events while nothing else is sent.
     pub keep_alive: Span,
-    /// For what runs when the router is asked to stop.
+    /// Time for requests in flight to finish in a graceful shutdown.
     pub shutdown: Span,
 }
 
@@ -243,104 +286,3 @@
         }
     }
 }
-
-impl Config {
-    /// Reads and checks the text of a settings file.
-    ///
-    /// # Errors
-    /// Every mistake in it, in the order of its lines. Mistakes of meaning are looked for once there is none
-    /// against the schema.
-    pub fn parse(text: &str) -> Result<Config, Vec<Problem>> {
-        let document = document::parse(text).map_err(|problem| vec![problem])?;
-        let problems = Schema::published().judge_node(&document);
-        if !problems.is_empty() {
-            return Err(problems);
-        }
-        let raw: raw::Gaparch = quick_xml::de::from_str(text).map_err(|e| {
-            // The schema took it: what is left is for the reader of values alone.
-            vec![Problem { line: document.line, place: "settings".to_owned(), message: e.to_string() }]
-        })?;
-        let mut check = check::Check::new(&document);
-        let config = check.run(raw);
-        match (config, check.into_problems()) {
-            (Some(config), problems) if problems.is_empty() => Ok(config),
-            (_, problems) => Err(problems),
-        }
-    }
-}
-
-pub(crate) fn module_settings(raw: &raw::Gaparch, names: &Names) -> Settings {
-    let (attempts, rules) = (&raw.attempts, &raw.rules);
-    Settings {
-        seed: raw.router.seed,
-        router_index: raw.router.number as u32,
-        router_count: raw.router.routers,
-        zone: raw.router.zone.as_deref().and_then(|z| names.zone(z)),
-        classes: raw.classes.class.iter().map(class).collect(),
-        tenants: raw.tenants.iter().flat_map(|t| &t.tenant).map(tenant).collect(),
-        over_quota_priority_weight: raw.tenants.as_ref().map_or(1.0, |t| t.over_share_worth),
-        kinds: raw.kinds.kind.iter().map(server_kind).collect(),
-        decode_workers_can_prefill: attempts.self_prefill,
-        can_reserve: true,
-        can_resume: false,
-        kv_release_within: rules.release_within.0,
-        poll_endpoints: raw.list.as_ref().is_some_and(|l| l.mode == raw::Mode::Ask),
-        endpoint_poll_interval: raw.list.as_ref().map_or(0, |l| l.ask_within.0),
-        can_cancel: attempts.cancel,
-        can_probe: attempts.probes,
-        can_gossip: false,
-        can_hedge: false,
-        can_send_retry_after: attempts.retry_after,
-        max_retry_after: attempts.max_retry_after.0,
-        max_attempts: attempts.most,
-        connect_timeout: attempts.connect_timeout.0,
-        drain_grace: rules.drain_grace.0,
-        slow_start_speed: rules.cold_from,
-        slow_start_duration: rules.cold.0,
-        overload_factor: rules.fall_multiple,
-        overload_window: rules.fall.0,
-        answer_grace: rules.answer_slack.0,
-        step: 0,
-        probe_cost: attempts.probe_price,
-        gossip_cost: 0.0,
-    }
-}
-
-fn class(raw: &raw::Class) -> TrafficClass {
-    TrafficClass {
-        idempotency: match raw.effect {
-            raw::Effect::Safe => Idempotency::Idempotent,
-            raw::Effect::Keyed => Idempotency::WithKey,
-            raw::Effect::Unsafe => Idempotency::NotIdempotent,
-        },
-        deduplication_scope: match raw.group {
-            raw::Group::All => DeduplicationScope::All,
-            raw::Group::Zone => DeduplicationScope::Zone,
-            raw::Group::Rack => DeduplicationScope::Cell,
-        },
-        deduplication_window: raw.window.0,
-        latency_objective: raw.aim.0,
-        latency_objective_per_prompt_token: raw.aim_per_1000_tokens.0 as f64 / 1000.0,
-        deadline: raw.deadline.0,
-        token_latency_objective: raw.token_aim.0,
-        priority_weight: raw.worth,
-        late_priority_weight: raw.late_worth,
-        streamed: true,
-    }
-}
-
-fn tenant(raw: &raw::Tenant) -> Tenant {
-    Tenant { quota_share: raw.share, quota_per_second: raw.requests_per_second }
-}
-
-fn server_kind(kind: &raw::Kind) -> ServerKind {
-    ServerKind { role: Some(role(kind.role)), kv_capacity_tokens: f64::from(kind.memory_tokens) }
-}
-
-fn role(raw: raw::Role) -> Role {
-    match raw {
-        raw::Role::Read => Role::Prefill,
-        raw::Role::Write => Role::Decode,
-        raw::Role::Both => Role::Mixed,
-    }
-}
--- a/crates/gaparch-config/src/document.rs
+++ b/crates/gaparch-config/src/document.rs
@@ -1,21 +1,22 @@
-//! An XML text as a tree that knows its lines.
+//! An XML text as a tree whose nodes know their lines.
 
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::Reader;
 
-/// Elements deeper than this are refused: no settings need it.
+/// Deepest nesting of elements that is accepted; no settings need more.
 const MAX_DEPTH: usize = 16;
-/// Elements more than this are refused.
+/// Most elements that are accepted.
 const MAX_NODES: usize = 100_000;
 
-/// One mistake in a settings file.
+/// One problem of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {place}: {message}")]
 pub struct Problem {
-    /// Counted from 1.
+    /// Line of the file, counted from 1.
     pub line: usize,
-    /// The element, in angle brackets, with the attribute if one is at fault.
+    /// The element, in angle brackets, with the attribute if one is wrong.
     pub place: String,
+    /// What is wrong, and what is wanted.
     pub message: String,
 }
 
--- a/crates/gaparch-config/src/schema.rs
+++ b/crates/gaparch-config/src/schema.rs
@@ -12,6 +12,7 @@
 /// The published schema.
 pub const TEXT: &str = include_str!("../../../schema/gaparch.xsd");
 
+/// A schema, ready to validate settings.
 #[derive(Debug)]
 pub struct Schema {
     simple: BTreeMap<String, Simple>,
@@ -66,7 +67,7 @@
     /// Reads a schema.
     ///
     /// # Errors
-    /// Whatever is not of the part of XML Schema that is known here.
+    /// When the schema uses anything else of XML Schema.
     pub fn parse(text: &str) -> Result<Schema, Problem> {
         let document = document::parse(text)?;
         let mut schema = Schema {
--- a/crates/gaparch-config/src/units.rs
+++ b/crates/gaparch-config/src/units.rs
@@ -1,4 +1,4 @@
-//! Values with a unit, as the settings write them.
+//! Times and sizes with a unit, as the settings write them.
 
 use gaparch_scheduler::api::Nanos;
 use serde::{de, Deserialize, Deserializer};
@@ -14,20 +14,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub usize);
 
-/// A text that is no such value.
+/// The error of a text that is not a number with a unit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is no value with a unit")]
 pub struct UnitError(String);
 
 impl Span {
+    /// A span of milliseconds.
     pub const fn millis(ms: u64) -> Span {
         Span(ms * 1_000_000)
     }
 
+    /// A span of seconds.
     pub const fn secs(s: u64) -> Span {
         Span(s * 1_000_000_000)
     }
 
+    /// The span as a standard duration.
     pub fn duration(self) -> Duration {
         Duration::from_nanos(self.0)
     }
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -165,7 +165,13 @@
 fn what_the_reader_names_is_in_the_schema() {
     let vocabulary = Schema::published().vocabulary();
     let mut seen = 0;
-    for item in include_str!("../src/raw.rs").split("pub(crate) struct ").skip(1) {
+    let reader = concat!(
+        include_str!("../src/raw/mod.rs"),
+        include_str!("../src/raw/traffic.rs"),
+        include_str!("../src/raw/operations.rs"),
+        include_str!("../src/raw/dialects.rs"),
+    );
+    for item in reader.split("pub(crate) struct ").skip(1) {
         let element = item.split_whitespace().next().unwrap_or_default().to_lowercase();
         let Some(attributes) = vocabulary.get(&element) else { panic!("<{element}> is not in the schema") };
         let body = item.split("\n}").next().unwrap_or_default();
