--- a/crates/gaparch-audit/examples/tally.rs
+++ b/crates/gaparch-audit/examples/tally.rs
@@ -1,7 +1,7 @@
 //! Measures what recording costs where requests pass: `cargo run --release -p gaparch-audit --example tally`.
 
 use gaparch_audit::{Kind, Tally};
-use gaparch_protocol::versions::Stamp;
+use gaparch_protocol::versions::SendContext;
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -21,7 +21,7 @@
         }
         noted.push(began.elapsed().as_nanos() as f64 / BATCH as f64);
         let began = Instant::now();
-        black_box(tally.take(Stamp::default(), round, |engine| format!("engine-{engine}")));
+        black_box(tally.take(SendContext::default(), round, |engine| format!("engine-{engine}")));
         handed.push(began.elapsed().as_nanos() as f64 / 1_000.0);
     }
     let median = |all: &mut Vec<f64>| {
--- a/crates/gaparch-audit/src/claims.rs
+++ b/crates/gaparch-audit/src/claims.rs
@@ -71,7 +71,7 @@
 impl Claims {
     /// Takes a claim that `from` has stated: its own, or that of another.
     pub fn take(&mut self, claim: &Claim, from: &str, now: Nanos) {
-        let at = now.saturating_sub(u64::from(claim.age) * MS);
+        let at = now.saturating_sub(u64::from(claim.age_ms) * MS);
         let known = Known { version: claim.version, digest: claim.digest, at };
         if claim.router == from {
             if self.direct.len() < MOST || self.direct.contains_key(from) {
@@ -100,7 +100,7 @@
             version: known.version,
             digest: known.digest,
             // Rounded up: nothing looks fresher for having been passed on.
-            age: u32::try_from(now.saturating_sub(known.at).div_ceil(MS)).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(now.saturating_sub(known.at).div_ceil(MS)).unwrap_or(u32::MAX),
         };
         all.into_iter().take(most).map(claim).collect()
     }
@@ -149,8 +149,9 @@
         let standing: Vec<Known> =
             self.claimants(since).filter_map(|by| self.standing(by, since, held)).collect();
         let least = standing.iter().min_by_key(|known| known.version)?;
-        let differ =
-            standing.iter().any(|known| known.version.is(&least.version) && known.digest != least.digest);
+        let differ = standing
+            .iter()
+            .any(|known| known.version.is_same_list(&least.version) && known.digest != least.digest);
         (!differ).then_some(Believed { version: least.version, digest: least.digest, corroborated: false })
     }
 
@@ -170,7 +171,7 @@
         let own = self.direct.get(by).filter(fits).copied();
         let told: Vec<&Known> =
             self.told.iter().filter(|((of, _), _)| of == by).map(|(_, known)| known).filter(fits).collect();
-        let alike = |a: &Known, b: &Known| a.version.is(&b.version) && a.digest == b.digest;
+        let alike = |a: &Known, b: &Known| a.version.is_same_list(&b.version) && a.digest == b.digest;
         let twice = told.iter().filter(|known| told.iter().filter(|other| alike(known, other)).count() > 1);
         own.into_iter().chain(twice.map(|known| **known)).max_by_key(|known| known.at)
     }
@@ -178,7 +179,7 @@
     /// Routers that alone state more than the others believe, with what they state.
     pub fn outliers(&self, since: Nanos, believed: ListVersion) -> Vec<(String, ListVersion)> {
         let out = |(router, known): (&String, &Known)| {
-            (known.at >= since && known.version.later_than(&believed))
+            (known.at >= since && known.version.is_later_than(&believed))
                 .then(|| (router.clone(), known.version))
         };
         self.direct.iter().filter_map(out).collect()
--- a/crates/gaparch-audit/src/fetch.rs
+++ b/crates/gaparch-audit/src/fetch.rs
@@ -4,7 +4,7 @@
 use crate::{digest, HeldList, Nanos, MOST_ENTRIES, MS};
 use gaparch_protocol::list::ListEntry;
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::versions::{ListVersion, Talk};
+use gaparch_protocol::versions::{ListVersion, ReplicationMessage};
 use std::collections::BTreeMap;
 
 /// Without a page for so long another router is asked.
@@ -43,8 +43,8 @@
         (0..).find(|n| !self.entries.contains_key(n)).unwrap_or(0)
     }
 
-    pub fn ask(&self) -> Talk {
-        Talk::Want { version: self.wanted.version, from: self.missing() }
+    pub fn ask(&self) -> ReplicationMessage {
+        ReplicationMessage::ListRequest { version: self.wanted.version, first: self.missing() }
     }
 
     /// From now on another router is asked; what came stays, for its digest is judged at the end.
@@ -61,7 +61,7 @@
         entries: Vec<ListEntry>,
         now: Nanos,
     ) -> Came {
-        if !version.is(&self.wanted.version) {
+        if !version.is_same_list(&self.wanted.version) {
             return Came::Other;
         }
         if said != self.wanted.digest || of > MOST_ENTRIES || self.count.is_some_and(|count| count != of) {
@@ -86,7 +86,7 @@
 }
 
 /// The pages of a list from an entry on.
-pub(crate) fn pages(list: &HeldList, from: u32) -> Vec<Talk> {
+pub(crate) fn pages(list: &HeldList, from: u32) -> Vec<ReplicationMessage> {
     let of = u32::try_from(list.entries.len()).unwrap_or(u32::MAX);
     let mut pages = Vec::new();
     let mut at = from;
@@ -101,7 +101,13 @@
             entries.push(entry.clone());
         }
         let count = entries.len() as u32;
-        pages.push(Talk::Page { version: list.version, digest: list.digest, from: at, of, entries });
+        pages.push(ReplicationMessage::ListPage {
+            version: list.version,
+            digest: list.digest,
+            first: at,
+            total: of,
+            entries,
+        });
         if count == 0 {
             // An entry that fits into no datagram can't be handed on, nor can what follows it.
             break;
--- a/crates/gaparch-audit/src/follow.rs
+++ b/crates/gaparch-audit/src/follow.rs
@@ -4,7 +4,7 @@
 use crate::fetch::{pages, Came, Fetch, PAGE_WITHIN};
 use crate::view::{Happening, Row, View};
 use crate::{HeldList, Nanos, MS};
-use gaparch_protocol::versions::{Claim, ListVersion, Talk, MOST_CLAIMS};
+use gaparch_protocol::versions::{Claim, ListVersion, ReplicationMessage, MAX_CLAIMS};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -37,7 +37,7 @@
 pub enum Output {
     Say {
         to: String,
-        talk: Talk,
+        talk: ReplicationMessage,
     },
     /// Act on this list as if the service had said it.
     Take {
@@ -157,26 +157,26 @@
     fn tell(&mut self, to: &str, out: &mut Vec<Output>) {
         let own = self.own.as_deref().cloned().unwrap_or_default();
         let sure = self.sure_at.filter(|_| self.is_sure());
-        let talk = Talk::Stamp {
+        let talk = ReplicationMessage::ListStatus {
             held: own.version,
             digest: own.digest,
             entries: own.entries.len() as u32,
-            sure: sure.map(|at| (self.now - at).div_ceil(MS) as u32),
-            claims: self.claims.best(MOST_CLAIMS, to, self.version(), self.now),
+            confirmed_ms_ago: sure.map(|at| (self.now - at).div_ceil(MS) as u32),
+            claims: self.claims.best(MAX_CLAIMS, to, self.version(), self.now),
         };
         out.push(Output::Say { to: to.to_owned(), talk });
     }
 
     /// Another router has spoken; who it is is certain.
-    pub fn on_talk(&mut self, now: Nanos, from: &str, talk: Talk, out: &mut Vec<Output>) {
+    pub fn on_talk(&mut self, now: Nanos, from: &str, talk: ReplicationMessage, out: &mut Vec<Output>) {
         self.now = now.max(self.now);
         match talk {
-            Talk::Stamp { held, digest, entries: _, sure, claims } => {
+            ReplicationMessage::ListStatus { held, digest, entries: _, confirmed_ms_ago: sure, claims } => {
                 if let Some(age) = sure {
-                    let claim = Claim { router: from.to_owned(), version: held, digest, age };
+                    let claim = Claim { router: from.to_owned(), version: held, digest, age_ms: age };
                     self.claims.take(&claim, from, self.now);
                 }
-                for claim in claims.iter().take(MOST_CLAIMS) {
+                for claim in claims.iter().take(MAX_CLAIMS) {
                     // Nobody knows better than oneself what one has, nor than the sender what it has.
                     if claim.router != self.set.router && claim.router != from {
                         self.claims.take(claim, from, self.now);
@@ -189,9 +189,9 @@
                 }
                 self.look(out);
             }
-            Talk::Want { version, from: entry } => {
+            ReplicationMessage::ListRequest { version, first: entry } => {
                 let all = self.own.iter().chain(&self.past);
-                match all.into_iter().find(|list| list.version.is(&version)).cloned() {
+                match all.into_iter().find(|list| list.version.is_same_list(&version)).cloned() {
                     Some(list) => {
                         let say = |talk| Output::Say { to: from.to_owned(), talk };
                         out.extend(pages(&list, entry).into_iter().map(say));
@@ -199,7 +199,7 @@
                     None => self.tell(from, out),
                 }
             }
-            Talk::Page { version, digest, from: entry, of, entries } => {
+            ReplicationMessage::ListPage { version, digest, first: entry, total: of, entries } => {
                 self.on_page(from, (version, digest), (entry, of), entries, out);
             }
             _ => {}
@@ -261,7 +261,7 @@
         }
         self.believed = believed;
         self.look_at_outliers(since, out);
-        let later = |b: &Believed| self.version().is_none_or(|own| b.version.later_than(&own));
+        let later = |b: &Believed| self.version().is_none_or(|own| b.version.is_later_than(&own));
         let Some(believed) = believed.filter(later) else {
             if let Some(from) = self.behind_since.take().filter(|_| std::mem::take(&mut self.behind_told)) {
                 let version = self.version().unwrap_or_default();
@@ -331,7 +331,7 @@
     fn holder(&mut self, wanted: &Believed, not: Option<&str>) -> Option<String> {
         let holds =
             |row: &&Row| row.held.epoch == wanted.version.epoch && row.held.version >= wanted.version.version;
-        let exactly = |row: &&Row| row.held.is(&wanted.version) && row.digest == wanted.digest;
+        let exactly = |row: &&Row| row.held.is_same_list(&wanted.version) && row.digest == wanted.digest;
         let present = |row: &&Row| self.others.contains(&row.router) && Some(row.router.as_str()) != not;
         let rows = || self.rows.values().filter(present).filter(holds);
         let mut names: Vec<String> = rows().filter(exactly).map(|r| r.router.clone()).collect();
@@ -352,7 +352,9 @@
     fn go_on(&mut self, out: &mut Vec<Output>) {
         let Some(mut fetch) = self.fetch.take_if(|f| self.now >= f.asked_at + PAGE_WITHIN) else { return };
         match self.believed {
-            Some(believed) if !believed.version.is(&fetch.wanted.version) => self.start(believed, out),
+            Some(believed) if !believed.version.is_same_list(&fetch.wanted.version) => {
+                self.start(believed, out)
+            }
             _ => {
                 let before = fetch.of.clone();
                 let other = self.holder(&fetch.wanted, Some(&before));
--- a/crates/gaparch-audit/src/gather.rs
+++ b/crates/gaparch-audit/src/gather.rs
@@ -2,7 +2,7 @@
 
 use crate::{Nanos, MS};
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::versions::{AuditFilter, AuditRow, Talk};
+use gaparch_protocol::versions::{AuditFilter, AuditRow, ReplicationMessage};
 use std::collections::BTreeMap;
 
 /// For all to answer.
@@ -66,7 +66,7 @@
     }
 
     /// Asks those that have not answered in whole.
-    pub fn on_time(&mut self, now: Nanos, out: &mut Vec<(String, Talk)>) {
+    pub fn on_time(&mut self, now: Nanos, out: &mut Vec<(String, ReplicationMessage)>) {
         if now < self.next_at {
             return;
         }
@@ -74,13 +74,22 @@
         let open = self.parts.iter().filter(|(_, part)| !part.is_whole());
         out.extend(open.map(|(router, part)| {
             let (nonce, filter) = (self.nonce, self.filter.clone());
-            (router.clone(), Talk::AuditAsk { nonce, filter, from: part.missing() })
+            (router.clone(), ReplicationMessage::AuditRequest { nonce, filter, first: part.missing() })
         }));
     }
 
     /// Takes rows; those that answer another question are left.
-    pub fn on_talk(&mut self, now: Nanos, from: &str, talk: &Talk, out: &mut Vec<(String, Talk)>) {
-        let Talk::AuditRows { nonce, now: theirs, gaps, from: at, of, rows } = talk else { return };
+    pub fn on_talk(
+        &mut self,
+        now: Nanos,
+        from: &str,
+        talk: &ReplicationMessage,
+        out: &mut Vec<(String, ReplicationMessage)>,
+    ) {
+        let ReplicationMessage::AuditPage { nonce, now: theirs, gaps, first: at, total: of, rows } = talk
+        else {
+            return;
+        };
         let Some(part) = self.parts.get_mut(from).filter(|_| *nonce == self.nonce && *of <= MOST_ROWS) else {
             return;
         };
@@ -97,13 +106,14 @@
         let last = at + rows.len() as u32;
         for (n, row) in (*at..*of).zip(rows) {
             let mut row = row.clone();
-            (row.sends.first_at, row.sends.last_at) = (shift(row.sends.first_at), shift(row.sends.last_at));
+            (row.counts.first_at, row.counts.last_at) =
+                (shift(row.counts.first_at), shift(row.counts.last_at));
             part.rows.insert(n, row);
         }
         let missing = part.missing();
         if !part.is_whole() && missing == last {
             let (nonce, filter) = (self.nonce, self.filter.clone());
-            out.push((from.to_owned(), Talk::AuditAsk { nonce, filter, from: missing }));
+            out.push((from.to_owned(), ReplicationMessage::AuditRequest { nonce, filter, first: missing }));
         }
     }
 
@@ -123,7 +133,7 @@
 }
 
 /// What a router says of its own record.
-pub fn answer(nonce: u64, now: Nanos, gaps: u32, rows: &[AuditRow], from: u32) -> Vec<Talk> {
+pub fn answer(nonce: u64, now: Nanos, gaps: u32, rows: &[AuditRow], from: u32) -> Vec<ReplicationMessage> {
     let of = rows.len() as u32;
     let mut pages = Vec::new();
     let mut at = from.min(of);
@@ -138,7 +148,7 @@
             some.push(row.clone());
         }
         let count = some.len() as u32;
-        pages.push(Talk::AuditRows { nonce, now, gaps, from: at, of, rows: some });
+        pages.push(ReplicationMessage::AuditPage { nonce, now, gaps, first: at, total: of, rows: some });
         if count == 0 {
             break;
         }
--- a/crates/gaparch-audit/src/gather_tests.rs
+++ b/crates/gaparch-audit/src/gather_tests.rs
@@ -1,18 +1,18 @@
 //! Tests of `gather`.
 
 use super::*;
-use gaparch_protocol::versions::Sends;
+use gaparch_protocol::versions::SendCounts;
 
 fn rows(count: u64) -> Vec<AuditRow> {
-    let sends = |n| Sends {
+    let sends = |n| SendCounts {
         engine: format!("engine-{n}"),
-        reads: n,
-        writes: 0,
+        prefills: n,
+        decodes: 0,
         probes: 0,
         first_at: 1_000,
         last_at: 2_000,
     };
-    (0..count).map(|n| AuditRow { list: Default::default(), sure: true, sends: sends(n) }).collect()
+    (0..count).map(|n| AuditRow { list: Default::default(), confirmed: true, counts: sends(n) }).collect()
 }
 
 /// Plays a question; pages of which every third is lost.
@@ -25,7 +25,7 @@
         let mut out = Vec::new();
         gather.on_time(now, &mut out);
         while let Some((to, talk)) = out.pop() {
-            let Talk::AuditAsk { nonce, from, .. } = talk else { continue };
+            let ReplicationMessage::AuditRequest { nonce, first: from, .. } = talk else { continue };
             if to == silent {
                 continue;
             }
@@ -46,7 +46,7 @@
 fn all_rows_come_whatever_is_lost_and_who_is_silent_is_unknown() {
     for told in play("none") {
         assert_eq!((told.rows.len(), told.gaps), (100, Some(0)));
-        assert_eq!(told.rows[99].sends.reads, 99);
+        assert_eq!(told.rows[99].counts.prefills, 99);
     }
     let told = play("b");
     assert_eq!((told[0].gaps, told[1].gaps), (Some(0), None));
--- a/crates/gaparch-audit/src/held.rs
+++ b/crates/gaparch-audit/src/held.rs
@@ -144,11 +144,11 @@
         let whole = scope == Scope::Full;
         let held = self.version.unwrap_or_default();
         let before = self.version.map(|held| (held.rank, held.epoch));
-        if self.version.is_some() && held.later_than(&said) {
+        if self.version.is_some() && held.is_later_than(&said) {
             if epoch == 0 && held.epoch == 0 && first && whole {
                 said.rank = held.rank.saturating_add(1);
                 self.know(0, said.rank);
-            } else if self.by_peer && whole && self.floor.is_none_or(|floor| !floor.later_than(&said)) {
+            } else if self.by_peer && whole && self.floor.is_none_or(|floor| !floor.is_later_than(&said)) {
                 // One router alone has said so, and the service itself does not: the service is right.
             } else if said.epoch != held.epoch {
                 return Taken::Refused(Refusal::Replaced { held, said });
@@ -159,7 +159,7 @@
         if whole {
             let all: BTreeMap<String, ListEntry> =
                 entries.iter().map(|e| (e.engine.clone(), e.clone())).collect();
-            if self.version.is_some_and(|held| held.is(&said)) {
+            if self.version.is_some_and(|held| held.is_same_list(&said)) {
                 // The same version with other entries is no version at all: the first word stands.
                 self.by_peer = false;
                 return if digest(all.values()) == self.digest {
@@ -202,9 +202,9 @@
     /// Takes a list that another router has handed on, as if the service had said it.
     pub fn from_peer(&mut self, list: &HeldList) -> Taken {
         let held = self.version.unwrap_or_default();
-        if self.version.is_some() && !list.version.later_than(&held) {
+        if self.version.is_some() && !list.version.is_later_than(&held) {
             let refusal = Refusal::Older { held, said: list.version };
-            return if list.version.is(&held) { Taken::Same } else { Taken::Refused(refusal) };
+            return if list.version.is_same_list(&held) { Taken::Same } else { Taken::Refused(refusal) };
         }
         if digest(&list.entries) != list.digest {
             return Taken::Refused(Refusal::Harmed);
--- a/crates/gaparch-audit/src/orders.rs
+++ b/crates/gaparch-audit/src/orders.rs
@@ -13,7 +13,7 @@
 use crate::{Nanos, MS};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::versions::{FleetOrder, OrderId, Talk};
+use gaparch_protocol::versions::{FleetOrder, OrderId, ReplicationMessage};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -114,7 +114,7 @@
 pub enum OrderOutput {
     Say {
         to: String,
-        talk: Talk,
+        talk: ReplicationMessage,
     },
     /// Put it in force here; it came from elsewhere.
     Apply(FleetOrder),
@@ -245,13 +245,13 @@
         self.number = self.number.saturating_add(1);
         let id = OrderId {
             number: self.number,
-            care: care(change),
+            restrictiveness: care(change),
             router: self.router.clone(),
             incarnation: self.incarnation,
         };
         let note = Note { who: cut(&note.who, MOST_WHO), why: cut(&note.why, MOST_WHY), at: note.at };
         let over = self.registers.get(&about).map(|r| r.order.id.clone());
-        let order = FleetOrder { id, over, change: change.clone(), note };
+        let order = FleetOrder { id, replaces: over, change: change.clone(), note };
         self.put(about, order.clone(), true);
         self.waits_until = self.now + WAIT;
         self.next_at = self.now;
@@ -269,7 +269,8 @@
         some.shuffle(&mut self.rng);
         some.truncate(most);
         out.extend(
-            some.into_iter().map(|to| OrderOutput::Say { to, talk: Talk::Order { order: order.clone() } }),
+            some.into_iter()
+                .map(|to| OrderOutput::Say { to, talk: ReplicationMessage::Order { order: order.clone() } }),
         );
     }
 
@@ -308,15 +309,15 @@
         }
     }
 
-    fn word(&self, answer: bool) -> Talk {
-        Talk::Orders { held: self.held(), kept: self.kept(), answer }
+    fn word(&self, answer: bool) -> ReplicationMessage {
+        ReplicationMessage::OrderSummary { held: self.held(), stored: self.kept(), wants_answer: answer }
     }
 
     /// Takes what another router says of orders; others words are left alone.
-    pub fn on_talk(&mut self, now: Nanos, from: &str, talk: &Talk, out: &mut Vec<OrderOutput>) {
+    pub fn on_talk(&mut self, now: Nanos, from: &str, talk: &ReplicationMessage, out: &mut Vec<OrderOutput>) {
         self.now = now.max(self.now);
         match talk {
-            Talk::Orders { held, kept, answer } => {
+            ReplicationMessage::OrderSummary { held, stored: kept, wants_answer: answer } => {
                 if self.words.len() < MOST_ROUTERS || self.words.contains_key(from) {
                     self.words.insert(from.to_owned(), Word { kept: *kept, at: self.now });
                 }
@@ -328,7 +329,7 @@
                     self.ask(from, out);
                 }
             }
-            Talk::Order { order } => {
+            ReplicationMessage::Order { order } => {
                 let news = self.on_order(from, order, out);
                 let Some(asked) = self.asked.as_mut().filter(|asked| asked.of == from) else { return };
                 asked.news |= news;
@@ -338,13 +339,13 @@
                     self.ask(from, out);
                 }
             }
-            Talk::WantOrders { after } => {
+            ReplicationMessage::OrderRequest { after } => {
                 // Those that follow, and from the beginning again once there is nothing more.
                 let later = self.registers.iter().filter(|(about, _)| *about > after);
                 let all = later.chain(self.registers.iter().filter(|(about, _)| *about <= after));
                 let say = |(_, r): (&String, &Register)| OrderOutput::Say {
                     to: from.to_owned(),
-                    talk: Talk::Order { order: r.order.clone() },
+                    talk: ReplicationMessage::Order { order: r.order.clone() },
                 };
                 out.extend(all.take(PAGE).map(say));
             }
@@ -355,14 +356,16 @@
     fn ask(&mut self, of: &str, out: &mut Vec<OrderOutput>) {
         self.asked = Some(Asked { of: of.to_owned(), at: self.now, left: PAGE, news: false });
         let after = self.cursor.clone();
-        out.push(OrderOutput::Say { to: of.to_owned(), talk: Talk::WantOrders { after } });
+        out.push(OrderOutput::Say { to: of.to_owned(), talk: ReplicationMessage::OrderRequest { after } });
     }
 
     /// Takes an order of another router; whether it is news.
     fn on_order(&mut self, from: &str, order: &FleetOrder, out: &mut Vec<OrderOutput>) -> bool {
         let Some(about) = subject(&order.change) else { return false };
         self.cursor.clone_from(&about);
-        if order.id.number > self.number.saturating_add(MOST_AHEAD) || order.id.care != care(&order.change) {
+        if order.id.number > self.number.saturating_add(MOST_AHEAD)
+            || order.id.restrictiveness != care(&order.change)
+        {
             let (router, number) = (from.to_owned(), order.id.number);
             out.push(OrderOutput::Happened(OrderHappening::Implausible { router, number }));
             return false;
@@ -381,7 +384,10 @@
         }
         if before.id > order.id {
             // Whoever says it has not heard of the later one.
-            out.push(OrderOutput::Say { to: from.to_owned(), talk: Talk::Order { order: before.clone() } });
+            out.push(OrderOutput::Say {
+                to: from.to_owned(),
+                talk: ReplicationMessage::Order { order: before.clone() },
+            });
             if !follows(&before, order) {
                 self.give_way(order, &before, out);
             }
@@ -466,5 +472,5 @@
 
 /// Whether whoever gave an order knew of the other, or of one that went before it.
 fn follows(order: &FleetOrder, other: &FleetOrder) -> bool {
-    order.over.as_ref().is_some_and(|over| *over >= other.id)
+    order.replaces.as_ref().is_some_and(|over| *over >= other.id)
 }
--- a/crates/gaparch-audit/src/record.rs
+++ b/crates/gaparch-audit/src/record.rs
@@ -5,7 +5,7 @@
 //! [`Gap`], and so does the end of a process that did not end in good order: nobody knows what it sent last.
 
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::versions::{AuditFilter, AuditRow, Piece, Sends, Single, Stamp};
+use gaparch_protocol::versions::{AuditFilter, AuditRow, AuditSegment, SendContext, SendCounts, SendRecord};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     counts: BTreeMap<u32, Count>,
-    singles: Vec<(u32, Single)>,
+    singles: Vec<(u32, SendRecord)>,
     left_out: u64,
 }
 
@@ -49,7 +49,7 @@
         count.by_kind[kind as usize - 1] += 1;
         count.last_at = at;
         if self.singles.len() < SINGLES {
-            self.singles.push((engine, Single { at, request, attempt, engine: 0, kind: kind as u8 }));
+            self.singles.push((engine, SendRecord { at, request, attempt, engine: 0, kind: kind as u8 }));
         } else {
             self.left_out += 1;
         }
@@ -60,7 +60,7 @@
     }
 
     /// All of it, with the engines' names; the tally begins anew.
-    pub fn take(&mut self, stamp: Stamp, at: u64, name: impl Fn(u32) -> String) -> Sent {
+    pub fn take(&mut self, stamp: SendContext, at: u64, name: impl Fn(u32) -> String) -> Sent {
         let tally = std::mem::take(self);
         let mut numbers = BTreeMap::new();
         let mut sends = Vec::new();
@@ -68,9 +68,16 @@
             numbers.insert(engine, sends.len() as u16);
             let [reads, writes, probes] = count.by_kind;
             let (first_at, last_at) = (count.first_at, count.last_at);
-            sends.push(Sends { engine: name(engine), reads, writes, probes, first_at, last_at });
+            sends.push(SendCounts {
+                engine: name(engine),
+                prefills: reads,
+                decodes: writes,
+                probes,
+                first_at,
+                last_at,
+            });
         }
-        let place = |(engine, single): (u32, Single)| Single {
+        let place = |(engine, single): (u32, SendRecord)| SendRecord {
             engine: numbers.get(&engine).copied().unwrap_or(u16::MAX),
             ..single
         };
@@ -82,10 +89,10 @@
 /// What a tally has counted under one stamp, up to a time.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Sent {
-    pub stamp: Stamp,
+    pub stamp: SendContext,
     pub at: u64,
-    pub sends: Vec<Sends>,
-    pub singles: Vec<Single>,
+    pub sends: Vec<SendCounts>,
+    pub singles: Vec<SendRecord>,
     pub left_out: u64,
 }
 
@@ -125,7 +132,7 @@
     }
 }
 
-fn hash(piece: &Piece) -> (u64, u64) {
+fn hash(piece: &AuditSegment) -> (u64, u64) {
     let hash = Sha256::digest(to_bytes(piece));
     let part = |from: usize| hash.iter().skip(from).take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte));
     (part(0), part(8))
@@ -144,21 +151,21 @@
 const GAPS: usize = 1000;
 
 impl Chain {
-    pub fn take(&mut self, piece: &Piece) {
+    pub fn take(&mut self, piece: &AuditSegment) {
         self.pieces += 1;
         if let Some((number, before)) = self.last {
             if piece.number <= number {
                 self.gap(Gap::Swapped { at: piece.number });
             } else if piece.number > number + 1 {
                 self.gap(Gap::Missing { after: number, before: piece.number });
-            } else if (piece.before, piece.before_low) != before {
+            } else if (piece.previous_hash_high, piece.previous_hash_low) != before {
                 self.gap(Gap::Broken { at: piece.number });
             }
         }
-        if let Some((run, after)) = self.open.take().filter(|(run, _)| *run != piece.run) {
+        if let Some((run, after)) = self.open.take().filter(|(run, _)| *run != piece.run_id) {
             self.gap(Gap::Killed { run, after });
         }
-        self.open = (!piece.ends).then_some((piece.run, piece.to));
+        self.open = (!piece.ends_process).then_some((piece.run_id, piece.to_at));
         if self.last.is_none_or(|(number, _)| piece.number > number) {
             self.last = Some((piece.number, hash(piece)));
         }
@@ -189,14 +196,14 @@
 pub struct Book {
     run: u64,
     chain: Chain,
-    pieces: VecDeque<Piece>,
-    open: Option<Piece>,
+    pieces: VecDeque<AuditSegment>,
+    open: Option<AuditSegment>,
     began: bool,
 }
 
 impl Book {
     /// With the pieces that are on disk, in their order, and the number of the last one that was written there.
-    pub fn new(run: u64, kept: impl IntoIterator<Item = Piece>, written: u64) -> Book {
+    pub fn new(run: u64, kept: impl IntoIterator<Item = AuditSegment>, written: u64) -> Book {
         let mut book =
             Book { run, chain: Chain::default(), pieces: VecDeque::new(), open: None, began: false };
         for piece in kept {
@@ -214,7 +221,7 @@
         book
     }
 
-    fn remember(&mut self, piece: Piece) {
+    fn remember(&mut self, piece: AuditSegment) {
         if self.pieces.len() >= PIECES {
             self.pieces.pop_front();
         }
@@ -231,66 +238,67 @@
     }
 
     /// The process begins: a piece says so before anything is sent, so that a kill leaves a trace however soon it comes.
-    pub fn begin(&mut self, at: u64) -> Option<Piece> {
+    pub fn begin(&mut self, at: u64) -> Option<AuditSegment> {
         self.take(&Sent { at, ..Sent::default() });
         self.close(false)
     }
 
     /// Takes what was sent; the piece that is to be written now, if one is closed by it.
-    pub fn take(&mut self, sent: &Sent) -> Option<Piece> {
+    pub fn take(&mut self, sent: &Sent) -> Option<AuditSegment> {
         let closed = match &self.open {
-            Some(open) if open.stamp != sent.stamp => self.close(false),
+            Some(open) if open.context != sent.stamp => self.close(false),
             _ => None,
         };
         let begins = !std::mem::replace(&mut self.began, true);
         let run = self.run;
-        let open = self.open.get_or_insert_with(|| Piece {
+        let open = self.open.get_or_insert_with(|| AuditSegment {
             number: 0,
-            before: 0,
-            before_low: 0,
-            run,
-            from: sent.at,
-            to: sent.at,
-            begins,
-            ends: false,
-            stamp: sent.stamp.clone(),
-            sends: Vec::new(),
-            singles: Vec::new(),
-            left_out: 0,
+            previous_hash_high: 0,
+            previous_hash_low: 0,
+            run_id: run,
+            from_at: sent.at,
+            to_at: sent.at,
+            starts_process: begins,
+            ends_process: false,
+            context: sent.stamp.clone(),
+            counts: Vec::new(),
+            records: Vec::new(),
+            omitted_records: 0,
         });
-        open.to = sent.at;
-        open.left_out += sent.left_out;
+        open.to_at = sent.at;
+        open.omitted_records += sent.left_out;
         let mut places = Vec::new();
         for one in &sent.sends {
-            open.from = open.from.min(one.first_at);
-            let at = open.sends.iter().position(|s| s.engine == one.engine);
-            match at.and_then(|at| open.sends.get_mut(at)) {
+            open.from_at = open.from_at.min(one.first_at);
+            let at = open.counts.iter().position(|s| s.engine == one.engine);
+            match at.and_then(|at| open.counts.get_mut(at)) {
                 Some(known) => {
-                    known.reads += one.reads;
-                    known.writes += one.writes;
+                    known.prefills += one.prefills;
+                    known.decodes += one.decodes;
                     known.probes += one.probes;
                     known.first_at = known.first_at.min(one.first_at);
                     known.last_at = known.last_at.max(one.last_at);
                 }
-                None => open.sends.push(one.clone()),
+                None => open.counts.push(one.clone()),
             }
-            places.push(at.unwrap_or(open.sends.len() - 1) as u16);
+            places.push(at.unwrap_or(open.counts.len() - 1) as u16);
         }
         for single in &sent.singles {
-            match places.get(usize::from(single.engine)).filter(|_| open.singles.len() < SINGLES) {
-                Some(place) => open.singles.push(Single { engine: *place, ..*single }),
-                None => open.left_out += 1,
+            match places.get(usize::from(single.engine)).filter(|_| open.records.len() < SINGLES) {
+                Some(place) => open.records.push(SendRecord { engine: *place, ..*single }),
+                None => open.omitted_records += 1,
             }
         }
-        let old = open.to >= open.from.saturating_add(CLOSE_AFTER);
+        let old = open.to_at >= open.from_at.saturating_add(CLOSE_AFTER);
         closed.or_else(|| if old { self.close(false) } else { None })
     }
 
     /// Closes what is open; `ends`: the process ends in good order.
-    pub fn close(&mut self, ends: bool) -> Option<Piece> {
+    pub fn close(&mut self, ends: bool) -> Option<AuditSegment> {
         let mut piece = self.open.take()?;
         let (number, (before, before_low)) = self.chain.last.unwrap_or((0, (0, 0)));
-        (piece.number, piece.before, piece.before_low, piece.ends) = (number + 1, before, before_low, ends);
+        (piece.number, piece.previous_hash_high, piece.previous_hash_low, piece.ends_process) =
+            (number + 1, before, before_low, ends);
         self.chain.last = Some((piece.number, hash(&piece)));
         self.chain.pieces += 1;
         self.remember(piece.clone());
@@ -298,9 +306,9 @@
     }
 
     /// The process ends in good order: the last piece says so.
-    pub fn end(&mut self, at: u64) -> Option<Piece> {
-        let stamp = self.pieces.back().map(|piece| piece.stamp.clone()).unwrap_or_default();
-        let stamp = self.open.as_ref().map_or(stamp, |open| open.stamp.clone());
+    pub fn end(&mut self, at: u64) -> Option<AuditSegment> {
+        let stamp = self.pieces.back().map(|piece| piece.context.clone()).unwrap_or_default();
+        let stamp = self.open.as_ref().map_or(stamp, |open| open.context.clone());
         self.take(&Sent { stamp, at, ..Sent::default() });
         self.close(true)
     }
@@ -309,33 +317,37 @@
     pub fn rows(&self, filter: &AuditFilter) -> Vec<AuditRow> {
         let mut rows: Vec<AuditRow> = Vec::new();
         for piece in self.pieces.iter().chain(&self.open) {
-            let list = piece.stamp.list;
-            if filter.below.is_some_and(|below| list.version >= below) {
+            let list = piece.context.list;
+            if filter.below_version.is_some_and(|below| list.version >= below) {
                 continue;
             }
-            for (n, sends) in piece.sends.iter().enumerate() {
+            for (n, sends) in piece.counts.iter().enumerate() {
                 let engine = filter.engine.as_ref().is_none_or(|engine| *engine == sends.engine);
                 let until = filter.until.unwrap_or(u64::MAX);
                 let time = sends.last_at >= filter.since && sends.first_at <= until;
                 let asked = |request| {
-                    piece.singles.iter().any(|s| usize::from(s.engine) == n && s.request == request)
+                    piece.records.iter().any(|s| usize::from(s.engine) == n && s.request == request)
                 };
                 if !engine || !time || !filter.request.is_none_or(asked) {
                     continue;
                 }
-                let same = |r: &AuditRow| r.list == list && r.sends.engine == sends.engine;
+                let same = |r: &AuditRow| r.list == list && r.counts.engine == sends.engine;
                 match rows.iter().position(same) {
                     Some(at) => {
                         let row = &mut rows[at];
-                        row.sends.reads += sends.reads;
-                        row.sends.writes += sends.writes;
-                        row.sends.probes += sends.probes;
-                        row.sends.first_at = row.sends.first_at.min(sends.first_at);
-                        row.sends.last_at = row.sends.last_at.max(sends.last_at);
-                        row.sure &= piece.stamp.sure;
+                        row.counts.prefills += sends.prefills;
+                        row.counts.decodes += sends.decodes;
+                        row.counts.probes += sends.probes;
+                        row.counts.first_at = row.counts.first_at.min(sends.first_at);
+                        row.counts.last_at = row.counts.last_at.max(sends.last_at);
+                        row.confirmed &= piece.context.confirmed;
                     }
                     None if rows.len() < ROWS => {
-                        rows.push(AuditRow { list, sure: piece.stamp.sure, sends: sends.clone() });
+                        rows.push(AuditRow {
+                            list,
+                            confirmed: piece.context.confirmed,
+                            counts: sends.clone(),
+                        });
                     }
                     None => return rows,
                 }
--- a/crates/gaparch-audit/src/record_tests.rs
+++ b/crates/gaparch-audit/src/record_tests.rs
@@ -3,8 +3,12 @@
 use super::*;
 use gaparch_protocol::versions::ListVersion;
 
-fn stamp(version: u64) -> Stamp {
-    Stamp { list: ListVersion { rank: 1, epoch: 7, version }, sure: true, ..Stamp::default() }
+fn stamp(version: u64) -> SendContext {
+    SendContext {
+        list: ListVersion { rank: 1, epoch: 7, version },
+        confirmed: true,
+        ..SendContext::default()
+    }
 }
 
 fn name(engine: u32) -> String {
@@ -12,7 +16,7 @@
 }
 
 /// A record of so many pieces, each under another version.
-fn record(run: u64, kept: Vec<Piece>, count: u64, ends: bool) -> Vec<Piece> {
+fn record(run: u64, kept: Vec<AuditSegment>, count: u64, ends: bool) -> Vec<AuditSegment> {
     let written = kept.last().map_or(0, |p| p.number);
     let mut pieces = kept.clone();
     let mut book = Book::new(run, kept, written);
@@ -28,7 +32,7 @@
     pieces
 }
 
-fn gaps(pieces: &[Piece], witnessed: u64) -> Vec<Gap> {
+fn gaps(pieces: &[AuditSegment], witnessed: u64) -> Vec<Gap> {
     let mut chain = Chain::default();
     pieces.iter().for_each(|piece| chain.take(piece));
     chain.witnessed(witnessed);
@@ -41,9 +45,9 @@
     let both = record(2, first, 3, true);
     assert_eq!(gaps(&both, 9), []);
     let book = Book::new(3, both, 9);
-    let all: u64 = book.rows(&AuditFilter::default()).iter().map(|r| r.sends.reads).sum();
+    let all: u64 = book.rows(&AuditFilter::default()).iter().map(|r| r.counts.prefills).sum();
     assert_eq!(all, 7 * 3);
-    let below = AuditFilter { below: Some(2), engine: Some(name(0)), ..AuditFilter::default() };
+    let below = AuditFilter { below_version: Some(2), engine: Some(name(0)), ..AuditFilter::default() };
     let rows = book.rows(&below);
     assert_eq!(rows.len(), 2, "{rows:?}");
     let one = AuditFilter { request: Some(10), ..AuditFilter::default() };
@@ -57,7 +61,7 @@
     removed.remove(2);
     assert_eq!(gaps(&removed, 6), [Gap::Missing { after: 2, before: 4 }]);
     let mut altered = sound.clone();
-    altered[2].sends[0].reads -= 1;
+    altered[2].counts[0].prefills -= 1;
     assert_eq!(gaps(&altered, 6), [Gap::Broken { at: 4 }], "a suppressed send");
     let mut swapped = sound.clone();
     swapped.swap(1, 3);
@@ -77,7 +81,7 @@
     let mut book = Book::new(1, Vec::new(), 0);
     book.take(&tally.take(stamp(1), 5000, name));
     let piece = book.close(true).expect("a piece");
-    assert_eq!((piece.sends[0].writes, piece.singles.len() as u64 + piece.left_out), (5000, 5000));
+    assert_eq!((piece.counts[0].decodes, piece.records.len() as u64 + piece.omitted_records), (5000, 5000));
 }
 
 #[test]
--- a/crates/gaparch-audit/tests/fleet.rs
+++ b/crates/gaparch-audit/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use gaparch_audit::{digest, Follow, Happening, Held, HeldList, Nanos, Output, Settings, Taken};
 use gaparch_protocol::list::{ListEntry, Scope, ServerState};
-use gaparch_protocol::versions::{Claim, ListVersion, Talk};
+use gaparch_protocol::versions::{Claim, ListVersion, ReplicationMessage};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,7 +66,7 @@
     rng: ChaCha8Rng,
     service: Service,
     routers: Vec<Router>,
-    under_way: Vec<(Nanos, usize, usize, Talk)>,
+    under_way: Vec<(Nanos, usize, usize, ReplicationMessage)>,
     loss: f64,
     delay: Nanos,
     /// One whose stamps are not what it holds, and by how much.
@@ -125,7 +125,7 @@
             }
             let (due, later) = std::mem::take(&mut self.under_way).into_iter().partition(|m| m.0 <= self.now);
             self.under_way = later;
-            let due: Vec<(Nanos, usize, usize, Talk)> = due;
+            let due: Vec<(Nanos, usize, usize, ReplicationMessage)> = due;
             for (_, from, to, talk) in due {
                 let mut out = Vec::new();
                 self.routers[to].follow.on_talk(self.now, &name(from), talk, &mut out);
@@ -188,21 +188,27 @@
 }
 
 /// Its versions are from the future, and its lists hold what nobody has listed.
-fn lie_by(talk: Talk, by: u64) -> Talk {
+fn lie_by(talk: ReplicationMessage, by: u64) -> ReplicationMessage {
     let far = |v: ListVersion| ListVersion { version: v.version + by, ..v };
     match talk {
-        Talk::Stamp { held, digest, entries, claims, .. } => {
+        ReplicationMessage::ListStatus { held, digest, entries, claims, .. } => {
             let mut claims: Vec<Claim> =
                 claims.into_iter().map(|c| Claim { version: far(c.version), ..c }).collect();
             // And somebody who is not there bears it out.
             let made_up =
-                Claim { router: "router-77".to_owned(), version: far(held), digest: digest ^ 1, age: 0 };
+                Claim { router: "router-77".to_owned(), version: far(held), digest: digest ^ 1, age_ms: 0 };
             claims.insert(0, made_up);
-            Talk::Stamp { held: far(held), digest: digest ^ 1, entries, sure: Some(0), claims }
+            ReplicationMessage::ListStatus {
+                held: far(held),
+                digest: digest ^ 1,
+                entries,
+                confirmed_ms_ago: Some(0),
+                claims,
+            }
         }
-        Talk::Page { version, digest, from, of, mut entries } => {
+        ReplicationMessage::ListPage { version, digest, first: from, total: of, mut entries } => {
             entries.iter_mut().for_each(|e| e.address = "10.9.9.9:1".to_owned());
-            Talk::Page { version, digest, from, of, entries }
+            ReplicationMessage::ListPage { version, digest, first: from, total: of, entries }
         }
         want => want,
     }
@@ -406,7 +412,7 @@
             }
             fleet.run(700 * MS);
             for (n, before) in before.iter_mut().enumerate() {
-                prop_assert!(!before.later_than(&fleet.version(n)), "{} went back", n);
+                prop_assert!(!before.is_later_than(&fleet.version(n)), "{} went back", n);
                 *before = fleet.version(n);
             }
         }
--- a/crates/gaparch-audit/tests/orders.rs
+++ b/crates/gaparch-audit/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use gaparch_audit::{subject, FleetOrder, Nanos, OrderHappening, OrderOutput, Orders};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
-use gaparch_protocol::versions::Talk;
+use gaparch_protocol::versions::ReplicationMessage;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +28,7 @@
     now: Nanos,
     rng: ChaCha8Rng,
     routers: Vec<Option<Router>>,
-    under_way: Vec<(Nanos, usize, usize, Talk)>,
+    under_way: Vec<(Nanos, usize, usize, ReplicationMessage)>,
     loss: f64,
     /// Routers of different sides hear nothing of one another.
     sides: Vec<u8>,
@@ -234,10 +234,10 @@
     fleet.give(0, drain(1));
     fleet.run(1_000 * MS);
     let mut lie = fleet.routers[1].as_ref().expect("it runs").orders.all().remove(0);
-    (lie.id.number, lie.change, lie.id.care) = (1 << 60, free(1), 0);
+    (lie.id.number, lie.change, lie.id.restrictiveness) = (1 << 60, free(1), 0);
     let mut out = Vec::new();
     let router = fleet.routers[2].as_mut().expect("it runs");
-    router.orders.on_talk(fleet.now, &name(1), &Talk::Order { order: lie }, &mut out);
+    router.orders.on_talk(fleet.now, &name(1), &ReplicationMessage::Order { order: lie }, &mut out);
     fleet.carry_out(2, out);
     fleet.run(1_000 * MS);
     assert!((0..3).all(|n| fleet.book(n)["engine engine-1"] == drain(1)));
--- a/crates/gaparch-audit/tests/pinned_bytes.rs
+++ b/crates/gaparch-audit/tests/pinned_bytes.rs
@@ -6,7 +6,7 @@
 use gaparch_protocol::list::{ListEntry, ServerState};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::versions::{ListVersion, Stamp, Talk};
+use gaparch_protocol::versions::{ListVersion, ReplicationMessage, SendContext};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -93,12 +93,14 @@
     assert_eq!(lengths, [393, 348, 364, 363]);
     let mut out = Vec::new();
     orders.on_kept(0, &kept, &mut out);
-    let question = Talk::Orders { held: 0, kept: 0, answer: true };
+    let question = ReplicationMessage::OrderSummary { held: 0, stored: 0, wants_answer: true };
     orders.on_talk(0, "router-2", &question, &mut out);
     let answers: Vec<String> = out
         .iter()
         .filter_map(|output| match output {
-            OrderOutput::Say { talk: talk @ Talk::Orders { .. }, .. } => Some(hex(&to_bytes(talk))),
+            OrderOutput::Say { talk: talk @ ReplicationMessage::OrderSummary { .. }, .. } => {
+                Some(hex(&to_bytes(talk)))
+            }
             _ => None,
         })
         .collect();
@@ -107,10 +109,10 @@
 
 #[test]
 fn pieces_of_the_record_and_the_hash_that_chains_them() {
-    let stamp = Stamp {
+    let stamp = SendContext {
         list: ListVersion { rank: 1, epoch: 7, version: 4 },
-        sure: true,
-        orders: 2,
+        confirmed: true,
+        order_revision: 2,
         build: "1".to_owned(),
     };
     let mut book = Book::new(5, Vec::new(), 0);
--- a/crates/gaparch-audit/tests/pinned_traffic.rs
+++ b/crates/gaparch-audit/tests/pinned_traffic.rs
@@ -7,7 +7,7 @@
 use gaparch_protocol::list::{ListEntry, Scope, ServerState};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::versions::Talk;
+use gaparch_protocol::versions::ReplicationMessage;
 use sha2::{Digest, Sha256};
 
 const MS: Nanos = 1_000_000;
@@ -49,7 +49,7 @@
     now: Nanos,
     routers: Vec<Router>,
     /// Sender, receiver and message, in the order in which they were sent.
-    in_flight: Vec<(usize, usize, Talk)>,
+    in_flight: Vec<(usize, usize, ReplicationMessage)>,
     traffic: Sha256,
     messages: u64,
     brought_up: u64,
@@ -68,7 +68,7 @@
         Fleet { now: 0, routers, in_flight, traffic, messages: 0, brought_up: 0 }
     }
 
-    fn say(&mut self, from: usize, to: &str, talk: Talk) {
+    fn say(&mut self, from: usize, to: &str, talk: ReplicationMessage) {
         self.traffic.update([from as u8]);
         self.traffic.update(to);
         self.traffic.update(to_bytes(&talk));
--- a/crates/gaparch-cli/src/commands/ctl/mod.rs
+++ b/crates/gaparch-cli/src/commands/ctl/mod.rs
@@ -150,7 +150,7 @@
             engine: self.engine.clone(),
             since: self.since.as_deref().map(since).transpose()?.unwrap_or(0),
             until: self.until.as_deref().map(since).transpose()?,
-            below: self.version,
+            below_version: self.version,
             request: self.request,
         })
     }
--- a/crates/gaparch-membership/src/core/exchange.rs
+++ b/crates/gaparch-membership/src/core/exchange.rs
@@ -4,7 +4,7 @@
 use std::ops::Bound;
 
 /// Members that are looked at for one page; the shortest words of so many do not fit into a datagram.
-const MOST_OF_A_PAGE: usize = MOST_BYTES / 16;
+const MOST_OF_A_PAGE: usize = MAX_DATAGRAM_BYTES / 16;
 
 impl Membership {
     pub(super) fn exchange(&mut self, out: &mut Vec<Output>) {
@@ -20,7 +20,7 @@
     pub(super) fn ask_for(&mut self, name: &str, after: String, out: &mut Vec<Output>) {
         self.exchange = Some((name.to_owned(), after.clone()));
         self.exchange_at = self.now + EXCHANGE_AGAIN;
-        self.say(name, Word::Want { after }, &[], out);
+        self.say(name, MessageBody::SyncRequest { after }, &[], out);
     }
 
     pub(super) fn on_want(&mut self, from: &str, after: String, out: &mut Vec<Output>) {
@@ -31,7 +31,7 @@
         let topics: Vec<Topic> = names.iter().cloned().map(Topic::Member).collect();
         let Some(address) = self.address(from) else { return };
         // How many go into one datagram is known once it is made.
-        let page = |next| Word::Page { after: after.clone(), next };
+        let page = |next| MessageBody::SyncPage { after: after.clone(), next };
         let widest = page(names.iter().max_by_key(|n| n.len()).cloned());
         let (news, taken) = self.news(from, &widest, &topics, false);
         let next = taken.last().filter(|_| taken.len() < topics.len()).and_then(|topic| match topic {
--- a/crates/gaparch-membership/src/core/messages.rs
+++ b/crates/gaparch-membership/src/core/messages.rs
@@ -10,7 +10,7 @@
             return;
         }
         self.counters.received += 1;
-        let Message { from, to, seq, hears, word, news } = message;
+        let Message { from, to, seq, heard_members: hears, body: word, updates: news } = message;
         if !to.is_empty() && to != self.set.name {
             self.counters.misdirected += 1;
             return;
@@ -29,12 +29,12 @@
     }
 
     /// Whether a message is new, and of the process that has the name now.
-    pub(super) fn admit(&mut self, from: &Facts, seq: u64, out: &mut Vec<Output>) -> bool {
+    pub(super) fn admit(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
         let Some(member) = self.members.get_mut(&from.name) else {
             return self.meet(from, seq, out);
         };
         let known = &member.facts;
-        if from.run == known.run && from.incarnation >= known.incarnation {
+        if from.run_id == known.run_id && from.incarnation >= known.incarnation {
             let new = member.window.admit(seq);
             self.counters.replayed += u64::from(!new);
             return new;
@@ -59,7 +59,7 @@
                 // until it is asked by chance.
                 if let Ok(address) = from.address.parse() {
                     let topic = Topic::Member(name.clone());
-                    self.send(address, name, Word::Nack { nonce: 0 }, &[topic], out);
+                    self.send(address, name, MessageBody::Nack { nonce: 0 }, &[topic], out);
                 }
             }
         }
@@ -67,7 +67,7 @@
         false
     }
 
-    pub(super) fn meet(&mut self, from: &Facts, seq: u64, out: &mut Vec<Output>) -> bool {
+    pub(super) fn meet(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
         if self.members.len() >= MOST_MEMBERS {
             self.counters.no_room += 1;
             return false;
@@ -84,7 +84,7 @@
         true
     }
 
-    pub(super) fn heard(&mut self, from: &Facts, hears: u16, out: &mut Vec<Output>) {
+    pub(super) fn heard(&mut self, from: &MemberInfo, hears: u16, out: &mut Vec<Output>) {
         let now = self.now;
         self.hearing.heard_at = now;
         let Some(member) = self.members.get_mut(&from.name) else { return };
@@ -99,35 +99,35 @@
         }
     }
 
-    pub(super) fn on_word(&mut self, from: &Facts, word: Word, out: &mut Vec<Output>) {
+    pub(super) fn on_word(&mut self, from: &MemberInfo, word: MessageBody, out: &mut Vec<Output>) {
         match word {
-            Word::Ping { nonce } => self.say(&from.name, Word::Ack { nonce }, &[], out),
-            Word::Ack { nonce } => self.on_ack(from, nonce, out),
-            Word::PingFor { nonce, target, address } => {
+            MessageBody::Ping { nonce } => self.say(&from.name, MessageBody::Ack { nonce }, &[], out),
+            MessageBody::Ack { nonce } => self.on_ack(from, nonce, out),
+            MessageBody::PingRequest { nonce, target, address } => {
                 let Ok(address) = address.parse::<SocketAddr>() else { return };
                 let until = self.now + self.set.period / 2;
                 self.nonce += 1;
                 let mine = self.nonce;
                 if self.probes.relay(mine, Relayed { asker: from.name.clone(), nonce, until }) {
-                    self.send(address, target, Word::Ping { nonce: mine }, &[], out);
+                    self.send(address, target, MessageBody::Ping { nonce: mine }, &[], out);
                 }
             }
-            Word::Nack { nonce } => {
+            MessageBody::Nack { nonce } => {
                 if let Some(probe) = self.probes.current.as_mut().filter(|p| p.nonce == nonce) {
                     probe.nacks += 1;
                 }
             }
-            Word::Want { after } => self.on_want(&from.name, after, out),
-            Word::Page { after, next } => self.on_page(&from.name, &after, next, out),
-            Word::Talk { bytes } => out.push(Output::Talk { from: from.name.clone(), bytes }),
+            MessageBody::SyncRequest { after } => self.on_want(&from.name, after, out),
+            MessageBody::SyncPage { after, next } => self.on_page(&from.name, &after, next, out),
+            MessageBody::Payload { bytes } => out.push(Output::Talk { from: from.name.clone(), bytes }),
         }
     }
 
-    pub(super) fn on_ack(&mut self, from: &Facts, nonce: u64, out: &mut Vec<Output>) {
+    pub(super) fn on_ack(&mut self, from: &MemberInfo, nonce: u64, out: &mut Vec<Output>) {
         if let Some(relayed) = self.probes.relayed(nonce) {
             // Its sign of life goes with it.
             let topic = Topic::Member(from.name.clone());
-            self.say(&relayed.asker, Word::Ack { nonce: relayed.nonce }, &[topic], out);
+            self.say(&relayed.asker, MessageBody::Ack { nonce: relayed.nonce }, &[topic], out);
         }
         // Any answer shows that this router is heard; only one to a later ping that it hears since it woke.
         self.hearing.answered(nonce, self.now);
--- a/crates/gaparch-membership/src/core/mod.rs
+++ b/crates/gaparch-membership/src/core/mod.rs
@@ -17,7 +17,9 @@
 use crate::standing::Standing;
 use crate::view::{Happening, MemberView, View};
 use crate::{Nanos, CODE, MS};
-use gaparch_protocol::fleet::{self, Facts, MemberState, Message, News, Word, MOST_BYTES};
+use gaparch_protocol::fleet::{
+    self, MemberInfo, MemberState, Message, MessageBody, Update, MAX_DATAGRAM_BYTES,
+};
 use rand::seq::{IndexedRandom, IteratorRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -219,7 +221,7 @@
             self.hearing.worse(1);
         }
         for relayed in self.probes.overdue(self.now) {
-            self.say(&relayed.asker, Word::Nack { nonce: relayed.nonce }, &[], out);
+            self.say(&relayed.asker, MessageBody::Nack { nonce: relayed.nonce }, &[], out);
         }
         self.look_at_probe(out);
         self.look_at_suspects(out);
@@ -275,13 +277,13 @@
 /// on beside the first, which was last heard at `first_alive_at`.
 fn another(
     other: &mut Option<Other>,
-    from: &Facts,
+    from: &MemberInfo,
     seq: Option<u64>,
     first_alive_at: Nanos,
     now: Nanos,
 ) -> Option<bool> {
-    if other.as_ref().is_none_or(|o| o.facts.run != from.run) {
-        let first_beat = from.beat;
+    if other.as_ref().is_none_or(|o| o.facts.run_id != from.run_id) {
+        let first_beat = from.heartbeat;
         let window = Window::default();
         *other = Some(Other { facts: from.clone(), window, first_beat, heard_at: now, twin: false });
     }
@@ -290,12 +292,12 @@
     if seq.is_some_and(|seq| !known.window.admit(seq)) {
         return None;
     }
-    if from.beat > known.facts.beat {
+    if from.heartbeat > known.facts.heartbeat {
         known.facts = from.clone();
         known.heard_at = now;
     }
     let both = now.saturating_sub(first_alive_at) < FRESH;
-    let found = both && !known.twin && known.facts.beat >= known.first_beat + TWIN_BEATS;
+    let found = both && !known.twin && known.facts.heartbeat >= known.first_beat + TWIN_BEATS;
     known.twin |= found;
     Some(found)
 }
--- a/crates/gaparch-membership/src/core/news.rs
+++ b/crates/gaparch-membership/src/core/news.rs
@@ -3,13 +3,17 @@
 use super::*;
 
 impl Membership {
-    pub(super) fn take(&mut self, news: News, out: &mut Vec<Output>) {
+    pub(super) fn take(&mut self, news: Update, out: &mut Vec<Output>) {
         match news {
-            News::Member { facts, state, by, silent } if facts.name == self.set.name => {
+            Update::Member { info: facts, state, reporter: by, last_heartbeat: silent }
+                if facts.name == self.set.name =>
+            {
                 self.on_myself(&facts, state, &by, silent, out);
             }
-            News::Member { facts, state, by, silent } => self.on_other(&facts, state, &by, silent, out),
-            News::Edge { from, to, lost, incarnation, beat } => {
+            Update::Member { info: facts, state, reporter: by, last_heartbeat: silent } => {
+                self.on_other(&facts, state, &by, silent, out)
+            }
+            Update::Link { from, to, failed: lost, incarnation, heartbeat: beat } => {
                 let known = |name: &str| name == self.set.name || self.members.contains_key(name);
                 if to == self.set.name || !known(&from) || !known(&to) {
                     return;
@@ -32,7 +36,7 @@
 
     pub(super) fn on_other(
         &mut self,
-        facts: &Facts,
+        facts: &MemberInfo,
         state: MemberState,
         by: &str,
         silent: u64,
--- a/crates/gaparch-membership/src/core/own.rs
+++ b/crates/gaparch-membership/src/core/own.rs
@@ -4,9 +4,9 @@
 
 impl Membership {
     /// A message with this router's own name on it, not of this process.
-    pub(super) fn on_namesake(&mut self, from: &Facts, seq: u64, out: &mut Vec<Output>) {
+    pub(super) fn on_namesake(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) {
         self.counters.misdirected += 1;
-        if from.run == self.set.run {
+        if from.run_id == self.set.run {
             return;
         }
         if another(&mut self.own_twin, from, Some(seq), self.now, self.now) == Some(true) {
@@ -21,22 +21,22 @@
     }
 
     /// Others have witnessed a later process of this name than the disk knew of, or one that runs beside this.
-    pub(super) fn outdo(&mut self, facts: &Facts, out: &mut Vec<Output>) {
+    pub(super) fn outdo(&mut self, facts: &MemberInfo, out: &mut Vec<Output>) {
         let witnessed = facts.incarnation;
         // Two that live would drive each other up for ever.
         if witnessed < self.incarnation || self.own_twin.as_ref().is_some_and(|o| o.twin) {
             return;
         }
-        if self.outdone == Some(facts.run) {
+        if self.outdone == Some(facts.run_id) {
             // It was outdone before, and has answered: it lives.
             self.outdone = None;
-            let (window, first_beat) = (Window::default(), facts.beat);
+            let (window, first_beat) = (Window::default(), facts.heartbeat);
             let facts = facts.clone();
             self.tell_own_twin(&facts.address, out);
             self.own_twin = Some(Other { facts, window, first_beat, heard_at: self.now, twin: true });
             return;
         }
-        self.outdone = Some(facts.run);
+        self.outdone = Some(facts.run_id);
         if self.now < self.began + SETTLED_AFTER {
             out.push(Output::Happened(Happening::DiskLied { kept: self.kept, witnessed }));
         }
@@ -46,13 +46,13 @@
 
     pub(super) fn on_myself(
         &mut self,
-        facts: &Facts,
+        facts: &MemberInfo,
         state: MemberState,
         by: &str,
         silent: u64,
         out: &mut Vec<Output>,
     ) {
-        if facts.run != self.set.run {
+        if facts.run_id != self.set.run {
             return self.outdo(facts, out);
         }
         if facts.incarnation < self.incarnation || state == MemberState::Alive {
@@ -174,9 +174,14 @@
             let Some(address) = self.address(&name) else { continue };
             let facts = self.facts();
             let by = self.set.name.clone();
-            let news = vec![News::Member { facts, state: MemberState::Left, by, silent: 0 }];
+            let news = vec![Update::Member {
+                info: facts,
+                state: MemberState::Left,
+                reporter: by,
+                last_heartbeat: 0,
+            }];
             self.nonce += 1;
-            self.post(address, name, Word::Nack { nonce: 0 }, news, out);
+            self.post(address, name, MessageBody::Nack { nonce: 0 }, news, out);
         }
         self.leaving = true;
     }
--- a/crates/gaparch-membership/src/core/probing.rs
+++ b/crates/gaparch-membership/src/core/probing.rs
@@ -37,8 +37,11 @@
         helpers.truncate(HELPERS);
         let helpers: Vec<String> = helpers.into_iter().map(|(.., name)| name).collect();
         for helper in &helpers {
-            let word =
-                Word::PingFor { nonce: probe.nonce, target: probe.target.clone(), address: address.clone() };
+            let word = MessageBody::PingRequest {
+                nonce: probe.nonce,
+                target: probe.target.clone(),
+                address: address.clone(),
+            };
             self.say(helper, word, &[], out);
         }
         helpers.len()
@@ -50,7 +53,7 @@
         if !member.is_present() {
             return;
         }
-        if member.facts.beat > probe.silent {
+        if member.facts.heartbeat > probe.silent {
             // Others hear it: it is the way to it that fails.
             member.doubt.get_or_insert((probe.sent_at, 0));
             self.hearing.better();
@@ -137,7 +140,7 @@
             self.set.seeds.iter().filter(|s| **s != self.set.address && !known(s)).copied().collect();
         if let Some(seed) = unknown.choose(&mut self.rng) {
             self.nonce += 1;
-            let word = Word::Ping { nonce: self.nonce };
+            let word = MessageBody::Ping { nonce: self.nonce };
             self.send(*seed, String::new(), word, &[], out);
         }
     }
@@ -148,7 +151,12 @@
         // Lifeguard's buddy: the accused is told first, so that it can answer.
         let topic = Topic::Member(name.to_owned());
         let accused = self.members.get(name).is_some_and(|m| m.state != MemberState::Alive);
-        self.say(name, Word::Ping { nonce }, if accused { std::slice::from_ref(&topic) } else { &[] }, out);
+        self.say(
+            name,
+            MessageBody::Ping { nonce },
+            if accused { std::slice::from_ref(&topic) } else { &[] },
+            out,
+        );
         nonce
     }
 
--- a/crates/gaparch-membership/src/core/sending.rs
+++ b/crates/gaparch-membership/src/core/sending.rs
@@ -8,15 +8,15 @@
     }
 
     /// This router, as it describes itself now.
-    pub fn facts(&self) -> Facts {
-        Facts {
+    pub fn facts(&self) -> MemberInfo {
+        MemberInfo {
             name: self.set.name.clone(),
             zone: self.set.zone.clone(),
             build: self.set.build.clone(),
             address: self.set.address.to_string(),
-            run: self.set.run,
+            run_id: self.set.run,
             incarnation: self.incarnation,
-            beat: self.beat(),
+            heartbeat: self.beat(),
         }
     }
 
@@ -24,7 +24,7 @@
         self.members.get(name)?.facts.address.parse().ok()
     }
 
-    pub(super) fn say(&mut self, name: &str, word: Word, first: &[Topic], out: &mut Vec<Output>) {
+    pub(super) fn say(&mut self, name: &str, word: MessageBody, first: &[Topic], out: &mut Vec<Output>) {
         if let Some(address) = self.address(name) {
             self.send(address, name.to_owned(), word, first, out);
         }
@@ -34,7 +34,7 @@
         &mut self,
         address: SocketAddr,
         to: String,
-        word: Word,
+        word: MessageBody,
         first: &[Topic],
         out: &mut Vec<Output>,
     ) {
@@ -44,15 +44,21 @@
     }
 
     /// What fits into one datagram beside the word: what must be in it, then what others may not have heard yet.
-    pub(super) fn news(&self, to: &str, word: &Word, first: &[Topic], more: bool) -> (Vec<News>, Vec<Topic>) {
+    pub(super) fn news(
+        &self,
+        to: &str,
+        word: &MessageBody,
+        first: &[Topic],
+        more: bool,
+    ) -> (Vec<Update>, Vec<Topic>) {
         let bare = self.message(to.to_owned(), 0, word.clone(), Vec::new());
-        let mut room = MOST_BYTES.saturating_sub(OVERHEAD + fleet::length(&bare));
+        let mut room = MAX_DATAGRAM_BYTES.saturating_sub(OVERHEAD + fleet::encoded_length(&bare));
         let (mut news, mut sent) = (Vec::new(), Vec::new());
         let queued = if more { self.queue.in_turn(self.seq) } else { Vec::new() };
         let rest = queued.into_iter().filter(|topic| !first.contains(topic));
         for topic in first.iter().cloned().chain(rest) {
             let Some(one) = self.words(&topic) else { continue };
-            let length = fleet::length(&one);
+            let length = fleet::encoded_length(&one);
             if length > room {
                 // The order of an exchange's page must not have holes.
                 if more {
@@ -67,7 +73,7 @@
         (news, sent)
     }
 
-    pub(super) fn words(&self, topic: &Topic) -> Option<News> {
+    pub(super) fn words(&self, topic: &Topic) -> Option<Update> {
         match topic {
             Topic::Edge(from, to) => self.edges.news(from, to),
             Topic::Member(name) => {
@@ -83,26 +89,31 @@
                     (MemberState::Dead, _) => (member.by.clone(), member.silent),
                     (MemberState::Left, _) => (name.clone(), 0),
                 };
-                Some(News::Member { facts: member.facts.clone(), state: member.state, by, silent })
+                Some(Update::Member {
+                    info: member.facts.clone(),
+                    state: member.state,
+                    reporter: by,
+                    last_heartbeat: silent,
+                })
             }
         }
     }
 
-    pub(super) fn message(&self, to: String, seq: u64, word: Word, news: Vec<News>) -> Message {
-        Message { from: self.facts(), to, seq, hears: self.hears, word, news }
+    pub(super) fn message(&self, to: String, seq: u64, word: MessageBody, news: Vec<Update>) -> Message {
+        Message { from: self.facts(), to, seq, heard_members: self.hears, body: word, updates: news }
     }
 
     pub(super) fn post(
         &mut self,
         to: SocketAddr,
         name: String,
-        word: Word,
-        news: Vec<News>,
+        word: MessageBody,
+        news: Vec<Update>,
         out: &mut Vec<Output>,
     ) {
         self.seq += 1;
         let message = self.message(name, self.seq, word, news);
-        let length = (fleet::length(&message) + OVERHEAD) as f64;
+        let length = (fleet::encoded_length(&message) + OVERHEAD) as f64;
         let gained = self.now.saturating_sub(self.purse_at) as f64 / 1e9 * BYTES_PER_S;
         (self.purse, self.purse_at) = ((self.purse + gained).min(BYTES_AT_ONCE), self.now);
         if self.purse < length {
@@ -119,9 +130,10 @@
     /// does not fit, or where the member is not known.
     pub fn talk(&mut self, now: Nanos, to: &str, bytes: Vec<u8>, out: &mut Vec<Output>) {
         self.now = now.max(self.now);
-        let word = Word::Talk { bytes };
-        let fits =
-            OVERHEAD + fleet::length(&self.message(to.to_owned(), 0, word.clone(), Vec::new())) <= MOST_BYTES;
+        let word = MessageBody::Payload { bytes };
+        let fits = OVERHEAD
+            + fleet::encoded_length(&self.message(to.to_owned(), 0, word.clone(), Vec::new()))
+            <= MAX_DATAGRAM_BYTES;
         if let Some(address) = self.address(to).filter(|_| fits && !self.leaving) {
             self.post(address, to.to_owned(), word, Vec::new(), out);
         }
--- a/crates/gaparch-membership/src/edges.rs
+++ b/crates/gaparch-membership/src/edges.rs
@@ -2,7 +2,7 @@
 
 use crate::view::EdgeView;
 use crate::Nanos;
-use gaparch_protocol::fleet::News;
+use gaparch_protocol::fleet::Update;
 use std::collections::BTreeMap;
 
 /// Edges kept in mind, and said by one member; more are not.
@@ -61,14 +61,14 @@
         self.all.retain(|(to, from), edge| present(to) && present(from) && !told(edge));
     }
 
-    pub fn news(&self, from: &str, to: &str) -> Option<News> {
+    pub fn news(&self, from: &str, to: &str) -> Option<Update> {
         let edge = self.all.get(&(to.to_owned(), from.to_owned()))?;
-        Some(News::Edge {
+        Some(Update::Link {
             from: from.to_owned(),
             to: to.to_owned(),
-            lost: edge.lost,
+            failed: edge.lost,
             incarnation: edge.said.0,
-            beat: edge.said.1,
+            heartbeat: edge.said.1,
         })
     }
 
--- a/crates/gaparch-membership/src/member.rs
+++ b/crates/gaparch-membership/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::replay::Window;
 use crate::{Nanos, MS};
-use gaparch_protocol::fleet::{Facts, MemberState};
+use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
 /// Accusers remembered; more make no difference.
 const MOST_ACCUSERS: usize = 4;
@@ -30,7 +30,7 @@
 /// Another process that says that it is the same member.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Other {
-    pub facts: Facts,
+    pub facts: MemberInfo,
     pub window: Window,
     pub first_beat: u64,
     pub heard_at: Nanos,
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Member {
-    pub facts: Facts,
+    pub facts: MemberInfo,
     pub state: MemberState,
     /// Since when it is in that state, here.
     pub since: Nanos,
@@ -87,7 +87,7 @@
 }
 
 impl Member {
-    pub fn new(facts: Facts, now: Nanos) -> Member {
+    pub fn new(facts: MemberInfo, now: Nanos) -> Member {
         Member {
             ahead: ahead(&facts, now),
             facts,
@@ -126,11 +126,11 @@
     /// The beat that it would have said at that time, had it been asked.
     pub fn beat_at(&self, at: Nanos) -> u64 {
         let here = i64::try_from(at / MS).unwrap_or(i64::MAX);
-        u64::try_from(here.saturating_add(self.ahead)).unwrap_or(0).max(self.facts.beat)
+        u64::try_from(here.saturating_add(self.ahead)).unwrap_or(0).max(self.facts.heartbeat)
     }
 
     /// A sign of life, of the process and the beat in `facts`.
-    pub fn lives(&mut self, facts: &Facts, now: Nanos) -> Change {
+    pub fn lives(&mut self, facts: &MemberInfo, now: Nanos) -> Change {
         let known = &self.facts;
         if facts.incarnation < known.incarnation {
             return Change::Nothing;
@@ -138,21 +138,21 @@
         if facts.incarnation > known.incarnation {
             return self.begin_anew(facts, now);
         }
-        if facts.run != known.run {
+        if facts.run_id != known.run_id {
             return Change::Clash;
         }
-        if facts.beat <= known.beat {
+        if facts.heartbeat <= known.heartbeat {
             return Change::Nothing;
         }
         self.facts = facts.clone();
         self.alive_at = now;
         self.ahead = self.ahead.max(ahead(facts, now));
         match self.state {
-            MemberState::Suspect if self.suspicion.as_ref().is_none_or(|s| facts.beat > s.silent) => {
+            MemberState::Suspect if self.suspicion.as_ref().is_none_or(|s| facts.heartbeat > s.silent) => {
                 self.become_(MemberState::Alive, now);
                 Change::Refuted
             }
-            MemberState::Dead if facts.beat > self.silent => {
+            MemberState::Dead if facts.heartbeat > self.silent => {
                 self.become_(MemberState::Alive, now);
                 Change::Returned(MemberState::Dead)
             }
@@ -161,16 +161,16 @@
         }
     }
 
-    fn begin_anew(&mut self, facts: &Facts, now: Nanos) -> Change {
+    fn begin_anew(&mut self, facts: &MemberInfo, now: Nanos) -> Change {
         let was = self.state;
-        let restarted = facts.run != self.facts.run;
+        let restarted = facts.run_id != self.facts.run_id;
         if restarted {
             // Of the earlier process it is remembered how far it was, in case it goes on: then there are two.
-            let again = self.other.take().filter(|o| o.facts.run == facts.run);
+            let again = self.other.take().filter(|o| o.facts.run_id == facts.run_id);
             let twin = again.as_ref().is_some_and(|o| o.twin);
             let window =
                 std::mem::replace(&mut self.window, again.map_or_else(Window::default, |o| o.window));
-            let first_beat = self.facts.beat;
+            let first_beat = self.facts.heartbeat;
             self.other = Some(Other { facts: self.facts.clone(), window, first_beat, heard_at: now, twin });
             (self.doubt, self.direct_at) = (None, None);
         }
@@ -186,7 +186,7 @@
     }
 
     /// `by` knows of no beat later than `silent`.
-    pub fn is_accused(&mut self, facts: &Facts, by: &str, silent: u64, now: Nanos) -> Change {
+    pub fn is_accused(&mut self, facts: &MemberInfo, by: &str, silent: u64, now: Nanos) -> Change {
         if let Some(change) = self.outdated(facts, silent, now) {
             return change;
         }
@@ -212,7 +212,7 @@
     }
 
     /// `by` has given it up.
-    pub fn is_declared_dead(&mut self, facts: &Facts, by: &str, silent: u64, now: Nanos) -> Change {
+    pub fn is_declared_dead(&mut self, facts: &MemberInfo, by: &str, silent: u64, now: Nanos) -> Change {
         if let Some(change) = self.outdated(facts, silent, now) {
             return change;
         }
@@ -225,7 +225,7 @@
         Change::Died
     }
 
-    pub fn leaves(&mut self, facts: &Facts, now: Nanos) -> Change {
+    pub fn leaves(&mut self, facts: &MemberInfo, now: Nanos) -> Change {
         if facts.incarnation < self.facts.incarnation || self.state == MemberState::Left {
             return Change::Nothing;
         }
@@ -235,7 +235,7 @@
     }
 
     /// What to do with a claim of death or silence that is older than what is known; `None` if it is not.
-    fn outdated(&mut self, facts: &Facts, silent: u64, now: Nanos) -> Option<Change> {
+    fn outdated(&mut self, facts: &MemberInfo, silent: u64, now: Nanos) -> Option<Change> {
         let known = &self.facts;
         if facts.incarnation < known.incarnation {
             return Some(if self.is_present() { Change::Dispute } else { Change::Nothing });
@@ -245,14 +245,14 @@
             self.begin_anew(facts, now);
             return None;
         }
-        if facts.run != known.run {
+        if facts.run_id != known.run_id {
             return Some(Change::Clash);
         }
-        (known.beat > silent).then_some(Change::Dispute)
+        (known.heartbeat > silent).then_some(Change::Dispute)
     }
 }
 
-fn ahead(facts: &Facts, now: Nanos) -> i64 {
+fn ahead(facts: &MemberInfo, now: Nanos) -> i64 {
     let signed = |ms: u64| i64::try_from(ms).unwrap_or(i64::MAX);
-    signed(facts.beat).saturating_sub(signed(now / MS))
+    signed(facts.heartbeat).saturating_sub(signed(now / MS))
 }
--- a/crates/gaparch-membership/src/seal.rs
+++ b/crates/gaparch-membership/src/seal.rs
@@ -1,6 +1,6 @@
 //! The message authentication code over each datagram.
 
-use gaparch_protocol::fleet::{Message, Unreadable, MOST_BYTES};
+use gaparch_protocol::fleet::{DecodeError, Message, MAX_DATAGRAM_BYTES};
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
@@ -42,21 +42,21 @@
         let mut bytes = message.to_bytes();
         let code = self.0.clone().chain_update(&bytes).finalize().into_bytes();
         bytes.extend_from_slice(&code[..CODE]);
-        (bytes.len() <= MOST_BYTES).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     /// # Errors
     /// What is wrong with it. Nothing in it is looked at before the code is found right.
     pub fn open(&self, datagram: &[u8]) -> Result<Message, Rejected> {
-        if datagram.len() > MOST_BYTES {
+        if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejected::TooLong);
         }
         let (body, code) = datagram.split_last_chunk::<CODE>().ok_or(Rejected::Forged)?;
         // In constant time: a forger learns nothing from how long it takes.
         self.0.clone().chain_update(body).verify_truncated_left(code).map_err(|_| Rejected::Forged)?;
         Message::from_bytes(body).map_err(|e| match e {
-            Unreadable::Malformed => Rejected::Malformed,
-            Unreadable::Version(version) => Rejected::Version(version),
+            DecodeError::Malformed => Rejected::Malformed,
+            DecodeError::UnsupportedVersion(version) => Rejected::Version(version),
         })
     }
 }
--- a/crates/gaparch-membership/src/view.rs
+++ b/crates/gaparch-membership/src/view.rs
@@ -2,12 +2,12 @@
 
 use crate::core::Counters;
 use crate::Nanos;
-use gaparch_protocol::fleet::{Facts, MemberState};
+use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
 /// One member, as this router sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
-    pub facts: Facts,
+    pub facts: MemberInfo,
     pub state: MemberState,
     /// Since when it is in that state, here.
     pub since: Nanos,
@@ -33,7 +33,7 @@
 /// How the fleet looks from one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    pub me: Facts,
+    pub me: MemberInfo,
     pub members: Vec<MemberView>,
     pub edges: Vec<EdgeView>,
     pub majority: bool,
--- a/crates/gaparch-membership/tests/pinned_bytes.rs
+++ b/crates/gaparch-membership/tests/pinned_bytes.rs
@@ -4,7 +4,7 @@
 //! send, something else than before.
 
 use gaparch_membership::{Membership, Nanos, Output, Settings, SiteKey};
-use gaparch_protocol::fleet::{Facts, Message, Word};
+use gaparch_protocol::fleet::{MemberInfo, Message, MessageBody};
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 
@@ -27,17 +27,24 @@
 
 #[test]
 fn a_datagram_sealed_with_a_fixed_key() {
-    let from = Facts {
+    let from = MemberInfo {
         name: "router-1".to_owned(),
         zone: "north".to_owned(),
         build: "2.1".to_owned(),
         address: "127.0.0.1:7400".to_owned(),
-        run: 7,
+        run_id: 7,
         incarnation: 3,
-        beat: 9000,
+        heartbeat: 9000,
+    };
+    let word = MessageBody::Ping { nonce: 5 };
+    let message = Message {
+        from,
+        to: "router-2".to_owned(),
+        seq: 17,
+        heard_members: 2,
+        body: word,
+        updates: Vec::new(),
     };
-    let word = Word::Ping { nonce: 5 };
-    let message = Message { from, to: "router-2".to_owned(), seq: 17, hears: 2, word, news: Vec::new() };
     let pinned = "6746010008726f757465722d3100056e6f7274680003322e31000e3132372e302e302e313a373430300000000000000007000000000000000300000000000023280008726f757465722d320000000000000011000201000000000000000500000000c2db2a0b640760641c02bb11131b48c7";
     assert_eq!(site_key().seal(&message).as_deref().map(hex).as_deref(), Some(pinned));
     assert_eq!(site_key().open(&unhex(pinned)), Ok(message));
--- a/crates/gaparch-membership/tests/standing.rs
+++ b/crates/gaparch-membership/tests/standing.rs
@@ -2,7 +2,7 @@
 
 use gaparch_membership::standing::Standing;
 use gaparch_membership::{Rejected, SiteKey, CODE};
-use gaparch_protocol::fleet::{Facts, MemberState, Message, News, Word, MOST_BYTES};
+use gaparch_protocol::fleet::{MemberInfo, MemberState, Message, MessageBody, Update, MAX_DATAGRAM_BYTES};
 use proptest::prelude::*;
 
 /// Any word that a router may come to: what is present, counted and known are in no order that is worth trusting.
@@ -32,21 +32,28 @@
     }
 }
 
-fn facts(name: &str) -> Facts {
+fn facts(name: &str) -> MemberInfo {
     let (zone, build, address) = ("north".to_owned(), "1".to_owned(), "127.0.0.1:7400".to_owned());
-    Facts { name: name.to_owned(), zone, build, address, run: 7, incarnation: 3, beat: 9 }
+    MemberInfo { name: name.to_owned(), zone, build, address, run_id: 7, incarnation: 3, heartbeat: 9 }
 }
 
 fn message(news: usize) -> Message {
-    let one = |n| News::Member {
-        facts: facts(&format!("router-{n}")),
+    let one = |n| Update::Member {
+        info: facts(&format!("router-{n}")),
         state: MemberState::Suspect,
-        by: "router-0".to_owned(),
-        silent: 4,
+        reporter: "router-0".to_owned(),
+        last_heartbeat: 4,
     };
     let from = facts("router-0");
-    let word = Word::Ping { nonce: 5 };
-    Message { from, to: "router-1".to_owned(), seq: 1, hears: 2, word, news: (0..news).map(one).collect() }
+    let word = MessageBody::Ping { nonce: 5 };
+    Message {
+        from,
+        to: "router-1".to_owned(),
+        seq: 1,
+        heard_members: 2,
+        body: word,
+        updates: (0..news).map(one).collect(),
+    }
 }
 
 #[test]
@@ -66,7 +73,7 @@
         harmed[at] ^= 1;
         assert_eq!(key.open(&harmed), Err(Rejected::Forged), "bit at {at}");
     }
-    assert_eq!(key.open(&vec![0; MOST_BYTES + 1]), Err(Rejected::TooLong));
+    assert_eq!(key.open(&vec![0; MAX_DATAGRAM_BYTES + 1]), Err(Rejected::TooLong));
     assert_eq!(key.seal(&self::message(40)), None);
 }
 
@@ -91,7 +98,7 @@
 
     #[test]
     fn a_message_is_read_as_it_was_written(seq in any::<u64>(), hears in any::<u16>(), news in 0usize..8) {
-        let message = Message { seq, hears, ..message(news) };
+        let message = Message { seq, heard_members: hears, ..message(news) };
         prop_assert_eq!(Message::from_bytes(&message.to_bytes()), Ok(message));
     }
 }
--- a/crates/gaparch-protocol/src/fleet.rs
+++ b/crates/gaparch-protocol/src/fleet.rs
@@ -1,29 +1,32 @@
-//! The datagrams by which the routers of a site know of one another.
+//! The datagrams of the membership protocol between the routers of a site.
 //!
-//! A datagram is a head (`gF`, version), the body of one [`Message`], and a message authentication code over both.
-//! `docs/protocols/fleet.md` describes it. The code is made and checked where the site's key is
-//! (`gaparch-membership`); here bytes become values and back.
+//! A datagram is a head (`gF`, version), the body of one [`Message`], and an authentication tag over both.
+//! `docs/protocols/fleet.md` describes it. The tag is made and checked by `gaparch-membership`, which owns the site's
+//! key; this module only encodes and decodes.
 
 use crate::wire::{choice, closed_set, record, Wire};
 use bytes::{BufMut, BytesMut};
+use thiserror::Error;
 
-/// The version spoken here. One that is newer is dropped and counted.
+/// The protocol version spoken here. A datagram of another version is dropped and counted.
 pub const VERSION: u8 = 1;
-/// Bytes of a whole datagram at most, so that it needs no fragments on common links.
-pub const MOST_BYTES: usize = 1200;
-/// Bytes of a name, a zone or a build at most.
-pub const MOST_NAME: usize = 64;
+/// The longest datagram in bytes, tag included, so that common links carry it without fragmentation.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// The longest name, zone or build in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
 const HEAD: [u8; 2] = *b"gF";
 
 closed_set! {
-    /// What is thought of a member.
+    /// The state of a member as another member sees it.
     pub enum MemberState {
+        /// It has given a sign of life that nobody has disputed since.
         Alive = 1, "alive";
-        /// It does not answer whoever asked, and has not been heard from since by anybody who said so.
+        /// It did not answer whoever probed it, and no later sign of life is known.
         Suspect = 2, "suspect";
+        /// It was suspected for the whole suspicion timeout.
         Dead = 3, "dead";
-        /// It said itself that it goes.
+        /// It said itself that it leaves.
         Left = 4, "left";
     }
 }
@@ -31,75 +34,148 @@
 record! {
     /// A member as it describes itself.
     #[derive(Eq)]
-    pub struct Facts {
+    pub struct MemberInfo {
+        /// The router's name, unique within the site.
         pub name: String,
+        /// The zone that the router runs in.
         pub zone: String,
+        /// The version of the router's program.
         pub build: String,
-        /// Where datagrams reach it.
+        /// The socket address at which datagrams reach it.
         pub address: String,
-        /// Drawn anew by each process.
-        pub run: u64,
-        /// Grows with each start of the same name, and where what others witnessed is ahead of it.
+        /// A random number drawn by each process, which tells two processes of one name apart.
+        #[serde(rename = "run")]
+        pub run_id: u64,
+        /// Grows with each start of the same name, and past any higher one that other members have witnessed.
         pub incarnation: u64,
-        /// Milliseconds since the process began, by its own monotonic clock, when it last said so; pushed on where it
-        /// was accused at a later one, so that a life sign is always newer than what it answers.
-        pub beat: u64,
+        /// Milliseconds since the process began, by its own monotonic clock, when it last sent a message. It is pushed
+        /// forward past the heartbeat of an accusation, so that a refutation is always newer than what it refutes.
+        #[serde(rename = "beat")]
+        pub heartbeat: u64,
     }
 }
 
 choice! {
-    /// Something that members tell one another of others.
-    pub enum News {
-        /// Suspect and dead: no sign of life of a beat later than `silent`, as `by` says.
-        1 => Member { facts: Facts, state: MemberState, by: String, silent: u64, },
-        /// `to` does not hear `from` (or hears it again), though others do; said by `to` at its incarnation and beat.
-        2 => Edge { from: String, to: String, lost: bool, incarnation: u64, beat: u64, },
+    /// A piece of membership state that members disseminate on the back of their messages.
+    pub enum Update {
+        /// The state of one member.
+        1 => Member {
+            /// The member as it last described itself.
+            #[serde(rename = "facts")]
+            info: MemberInfo,
+            /// The state that is claimed.
+            state: MemberState,
+            /// Who suspects it, or has declared it dead; empty for a member that is alive.
+            #[serde(rename = "by")]
+            reporter: String,
+            /// For a suspect or dead member: the reporter knows of no heartbeat later than this one.
+            #[serde(rename = "silent")]
+            last_heartbeat: u64,
+        },
+        /// A link that fails in one direction (or works again), as its receiving end says.
+        #[serde(rename = "edge")]
+        2 => Link {
+            /// The sending end of the link.
+            from: String,
+            /// The receiving end, which says so.
+            to: String,
+            /// Whether messages of `from` do not reach `to`, though they reach other members.
+            #[serde(rename = "lost")]
+            failed: bool,
+            /// The incarnation of `to` when it said so.
+            incarnation: u64,
+            /// The heartbeat of `to` when it said so.
+            #[serde(rename = "beat")]
+            heartbeat: u64,
+        },
     }
 }
 
 choice! {
-    pub enum Word {
-        1 => Ping { nonce: u64, },
-        /// The answer to a ping, from whoever was pinged.
-        2 => Ack { nonce: u64, },
-        /// Ping another one for me, and pass its answer on.
-        3 => PingFor { nonce: u64, target: String, address: String, },
-        /// That one did not answer in time either; but I do.
-        4 => Nack { nonce: u64, },
-        /// All that you know from this name on.
-        5 => Want { after: String, },
-        /// What follows that name; with more to come after `next`.
-        6 => Page { after: String, next: Option<String>, },
-        /// Something between other parts of the routers; a router that does not know the word drops it.
-        7 => Talk { bytes: Vec<u8>, },
+    /// What a message is for.
+    pub enum MessageBody {
+        /// Asks for a sign of life.
+        1 => Ping {
+            /// Identifies the ping in its answer.
+            nonce: u64,
+        },
+        /// Answers a ping.
+        2 => Ack {
+            /// The nonce of the ping.
+            nonce: u64,
+        },
+        /// Asks the receiver to ping another member and to pass its answer on (SWIM's ping-req).
+        #[serde(rename = "ping-for")]
+        3 => PingRequest {
+            /// The nonce that the answer is to bear.
+            nonce: u64,
+            /// The name of the member to ping.
+            target: String,
+            /// The address of that member.
+            address: String,
+        },
+        /// Answers a ping request whose target did not answer in time (Lifeguard's nack).
+        4 => Nack {
+            /// The nonce of the ping request.
+            nonce: u64,
+        },
+        /// Asks for the state of all members after a name, in the order of names.
+        #[serde(rename = "want")]
+        5 => SyncRequest {
+            /// The name after which to begin; empty for all members.
+            after: String,
+        },
+        /// Answers a synchronization request; the members stand in the message's updates.
+        #[serde(rename = "page")]
+        6 => SyncPage {
+            /// The name of the request.
+            after: String,
+            /// Where the next page begins; `None` on the last one.
+            next: Option<String>,
+        },
+        /// A message of another component; a router that cannot decode it drops it.
+        #[serde(rename = "talk")]
+        7 => Payload {
+            /// The encoded message.
+            bytes: Vec<u8>,
+        },
     }
 }
 
 record! {
+    /// One message between two members.
     pub struct Message {
-        pub from: Facts,
-        /// Whom it is for; empty where the sender knows an address only.
+        /// The sender.
+        pub from: MemberInfo,
+        /// The name of the receiver; empty where the sender knows its address only.
         pub to: String,
-        /// Grows with each message of a process.
+        /// Grows by one with each message of a process.
         pub seq: u64,
-        /// Members that the sender has heard itself of late.
-        pub hears: u16,
-        pub word: Word,
-        pub news: Vec<News>,
+        /// The number of members that the sender has heard directly of late.
+        #[serde(rename = "hears")]
+        pub heard_members: u16,
+        /// What the message is for.
+        #[serde(rename = "word")]
+        pub body: MessageBody,
+        /// Disseminated state.
+        #[serde(rename = "news")]
+        pub updates: Vec<Update>,
     }
 }
 
-/// Why bytes are no message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
-    /// Of another protocol, cut short or otherwise malformed.
+/// Why bytes are not a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// They are of another protocol, cut short or otherwise malformed.
+    #[error("malformed message")]
     Malformed,
-    /// Of a version that is not known here.
-    Version(u8),
+    /// They are of a protocol version that is not known here.
+    #[error("unsupported protocol version {0}")]
+    UnsupportedVersion(u8),
 }
 
 impl Message {
-    /// Head and body, without the code.
+    /// Encodes head and body, without the authentication tag.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = BytesMut::with_capacity(256);
         out.put_slice(&HEAD);
@@ -108,54 +184,74 @@
         out.to_vec()
     }
 
+    /// Decodes head and body.
+    ///
     /// # Errors
     /// When the bytes are not exactly one message of this version.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Message, Unreadable> {
-        let (head, rest) = bytes.split_first_chunk::<3>().ok_or(Unreadable::Malformed)?;
+    pub fn from_bytes(bytes: &[u8]) -> Result<Message, DecodeError> {
+        let (head, rest) = bytes.split_first_chunk::<3>().ok_or(DecodeError::Malformed)?;
         if head[..2] != HEAD {
-            return Err(Unreadable::Malformed);
+            return Err(DecodeError::Malformed);
         }
         if head[2] != VERSION {
-            return Err(Unreadable::Version(head[2]));
+            return Err(DecodeError::UnsupportedVersion(head[2]));
         }
         let mut body = rest;
-        let message = Message::take(&mut body).map_err(|_| Unreadable::Malformed)?;
-        if !body.is_empty() || !message.is_sound() {
-            return Err(Unreadable::Malformed);
+        let message = Message::take(&mut body).map_err(|_| DecodeError::Malformed)?;
+        if !body.is_empty() || !message.is_valid() {
+            return Err(DecodeError::Malformed);
         }
         Ok(message)
     }
 
-    fn is_sound(&self) -> bool {
-        let news = |n: &News| match n {
-            News::Member { facts, by, .. } => facts.is_sound() && by.len() <= MOST_NAME,
-            News::Edge { from, to, .. } => is_name(from) && is_name(to),
-        };
-        let word = match &self.word {
-            Word::PingFor { target, address, .. } => is_name(target) && address.len() <= MOST_NAME,
-            Word::Want { after } | Word::Page { after, .. } => after.len() <= MOST_NAME,
-            Word::Talk { bytes } => bytes.len() <= MOST_BYTES,
-            Word::Ping { .. } | Word::Ack { .. } | Word::Nack { .. } => true,
-        };
-        self.from.is_sound() && self.to.len() <= MOST_NAME && word && self.news.iter().all(news)
+    fn is_valid(&self) -> bool {
+        self.from.is_valid()
+            && self.to.len() <= MAX_NAME_BYTES
+            && self.body.is_valid()
+            && self.updates.iter().all(Update::is_valid)
+    }
+}
+
+impl MessageBody {
+    fn is_valid(&self) -> bool {
+        match self {
+            MessageBody::PingRequest { target, address, .. } => {
+                is_name(target) && address.len() <= MAX_NAME_BYTES
+            }
+            MessageBody::SyncRequest { after } | MessageBody::SyncPage { after, .. } => {
+                after.len() <= MAX_NAME_BYTES
+            }
+            MessageBody::Payload { bytes } => bytes.len() <= MAX_DATAGRAM_BYTES,
+            MessageBody::Ping { .. } | MessageBody::Ack { .. } | MessageBody::Nack { .. } => true,
+        }
+    }
+}
+
+impl Update {
+    fn is_valid(&self) -> bool {
+        match self {
+            Update::Member { info, reporter, .. } => info.is_valid() && reporter.len() <= MAX_NAME_BYTES,
+            Update::Link { from, to, .. } => is_name(from) && is_name(to),
+        }
     }
 }
 
 fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MOST_NAME
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-impl Facts {
-    /// Every text has a sound length, and the address is one.
-    pub fn is_sound(&self) -> bool {
-        let short = |text: &str| text.len() <= MOST_NAME;
-        let address = self.address.parse::<std::net::SocketAddr>().is_ok();
-        is_name(&self.name) && short(&self.zone) && short(&self.build) && address
+impl MemberInfo {
+    /// Whether every text has a valid length and the address is a socket address.
+    pub fn is_valid(&self) -> bool {
+        is_name(&self.name)
+            && self.zone.len() <= MAX_NAME_BYTES
+            && self.build.len() <= MAX_NAME_BYTES
+            && self.address.parse::<std::net::SocketAddr>().is_ok()
     }
 }
 
-/// Bytes that a value takes on the wire.
-pub fn length<T: Wire>(value: &T) -> usize {
+/// The number of bytes that a value takes on the wire.
+pub fn encoded_length<T: Wire>(value: &T) -> usize {
     let mut out = BytesMut::new();
     value.put(&mut out);
     out.len()
--- a/crates/gaparch-protocol/src/ops/view.rs
+++ b/crates/gaparch-protocol/src/ops/view.rs
@@ -3,7 +3,7 @@
 use super::ending::{EndKind, RequestName, Step};
 use super::intent::{Intent, LimitView};
 use crate::fleet::MemberState;
-use crate::versions::{FleetOrder, ListVersion, Sends};
+use crate::versions::{FleetOrder, ListVersion, SendCounts};
 use crate::wire::{closed_set, record};
 
 closed_set! {
@@ -240,7 +240,7 @@
         pub router: String,
         pub list: ListVersion,
         pub sure: bool,
-        pub sends: Sends,
+        pub sends: SendCounts,
     }
 }
 
--- a/crates/gaparch-protocol/src/versions.rs
+++ b/crates/gaparch-protocol/src/versions.rs
@@ -1,36 +1,36 @@
-//! What routers tell one another of the versions that they hold, and the lists that they hand on.
+//! What routers tell one another of endpoint lists, fleet orders and audit records, and what they store of these.
 //!
-//! It travels inside the fleet's datagrams ([`crate::fleet::Word::Talk`]); `docs/protocols/fleet.md` describes it. What
-//! is made of it is decided in `gaparch-audit`.
+//! The messages travel inside the fleet's datagrams ([`crate::fleet::MessageBody::Payload`]);
+//! `docs/protocols/fleet.md` describes them. `gaparch-audit` owns the state behind them.
 
 use crate::list::ListEntry;
 use crate::ops::intent::{Change, Note};
 use crate::wire::{choice, record};
 
-/// Claims of others that one stamp passes on at most.
-pub const MOST_CLAIMS: usize = 2;
+/// The number of claims of other routers that one list status passes on at most.
+pub const MAX_CLAIMS: usize = 2;
 
 record! {
-    /// A version of the list of engines.
+    /// A version of the endpoint list.
     #[derive(Copy, Eq, PartialOrd, Ord, Default)]
     pub struct ListVersion {
-        /// Grows by one with each epoch that follows another; routers count it, for epochs have no order.
+        /// The position of the epoch among those that a router has seen: epochs have no order of their own.
         pub rank: u32,
         /// Which run of the list service counted.
         pub epoch: u64,
-        /// As the service counted.
+        /// The count of the list service, growing by one with each change.
         pub version: u64,
     }
 }
 
 impl ListVersion {
-    /// The same list: ranks are each router's own count, and one that started later counts lower.
-    pub fn is(&self, other: &ListVersion) -> bool {
+    /// Whether both name the same list. Ranks are not compared: a router that started later counts lower.
+    pub fn is_same_list(&self, other: &ListVersion) -> bool {
         (self.epoch, self.version) == (other.epoch, other.version)
     }
 
-    /// Within an epoch its versions tell, whatever rank each router counts it by; else the ranks do.
-    pub fn later_than(&self, other: &ListVersion) -> bool {
+    /// Whether this version replaces the other: by its count within an epoch, by rank across epochs.
+    pub fn is_later_than(&self, other: &ListVersion) -> bool {
         match self.epoch == other.epoch {
             true => self.version > other.version,
             false => (self.rank, self.epoch) > (other.rank, other.epoch),
@@ -39,153 +39,277 @@
 }
 
 record! {
-    /// That a router has had a version from the list service itself, and when it was last sure of that.
+    /// States that a router has received a version from the list service itself.
     #[derive(Eq)]
     pub struct Claim {
+        /// The router that has received it.
         pub router: String,
+        /// The version that it has received.
         pub version: ListVersion,
-        /// Of all its entries.
+        /// The digest of the list at that version.
         pub digest: u64,
-        /// Milliseconds ago.
-        pub age: u32,
+        /// Milliseconds since the service last confirmed the version to that router.
+        #[serde(rename = "age")]
+        pub age_ms: u32,
     }
 }
 
 record! {
-    /// An order of the fleet's own name. Later ones are greater; of two that knew nothing of each other the more careful one is.
+    /// Identifies an order of the fleet. The greater id wins; of two orders that knew nothing of each other the more
+    /// restrictive one does.
     #[derive(Eq, PartialOrd, Ord, Hash)]
     pub struct OrderId {
-        /// One more than any that the router which gave it knew of.
+        /// A logical clock: one more than any number that the issuing router knew of.
         pub number: u64,
-        /// How careful it is, where numbers are the same: a drain goes before its end, a small limit before a large one.
-        pub care: u64,
+        /// Decides between equal numbers: a drain precedes its end, a small limit a large one.
+        #[serde(rename = "care")]
+        pub restrictiveness: u64,
+        /// The router that issued the order.
         pub router: String,
-        /// Of that router's name: an old folder must not give the same number twice.
+        /// The incarnation of that router, so that a restored state folder does not issue the same id twice.
         pub incarnation: u64,
     }
 }
 
 record! {
-    /// An operator's order that all routers of a site keep.
+    /// An operator's order that every router of a site carries out.
     pub struct FleetOrder {
+        /// Identifies the order.
         pub id: OrderId,
-        /// What it takes the place of, as its router knew.
-        pub over: Option<OrderId>,
+        /// The order that it replaces, as far as the issuing router knew.
+        #[serde(rename = "over")]
+        pub replaces: Option<OrderId>,
+        /// What the order changes.
         pub change: Change,
+        /// Who gave the order, why and when.
         pub note: Note,
     }
 }
 
 record! {
-    /// What a router acts by.
+    /// The configuration under which a router sends requests.
     #[derive(Eq, Default)]
-    pub struct Stamp {
+    pub struct SendContext {
+        /// The endpoint list in use.
         pub list: ListVersion,
-        /// The list service itself confirmed that list in time.
-        pub sure: bool,
-        /// The number of the last change by an operator that is in force there.
-        pub orders: u64,
+        /// Whether the list service itself confirmed that list in time.
+        #[serde(rename = "sure")]
+        pub confirmed: bool,
+        /// The number of the last change by an operator that is in force.
+        #[serde(rename = "orders")]
+        pub order_revision: u64,
+        /// The version of the router's program.
         pub build: String,
     }
 }
 
 record! {
-    /// What was sent to one engine under one stamp; times in nanoseconds since the Unix epoch.
+    /// Counts of what was sent to one server under one context. Times are nanoseconds since the Unix epoch.
     #[derive(Eq)]
-    pub struct Sends {
+    pub struct SendCounts {
+        /// The name of the server.
         pub engine: String,
-        pub reads: u64,
-        pub writes: u64,
+        /// Prefill attempts.
+        #[serde(rename = "reads")]
+        pub prefills: u64,
+        /// Decode attempts.
+        #[serde(rename = "writes")]
+        pub decodes: u64,
+        /// Health checks.
         pub probes: u64,
+        /// When the first of these was sent.
         pub first_at: u64,
+        /// When the last of these was sent.
         pub last_at: u64,
     }
 }
 
 record! {
-    /// One attempt, or a probe (request 0).
+    /// One attempt or health check that was sent.
     #[derive(Copy, Eq)]
-    pub struct Single {
+    pub struct SendRecord {
+        /// When it was sent, in nanoseconds since the Unix epoch.
         pub at: u64,
+        /// The request's number; 0 for a health check.
         pub request: u64,
+        /// The attempt's number within the request.
         pub attempt: u32,
-        /// Where the engine stands among the piece's sends.
+        /// The index of the server among the segment's counts.
         pub engine: u16,
-        /// 1 read, 2 write, 3 probe.
+        /// 1 for a prefill, 2 for a decode, 3 for a health check.
         pub kind: u8,
     }
 }
 
 record! {
-    /// A stretch of a router's record: what it acted by, and what it sent meanwhile.
+    /// A segment of a router's audit log: the context of a stretch of time, and what was sent in it.
     #[derive(Eq)]
-    pub struct Piece {
-        /// Grows by one, over restarts too.
+    pub struct AuditSegment {
+        /// Grows by one with each segment, over restarts too.
         pub number: u64,
-        /// The first 16 bytes of the SHA-256 of the piece before, as two numbers.
-        pub before: u64,
-        pub before_low: u64,
-        /// The process.
-        pub run: u64,
-        pub from: u64,
-        pub to: u64,
-        /// The first of its process; the last one, that ended in good order.
-        pub begins: bool,
-        pub ends: bool,
-        pub stamp: Stamp,
-        pub sends: Vec<Sends>,
-        pub singles: Vec<Single>,
-        /// Single ones that there was no room for; they are counted above.
-        pub left_out: u64,
+        /// The first eight bytes of the SHA-256 of the segment before, as a big-endian number.
+        #[serde(rename = "before")]
+        pub previous_hash_high: u64,
+        /// The next eight bytes of that hash.
+        #[serde(rename = "before_low")]
+        pub previous_hash_low: u64,
+        /// The random number of the process that wrote it.
+        #[serde(rename = "run")]
+        pub run_id: u64,
+        /// When the segment begins, in nanoseconds since the Unix epoch.
+        #[serde(rename = "from")]
+        pub from_at: u64,
+        /// When the segment ends, in nanoseconds since the Unix epoch.
+        #[serde(rename = "to")]
+        pub to_at: u64,
+        /// Whether it is the first segment of its process.
+        #[serde(rename = "begins")]
+        pub starts_process: bool,
+        /// Whether it is the last segment of a process that shut down gracefully.
+        #[serde(rename = "ends")]
+        pub ends_process: bool,
+        /// The context of all that was sent.
+        #[serde(rename = "stamp")]
+        pub context: SendContext,
+        /// What was sent, by server.
+        #[serde(rename = "sends")]
+        pub counts: Vec<SendCounts>,
+        /// What was sent, one by one.
+        #[serde(rename = "singles")]
+        pub records: Vec<SendRecord>,
+        /// The number of sends that are counted but have no record of their own.
+        #[serde(rename = "left_out")]
+        pub omitted_records: u64,
     }
 }
 
 record! {
-    /// What is asked of a record.
+    /// Selects rows of audit logs.
     #[derive(Eq, Default)]
     pub struct AuditFilter {
+        /// Only what was sent to this server.
         pub engine: Option<String>,
+        /// Only what was sent at this time or later, in nanoseconds since the Unix epoch.
         pub since: u64,
+        /// Only what was sent at this time or before, in nanoseconds since the Unix epoch.
         pub until: Option<u64>,
-        /// Only what was sent under a lower version of the list than that.
-        pub below: Option<u64>,
+        /// Only what was sent under a lower list version than this one.
+        #[serde(rename = "below")]
+        pub below_version: Option<u64>,
+        /// Only segments that sent an attempt of this request.
         pub request: Option<u64>,
     }
 }
 
 record! {
-    /// What one router sent to one engine under one version of the list.
+    /// What one router sent to one server under one version of the list.
     #[derive(Eq)]
     pub struct AuditRow {
+        /// The version of the list.
         pub list: ListVersion,
-        pub sure: bool,
-        pub sends: Sends,
+        /// Whether the list service had confirmed the list in time, for all that was sent.
+        #[serde(rename = "sure")]
+        pub confirmed: bool,
+        /// What was sent.
+        #[serde(rename = "sends")]
+        pub counts: SendCounts,
     }
 }
 
 choice! {
-    pub enum Talk {
-        /// What the sender holds; `sure`: the service itself has said so, so many milliseconds ago.
-        1 => Stamp {
+    /// A message of the components that keep lists, orders and audit logs in step.
+    pub enum ReplicationMessage {
+        /// The list that the sender holds.
+        #[serde(rename = "stamp")]
+        1 => ListStatus {
+            /// The version of that list.
             held: ListVersion,
+            /// The digest of that list.
             digest: u64,
+            /// The number of its entries.
             entries: u32,
-            sure: Option<u32>,
+            /// Milliseconds since the list service itself confirmed it; `None` if it did not do so in time.
+            #[serde(rename = "sure")]
+            confirmed_ms_ago: Option<u32>,
+            /// Claims of other routers, at most [`MAX_CLAIMS`].
             claims: Vec<Claim>,
         },
-        /// The list of this version, from that entry on.
-        2 => Want { version: ListVersion, from: u32, },
-        /// Orders in force at the sender, and those that it keeps on disk, by their digests; `answer`: it wants to hear the
-        /// same.
-        4 => Orders { held: u64, kept: u64, answer: bool, },
-        5 => Order { order: FleetOrder, },
-        /// Orders on what follows that subject, some at once.
-        6 => WantOrders { after: String, },
-        /// What does your record say, from that row on?
-        7 => AuditAsk { nonce: u64, filter: AuditFilter, from: u32, },
-        /// Rows from that one on, of so many; `now` by the sender's clock, `gaps` in its record.
-        8 => AuditRows { nonce: u64, now: u64, gaps: u32, from: u32, of: u32, rows: Vec<AuditRow>, },
-        /// Entries of a list in the order of their names, from that one on, of so many.
-        3 => Page { version: ListVersion, digest: u64, from: u32, of: u32, entries: Vec<ListEntry>, },
+        /// Asks for a list.
+        #[serde(rename = "want")]
+        2 => ListRequest {
+            /// The version that is wanted.
+            version: ListVersion,
+            /// The index of the first entry that is wanted.
+            #[serde(rename = "from")]
+            first: u32,
+        },
+        /// A page of a list's entries, in the order of their names.
+        #[serde(rename = "page")]
+        3 => ListPage {
+            /// The version of the list.
+            version: ListVersion,
+            /// The digest of the whole list.
+            digest: u64,
+            /// The index of the page's first entry.
+            #[serde(rename = "from")]
+            first: u32,
+            /// The number of entries of the whole list.
+            #[serde(rename = "of")]
+            total: u32,
+            /// The entries.
+            entries: Vec<ListEntry>,
+        },
+        /// Digests of the orders at the sender.
+        #[serde(rename = "orders")]
+        4 => OrderSummary {
+            /// The digest of the orders that it holds.
+            held: u64,
+            /// The digest of those that are in force and on disk there.
+            #[serde(rename = "kept")]
+            stored: u64,
+            /// Whether it wants the receiver's summary back.
+            #[serde(rename = "answer")]
+            wants_answer: bool,
+        },
+        /// One order.
+        5 => Order {
+            /// The order.
+            order: FleetOrder,
+        },
+        /// Asks for a page of orders.
+        #[serde(rename = "want-orders")]
+        6 => OrderRequest {
+            /// The subject after which the page begins.
+            after: String,
+        },
+        /// Asks for rows of the receiver's audit log.
+        #[serde(rename = "audit-ask")]
+        7 => AuditRequest {
+            /// Identifies the query in its answers.
+            nonce: u64,
+            /// Selects the rows.
+            filter: AuditFilter,
+            /// The index of the first row that is wanted.
+            #[serde(rename = "from")]
+            first: u32,
+        },
+        /// A page of rows of the sender's audit log.
+        #[serde(rename = "audit-rows")]
+        8 => AuditPage {
+            /// The nonce of the request.
+            nonce: u64,
+            /// The sender's clock, in nanoseconds since the Unix epoch.
+            now: u64,
+            /// The number of gaps in its audit log.
+            gaps: u32,
+            /// The index of the page's first row.
+            #[serde(rename = "from")]
+            first: u32,
+            /// The number of rows that match in all.
+            #[serde(rename = "of")]
+            total: u32,
+            /// The rows.
+            rows: Vec<AuditRow>,
+        },
     }
 }
--- a/crates/gaparch-protocol/tests/pinned_operations.rs
+++ b/crates/gaparch-protocol/tests/pinned_operations.rs
@@ -16,7 +16,7 @@
     TenantView, VersionRow, VersionsView,
 };
 use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, OpsRole, Order, Query, Update};
-use gaparch_protocol::versions::{AuditFilter, FleetOrder, ListVersion, OrderId, Sends};
+use gaparch_protocol::versions::{AuditFilter, FleetOrder, ListVersion, OrderId, SendCounts};
 
 const NAME: RequestName = RequestName { run: 0x18a2b3, number: 42 };
 const NOW: u64 = 1_700_000_000_000_000_000;
@@ -285,8 +285,8 @@
 }
 
 fn fleet_order(number: u64, over: Option<OrderId>) -> FleetOrder {
-    let id = OrderId { number, care: 2, router: "router-1".to_owned(), incarnation: 3 };
-    FleetOrder { id, over, change: hold(), note: note() }
+    let id = OrderId { number, restrictiveness: 2, router: "router-1".to_owned(), incarnation: 3 };
+    FleetOrder { id, replaces: over, change: hold(), note: note() }
 }
 
 fn spread() -> SpreadView {
@@ -306,7 +306,8 @@
 }
 
 fn audit() -> AuditView {
-    let sends = Sends { engine: "w0".to_owned(), reads: 1, writes: 2, probes: 3, first_at: 4, last_at: 5 };
+    let sends =
+        SendCounts { engine: "w0".to_owned(), prefills: 1, decodes: 2, probes: 3, first_at: 4, last_at: 5 };
     AuditView {
         complete: false,
         unknown: vec!["router-3: no answer".to_owned()],
@@ -382,7 +383,7 @@
         engine: Some("w0".to_owned()),
         since: 1,
         until: Some(2),
-        below: Some(3),
+        below_version: Some(3),
         request: Some(4),
     };
     assert_frame(
--- a/crates/gaparch-router/src/shell/audit.rs
+++ b/crates/gaparch-router/src/shell/audit.rs
@@ -4,7 +4,7 @@
 use gaparch_audit::{Book, Chain, Sent};
 use gaparch_net::Clock;
 use gaparch_protocol::ops::{from_bytes, to_bytes};
-use gaparch_protocol::versions::Piece;
+use gaparch_protocol::versions::AuditSegment;
 use gaparch_store::{Disk, Folder, History, HistoryLimits, Journal, StoreError};
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -43,7 +43,7 @@
 impl Shelf {
     /// Reads what is kept. A disk that can't be read keeps no router from starting; the record says what it lacks.
     pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (Shelf, Book) {
-        let mut pieces: Vec<Piece> = Vec::new();
+        let mut pieces: Vec<AuditSegment> = Vec::new();
         let history =
             History::open(disk, "audit", SCHEMA, LIMITS, |_, body| pieces.extend(from_bytes(body))).ok();
         let (mark, written) = match Journal::open(mark, "audit-mark", SCHEMA) {
@@ -53,7 +53,7 @@
         (Shelf { history, mark }, Book::new(run, pieces, written))
     }
 
-    fn write(&mut self, piece: &Piece) -> Result<(), String> {
+    fn write(&mut self, piece: &AuditSegment) -> Result<(), String> {
         let history = self.history.as_mut().ok_or("the folder can't be read")?;
         history.push(&to_bytes(piece)).map_err(|e| e.to_string())?;
         history.flush().map_err(|e| e.to_string())?;
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -14,13 +14,13 @@
 use gaparch_membership::{Happening, Membership, Output, Rejected, Settings, SiteKey, View};
 use gaparch_net::{read_key, Clock};
 use gaparch_protocol::engine::RouterRun;
-use gaparch_protocol::fleet::{MemberState, MOST_BYTES};
+use gaparch_protocol::fleet::{MemberState, MAX_DATAGRAM_BYTES};
 use gaparch_protocol::ops::view::{
     self, AuditOf, AuditView, EdgeRow, FleetView, MemberRow, Overtaken, Severity, SpreadRow, SpreadView,
     VersionRow, VersionsView,
 };
 use gaparch_protocol::ops::{from_bytes, to_bytes};
-use gaparch_protocol::versions::{AuditFilter, OrderId, Talk};
+use gaparch_protocol::versions::{AuditFilter, OrderId, ReplicationMessage};
 use gaparch_store::{Disk, Journal};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -303,7 +303,7 @@
 impl Task {
     async fn run(mut self, mut out: Vec<Output>) {
         // One byte more than any router sends shows what is too long.
-        let mut datagram = [0; MOST_BYTES + 1];
+        let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.carry_out(&mut out);
             let others = self.follow.as_ref().map(Follow::next_at).into_iter();
@@ -400,7 +400,7 @@
                 Output::Routers(routers) => drop(self.routers.send_replace(routers)),
                 Output::Talk { from, bytes } => {
                     // A word that is not known here is of a newer build.
-                    if let Some(talk) = from_bytes::<Talk>(&bytes) {
+                    if let Some(talk) = from_bytes::<ReplicationMessage>(&bytes) {
                         talks.push((from, talk));
                     }
                 }
@@ -486,9 +486,9 @@
         }
     }
 
-    fn on_audit(&mut self, from: &str, talk: &Talk, out: &mut Vec<Output>) {
+    fn on_audit(&mut self, from: &str, talk: &ReplicationMessage, out: &mut Vec<Output>) {
         let now = self.clock.now();
-        if let Talk::AuditAsk { nonce, filter, from: row } = talk {
+        if let ReplicationMessage::AuditRequest { nonce, filter, first: row } = talk {
             let pages = {
                 let book = audit_record::lock(&self.record);
                 let gaps = u32::try_from(book.gaps().len()).unwrap_or(u32::MAX);
@@ -498,7 +498,7 @@
                 self.core.talk(now, from, to_bytes(&page), out);
             }
         }
-        if matches!(talk, Talk::AuditRows { .. }) {
+        if matches!(talk, ReplicationMessage::AuditPage { .. }) {
             let mut asks = Vec::new();
             for (gather, _) in &mut self.gathers {
                 gather.on_talk(now, from, talk, &mut asks);
@@ -620,8 +620,8 @@
         rows.extend(one.rows.into_iter().map(|row| AuditOf {
             router: one.router.clone(),
             list: row.list,
-            sure: row.sure,
-            sends: row.sends,
+            sure: row.confirmed,
+            sends: row.counts,
         }));
     }
     AuditView { complete: unknown.is_empty(), unknown, rows }
--- a/crates/gaparch-router/src/shell/versions.rs
+++ b/crates/gaparch-router/src/shell/versions.rs
@@ -6,7 +6,7 @@
 use crate::core::ListUpdate;
 use gaparch_audit::{Held, HeldList, Nanos, Sent, Taken, Tally};
 use gaparch_protocol::list::Scope;
-use gaparch_protocol::versions::{ListVersion, Stamp};
+use gaparch_protocol::versions::{ListVersion, SendContext};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -86,10 +86,10 @@
     pub fn hand_over(&mut self, orders: u64, now: Nanos, name: impl Fn(u32) -> String) {
         if !self.tally.is_empty() {
             let sure_at = self.cell.borrow().sure_at;
-            let stamp = Stamp {
+            let stamp = SendContext {
                 list: self.held.version().unwrap_or_default(),
-                sure: sure_at.is_some_and(|at| at.saturating_add(self.confirm) >= now),
-                orders,
+                confirmed: sure_at.is_some_and(|at| at.saturating_add(self.confirm) >= now),
+                order_revision: orders,
                 build: env!("CARGO_PKG_VERSION").to_owned(),
             };
             let sent = self.tally.take(stamp, now, name);
@@ -101,13 +101,13 @@
                 last.left_out += sent.left_out + sent.singles.len() as u64;
                 last.at = sent.at;
                 if last.stamp != sent.stamp {
-                    last.stamp = Stamp::default();
+                    last.stamp = SendContext::default();
                 }
                 for one in sent.sends {
                     match last.sends.iter_mut().find(|known| known.engine == one.engine) {
                         Some(known) => {
-                            known.reads += one.reads;
-                            known.writes += one.writes;
+                            known.prefills += one.prefills;
+                            known.decodes += one.decodes;
                             known.probes += one.probes;
                             known.last_at = one.last_at;
                         }
--- a/crates/gaparch-testbed/src/fleet/invariants.rs
+++ b/crates/gaparch-testbed/src/fleet/invariants.rs
@@ -89,7 +89,7 @@
     let mut said: BTreeMap<(String, String), (u64, u64)> = BTreeMap::new();
     for row in &audit.rows {
         let sent = said.entry((row.router.clone(), row.sends.engine.clone())).or_default();
-        *sent = (sent.0 + row.sends.reads, sent.1 + row.sends.writes);
+        *sent = (sent.0 + row.sends.prefills, sent.1 + row.sends.decodes);
     }
     let whole = (0..day.routers).map(Site::router_name).filter(|router| !killed(router));
     for router in whole {
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -8,7 +8,7 @@
 use gaparch_net::Clock;
 use gaparch_protocol::ops::intent::{Change, Note};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
-use gaparch_protocol::versions::{Claim, ListVersion, OrderId, Talk};
+use gaparch_protocol::versions::{Claim, ListVersion, OrderId, ReplicationMessage};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
@@ -72,11 +72,17 @@
                 }
             }
             for (from, bytes) in talks {
-                match from_bytes::<Talk>(&bytes) {
-                    Some(Talk::Stamp { held, .. }) => heard = held,
+                match from_bytes::<ReplicationMessage>(&bytes) {
+                    Some(ReplicationMessage::ListStatus { held, .. }) => heard = held,
                     // Whoever believes it gets what nobody listed.
-                    Some(Talk::Want { version, from: at }) => {
-                        let page = Talk::Page { version, digest: 1, from: at, of: 0, entries: Vec::new() };
+                    Some(ReplicationMessage::ListRequest { version, first: at }) => {
+                        let page = ReplicationMessage::ListPage {
+                            version,
+                            digest: 1,
+                            first: at,
+                            total: 0,
+                            entries: Vec::new(),
+                        };
                         core.talk(self.clock.now(), &from, to_bytes(&page), &mut out);
                     }
                     _ => {}
@@ -102,18 +108,24 @@
     }
 
     /// A list from the future, which it says to have from the service itself.
-    fn stamp(&self, heard: ListVersion) -> Talk {
+    fn stamp(&self, heard: ListVersion) -> ReplicationMessage {
         let held = ListVersion { version: heard.version.saturating_add(FAR), ..heard };
-        let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age: 0 };
-        Talk::Stamp { held, digest: 1, entries: 0, sure: Some(0), claims: vec![claim] }
+        let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age_ms: 0 };
+        ReplicationMessage::ListStatus {
+            held,
+            digest: 1,
+            entries: 0,
+            confirmed_ms_ago: Some(0),
+            claims: vec![claim],
+        }
     }
 
     /// An order that would go before all others for ever.
-    fn order(&self) -> Talk {
+    fn order(&self) -> ReplicationMessage {
         let change = Change::Free { engine: "read-0".to_owned() };
         debug_assert!(subject(&change).is_some());
-        let id = OrderId { number: FAR, care: 0, router: self.name.clone(), incarnation: 1_000 };
+        let id = OrderId { number: FAR, restrictiveness: 0, router: self.name.clone(), incarnation: 1_000 };
         let note = Note { who: "nobody".to_owned(), why: "a defect".to_owned(), at: 0 };
-        Talk::Order { order: FleetOrder { id, over: None, change, note } }
+        ReplicationMessage::Order { order: FleetOrder { id, replaces: None, change, note } }
     }
 }
--- a/crates/gaparch-testbed/src/fleet/report.rs
+++ b/crates/gaparch-testbed/src/fleet/report.rs
@@ -154,8 +154,8 @@
                         "\n    the audit names {}: {} reads and {} writes to {} under list {}.{}, which nobody confirmed to it; \
                          the engine had {} after its drain",
                         row.router,
-                        row.sends.reads,
-                        row.sends.writes,
+                        row.sends.prefills,
+                        row.sends.decodes,
                         row.sends.engine,
                         row.list.rank,
                         row.list.version,
