--- /dev/null
+++ b/crates/gaparch-membership/src/event.rs
@@ -0,0 +1,197 @@
+//! Events of membership that an operator may want to know of.
+
+use crate::Nanos;
+use gaparch_protocol::fleet::MemberState;
+use std::fmt;
+
+/// A change in the membership of the fleet, or in this router's own place in it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum MembershipEvent {
+    /// A member not known before was met.
+    Joined {
+        /// The member.
+        name: String,
+    },
+    /// A member was replaced by a new process of the same name.
+    Restarted {
+        /// The member.
+        name: String,
+        /// The incarnation of the new process.
+        incarnation: u64,
+    },
+    /// A member is suspected.
+    Suspected {
+        /// The member.
+        name: String,
+        /// Who suspects it.
+        by: String,
+    },
+    /// A suspicion was refuted by a later heartbeat.
+    Refuted {
+        /// The member.
+        name: String,
+    },
+    /// A member was declared dead.
+    Died {
+        /// The member.
+        name: String,
+        /// Who declared it dead.
+        by: String,
+    },
+    /// A member that was dead or had left is present again.
+    Returned {
+        /// The member.
+        name: String,
+        /// Its state before.
+        was: MemberState,
+    },
+    /// A member left gracefully.
+    Left {
+        /// The member.
+        name: String,
+    },
+    /// A link failed in one direction.
+    LinkFailed {
+        /// The member whose messages do not arrive.
+        from: String,
+        /// The member that does not receive them, though others do.
+        to: String,
+    },
+    /// A link that had failed in one direction works again.
+    LinkRecovered {
+        /// The sending end.
+        from: String,
+        /// The receiving end.
+        to: String,
+    },
+    /// Two running processes use one name.
+    DuplicateName {
+        /// The name.
+        name: String,
+        /// The addresses of the two processes.
+        addresses: [String; 2],
+    },
+    /// This process resumed after it was stopped, or got no processor.
+    Resumed {
+        /// For how long it did not run, in nanoseconds.
+        paused_for: Nanos,
+    },
+    /// Other members had declared this router dead.
+    DeclaredDead {
+        /// Who declared it dead.
+        by: String,
+    },
+    /// This router hears no other member.
+    Isolated,
+    /// This router hears other members again.
+    IsolationEnded,
+    /// This router hears other members, but none of them answers its pings.
+    Unanswered,
+    /// This router's pings are answered again.
+    AnsweredAgain,
+    /// The present routers are a majority of those that must be counted.
+    QuorumGained {
+        /// The number of present routers.
+        present: u32,
+        /// The number of routers that may be running.
+        counted: u32,
+    },
+    /// The present routers are no longer a majority of those that must be counted.
+    QuorumLost {
+        /// The number of present routers.
+        present: u32,
+        /// The number of routers that may be running.
+        counted: u32,
+    },
+    /// The disk returned an incarnation that other members know to be over.
+    IncarnationRolledBack {
+        /// The incarnation on disk.
+        stored: u64,
+        /// The incarnation that other members have witnessed.
+        witnessed: u64,
+    },
+    /// More routers are present than the settings allow.
+    TooManyRouters {
+        /// The number of present routers.
+        present: u32,
+        /// The number that the settings state.
+        max_routers: u32,
+    },
+}
+
+impl MembershipEvent {
+    /// The name of the member that the event is about, if it is about one.
+    pub fn name(&self) -> Option<&str> {
+        match self {
+            MembershipEvent::Joined { name }
+            | MembershipEvent::Restarted { name, .. }
+            | MembershipEvent::Suspected { name, .. }
+            | MembershipEvent::Refuted { name }
+            | MembershipEvent::Died { name, .. }
+            | MembershipEvent::Returned { name, .. }
+            | MembershipEvent::Left { name }
+            | MembershipEvent::DuplicateName { name, .. } => Some(name),
+            _ => None,
+        }
+    }
+}
+
+impl fmt::Display for MembershipEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            MembershipEvent::Joined { name } => write!(f, "router {name} has joined"),
+            MembershipEvent::Restarted { name, incarnation } => {
+                write!(f, "router {name} has restarted (incarnation {incarnation})")
+            }
+            MembershipEvent::Suspected { name, by } => {
+                write!(f, "router {name} is suspected: {by} had no answer from it, directly or through others")
+            }
+            MembershipEvent::Refuted { name } => {
+                write!(f, "router {name} has given a sign of life: it is suspected no longer")
+            }
+            MembershipEvent::Died { name, by } => {
+                write!(f, "router {name} is declared dead by {by}; its share of limits stays reserved for a while")
+            }
+            MembershipEvent::Returned { name, was } => write!(f, "router {name} is back (it was {was})"),
+            MembershipEvent::Left { name } => write!(f, "router {name} has left gracefully"),
+            MembershipEvent::LinkFailed { from, to } => {
+                write!(f, "router {to} does not hear router {from}, though others do: check the link between them")
+            }
+            MembershipEvent::LinkRecovered { from, to } => write!(f, "router {to} hears router {from} again"),
+            MembershipEvent::DuplicateName { name, addresses: [one, other] } => {
+                write!(f, "two processes run as router {name}, at {one} and {other}: stop one of them")
+            }
+            MembershipEvent::Resumed { paused_for } => write!(
+                f,
+                "this router was paused for {} ms: it suspects nobody until it has heard again",
+                paused_for / crate::MILLISECOND
+            ),
+            MembershipEvent::DeclaredDead { by } => {
+                write!(f, "this router was declared dead by {by}; it has refuted that")
+            }
+            MembershipEvent::Isolated => {
+                f.write_str("this router hears no other: it suspects nobody; check its own links")
+            }
+            MembershipEvent::IsolationEnded => f.write_str("this router hears others again"),
+            MembershipEvent::Unanswered => {
+                f.write_str("this router hears others, but none answers it: its messages don't get out")
+            }
+            MembershipEvent::AnsweredAgain => f.write_str("this router is answered again"),
+            MembershipEvent::QuorumGained { present, counted } => {
+                write!(f, "quorum gained: {present} present of {counted} counted")
+            }
+            MembershipEvent::QuorumLost { present, counted } => write!(
+                f,
+                "quorum lost: {present} present of {counted} counted; it goes on, and counts all it ever knew"
+            ),
+            MembershipEvent::IncarnationRolledBack { stored, witnessed } => write!(
+                f,
+                "the stored incarnation was rolled back: the disk has {stored}, others have witnessed {witnessed}; check the disk"
+            ),
+            MembershipEvent::TooManyRouters { present, max_routers } => write!(
+                f,
+                "{present} routers are present, the settings say {max_routers} at most: set 'routers' on all of them"
+            ),
+        }
+    }
+}
--- a/crates/gaparch-membership/src/lib.rs
+++ b/crates/gaparch-membership/src/lib.rs
@@ -1,34 +1,49 @@
-//! Who of a site's routers is there: a core without I/O, clock or randomness but its seed.
+//! Membership among the routers of a site: failure detection, dissemination and quorum, without I/O or clock.
 //!
-//! The reference is SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey
-//! 2018). What is taken from them, what is changed and why stands in `docs/design-notes/membership.md`. In short:
+//! The protocol is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018).
+//! `docs/design-notes/membership.md` says what is taken from them, what differs and why. In short:
 //!
-//! - Each period one member is pinged, through others if it does not answer, and suspected if nobody gets through.
-//! - **A member that anybody hears is alive.** Every claim says how old it is: a suspicion is "no sign of life since",
-//!   and any later sign of life, whoever heard it, ends it. So a link that is cut does not make a member flap.
-//! - A router that was stopped, is late, or hears nobody doubts itself first.
-//! - [`standing`]: how many routers may be at work, never fewer than may be alive.
+//! - In each probe interval one member is pinged, through other members if it does not answer, and suspected if none of
+//!   them gets an answer.
+//! - **A member that anybody hears is alive.** A suspicion claims "no heartbeat later than this one", and any later
+//!   heartbeat, whoever received it, refutes it. So a link that fails in one direction does not make a member flap.
+//! - A router that was paused, is late, or hears nobody distrusts itself first ([Lifeguard's local health]).
+//! - [`quorum`]: how many routers may be running, never fewer than truly are.
 //!
-//! [`Membership`] takes messages and the time, and gives [`Output`]s; [`SiteKey`] seals messages as datagrams.
+//! [`Membership`] takes messages and the time, and returns [`Output`]s; [`SiteKey`] authenticates datagrams.
+//!
+//! [Lifeguard's local health]: View::local_health
+
+#![warn(missing_docs)]
 
-mod core;
-mod edges;
-mod hearing;
+mod counters;
+mod dissemination;
+mod duplicate;
+mod event;
+mod link_failures;
+mod local_health;
 mod member;
-mod probe;
+mod membership;
+mod output;
+mod probes;
+pub mod quorum;
 mod replay;
-mod seal;
+mod send_budget;
 mod settings;
-mod spread;
-pub mod standing;
+mod site_key;
+mod suspicion;
 mod view;
 
-pub use crate::core::{Counters, Membership, Output};
-pub use seal::{Rejected, SiteKey, CODE};
-pub use settings::{Settings, LEAST_PERIOD, MOST_MEMBERS};
-pub use view::{EdgeView, Happening, MemberView, View};
+pub use counters::Counters;
+pub use event::MembershipEvent;
+pub use membership::Membership;
+pub use output::Output;
+pub use settings::{Settings, MAX_MEMBERS, MIN_PROBE_INTERVAL};
+pub use site_key::{OpenError, SiteKey, TAG_BYTES};
+pub use view::{LinkFailure, MemberView, View};
 
-/// Nanoseconds of a monotonic clock.
+/// An instant or a span of a monotonic clock, in nanoseconds.
 pub type Nanos = u64;
 
-pub(crate) const MS: Nanos = 1_000_000;
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
+pub(crate) const SECOND: Nanos = 1_000 * MILLISECOND;
--- a/crates/gaparch-membership/src/member.rs
+++ b/crates/gaparch-membership/src/member.rs
@@ -1,258 +1,265 @@
-//! What is known of one member, and how a claim about it is judged.
+//! What is known of one member, and how claims about it change its state.
 
-use crate::replay::Window;
-use crate::{Nanos, MS};
+use crate::duplicate::DuplicateProcess;
+use crate::replay::ReplayWindow;
+use crate::suspicion::Suspicion;
+use crate::{Nanos, MILLISECOND};
 use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
-/// Accusers remembered; more make no difference.
-const MOST_ACCUSERS: usize = 4;
-
-/// "No sign of life since."
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Suspicion {
-    /// No later beat is known to whoever accuses it.
-    pub silent: u64,
-    /// Since when it is held here: from then on its patience runs.
-    pub held_from: Nanos,
-    pub accusers: Vec<String>,
-    /// Since when this router itself has asked in vain, and how often.
-    pub asked_from: Option<Nanos>,
-    pub tries: u32,
-}
-
-impl Suspicion {
-    /// Begins anew from now: what was held by time is worth nothing.
-    pub fn begin_again(&mut self, now: Nanos) {
-        (self.held_from, self.asked_from, self.tries) = (now, None, 0);
-    }
-}
-
-/// Another process that says that it is the same member.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Other {
-    pub facts: MemberInfo,
-    pub window: Window,
-    pub first_beat: u64,
-    pub heard_at: Nanos,
-    /// It goes on while the first does: two processes have one name.
-    pub twin: bool,
-}
-
+/// Another member of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Member {
-    pub facts: MemberInfo,
+    /// The member as it last described itself.
+    pub info: MemberInfo,
     pub state: MemberState,
-    /// Since when it is in that state, here.
-    pub since: Nanos,
-    /// When the last new sign of life came, from whomever.
-    pub alive_at: Nanos,
-    /// What its beat is ahead of the clock here, in milliseconds, by the message that was least under way. Members
-    /// have no clock in common: by this, a time here becomes a beat there, and a claim that was under way for long
-    /// looks no newer than it is.
-    ahead: i64,
-    /// When this router heard it itself.
-    pub direct_at: Option<Nanos>,
+    /// When it entered that state, by the clock here.
+    pub state_since: Nanos,
+    /// When its last new heartbeat became known, from any member.
+    pub last_alive_at: Nanos,
+    /// By how many milliseconds its heartbeat is ahead of the clock here, by the message that travelled fastest.
+    /// Members have no clock in common: with this, an instant here becomes a heartbeat there, and a claim that
+    /// travelled for long looks no newer than it is.
+    clock_offset_ms: i64,
+    /// When this router itself last received a message of it.
+    pub last_heard_at: Option<Nanos>,
     pub suspicion: Option<Suspicion>,
-    /// Dead: no later beat was known. Who said so.
-    pub silent: u64,
-    pub by: String,
-    pub window: Window,
-    pub other: Option<Other>,
-    /// Members that it says it hears.
-    pub hears: u16,
-    /// Since when this router asks in vain though others hear it, how often, and whether that is told.
-    pub doubt: Option<(Nanos, u32)>,
-    pub deaf: bool,
-    /// Dead ones only: the counts may go on without it.
-    pub expired: bool,
+    /// Of a dead member: the last heartbeat that was known to whoever declared it dead.
+    pub reported_heartbeat: u64,
+    /// Of a dead member: who declared it dead.
+    pub reported_by: String,
+    pub replay_window: ReplayWindow,
+    /// Another process of the same name.
+    pub duplicate: Option<DuplicateProcess>,
+    /// The number of members that it says it hears.
+    pub heard_members: u16,
+    /// How often this router has pinged it without an answer though others hear it; `None` if it has no such doubt.
+    pub unanswered_pings: Option<u32>,
+    /// Whether this router has announced that it does not hear the member.
+    pub link_failed: bool,
+    /// Of a dead member: whether it is no longer counted.
+    pub hold_expired: bool,
 }
 
 /// What a claim changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Change {
-    /// Nothing that others need to hear.
-    Nothing,
-    /// The claim is older than what is known here: say so.
-    Dispute,
+pub(crate) enum Transition {
+    /// Nothing that other members need to know.
+    Unchanged,
+    /// The claim is older than what is known here, and has to be disputed.
+    Disputed,
+    /// A new process has taken the place of a present one.
     Restarted,
+    /// A member that was dead or had left is alive.
     Returned(MemberState),
+    /// A suspicion is over.
     Refuted,
+    /// A suspicion began.
     Suspected,
-    /// One more accuser.
+    /// A suspicion has one more accuser.
     Confirmed,
+    /// The member was declared dead.
     Died,
+    /// The member left.
     Left,
-    /// Two processes, the same name, the same incarnation.
-    Clash,
+    /// Two processes have the same name and the same incarnation.
+    NameClash,
 }
 
 impl Member {
-    pub fn new(facts: MemberInfo, now: Nanos) -> Member {
+    /// A member that was just met.
+    pub fn new(info: MemberInfo, now: Nanos) -> Member {
         Member {
-            ahead: ahead(&facts, now),
-            facts,
+            clock_offset_ms: clock_offset_ms(&info, now),
+            info,
             state: MemberState::Alive,
-            since: now,
-            alive_at: now,
-            direct_at: None,
+            state_since: now,
+            last_alive_at: now,
+            last_heard_at: None,
             suspicion: None,
-            silent: 0,
-            by: String::new(),
-            window: Window::default(),
-            other: None,
-            hears: 0,
-            doubt: None,
-            deaf: false,
-            expired: false,
+            reported_heartbeat: 0,
+            reported_by: String::new(),
+            replay_window: ReplayWindow::default(),
+            duplicate: None,
+            heard_members: 0,
+            unanswered_pings: None,
+            link_failed: false,
+            hold_expired: false,
         }
     }
 
-    /// May be at work, as far as is known here.
+    /// Whether it may be running, as far as is known here.
     pub fn is_present(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    pub fn is_twin(&self) -> bool {
-        self.other.as_ref().is_some_and(|o| o.twin)
+    /// Whether two processes run under its name.
+    pub fn has_duplicate(&self) -> bool {
+        self.duplicate.as_ref().is_some_and(|duplicate| duplicate.is_confirmed)
     }
 
-    fn become_(&mut self, state: MemberState, now: Nanos) {
-        (self.state, self.since, self.suspicion, self.expired) = (state, now, None, false);
-        if state == MemberState::Alive {
-            self.by.clear();
-        }
+    /// The number of processes that run under its name, as far as is known here.
+    pub fn processes(&self) -> u32 {
+        1 + u32::from(self.has_duplicate())
     }
 
-    /// The beat that it would have said at that time, had it been asked.
-    pub fn beat_at(&self, at: Nanos) -> u64 {
-        let here = i64::try_from(at / MS).unwrap_or(i64::MAX);
-        u64::try_from(here.saturating_add(self.ahead)).unwrap_or(0).max(self.facts.heartbeat)
+    /// The heartbeat that it would have stated at that instant.
+    pub fn heartbeat_at(&self, at: Nanos) -> u64 {
+        let here_ms = i64::try_from(at / MILLISECOND).unwrap_or(i64::MAX);
+        let there_ms = here_ms.saturating_add(self.clock_offset_ms);
+        u64::try_from(there_ms).unwrap_or(0).max(self.info.heartbeat)
     }
 
-    /// A sign of life, of the process and the beat in `facts`.
-    pub fn lives(&mut self, facts: &MemberInfo, now: Nanos) -> Change {
-        let known = &self.facts;
-        if facts.incarnation < known.incarnation {
-            return Change::Nothing;
+    /// Takes a sign of life of the process and the heartbeat in `info`.
+    pub fn observe_alive(&mut self, info: &MemberInfo, now: Nanos) -> Transition {
+        if info.incarnation < self.info.incarnation {
+            return Transition::Unchanged;
         }
-        if facts.incarnation > known.incarnation {
-            return self.begin_anew(facts, now);
+        if info.incarnation > self.info.incarnation {
+            return self.begin_incarnation(info, now);
         }
-        if facts.run_id != known.run_id {
-            return Change::Clash;
+        if info.run_id != self.info.run_id {
+            return Transition::NameClash;
         }
-        if facts.heartbeat <= known.heartbeat {
-            return Change::Nothing;
+        if info.heartbeat <= self.info.heartbeat {
+            return Transition::Unchanged;
         }
-        self.facts = facts.clone();
-        self.alive_at = now;
-        self.ahead = self.ahead.max(ahead(facts, now));
+        self.info = info.clone();
+        self.last_alive_at = now;
+        self.clock_offset_ms = self.clock_offset_ms.max(clock_offset_ms(info, now));
         match self.state {
-            MemberState::Suspect if self.suspicion.as_ref().is_none_or(|s| facts.heartbeat > s.silent) => {
-                self.become_(MemberState::Alive, now);
-                Change::Refuted
+            MemberState::Suspect if self.is_refuted_by(info.heartbeat) => {
+                self.enter(MemberState::Alive, now);
+                Transition::Refuted
             }
-            MemberState::Dead if facts.heartbeat > self.silent => {
-                self.become_(MemberState::Alive, now);
-                Change::Returned(MemberState::Dead)
+            MemberState::Dead if info.heartbeat > self.reported_heartbeat => {
+                self.enter(MemberState::Alive, now);
+                Transition::Returned(MemberState::Dead)
             }
-            // Who has left comes back as a new process.
-            _ => Change::Nothing,
+            // A member that has left comes back as a new process only.
+            _ => Transition::Unchanged,
         }
     }
 
-    fn begin_anew(&mut self, facts: &MemberInfo, now: Nanos) -> Change {
-        let was = self.state;
-        let restarted = facts.run_id != self.facts.run_id;
-        if restarted {
-            // Of the earlier process it is remembered how far it was, in case it goes on: then there are two.
-            let again = self.other.take().filter(|o| o.facts.run_id == facts.run_id);
-            let twin = again.as_ref().is_some_and(|o| o.twin);
-            let window =
-                std::mem::replace(&mut self.window, again.map_or_else(Window::default, |o| o.window));
-            let first_beat = self.facts.heartbeat;
-            self.other = Some(Other { facts: self.facts.clone(), window, first_beat, heard_at: now, twin });
-            (self.doubt, self.direct_at) = (None, None);
-        }
-        self.facts = facts.clone();
-        self.alive_at = now;
-        self.ahead = ahead(facts, now);
-        self.become_(MemberState::Alive, now);
-        match was {
-            MemberState::Dead | MemberState::Left => Change::Returned(was),
-            MemberState::Alive | MemberState::Suspect if restarted => Change::Restarted,
-            MemberState::Alive | MemberState::Suspect => Change::Refuted,
-        }
-    }
-
-    /// `by` knows of no beat later than `silent`.
-    pub fn is_accused(&mut self, facts: &MemberInfo, by: &str, silent: u64, now: Nanos) -> Change {
-        if let Some(change) = self.outdated(facts, silent, now) {
-            return change;
+    /// Takes the claim of `accuser` that it knows of no heartbeat later than `last_heartbeat`.
+    pub fn observe_suspicion(
+        &mut self,
+        info: &MemberInfo,
+        accuser: &str,
+        last_heartbeat: u64,
+        now: Nanos,
+    ) -> Transition {
+        if let Some(transition) = self.reject_outdated(info, last_heartbeat, now) {
+            return transition;
         }
         match (self.state, &mut self.suspicion) {
             (MemberState::Alive, _) => {
-                self.become_(MemberState::Suspect, now);
-                let accusers = vec![by.to_owned()];
-                self.suspicion =
-                    Some(Suspicion { silent, held_from: now, accusers, asked_from: None, tries: 0 });
-                Change::Suspected
-            }
-            (MemberState::Suspect, Some(suspicion)) => {
-                suspicion.silent = suspicion.silent.max(silent);
-                let known = suspicion.accusers.iter().any(|a| a == by);
-                if known || suspicion.accusers.len() >= MOST_ACCUSERS {
-                    return Change::Nothing;
-                }
-                suspicion.accusers.push(by.to_owned());
-                Change::Confirmed
+                self.enter(MemberState::Suspect, now);
+                self.suspicion = Some(Suspicion::new(accuser, last_heartbeat, now));
+                Transition::Suspected
             }
-            _ => Change::Nothing,
+            (MemberState::Suspect, Some(suspicion)) => match suspicion.confirm(accuser, last_heartbeat) {
+                true => Transition::Confirmed,
+                false => Transition::Unchanged,
+            },
+            _ => Transition::Unchanged,
         }
     }
 
-    /// `by` has given it up.
-    pub fn is_declared_dead(&mut self, facts: &MemberInfo, by: &str, silent: u64, now: Nanos) -> Change {
-        if let Some(change) = self.outdated(facts, silent, now) {
-            return change;
+    /// Takes the claim of `reporter` that the member is dead, with no heartbeat later than `last_heartbeat`.
+    pub fn observe_death(
+        &mut self,
+        info: &MemberInfo,
+        reporter: &str,
+        last_heartbeat: u64,
+        now: Nanos,
+    ) -> Transition {
+        if let Some(transition) = self.reject_outdated(info, last_heartbeat, now) {
+            return transition;
         }
         if !self.is_present() {
-            return Change::Nothing;
+            return Transition::Unchanged;
+        }
+        self.enter(MemberState::Dead, now);
+        self.reported_heartbeat = last_heartbeat;
+        reporter.clone_into(&mut self.reported_by);
+        Transition::Died
+    }
+
+    /// Takes the member's own word that it leaves.
+    pub fn observe_leave(&mut self, info: &MemberInfo, now: Nanos) -> Transition {
+        if info.incarnation < self.info.incarnation || self.state == MemberState::Left {
+            return Transition::Unchanged;
+        }
+        self.info = info.clone();
+        self.enter(MemberState::Left, now);
+        Transition::Left
+    }
+
+    fn enter(&mut self, state: MemberState, now: Nanos) {
+        self.state = state;
+        self.state_since = now;
+        self.suspicion = None;
+        self.hold_expired = false;
+        if state == MemberState::Alive {
+            self.reported_by.clear();
         }
-        self.become_(MemberState::Dead, now);
-        self.silent = silent;
-        by.clone_into(&mut self.by);
-        Change::Died
     }
 
-    pub fn leaves(&mut self, facts: &MemberInfo, now: Nanos) -> Change {
-        if facts.incarnation < self.facts.incarnation || self.state == MemberState::Left {
-            return Change::Nothing;
+    fn is_refuted_by(&self, heartbeat: u64) -> bool {
+        self.suspicion.as_ref().is_none_or(|suspicion| heartbeat > suspicion.last_heartbeat)
+    }
+
+    fn begin_incarnation(&mut self, info: &MemberInfo, now: Nanos) -> Transition {
+        let previous_state = self.state;
+        let is_new_process = info.run_id != self.info.run_id;
+        if is_new_process {
+            self.replace_process(info.run_id, now);
         }
-        self.facts = facts.clone();
-        self.become_(MemberState::Left, now);
-        Change::Left
+        self.info = info.clone();
+        self.last_alive_at = now;
+        self.clock_offset_ms = clock_offset_ms(info, now);
+        self.enter(MemberState::Alive, now);
+        match previous_state {
+            MemberState::Dead | MemberState::Left => Transition::Returned(previous_state),
+            MemberState::Alive | MemberState::Suspect if is_new_process => Transition::Restarted,
+            MemberState::Alive | MemberState::Suspect => Transition::Refuted,
+        }
+    }
+
+    /// Remembers the current process as a possible duplicate, for it may go on beside the new one. If the new one is the
+    /// duplicate known so far, the two change places.
+    fn replace_process(&mut self, new_run_id: u64, now: Nanos) {
+        let known = self.duplicate.take().filter(|duplicate| duplicate.info.run_id == new_run_id);
+        let is_confirmed = known.as_ref().is_some_and(|duplicate| duplicate.is_confirmed);
+        let new_window = known.map_or_else(ReplayWindow::default, |duplicate| duplicate.replay_window);
+        let old_window = std::mem::replace(&mut self.replay_window, new_window);
+        let mut duplicate = DuplicateProcess::new(self.info.clone(), now);
+        duplicate.replay_window = old_window;
+        duplicate.is_confirmed = is_confirmed;
+        self.duplicate = Some(duplicate);
+        self.unanswered_pings = None;
+        self.last_heard_at = None;
     }
 
-    /// What to do with a claim of death or silence that is older than what is known; `None` if it is not.
-    fn outdated(&mut self, facts: &MemberInfo, silent: u64, now: Nanos) -> Option<Change> {
-        let known = &self.facts;
-        if facts.incarnation < known.incarnation {
-            return Some(if self.is_present() { Change::Dispute } else { Change::Nothing });
+    /// Judges a claim of suspicion or death by its age: the transition if it is outdated, `None` if it counts.
+    fn reject_outdated(&mut self, info: &MemberInfo, last_heartbeat: u64, now: Nanos) -> Option<Transition> {
+        if info.incarnation < self.info.incarnation {
+            let disputed = self.is_present();
+            return Some(if disputed { Transition::Disputed } else { Transition::Unchanged });
         }
-        if facts.incarnation > known.incarnation {
-            // A process never heard of here. It has lived until then.
-            self.begin_anew(facts, now);
+        if info.incarnation > self.info.incarnation {
+            // A process that was never heard of here: it has lived until then.
+            self.begin_incarnation(info, now);
             return None;
         }
-        if facts.run_id != known.run_id {
-            return Some(Change::Clash);
+        if info.run_id != self.info.run_id {
+            return Some(Transition::NameClash);
         }
-        (known.heartbeat > silent).then_some(Change::Dispute)
+        (self.info.heartbeat > last_heartbeat).then_some(Transition::Disputed)
     }
 }
 
-fn ahead(facts: &MemberInfo, now: Nanos) -> i64 {
+fn clock_offset_ms(info: &MemberInfo, now: Nanos) -> i64 {
     let signed = |ms: u64| i64::try_from(ms).unwrap_or(i64::MAX);
-    signed(facts.heartbeat).saturating_sub(signed(now / MS))
+    signed(info.heartbeat).saturating_sub(signed(now / MILLISECOND))
 }
--- /dev/null
+++ b/crates/gaparch-membership/src/membership/connectivity.rs
@@ -0,0 +1,93 @@
+//! This router's own connectivity: isolation, unanswered pings, and links that fail in one direction.
+
+use super::Membership;
+use crate::dissemination::Topic;
+use crate::duplicate::RECENT;
+use crate::event::MembershipEvent;
+use crate::link_failures::ReportedAt;
+use crate::member::Member;
+use crate::output::Output;
+
+/// Pings without an answer, with nothing heard, after which a link counts as failed in one direction.
+const LINK_FAILED_AFTER_PINGS: u32 = 15;
+
+impl Membership {
+    pub(super) fn check_connectivity(&mut self, out: &mut Vec<Output>) {
+        self.count_heard_members();
+        let others = self.present().count();
+        let change = self.health.check(others, &self.settings, self.nonce, self.now);
+        if change.isolation {
+            self.on_isolation_changed(out);
+        }
+        if change.unanswered {
+            let event = match self.health.is_unanswered() {
+                true => MembershipEvent::Unanswered,
+                false => MembershipEvent::AnsweredAgain,
+            };
+            out.push(Output::Event(event));
+        }
+        if !self.health.is_isolated() && !self.health.is_recovering() {
+            self.report_failed_links(out);
+        }
+    }
+
+    fn count_heard_members(&mut self) {
+        let heard_since = self.now.saturating_sub(RECENT);
+        let is_heard = |member: &&Member| member.last_heard_at.is_some_and(|at| at >= heard_since);
+        let heard = self.members.values().filter(is_heard).count();
+        self.heard_members = u16::try_from(heard).unwrap_or(u16::MAX);
+    }
+
+    fn on_isolation_changed(&mut self, out: &mut Vec<Output>) {
+        if self.health.is_isolated() {
+            out.push(Output::Event(MembershipEvent::Isolated));
+            return;
+        }
+        out.push(Output::Event(MembershipEvent::IsolationEnded));
+        if self.settings.use_extensions {
+            self.restart_suspicions();
+        }
+    }
+
+    /// Reports members that do not answer this router, though others hear them.
+    fn report_failed_links(&mut self, out: &mut Vec<Output>) {
+        let now = self.now;
+        let is_unheard = |member: &Member| {
+            member.is_present()
+                && !member.link_failed
+                && member.unanswered_pings.is_some_and(|pings| pings >= LINK_FAILED_AFTER_PINGS)
+        };
+        let unheard = self.members.iter().filter(|(_, member)| is_unheard(member));
+        let names: Vec<String> = unheard.map(|(name, _)| name.clone()).collect();
+        for name in names {
+            let Some(member) = self.members.get_mut(&name) else { continue };
+            if now.saturating_sub(member.last_alive_at) >= RECENT * 2 {
+                continue;
+            }
+            member.link_failed = true;
+            member.unanswered_pings = None;
+            self.report_link(&name, true, out);
+        }
+    }
+
+    /// Reports that this router does not receive messages of a member, or receives them again.
+    pub(super) fn report_link(&mut self, from: &str, failed: bool, out: &mut Vec<Output>) {
+        let local = self.settings.name.clone();
+        if failed && !self.links.can_report(&local) {
+            return;
+        }
+        let reported_at =
+            ReportedAt { incarnation: self.identity.incarnation(), heartbeat: self.heartbeat() };
+        if self.links.record(from, &local, failed, reported_at, self.now) {
+            self.disseminate_link(from.to_owned(), local, failed, out);
+        }
+    }
+
+    pub(super) fn disseminate_link(&mut self, from: String, to: String, failed: bool, out: &mut Vec<Output>) {
+        self.queue.push(Topic::Link { from: from.clone(), to: to.clone() });
+        out.push(Output::Event(match failed {
+            true => MembershipEvent::LinkFailed { from, to },
+            false => MembershipEvent::LinkRecovered { from, to },
+        }));
+    }
+}
--- /dev/null
+++ b/crates/gaparch-membership/src/membership/receive.rs
@@ -0,0 +1,138 @@
+//! The receive path: which messages are taken, and what their bodies ask for.
+
+use super::Membership;
+use crate::dissemination::Topic;
+use crate::duplicate::{DuplicateObservation, DuplicateProcess};
+use crate::event::MembershipEvent;
+use crate::member::Member;
+use crate::output::Output;
+use crate::settings::MAX_MEMBERS;
+use crate::Nanos;
+use gaparch_protocol::fleet::{MemberInfo, Message, MessageBody};
+
+impl Membership {
+    /// Takes a message whose tag was valid.
+    pub fn on_message(&mut self, now: Nanos, message: Message, out: &mut Vec<Output>) {
+        self.advance(now);
+        if self.has_left {
+            return;
+        }
+        self.counters.received += 1;
+        let Message { from, to, seq, heard_members, body, updates } = message;
+        if !to.is_empty() && to != self.settings.name {
+            self.counters.misdirected += 1;
+            return;
+        }
+        if from.name == self.settings.name {
+            return self.on_message_of_own_name(&from, seq, out);
+        }
+        if !self.admit(&from, seq, out) {
+            return;
+        }
+        self.on_heard(&from, heard_members, out);
+        for update in updates {
+            self.on_update(update, out);
+        }
+        self.on_body(&from, body, out);
+    }
+
+    /// Whether a message is new, and of the process that has the name now.
+    fn admit(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
+        let Some(member) = self.members.get_mut(&from.name) else {
+            return self.meet(from, seq, out);
+        };
+        let known = &member.info;
+        if from.run_id == known.run_id && from.incarnation >= known.incarnation {
+            let is_new = member.replay_window.admit(seq);
+            self.counters.replayed += u64::from(!is_new);
+            return is_new;
+        }
+        if from.incarnation > known.incarnation {
+            let transition = member.observe_alive(from, self.now);
+            let is_new = member.replay_window.admit(seq);
+            self.counters.replayed += u64::from(!is_new);
+            self.on_transition(&from.name, "", transition, out);
+            return is_new;
+        }
+        self.on_outdated_process(from, seq, out);
+        false
+    }
+
+    /// Takes a message of a process that should be over, since another one has its name.
+    fn on_outdated_process(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) {
+        self.counters.misdirected += 1;
+        let Some(member) = self.members.get_mut(&from.name) else { return };
+        let slot = &mut member.duplicate;
+        let observation = DuplicateProcess::observe(slot, from, seq, member.last_alive_at, self.now);
+        if observation == DuplicateObservation::Replayed {
+            self.counters.replayed += 1;
+            return;
+        }
+        let name = from.name.clone();
+        if observation == DuplicateObservation::Confirmed {
+            let addresses = [member.info.address.clone(), from.address.clone()];
+            let event = MembershipEvent::DuplicateName { name: name.clone(), addresses };
+            out.push(Output::Event(event));
+        }
+        // Its disk may have been rolled back: it is told at once what was witnessed, or it would speak to nobody until it
+        // is probed by chance.
+        if let Ok(address) = from.address.parse() {
+            let topic = Topic::Member(name.clone());
+            self.send(address, name, MessageBody::Nack { nonce: 0 }, &[topic], out);
+        }
+    }
+
+    fn meet(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
+        if self.members.len() >= MAX_MEMBERS {
+            self.counters.rejected_members += 1;
+            return false;
+        }
+        let mut member = Member::new(from.clone(), self.now);
+        member.replay_window.admit(seq);
+        self.members.insert(from.name.clone(), member);
+        self.on_joined(&from.name, out);
+        // A new member may know of others, and what a synchronization brings need not be disseminated.
+        if !self.sync.is_pending() {
+            self.request_sync(&from.name, String::new(), out);
+        }
+        true
+    }
+
+    fn on_heard(&mut self, from: &MemberInfo, heard_members: u16, out: &mut Vec<Output>) {
+        self.health.on_heard(self.now);
+        let Some(member) = self.members.get_mut(&from.name) else { return };
+        member.last_heard_at = Some(self.now);
+        member.heard_members = heard_members;
+        member.unanswered_pings = None;
+        let had_failed_link = std::mem::replace(&mut member.link_failed, false);
+        let transition = member.observe_alive(from, self.now);
+        self.on_transition(&from.name, "", transition, out);
+        if had_failed_link {
+            self.report_link(&from.name, false, out);
+        }
+    }
+
+    fn on_body(&mut self, from: &MemberInfo, body: MessageBody, out: &mut Vec<Output>) {
+        match body {
+            MessageBody::Ping { nonce } => {
+                self.send_to_member(&from.name, MessageBody::Ack { nonce }, &[], out);
+            }
+            MessageBody::Ack { nonce } => self.on_ack(from, nonce, out),
+            MessageBody::PingRequest { nonce, target, address } => {
+                self.on_ping_request(&from.name, nonce, target, &address, out);
+            }
+            MessageBody::Nack { nonce } => self.on_nack(nonce),
+            MessageBody::SyncRequest { after } => self.on_sync_request(&from.name, after, out),
+            MessageBody::SyncPage { after, next } => self.on_sync_page(&from.name, &after, next, out),
+            MessageBody::Payload { bytes } => {
+                out.push(Output::Payload { from: from.name.clone(), bytes });
+            }
+        }
+    }
+
+    fn on_ack(&mut self, from: &MemberInfo, nonce: u64, out: &mut Vec<Output>) {
+        self.pass_on_ack(&from.name, nonce, out);
+        // Any answer shows that this router is heard; only an answer to a later ping that it hears since it resumed.
+        self.health.on_answered(nonce, self.now);
+    }
+}
--- a/crates/gaparch-membership/src/replay.rs
+++ b/crates/gaparch-membership/src/replay.rs
@@ -1,28 +1,29 @@
-//! Which messages of one process were seen already.
+//! Detection of messages that were received before.
 
-/// Messages that may be late by so many later ones; an older one counts as seen.
-const SPAN: u64 = 128;
+/// The number of sequence numbers that are remembered; an older one counts as seen.
+const WINDOW_LENGTH: u64 = 128;
 
-/// A sliding window over the sequence numbers of one process, as IPsec keeps one (RFC 4303, appendix A2).
+/// A sliding window over the sequence numbers of one process, as in IPsec (RFC 4303, appendix A2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Window {
+pub(crate) struct ReplayWindow {
     highest: u64,
+    /// Bit `n` is set if the number `highest - n` was seen.
     seen: u128,
 }
 
-impl Window {
-    /// Whether this is the first time; from then on it is not.
+impl ReplayWindow {
+    /// Records a sequence number; returns whether it is seen for the first time.
     pub fn admit(&mut self, seq: u64) -> bool {
         if seq > self.highest {
             let ahead = seq - self.highest;
-            self.seen = if ahead >= SPAN { 0 } else { self.seen << ahead };
+            self.seen = if ahead >= WINDOW_LENGTH { 0 } else { self.seen << ahead };
             self.seen |= 1;
             self.highest = seq;
             return true;
         }
         let behind = self.highest - seq;
         // Number 0 is never used, so that a new window has seen nothing.
-        if seq == 0 || behind >= SPAN || self.seen & (1 << behind) != 0 {
+        if seq == 0 || behind >= WINDOW_LENGTH || self.seen & (1 << behind) != 0 {
             return false;
         }
         self.seen |= 1 << behind;
@@ -31,17 +32,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::Window;
-
-    #[test]
-    fn each_number_is_taken_once_in_whatever_order_they_come() {
-        let mut window = Window::default();
-        assert!([3, 1, 2, 10].into_iter().all(|n| window.admit(n)));
-        assert!([1, 2, 3, 10, 0].into_iter().all(|n| !window.admit(n)));
-        assert!(window.admit(1000));
-        assert!(window.admit(900) && !window.admit(900));
-        // Too old to know.
-        assert!(!window.admit(872));
-    }
-}
+#[path = "replay_tests.rs"]
+mod tests;
--- a/crates/gaparch-membership/src/view.rs
+++ b/crates/gaparch-membership/src/view.rs
@@ -1,194 +1,66 @@
-//! What a member shows of itself and of the others.
+//! The state of the fleet as one member shows it.
 
-use crate::core::Counters;
+use crate::counters::Counters;
 use crate::Nanos;
 use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
-/// One member, as this router sees it.
+/// Another member, as this router sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
-    pub facts: MemberInfo,
+    /// The member as it last described itself.
+    pub info: MemberInfo,
+    /// Its state.
     pub state: MemberState,
-    /// Since when it is in that state, here.
-    pub since: Nanos,
-    /// The last sign of life that anybody had, and the last that this router had itself.
-    pub alive_at: Nanos,
-    pub direct_at: Option<Nanos>,
-    /// Who accuses it, or has given it up.
+    /// When it entered that state, by the clock here.
+    pub state_since: Nanos,
+    /// When its last new heartbeat became known, from any member.
+    pub last_alive_at: Nanos,
+    /// When this router itself last received a message of it.
+    pub last_heard_at: Option<Nanos>,
+    /// Who suspects it, or has declared it dead.
     pub accused_by: Vec<String>,
-    /// Another process under its name, and where.
-    pub twin_at: Option<String>,
-    /// It says that it hears nobody.
-    pub hears_nobody: bool,
+    /// The address of another process under the same name.
+    pub duplicate_address: Option<String>,
+    /// Whether it says that it hears no other member.
+    pub is_isolated: bool,
 }
 
-/// A link that fails in one direction: `to` does not hear `from`.
+/// A link that fails in one direction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EdgeView {
+pub struct LinkFailure {
+    /// The member whose messages do not arrive.
     pub from: String,
+    /// The member that does not receive them, though others do.
     pub to: String,
+    /// Since when that is known here.
     pub since: Nanos,
 }
 
-/// How the fleet looks from one router.
+/// The fleet as one router sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    pub me: MemberInfo,
+    /// The router that shows this view.
+    pub local: MemberInfo,
+    /// All other members, in the order of their names.
     pub members: Vec<MemberView>,
-    pub edges: Vec<EdgeView>,
-    pub majority: bool,
+    /// Links that fail in one direction.
+    pub failed_links: Vec<LinkFailure>,
+    /// Whether the present routers are a majority of those that must be counted.
+    pub has_quorum: bool,
+    /// The number of routers that are present in this view, this one among them.
     pub present: u32,
+    /// The number of routers that may be running: present ones, and dead ones for some time.
     pub counted: u32,
+    /// The number of routers by which this one divides the site's limits.
     pub divisor: u32,
-    /// It hears nobody; others hear it not. None of both where there is nobody else.
-    pub hears_nobody: bool,
-    pub unheard: bool,
-    /// It has woken, or hears again, and waits for an answer before it accuses anybody.
-    pub unsure: bool,
-    /// Times as patient as usual, less one: its own doubt in itself.
-    pub doubt: u32,
+    /// Whether this router hears no other member, though there are others.
+    pub is_isolated: bool,
+    /// Whether this router hears others, but none of them answers its pings.
+    pub is_unanswered: bool,
+    /// Whether this router has resumed after a pause or isolation, and suspects nobody until a ping is answered.
+    pub is_recovering: bool,
+    /// Lifeguard's local health multiplier less one: 0 is healthy, and each step makes the router more patient.
+    pub local_health: u32,
+    /// What the router has counted since its start.
     pub counters: Counters,
 }
-
-/// Something worth telling an operator.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Happening {
-    Joined {
-        name: String,
-    },
-    /// The same name, a new process.
-    Restarted {
-        name: String,
-        incarnation: u64,
-    },
-    Suspected {
-        name: String,
-        by: String,
-    },
-    /// A suspicion that turned out wrong.
-    Cleared {
-        name: String,
-    },
-    Died {
-        name: String,
-        by: String,
-    },
-    Returned {
-        name: String,
-        was: MemberState,
-    },
-    Left {
-        name: String,
-    },
-    /// `to` does not hear `from`, though others do; or hears it again.
-    EdgeLost {
-        from: String,
-        to: String,
-    },
-    EdgeBack {
-        from: String,
-        to: String,
-    },
-    /// Two processes under one name.
-    Twins {
-        name: String,
-        addresses: [String; 2],
-    },
-    /// This process was stopped, or got no processor, for so long.
-    Woke {
-        stopped: Nanos,
-    },
-    /// Others had taken this router for dead.
-    WasGivenUp {
-        by: String,
-    },
-    HearsNobody,
-    HearsAgain,
-    Unheard,
-    HeardAgain,
-    Majority {
-        present: u32,
-        counted: u32,
-    },
-    NoMajority {
-        present: u32,
-        counted: u32,
-    },
-    /// The disk gave an incarnation that others know to be over.
-    DiskLied {
-        kept: u64,
-        witnessed: u64,
-    },
-    /// More routers than the settings say.
-    TooMany {
-        present: u32,
-        routers: u32,
-    },
-}
-
-impl Happening {
-    /// The member it is about, if about one.
-    pub fn name(&self) -> Option<&str> {
-        match self {
-            Happening::Joined { name }
-            | Happening::Restarted { name, .. }
-            | Happening::Suspected { name, .. }
-            | Happening::Cleared { name }
-            | Happening::Died { name, .. }
-            | Happening::Returned { name, .. }
-            | Happening::Left { name }
-            | Happening::Twins { name, .. } => Some(name),
-            _ => None,
-        }
-    }
-}
-
-impl std::fmt::Display for Happening {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Happening::Joined { name } => write!(f, "router {name} has joined"),
-            Happening::Restarted { name, incarnation } => {
-                write!(f, "router {name} is a new process (incarnation {incarnation})")
-            }
-            Happening::Suspected { name, by } => {
-                write!(f, "router {name} is suspected: {by} had no answer from it, directly or through others")
-            }
-            Happening::Cleared { name } => write!(f, "router {name} has given a sign of life: no suspicion any more"),
-            Happening::Died { name, by } => {
-                write!(f, "router {name} counts as dead, by {by}; its part of shared limits is kept for it a while")
-            }
-            Happening::Returned { name, was } => write!(f, "router {name} is back (it counted as {was})"),
-            Happening::Left { name } => write!(f, "router {name} has left in good order"),
-            Happening::EdgeLost { from, to } => {
-                write!(f, "router {to} does not hear router {from}, though others do: look at the link between them")
-            }
-            Happening::EdgeBack { from, to } => write!(f, "router {to} hears router {from} again"),
-            Happening::Twins { name, addresses: [one, other] } => {
-                write!(f, "two processes say that they are router {name}, at {one} and {other}: stop one of them")
-            }
-            Happening::Woke { stopped } => {
-                write!(f, "this router was stopped for {} ms: it accuses nobody until it has heard again", stopped / 1_000_000)
-            }
-            Happening::WasGivenUp { by } => write!(f, "this router counted as dead, by {by}; it has said that it lives"),
-            Happening::HearsNobody => f.write_str("this router hears no other: it accuses nobody; look at its own links"),
-            Happening::HearsAgain => f.write_str("this router hears others again"),
-            Happening::Unheard => f.write_str("this router hears others, but none answers it: its messages don't get out"),
-            Happening::HeardAgain => f.write_str("this router is answered again"),
-            Happening::Majority { present, counted } => {
-                write!(f, "stands with a majority: {present} present of {counted} counted")
-            }
-            Happening::NoMajority { present, counted } => write!(
-                f,
-                "stands without a majority: {present} present of {counted} counted; it goes on, and counts all it ever knew"
-            ),
-            Happening::DiskLied { kept, witnessed } => write!(
-                f,
-                "the disk went back in time: it gave incarnation {kept}, others have witnessed {witnessed}; look at the disk"
-            ),
-            Happening::TooMany { present, routers } => write!(
-                f,
-                "{present} routers are present, the settings say {routers} at most: set 'routers' on all of them"
-            ),
-        }
-    }
-}
--- a/crates/gaparch-membership/tests/pinned_bytes.rs
+++ b/crates/gaparch-membership/tests/pinned_bytes.rs
@@ -36,15 +36,9 @@
         incarnation: 3,
         heartbeat: 9000,
     };
-    let word = MessageBody::Ping { nonce: 5 };
-    let message = Message {
-        from,
-        to: "router-2".to_owned(),
-        seq: 17,
-        heard_members: 2,
-        body: word,
-        updates: Vec::new(),
-    };
+    let body = MessageBody::Ping { nonce: 5 };
+    let message =
+        Message { from, to: "router-2".to_owned(), seq: 17, heard_members: 2, body, updates: Vec::new() };
     let pinned = "6746010008726f757465722d3100056e6f7274680003322e31000e3132372e302e302e313a373430300000000000000007000000000000000300000000000023280008726f757465722d320000000000000011000201000000000000000500000000c2db2a0b640760641c02bb11131b48c7";
     assert_eq!(site_key().seal(&message).as_deref().map(hex).as_deref(), Some(pinned));
     assert_eq!(site_key().open(&unhex(pinned)), Ok(message));
@@ -88,14 +82,14 @@
             zone: "north".to_owned(),
             build: "1".to_owned(),
             address: address(member),
-            run: 100 + member as u64 + incarnation * 10,
+            run_id: 100 + member as u64 + incarnation * 10,
             incarnation,
             seeds: vec![address(0), address(1)],
-            routers: 5,
-            period: 200 * MS,
-            hold: 2 * SECOND,
+            max_routers: 5,
+            probe_interval: 200 * MS,
+            dead_hold: 2 * SECOND,
             seed: 40 + member as u64,
-            refined: true,
+            use_extensions: true,
         };
         let mut out = Vec::new();
         self.members[member] = Some(Membership::new(settings, self.now, &mut out));
@@ -114,8 +108,8 @@
                         self.in_flight.push((member, receiver, message));
                     }
                 }
-                Output::Routers(divisor) => self.divisors[member] = divisor,
-                Output::Keep { .. } | Output::Happened(_) | Output::Talk { .. } => {}
+                Output::RouterCount(divisor) => self.divisors[member] = divisor,
+                Output::PersistIncarnation { .. } | Output::Event(_) | Output::Payload { .. } => {}
             }
         }
     }
@@ -134,7 +128,7 @@
             for member in 0..self.members.len() {
                 let mut out = Vec::new();
                 if let Some(core) = &mut self.members[member] {
-                    core.on_time(self.now, &mut out);
+                    core.on_timer(self.now, &mut out);
                 }
                 self.carry_out(member, out);
             }
--- a/crates/gaparch-membership/tests/standing.rs
+++ b/crates/gaparch-membership/tests/quorum.rs
@@ -1,17 +1,16 @@
-//! The proof in `standing`, checked over any views, and the datagrams' codes.
+//! The proof in `quorum`, checked over any views, and the datagrams' codes.
 
-use gaparch_membership::standing::Standing;
-use gaparch_membership::{Rejected, SiteKey, CODE};
+use gaparch_membership::quorum::Quorum;
+use gaparch_membership::{OpenError, SiteKey, TAG_BYTES};
 use gaparch_protocol::fleet::{MemberInfo, MemberState, Message, MessageBody, Update, MAX_DATAGRAM_BYTES};
 use proptest::prelude::*;
 
 /// Any word that a router may come to: what is present, counted and known are in no order that is worth trusting.
-fn any_standing() -> impl Strategy<Value = Standing> {
+fn any_quorum() -> impl Strategy<Value = Quorum> {
     (any::<bool>(), 0u32..400, 0u32..400, 0u32..400).prop_map(|(settled, present, counted, known)| {
-        let mut standing = Standing::default();
-        (standing.settled, standing.present, standing.counted, standing.known) =
-            (settled, present, counted, known);
-        standing
+        let mut quorum = Quorum::default();
+        (quorum.is_stable, quorum.present, quorum.counted, quorum.known) = (settled, present, counted, known);
+        quorum
     })
 }
 
@@ -21,7 +20,7 @@
     #[test]
     fn no_views_let_the_sum_of_all_parts_pass(
         routers in 1u32..300,
-        views in prop::collection::vec(any_standing(), 1..300),
+        views in prop::collection::vec(any_quorum(), 1..300),
     ) {
         let at_work = views.len().min(routers as usize);
         let views = &views[..at_work];
@@ -32,27 +31,27 @@
     }
 }
 
-fn facts(name: &str) -> MemberInfo {
+fn member_info(name: &str) -> MemberInfo {
     let (zone, build, address) = ("north".to_owned(), "1".to_owned(), "127.0.0.1:7400".to_owned());
     MemberInfo { name: name.to_owned(), zone, build, address, run_id: 7, incarnation: 3, heartbeat: 9 }
 }
 
-fn message(news: usize) -> Message {
+fn message(updates: usize) -> Message {
     let one = |n| Update::Member {
-        info: facts(&format!("router-{n}")),
+        info: member_info(&format!("router-{n}")),
         state: MemberState::Suspect,
         reporter: "router-0".to_owned(),
         last_heartbeat: 4,
     };
-    let from = facts("router-0");
-    let word = MessageBody::Ping { nonce: 5 };
+    let from = member_info("router-0");
+    let body = MessageBody::Ping { nonce: 5 };
     Message {
         from,
         to: "router-1".to_owned(),
         seq: 1,
         heard_members: 2,
-        body: word,
-        updates: (0..news).map(one).collect(),
+        body,
+        updates: (0..updates).map(one).collect(),
     }
 }
 
@@ -64,16 +63,16 @@
     let message = message(3);
     let datagram = key.seal(&message).expect("it fits");
     assert_eq!(key.open(&datagram), Ok(message));
-    assert_eq!(other.open(&datagram), Err(Rejected::Forged));
+    assert_eq!(other.open(&datagram), Err(OpenError::BadTag));
     for length in 0..datagram.len() {
         assert!(key.open(&datagram[..length]).is_err(), "cut to {length}");
     }
     for at in 0..datagram.len() {
         let mut harmed = datagram.clone();
         harmed[at] ^= 1;
-        assert_eq!(key.open(&harmed), Err(Rejected::Forged), "bit at {at}");
+        assert_eq!(key.open(&harmed), Err(OpenError::BadTag), "bit at {at}");
     }
-    assert_eq!(key.open(&vec![0; MAX_DATAGRAM_BYTES + 1]), Err(Rejected::TooLong));
+    assert_eq!(key.open(&vec![0; MAX_DATAGRAM_BYTES + 1]), Err(OpenError::TooLong));
     assert_eq!(key.seal(&self::message(40)), None);
 }
 
@@ -86,8 +85,8 @@
     bytes[2] += 1;
     let code = Hmac::<sha2::Sha256>::new_from_slice(b"a key of this site").expect("any length");
     let code = code.chain_update(&bytes).finalize().into_bytes();
-    bytes.extend_from_slice(&code[..CODE]);
-    assert_eq!(key.open(&bytes), Err(Rejected::Version(2)));
+    bytes.extend_from_slice(&code[..TAG_BYTES]);
+    assert_eq!(key.open(&bytes), Err(OpenError::UnsupportedVersion(2)));
 }
 
 proptest! {
@@ -97,8 +96,8 @@
     }
 
     #[test]
-    fn a_message_is_read_as_it_was_written(seq in any::<u64>(), hears in any::<u16>(), news in 0usize..8) {
-        let message = Message { seq, heard_members: hears, ..message(news) };
+    fn a_message_is_read_as_it_was_written(seq in any::<u64>(), heard_members in any::<u16>(), updates in 0usize..8) {
+        let message = Message { seq, heard_members, ..message(updates) };
         prop_assert_eq!(Message::from_bytes(&message.to_bytes()), Ok(message));
     }
 }
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -11,7 +11,7 @@
 use super::versions::{Adopt, HeldNews};
 use gaparch_audit::{self as audit, FleetOrder, Follow, Gather, OrderOutput, Orders};
 use gaparch_config::{Config, Fleet};
-use gaparch_membership::{Happening, Membership, Output, Rejected, Settings, SiteKey, View};
+use gaparch_membership::{Membership, MembershipEvent, OpenError, Output, Settings, SiteKey, View};
 use gaparch_net::{read_key, Clock};
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::fleet::{MemberState, MAX_DATAGRAM_BYTES};
@@ -217,14 +217,14 @@
         zone,
         build: env!("CARGO_PKG_VERSION").to_owned(),
         address: fleet.address,
-        run: run.0,
+        run_id: run.0,
         incarnation: kept.saturating_add(1),
         seeds: fleet.seeds.clone(),
-        routers: config.module.router_count,
-        period: fleet.period,
-        hold: fleet.hold,
+        max_routers: config.module.router_count,
+        probe_interval: fleet.period,
+        dead_hold: fleet.hold,
         seed: config.module.seed,
-        refined: fleet.refined,
+        use_extensions: fleet.refined,
     };
     let mut out = Vec::new();
     let core = Membership::new(settings, clock.now(), &mut out);
@@ -309,13 +309,13 @@
             let others = self.follow.as_ref().map(Follow::next_at).into_iter();
             let others = others.chain(self.orders.as_ref().map(Orders::next_at));
             let others = others.chain(self.gathers.iter().map(|(gather, _)| gather.next_at()));
-            let due = others.fold(self.core.next_at(), u64::min);
+            let due = others.fold(self.core.next_timer_at(), u64::min);
             let due = Instant::from_std(self.clock.instant(due));
             tokio::select! {
                 biased;
                 // Before what waits in the socket: a process that was stopped must know it first.
                 () = sleep_until(due) => {
-                    self.core.on_time(self.clock.now(), &mut out);
+                    self.core.on_timer(self.clock.now(), &mut out);
                     self.carry_out(&mut out);
                     self.follow_on(&mut out, Follow::on_time);
                     self.order(&mut out, |orders, now, others, wanted| orders.on_time(now, others, wanted));
@@ -369,9 +369,9 @@
     fn on_datagram(&mut self, datagram: &[u8], out: &mut Vec<Output>) {
         match self.key.open(datagram) {
             Ok(message) => self.core.on_message(self.clock.now(), message, out),
-            Err(Rejected::Forged) => self.dropped.forged += 1,
-            Err(Rejected::TooLong | Rejected::Malformed) => self.dropped.malformed += 1,
-            Err(Rejected::Version(version)) => {
+            Err(OpenError::BadTag) => self.dropped.forged += 1,
+            Err(OpenError::TooLong | OpenError::Malformed) => self.dropped.malformed += 1,
+            Err(OpenError::UnsupportedVersion(version)) => {
                 self.dropped.newer += 1;
                 if !std::mem::replace(&mut self.newer_told, true) {
                     let text = format!(
@@ -393,19 +393,19 @@
                         let _ = self.socket.try_send_to(&datagram, to);
                     }
                 }
-                Output::Keep { incarnation } => {
+                Output::PersistIncarnation { incarnation } => {
                     self.orders.iter_mut().for_each(|orders| orders.on_incarnation(incarnation));
                     self.incarnation.send_replace(incarnation);
                 }
-                Output::Routers(routers) => drop(self.routers.send_replace(routers)),
-                Output::Talk { from, bytes } => {
+                Output::RouterCount(routers) => drop(self.routers.send_replace(routers)),
+                Output::Payload { from, bytes } => {
                     // A word that is not known here is of a newer build.
                     if let Some(talk) = from_bytes::<ReplicationMessage>(&bytes) {
                         talks.push((from, talk));
                     }
                 }
-                Output::Happened(what) => {
-                    if let (Happening::Woke { .. }, Some(follow)) = (&what, &mut self.follow) {
+                Output::Event(what) => {
+                    if let (MembershipEvent::Resumed { .. }, Some(follow)) = (&what, &mut self.follow) {
                         follow.on_woken(self.clock.now());
                     }
                     let severity = severity(&what);
@@ -432,10 +432,10 @@
         let now = self.clock.now();
         let Some(orders) = &mut self.orders else { return };
         let mut wanted = Vec::new();
-        act(orders, now, self.core.others(), &mut wanted);
+        act(orders, now, self.core.present_peers(), &mut wanted);
         for one in wanted {
             match one {
-                OrderOutput::Say { to, talk } => self.core.talk(now, &to, to_bytes(&talk), out),
+                OrderOutput::Say { to, talk } => self.core.send_payload(now, &to, to_bytes(&talk), out),
                 // One that finds no room is handed over again.
                 OrderOutput::Apply(order) => drop(self.apply.try_send(order)),
                 OrderOutput::Keep(all) => drop(self.keep_orders.send_replace(Kept::new(all))),
@@ -455,7 +455,7 @@
             return drop(reply.send(None));
         }
         let stays = |m: &gaparch_membership::MemberView| m.state != MemberState::Left;
-        let routers = self.core.view().members.into_iter().filter(stays).map(|m| m.facts.name).collect();
+        let routers = self.core.view().members.into_iter().filter(stays).map(|m| m.info.name).collect();
         self.nonce += 1;
         self.gathers.push((Gather::new(self.nonce, filter, routers, self.clock.now()), reply));
         self.gather(out);
@@ -467,7 +467,7 @@
         let mut asks = Vec::new();
         self.gathers.iter_mut().for_each(|(gather, _)| gather.on_time(now, &mut asks));
         for (to, talk) in asks {
-            self.core.talk(now, &to, to_bytes(&talk), out);
+            self.core.send_payload(now, &to, to_bytes(&talk), out);
         }
         let (over, open): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.gathers).into_iter().partition(|(gather, _)| gather.is_over(now));
@@ -478,7 +478,7 @@
             let book = audit_record::lock(&self.record);
             let gaps = u32::try_from(book.gaps().len()).unwrap_or(u32::MAX);
             told.push(audit::Told {
-                router: self.core.facts().name,
+                router: self.core.local_info().name,
                 rows: book.rows(&filter),
                 gaps: Some(gaps),
             });
@@ -495,7 +495,7 @@
                 audit::answer(*nonce, now, gaps, &book.rows(filter), *row)
             };
             for page in pages {
-                self.core.talk(now, from, to_bytes(&page), out);
+                self.core.send_payload(now, from, to_bytes(&page), out);
             }
         }
         if matches!(talk, ReplicationMessage::AuditPage { .. }) {
@@ -504,7 +504,7 @@
                 gather.on_talk(now, from, talk, &mut asks);
             }
             for (to, talk) in asks {
-                self.core.talk(now, &to, to_bytes(&talk), out);
+                self.core.send_payload(now, &to, to_bytes(&talk), out);
             }
             self.gather(out);
         }
@@ -516,7 +516,7 @@
         let orders = self.orders.as_mut()?;
         let view = self.core.view();
         let members: BTreeMap<String, MemberState> =
-            view.members.into_iter().map(|m| (m.facts.name, m.state)).collect();
+            view.members.into_iter().map(|m| (m.info.name, m.state)).collect();
         let stay = members.iter().filter(|(_, state)| **state != MemberState::Left);
         let names: Vec<String> = stay.map(|(name, _)| name.clone()).collect();
         let row = |acked: audit::Acked| SpreadRow {
@@ -542,10 +542,10 @@
         let now = self.clock.now();
         let Some(follow) = &mut self.follow else { return };
         let mut wanted = Vec::new();
-        act(follow, now, self.core.others(), &mut wanted);
+        act(follow, now, self.core.present_peers(), &mut wanted);
         for one in wanted {
             match one {
-                audit::Output::Say { to, talk } => self.core.talk(now, &to, to_bytes(&talk), out),
+                audit::Output::Say { to, talk } => self.core.send_payload(now, &to, to_bytes(&talk), out),
                 audit::Output::Take { list, by } => {
                     self.adopt.send_modify(|adopt| adopt.list = Some((list, by)));
                 }
@@ -568,32 +568,32 @@
     fn view(&self) -> FleetView {
         let view: View = self.core.view();
         let member = |m: gaparch_membership::MemberView| MemberRow {
-            name: m.facts.name,
-            zone: m.facts.zone,
-            build: m.facts.build,
-            address: m.facts.address,
-            incarnation: m.facts.incarnation,
+            name: m.info.name,
+            zone: m.info.zone,
+            build: m.info.build,
+            address: m.info.address,
+            incarnation: m.info.incarnation,
             state: m.state,
-            since: m.since,
-            alive_at: m.alive_at,
-            heard_at: m.direct_at,
+            since: m.state_since,
+            alive_at: m.last_alive_at,
+            heard_at: m.last_heard_at,
             accused_by: m.accused_by,
-            twin_at: m.twin_at,
-            hears_nobody: m.hears_nobody,
+            twin_at: m.duplicate_address,
+            hears_nobody: m.is_isolated,
         };
-        let edge = |e: gaparch_membership::EdgeView| EdgeRow { from: e.from, to: e.to, since: e.since };
+        let edge = |e: gaparch_membership::LinkFailure| EdgeRow { from: e.from, to: e.to, since: e.since };
         FleetView {
-            router: view.me.name,
-            incarnation: view.me.incarnation,
-            majority: view.majority,
+            router: view.local.name,
+            incarnation: view.local.incarnation,
+            majority: view.has_quorum,
             present: view.present,
             counted: view.counted,
             divisor: view.divisor,
-            hears_nobody: view.hears_nobody,
-            unheard: view.unheard,
-            doubt: view.doubt,
+            hears_nobody: view.is_isolated,
+            unheard: view.is_unanswered,
+            doubt: view.local_health,
             members: view.members.into_iter().map(member).collect(),
-            edges: view.edges.into_iter().map(edge).collect(),
+            edges: view.failed_links.into_iter().map(edge).collect(),
             sent: view.counters.sent,
             sent_bytes: view.counters.sent_bytes,
             received: view.counters.received,
@@ -663,27 +663,27 @@
 }
 
 /// How grave it is; `None` is for the log alone: a suspicion that ends by itself is no news to an operator.
-fn severity(what: &Happening) -> Option<Severity> {
+fn severity(what: &MembershipEvent) -> Option<Severity> {
     Some(match what {
-        Happening::Suspected { .. } | Happening::Cleared { .. } => return None,
-        Happening::Died { .. }
-        | Happening::Twins { .. }
-        | Happening::DiskLied { .. }
-        | Happening::Unheard
-        | Happening::HearsNobody
-        | Happening::NoMajority { .. } => Severity::Trouble,
-        Happening::EdgeLost { .. }
-        | Happening::Woke { .. }
-        | Happening::WasGivenUp { .. }
-        | Happening::TooMany { .. } => Severity::Warning,
-        Happening::Joined { .. }
-        | Happening::Restarted { .. }
-        | Happening::Returned { .. }
-        | Happening::Left { .. }
-        | Happening::EdgeBack { .. }
-        | Happening::HearsAgain
-        | Happening::HeardAgain
-        | Happening::Majority { .. } => Severity::Info,
+        MembershipEvent::Suspected { .. } | MembershipEvent::Refuted { .. } => return None,
+        MembershipEvent::Died { .. }
+        | MembershipEvent::DuplicateName { .. }
+        | MembershipEvent::IncarnationRolledBack { .. }
+        | MembershipEvent::Unanswered
+        | MembershipEvent::Isolated
+        | MembershipEvent::QuorumLost { .. } => Severity::Trouble,
+        MembershipEvent::LinkFailed { .. }
+        | MembershipEvent::Resumed { .. }
+        | MembershipEvent::DeclaredDead { .. }
+        | MembershipEvent::TooManyRouters { .. } => Severity::Warning,
+        MembershipEvent::Joined { .. }
+        | MembershipEvent::Restarted { .. }
+        | MembershipEvent::Returned { .. }
+        | MembershipEvent::Left { .. }
+        | MembershipEvent::LinkRecovered { .. }
+        | MembershipEvent::IsolationEnded
+        | MembershipEvent::AnsweredAgain
+        | MembershipEvent::QuorumGained { .. } => Severity::Info,
     })
 }
 
--- a/crates/gaparch-testbed/examples/membership.rs
+++ b/crates/gaparch-testbed/examples/membership.rs
@@ -1,7 +1,7 @@
 //! Measures the membership core in virtual time, beside plain SWIM:
 //! `cargo run --release -p gaparch-testbed --example membership -- 3 9 40 300`; `refined` among them leaves plain SWIM out.
 
-use gaparch_membership::Happening;
+use gaparch_membership::MembershipEvent;
 use gaparch_testbed::fleet::world::{name, Link, Terms, World, SECOND};
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 fn detection(world: &World, dead: &[usize], since: u64, living: usize) -> (Vec<f64>, usize) {
     let names: Vec<String> = dead.iter().map(|n| name(*n)).collect();
     let of_dead = |t: &&gaparch_testbed::fleet::world::Told| {
-        t.at >= since && matches!(&t.what, Happening::Died { name, .. } if names.contains(name))
+        t.at >= since && matches!(&t.what, MembershipEvent::Died { name, .. } if names.contains(name))
     };
     let mut took: Vec<f64> = world.told.iter().filter(of_dead).map(|t| (t.at - since) as f64 / 1e9).collect();
     took.sort_by(f64::total_cmp);
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -44,14 +44,14 @@
             zone: "north".to_owned(),
             build: "defect".to_owned(),
             address: self.address,
-            run: self.clock.now(),
+            run_id: self.clock.now(),
             incarnation: 1_000,
             seeds: self.seeds.clone(),
-            routers: self.routers,
-            period: 200_000_000,
-            hold: 60_000_000_000,
+            max_routers: self.routers,
+            probe_interval: 200_000_000,
+            dead_hold: 60_000_000_000,
             seed: 1,
-            refined: true,
+            use_extensions: true,
         };
         let mut out = Vec::new();
         let mut core = Membership::new(settings, self.clock.now(), &mut out);
@@ -67,7 +67,7 @@
                             let _ = socket.try_send_to(&bytes, to);
                         }
                     }
-                    Output::Talk { from, bytes } => talks.push((from, bytes)),
+                    Output::Payload { from, bytes } => talks.push((from, bytes)),
                     _ => {}
                 }
             }
@@ -83,18 +83,18 @@
                             total: 0,
                             entries: Vec::new(),
                         };
-                        core.talk(self.clock.now(), &from, to_bytes(&page), &mut out);
+                        core.send_payload(self.clock.now(), &from, to_bytes(&page), &mut out);
                     }
                     _ => {}
                 }
             }
-            let due = Instant::from_std(self.clock.instant(core.next_at()));
+            let due = Instant::from_std(self.clock.instant(core.next_timer_at()));
             tokio::select! {
-                () = sleep_until(due) => core.on_time(self.clock.now(), &mut out),
+                () = sleep_until(due) => core.on_timer(self.clock.now(), &mut out),
                 _ = lies.tick() => {
-                    for to in core.others() {
+                    for to in core.present_peers() {
                         for talk in [self.stamp(heard), self.order()] {
-                            core.talk(self.clock.now(), &to, to_bytes(&talk), &mut out);
+                            core.send_payload(self.clock.now(), &to, to_bytes(&talk), &mut out);
                         }
                     }
                 }
--- a/crates/gaparch-testbed/src/fleet/world.rs
+++ b/crates/gaparch-testbed/src/fleet/world.rs
@@ -1,7 +1,7 @@
 //! Many membership cores in one process, in virtual time: links lose, delay and cut, members stop, die and come back.
 //! The same seed gives the same day.
 
-use gaparch_membership::{Happening, Membership, Nanos, Output, Settings, View};
+use gaparch_membership::{Membership, MembershipEvent, Nanos, Output, Settings, View};
 use gaparch_protocol::fleet::{MemberState, Message};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -86,7 +86,7 @@
 pub struct Told {
     pub at: Nanos,
     pub node: usize,
-    pub what: Happening,
+    pub what: MembershipEvent,
 }
 
 /// A fleet in virtual time.
@@ -164,14 +164,14 @@
                 zone: format!("zone-{}", node % terms.zones.max(1)),
                 build: "test".to_owned(),
                 address: address(node),
-                run: 0,
+                run_id: 0,
                 incarnation: 1,
                 seeds: vec![address(0), address(1)],
-                routers: terms.routers,
-                period: terms.period,
-                hold: terms.hold,
+                max_routers: terms.routers,
+                probe_interval: terms.period,
+                dead_hold: terms.hold,
                 seed: terms.seed,
-                refined: terms.refined,
+                use_extensions: terms.refined,
             };
             world.nodes.push(Node {
                 core: None,
@@ -203,7 +203,7 @@
         let n = &mut self.nodes[node];
         n.process += 1;
         n.clock_from = self.now - SECOND;
-        let settings = Settings { run, incarnation: n.kept + 1, ..n.settings.clone() };
+        let settings = Settings { run_id: run, incarnation: n.kept + 1, ..n.settings.clone() };
         let mut out = Vec::new();
         n.core = Some(Membership::new(settings, SECOND, &mut out));
         (n.stopped, n.waiting) = (false, VecDeque::new());
@@ -336,7 +336,7 @@
         let now = self.local(node);
         let mut out = Vec::new();
         if let Some(core) = &mut self.nodes[node].core {
-            core.on_time(now, &mut out);
+            core.on_timer(now, &mut out);
         }
         self.carry_out(node, out);
     }
@@ -344,7 +344,7 @@
     fn plan_tick(&mut self, node: usize) {
         let n = &self.nodes[node];
         if let Some(core) = &n.core {
-            let (at, process) = ((core.next_at() + n.clock_from).max(self.now + 1), n.process);
+            let (at, process) = ((core.next_timer_at() + n.clock_from).max(self.now + 1), n.process);
             self.plan(at, node, What::Tick(process));
         }
     }
@@ -376,9 +376,9 @@
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(node, to, message),
-                Output::Keep { incarnation } => self.nodes[node].kept = incarnation,
-                Output::Happened(what) => self.told.push(Told { at: self.now, node, what }),
-                Output::Routers(_) | Output::Talk { .. } => {}
+                Output::PersistIncarnation { incarnation } => self.nodes[node].kept = incarnation,
+                Output::Event(what) => self.told.push(Told { at: self.now, node, what }),
+                Output::RouterCount(_) | Output::Payload { .. } => {}
             }
         }
     }
@@ -415,7 +415,7 @@
     /// What one thinks of another; `None` if it knows nothing of it, or is not there.
     pub fn state(&self, of: usize, by: usize) -> Option<MemberState> {
         let name = name(of);
-        self.view(by)?.members.into_iter().find(|m| m.facts.name == name).map(|m| m.state)
+        self.view(by)?.members.into_iter().find(|m| m.info.name == name).map(|m| m.state)
     }
 
     /// All that are at work, and not stopped.
@@ -439,10 +439,12 @@
     pub fn false_deaths(&self, since: Nanos) -> usize {
         let living: BTreeSet<String> = self.living().into_iter().map(name).collect();
         let deaths = self.told.iter().filter(|t| t.at >= since);
-        deaths.filter(|t| matches!(&t.what, Happening::Died { name, .. } if living.contains(name))).count()
+        deaths
+            .filter(|t| matches!(&t.what, MembershipEvent::Died { name, .. } if living.contains(name)))
+            .count()
     }
 
-    pub fn count(&self, since: Nanos, of: impl Fn(&Happening) -> bool) -> usize {
+    pub fn count(&self, since: Nanos, of: impl Fn(&MembershipEvent) -> bool) -> usize {
         self.told.iter().filter(|t| t.at >= since && of(&t.what)).count()
     }
 }
--- a/crates/gaparch-testbed/tests/membership.rs
+++ b/crates/gaparch-testbed/tests/membership.rs
@@ -1,6 +1,6 @@
 //! The membership core in virtual time: kills, pauses, lost messages, one-sided cuts, splits, lying disks.
 
-use gaparch_membership::Happening;
+use gaparch_membership::MembershipEvent;
 use gaparch_protocol::fleet::MemberState::{Alive, Dead, Left, Suspect};
 use gaparch_testbed::fleet::world::{name, Link, Terms, World, MS, SECOND};
 
@@ -24,7 +24,7 @@
         world.run_for(10 * SECOND);
         for node in 0..members {
             let view = world.view(node).expect("it runs");
-            assert!(view.majority, "{members}: {view:?}");
+            assert!(view.has_quorum, "{members}: {view:?}");
             assert_eq!((view.divisor, view.counted), (members as u32, members as u32));
         }
     }
@@ -51,7 +51,7 @@
         four.iter().for_each(|node| world.stop(*node));
         let before = world.now;
         world.run_for(stopped_ms * MS);
-        let deaths = world.count(before, |h| matches!(h, Happening::Died { .. }));
+        let deaths = world.count(before, |h| matches!(h, MembershipEvent::Died { .. }));
         assert!((stopped_ms > 500) == (deaths > 0), "{stopped_ms} ms: {deaths} deaths told");
         let woke = world.now;
         four.iter().for_each(|node| world.go_on(*node));
@@ -59,7 +59,7 @@
         assert!(took.is_some_and(|t| t <= 2 * SECOND), "{stopped_ms} ms: whole after {took:?}");
         world.run_for(5 * SECOND);
         let accused = world.told.iter().filter(|t| t.at >= woke && four.contains(&t.node));
-        let own = |t: &&gaparch_testbed::fleet::world::Told| matches!(&t.what, Happening::Suspected { by, .. } | Happening::Died { by, .. } if *by == name(t.node));
+        let own = |t: &&gaparch_testbed::fleet::world::Told| matches!(&t.what, MembershipEvent::Suspected { by, .. } | MembershipEvent::Died { by, .. } if *by == name(t.node));
         assert_eq!(accused.filter(own).count(), 0, "{stopped_ms} ms");
         assert!(world.is_whole());
     }
@@ -76,7 +76,7 @@
         world.run_for(5 * SECOND);
         world.go_on(0);
         world.run_for(4 * SECOND + 2 * delay * MS);
-        assert!(!world.view(0).expect("it runs").unsure, "links of {delay} ms");
+        assert!(!world.view(0).expect("it runs").is_recovering, "links of {delay} ms");
     }
 }
 
@@ -117,7 +117,7 @@
             world.cut(&[5], &[2]);
         }
         world.run_for(60 * SECOND);
-        assert_eq!(world.count(from, |h| matches!(h, Happening::Died { .. })), 0);
+        assert_eq!(world.count(from, |h| matches!(h, MembershipEvent::Died { .. })), 0);
         assert!(world.is_whole());
         let edge = |from: usize, to: usize| (name(from), name(to));
         let mut wanted = vec![edge(2, 5)];
@@ -126,18 +126,22 @@
         }
         for node in 0..9 {
             let view = world.view(node).expect("it runs");
-            let mut edges: Vec<_> = view.edges.into_iter().map(|e| (e.from, e.to)).collect();
+            let mut edges: Vec<_> = view.failed_links.into_iter().map(|e| (e.from, e.to)).collect();
             edges.sort();
             assert_eq!(edges, wanted, "at {node}");
         }
-        let changes =
-            world.count(from, |h| matches!(h, Happening::EdgeLost { .. } | Happening::EdgeBack { .. }));
+        let changes = world.count(from, |h| {
+            matches!(h, MembershipEvent::LinkFailed { .. } | MembershipEvent::LinkRecovered { .. })
+        });
         assert_eq!(changes, 9 * wanted.len(), "each told once by each");
         let from = world.now;
         world.heal();
         world.run_for(10 * SECOND);
-        assert!((0..9).all(|n| world.view(n).is_some_and(|v| v.edges.is_empty())));
-        assert_eq!(world.count(from, |h| matches!(h, Happening::EdgeBack { .. })), 9 * wanted.len());
+        assert!((0..9).all(|n| world.view(n).is_some_and(|v| v.failed_links.is_empty())));
+        assert_eq!(
+            world.count(from, |h| matches!(h, MembershipEvent::LinkRecovered { .. })),
+            9 * wanted.len()
+        );
     }
 }
 
@@ -149,7 +153,9 @@
         world.cut(&[2], &[5]);
         let told = |w: &World, node| {
             let view = w.view(node).expect("it runs");
-            view.edges.len() == 1 && view.edges[0].from == name(2) && view.edges[0].to == name(5)
+            view.failed_links.len() == 1
+                && view.failed_links[0].from == name(2)
+                && view.failed_links[0].to == name(5)
         };
         let took = world.run_until(20 * SECOND, |w| (0..7).all(|node| told(w, node)));
         assert!(took.is_some_and(|t| t < 8 * SECOND), "seed {seed}: {took:?}");
@@ -164,13 +170,13 @@
     let from = world.now;
     world.cut(&others, &[4]);
     world.run_for(30 * SECOND);
-    assert_eq!(world.count(from, |h| matches!(h, Happening::Died { .. })), 0);
+    assert_eq!(world.count(from, |h| matches!(h, MembershipEvent::Died { .. })), 0);
     assert!(world.all_think(&[4], Alive, &others));
     let deaf = world.view(4).expect("it runs");
-    assert!(deaf.hears_nobody && !deaf.unheard && !deaf.majority);
+    assert!(deaf.is_isolated && !deaf.is_unanswered && !deaf.has_quorum);
     let seen = |world: &World| {
         let view = world.view(0).expect("it runs");
-        view.members.iter().find(|m| m.facts.name == name(4)).is_some_and(|m| m.hears_nobody)
+        view.members.iter().find(|m| m.info.name == name(4)).is_some_and(|m| m.is_isolated)
     };
     assert!(seen(&world));
     world.heal();
@@ -181,9 +187,9 @@
     world.cut(&[4], &others);
     world.run_for(60 * SECOND);
     assert!(world.all_think(&[4], Dead, &others));
-    assert_eq!(world.count(from, |h| matches!(h, Happening::Died { .. })), 8);
+    assert_eq!(world.count(from, |h| matches!(h, MembershipEvent::Died { .. })), 8);
     let mute = world.view(4).expect("it runs");
-    assert!(mute.unheard && !mute.hears_nobody, "{mute:?}");
+    assert!(mute.is_unanswered && !mute.is_isolated, "{mute:?}");
     assert!(world.all_think(&others, Alive, &[4]), "it hears them");
     world.heal();
     assert!(world.run_until(5 * SECOND, World::is_whole).is_some());
@@ -195,9 +201,9 @@
     let from = world.now;
     world.cut(&[0, 3, 6], &[1, 4, 7]);
     world.run_for(60 * SECOND);
-    assert_eq!(world.count(from, |h| matches!(h, Happening::Died { .. })), 0);
+    assert_eq!(world.count(from, |h| matches!(h, MembershipEvent::Died { .. })), 0);
     assert!(world.is_whole());
-    assert_eq!(world.view(8).expect("it runs").edges.len(), 9);
+    assert_eq!(world.view(8).expect("it runs").failed_links.len(), 9);
 }
 
 #[test]
@@ -228,7 +234,7 @@
                     let majority = side.len() * 2 > 9;
                     for node in *side {
                         assert_eq!(
-                            world.view(*node).expect("it runs").majority,
+                            world.view(*node).expect("it runs").has_quorum,
                             majority,
                             "{node} of {side:?}"
                         );
@@ -242,7 +248,7 @@
             assert!(world
                 .living()
                 .iter()
-                .all(|n| world.view(*n).is_some_and(|v| v.majority && v.divisor == 9)));
+                .all(|n| world.view(*n).is_some_and(|v| v.has_quorum && v.divisor == 9)));
         }
     }
 }
@@ -281,7 +287,10 @@
     let living = world.living();
     assert!(world.run_until(2 * SECOND, |w| w.all_think(&[3], Left, &living)).is_some());
     world.run_for(20 * SECOND);
-    assert_eq!(world.count(from, |h| matches!(h, Happening::Died { .. } | Happening::Suspected { .. })), 0);
+    assert_eq!(
+        world.count(from, |h| matches!(h, MembershipEvent::Died { .. } | MembershipEvent::Suspected { .. })),
+        0
+    );
     // Until all have stood with a majority for a whole hold, the number of the settings is counted on.
     assert!(living.iter().all(|n| world.view(*n).expect("it runs").divisor == 9));
     world.run_for(60 * SECOND);
@@ -299,11 +308,11 @@
         world.start(5);
         world.run_for(3 * SECOND);
     }
-    let incarnation = world.view(5).expect("it runs").me.incarnation;
+    let incarnation = world.view(5).expect("it runs").local.incarnation;
     assert_eq!(incarnation, 4);
     // Lost, and an older one.
     for kept in [0, 2] {
-        let incarnation = world.view(5).expect("it runs").me.incarnation;
+        let incarnation = world.view(5).expect("it runs").local.incarnation;
         let from = world.now;
         world.kill(5);
         world.set_kept(5, kept);
@@ -312,8 +321,8 @@
         // It is told at once, and need not wait until somebody asks the dead.
         let took = world.run_until(5 * SECOND, World::is_whole);
         assert!(took.is_some_and(|t| t <= SECOND), "kept {kept}: {took:?}");
-        assert!(world.view(5).expect("it runs").me.incarnation > incarnation);
-        let told = |h: &Happening| matches!(h, Happening::DiskLied { kept: k, witnessed } if *k == kept && *witnessed == incarnation);
+        assert!(world.view(5).expect("it runs").local.incarnation > incarnation);
+        let told = |h: &MembershipEvent| matches!(h, MembershipEvent::IncarnationRolledBack { stored: k, witnessed } if *k == kept && *witnessed == incarnation);
         assert_eq!(world.count(from, told), 1, "kept {kept}");
     }
 }
@@ -326,7 +335,9 @@
     world.run_for(8 * SECOND);
     world.take_name(9, 3);
     world.start(9);
-    let found = |w: &World| w.count(0, |h| matches!(h, Happening::Twins { name: n, .. } if *n == name(3)));
+    let found = |w: &World| {
+        w.count(0, |h| matches!(h, MembershipEvent::DuplicateName { name: n, .. } if *n == name(3)))
+    };
     assert!(world.run_until(20 * SECOND, |w| found(w) > 0).is_some());
     world.run_for(20 * SECOND);
     // Both are counted on, by most at least, and it is told by few words.
@@ -371,9 +382,9 @@
             world.stop((node + turn) % 9);
         }
     }
-    let deaths = world.count(from, |h| matches!(h, Happening::Died { .. }));
+    let deaths = world.count(from, |h| matches!(h, MembershipEvent::Died { .. }));
     assert_eq!(deaths, 0);
-    assert!((0..9).any(|n| world.view(n).expect("it runs").doubt > 0));
+    assert!((0..9).any(|n| world.view(n).expect("it runs").local_health > 0));
     (0..9).for_each(|n| world.go_on(n));
     assert!(world.run_until(10 * SECOND, World::is_whole).is_some());
 }
