--- a/crates/gaparch-cli/src/commands/list.rs
+++ b/crates/gaparch-cli/src/commands/list.rs
@@ -2,11 +2,11 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch::api::ServerState;
-use gaparch_lab::list_service::ListService;
-use gaparch_lab::record::Record;
 use gaparch_net::Clock;
 use gaparch_protocol::list::ListEntry;
+use gaparch_scheduler::api::ServerState;
+use gaparch_testbed::list_service::ListService;
+use gaparch_testbed::record::Record;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -63,7 +63,7 @@
         [] => {}
         ["ready", engine] => set(engine, ServerState::Ready),
         ["drain", engine] => set(engine, ServerState::Draining),
-        ["gone", engine] => set(engine, ServerState::Gone),
+        ["gone", engine] => set(engine, ServerState::Removed),
         ["silent", on] => list.silent(on == "on"),
         ["failing", on] => list.failing(on == "on"),
         _ => eprintln!("gaparch: ready|drain|gone ENGINE, or silent|failing on|off"),
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -1,12 +1,12 @@
 //! When a listed process began, by the router's own clock: its wall clock may be off by hours, and starts are told by the
 //! catalogue's. Slow start goes by the time that has really passed.
 
-use gaparch::api::{Nanos, ServerState};
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_router::core::{Core, Input, ListUpdate};
+use gaparch_scheduler::api::{Nanos, ServerState};
 
 const S: Nanos = 1_000_000_000;
 const HOUR: i64 = 3_600;
@@ -41,7 +41,7 @@
     fn start(offset: i64, entries: Vec<ListEntry>) -> Router {
         let mut config = Config::parse(EXAMPLE).expect("sound");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
-        config.module.cold = 14 * S;
+        config.module.slow_start_duration = 14 * S;
         let at = Router::clock(offset, 0);
         let core = Core::new(config, Book::default(), RouterRun(1), at, &mut Vec::new());
         let mut router = Router { core, offset, version: 0 };
--- a/crates/gaparch-lab/src/badday.rs
+++ b/crates/gaparch-testbed/src/badday.rs
@@ -5,12 +5,12 @@
 use crate::load::{Answered, Client, Patience, Question, Summary};
 use crate::record::{Ask, End, Entry, Record};
 use crate::site::{Plan, Site, SiteError};
-use gaparch::api::{Nanos, ServerState};
 use gaparch_engine::Fault;
 use gaparch_net::Clock;
 use gaparch_protocol::client::Dialect;
 use gaparch_protocol::ops::intent::{Change, Hold};
 use gaparch_protocol::ops::Answer;
+use gaparch_scheduler::api::{Nanos, ServerState};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
         (0.30, list(&drained, ServerState::Draining)),
         (0.31, engine(&drained, Fault::Drain(1_500_000_000))),
         (0.36, engine(&slow, Fault::Slow(1.0))),
-        (0.38, list(&drained, ServerState::Gone)),
+        (0.38, list(&drained, ServerState::Removed)),
         (0.42, Trouble::KillRouter(router)),
         (0.44, engine(&drained, Fault::Start)),
         (0.45, list(&drained, ServerState::Ready)),
