--- a/crates/gaparch-ops/src/review.rs
+++ b/crates/gaparch-ops/src/review.rs
@@ -1,4 +1,7 @@
 //! Which orders may be carried out, and what they do.
+//!
+//! Effects and denials are parts of answers that operators' scripts read: their texts keep their words, also where the
+//! code has other names by now.
 
 use crate::change_text::change_text;
 use crate::limits;
@@ -121,15 +124,15 @@
     }
 
     fn effect(&self, order: &Order, site: &SiteStatus) -> Result<String, OrderDenied> {
-        let in_progress = format!("{} queued and {} in prefill", site.queued, site.prefilling);
+        let in_progress = format!("{} held and {} being read", site.queued, site.prefilling);
         match &order.change {
             Change::Drain { engine, mode } => drain_effect(engine, *mode, order.force, site),
             Change::Undrain { engine } => self.undrain_effect(engine),
-            Change::Pause {} => Ok(format!("new requests are rejected; {in_progress} go on")),
+            Change::Pause {} => Ok(format!("new requests are refused; {in_progress} go on")),
             Change::Resume {} if !self.is_paused() => {
                 Err(OrderDenied::new(DenyCode::Invalid, "the intake is not paused"))
             }
-            Change::Resume {} => Ok("new requests are admitted again".to_owned()),
+            Change::Resume {} => Ok("new requests are taken again".to_owned()),
             Change::SetLimit { name, value } => limits::check(name, *value, &site.limits),
             Change::Stop {} => Ok(format!("{in_progress} have the stated time")),
         }
@@ -139,7 +142,7 @@
         match self.drain(engine) {
             Some(_) => Ok(format!("{engine} is what the list says again")),
             None => {
-                let message = format!("no operator has drained '{engine}'");
+                let message = format!("no operator holds '{engine}'");
                 Err(OrderDenied::new(DenyCode::Invalid, message))
             }
         }
@@ -169,13 +172,13 @@
     let Some(status) = site.engines.iter().find(|status| status.name == engine) else {
         return Err(OrderDenied::new(DenyCode::Unknown, format!("there is no engine '{engine}'")));
     };
-    let waiting = format!("{} queued and {} in prefill", site.queued, site.prefilling);
-    let consequence = "would wait for another until their time is up, and then be rejected";
+    let waiting = format!("{} held and {} being read", site.queued, site.prefilling);
+    let consequence = "would wait for another until their time is up, and then be refused";
     let mut effect = drain_text(status, mode);
     if let Some(role) = role_left_without_engine(status, site) {
         if !force {
             let message = format!(
-                "{engine} is the last {role} that accepts requests: {waiting} requests {consequence}, as would all \
+                "{engine} is the last {role} that takes anything: {waiting} requests {consequence}, as would all \
                  that come; force it if that is wanted"
             );
             return Err(OrderDenied::new(DenyCode::LastOfRole, message));
@@ -189,10 +192,10 @@
     let EngineStatus { name, awaiting_first_token, streaming, .. } = status;
     let what = match mode {
         DrainMode::Drain => "gets nothing new",
-        DrainMode::Detach => "gets nothing new, and no connection once nothing is in flight there",
+        DrainMode::Detach => "gets nothing new, and no connection once nothing runs there",
     };
     format!(
-        "{name} {what}; {awaiting_first_token} awaiting their first token and {streaming} streaming end in \
+        "{name} {what}; {awaiting_first_token} sent there and {streaming} streaming end in \
          their own time"
     )
 }
@@ -208,11 +211,11 @@
     };
     let remaining_decode_workers = remaining(can_decode);
     if can_decode(status.role) && remaining_decode_workers == 0 {
-        return Some("decode worker");
+        return Some("writer");
     }
     let decode_workers_prefill = site.decode_workers_can_prefill && remaining_decode_workers > 0;
     if can_prefill(status.role) && remaining(can_prefill) == 0 && !decode_workers_prefill {
-        return Some("prefill worker");
+        return Some("reader");
     }
     None
 }
--- a/crates/gaparch-ops/tests/orders.rs
+++ b/crates/gaparch-ops/tests/orders.rs
@@ -41,7 +41,7 @@
     );
     let denied = results[1].as_ref().expect_err("the last decode worker");
     assert_eq!(denied.code, DenyCode::LastOfRole);
-    assert!(denied.message.contains("12 queued and 3 in prefill"), "{}", denied.message);
+    assert!(denied.message.contains("12 held and 3 being read"), "{}", denied.message);
     assert!(results[2].as_ref().is_ok_and(|e| e.contains("until their time is up")), "{results:?}");
 }
 
@@ -82,7 +82,7 @@
     let limit = |name: &str, value| Change::SetLimit { name: name.to_owned(), value };
     for (order, code, word) in [
         (drain("w9"), DenyCode::Unknown, "'w9'"),
-        (undrain("w0"), DenyCode::Invalid, "no operator has drained 'w0'"),
+        (undrain("w0"), DenyCode::Invalid, "no operator holds 'w0'"),
         (order(Change::Resume {}), DenyCode::Invalid, "not paused"),
         (order(limit("speed", Some(1.0))), DenyCode::Unknown, "open-requests"),
         (order(limit("open-requests", Some(0.0))), DenyCode::Invalid, "from 1 to 1000"),
--- a/crates/gaparch-protocol/src/ops/view/fleet.rs
+++ b/crates/gaparch-protocol/src/ops/view/fleet.rs
@@ -1,7 +1,7 @@
 //! The routers of a site as one of them sees them.
 
 use crate::fleet::MemberState;
-use crate::versions::{FleetOrder, ListVersion, Sends};
+use crate::versions::{FleetOrder, ListVersion, SendCounts};
 use crate::wire::record;
 
 record! {
@@ -82,7 +82,7 @@
         #[serde(rename = "sure")]
         pub confirmed: bool,
         /// What was sent. Times are by the clock of the router that answered the query.
-        pub sends: Sends,
+        pub sends: SendCounts,
     }
 }
 
--- a/crates/gaparch-protocol/tests/pinned_operations.rs
+++ b/crates/gaparch-protocol/tests/pinned_operations.rs
@@ -18,7 +18,7 @@
     RouterAuditRow, RouterMetrics, Setting, Severity, Snapshot, SupersededOrder, TenantView,
 };
 use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, Order, Query, SessionRole, Update};
-use gaparch_protocol::versions::{AuditFilter, FleetOrder, ListVersion, OrderId, Sends};
+use gaparch_protocol::versions::{AuditFilter, FleetOrder, ListVersion, OrderId, SendCounts};
 
 const NAME: GlobalRequestId = GlobalRequestId { run: 0x18a2b3, number: 42 };
 const NOW: u64 = 1_700_000_000_000_000_000;
@@ -292,8 +292,8 @@
 }
 
 fn fleet_order(number: u64, over: Option<OrderId>) -> FleetOrder {
-    let id = OrderId { number, care: 2, router: "router-1".to_owned(), incarnation: 3 };
-    FleetOrder { id, over, change: drain(), note: note() }
+    let id = OrderId { number, restrictiveness: 2, router: "router-1".to_owned(), incarnation: 3 };
+    FleetOrder { id, replaces: over, change: drain(), note: note() }
 }
 
 fn order_replication() -> OrderReplicationView {
@@ -313,7 +313,8 @@
 }
 
 fn audit() -> AuditView {
-    let sends = Sends { engine: "w0".to_owned(), reads: 1, writes: 2, probes: 3, first_at: 4, last_at: 5 };
+    let sends =
+        SendCounts { engine: "w0".to_owned(), prefills: 1, decodes: 2, probes: 3, first_at: 4, last_at: 5 };
     AuditView {
         complete: false,
         unknown: vec!["router-3: no answer".to_owned()],
@@ -389,7 +390,7 @@
         engine: Some("w0".to_owned()),
         since: 1,
         until: Some(2),
-        below: Some(3),
+        below_version: Some(3),
         request: Some(4),
     };
     assert_frame(
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -8,7 +8,7 @@
 use gaparch_net::Clock;
 use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
-use gaparch_protocol::versions::{Claim, ListVersion, OrderId, Talk};
+use gaparch_protocol::versions::{Claim, ListVersion, OrderId, ReplicationMessage};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
@@ -44,14 +44,14 @@
             zone: "north".to_owned(),
             build: "defect".to_owned(),
             address: self.address,
-            run: self.clock.now(),
+            run_id: self.clock.now(),
             incarnation: 1_000,
             seeds: self.seeds.clone(),
-            routers: self.routers,
-            period: 200_000_000,
-            hold: 60_000_000_000,
+            max_routers: self.routers,
+            probe_interval: 200_000_000,
+            dead_hold: 60_000_000_000,
             seed: 1,
-            refined: true,
+            use_extensions: true,
         };
         let mut out = Vec::new();
         let mut core = Membership::new(settings, self.clock.now(), &mut out);
@@ -67,28 +67,34 @@
                             let _ = socket.try_send_to(&bytes, to);
                         }
                     }
-                    Output::Talk { from, bytes } => talks.push((from, bytes)),
+                    Output::Payload { from, bytes } => talks.push((from, bytes)),
                     _ => {}
                 }
             }
             for (from, bytes) in talks {
-                match from_bytes::<Talk>(&bytes) {
-                    Some(Talk::Stamp { held, .. }) => heard = held,
+                match from_bytes::<ReplicationMessage>(&bytes) {
+                    Some(ReplicationMessage::ListStatus { held, .. }) => heard = held,
                     // Whoever believes it gets what nobody listed.
-                    Some(Talk::Want { version, from: at }) => {
-                        let page = Talk::Page { version, digest: 1, from: at, of: 0, entries: Vec::new() };
-                        core.talk(self.clock.now(), &from, to_bytes(&page), &mut out);
+                    Some(ReplicationMessage::ListRequest { version, first: at }) => {
+                        let page = ReplicationMessage::ListPage {
+                            version,
+                            digest: 1,
+                            first: at,
+                            total: 0,
+                            entries: Vec::new(),
+                        };
+                        core.send_payload(self.clock.now(), &from, to_bytes(&page), &mut out);
                     }
                     _ => {}
                 }
             }
-            let due = Instant::from_std(self.clock.instant(core.next_at()));
+            let due = Instant::from_std(self.clock.instant(core.next_timer_at()));
             tokio::select! {
-                () = sleep_until(due) => core.on_time(self.clock.now(), &mut out),
+                () = sleep_until(due) => core.on_timer(self.clock.now(), &mut out),
                 _ = lies.tick() => {
-                    for to in core.others() {
+                    for to in core.present_peers() {
                         for talk in [self.stamp(heard), self.order()] {
-                            core.talk(self.clock.now(), &to, to_bytes(&talk), &mut out);
+                            core.send_payload(self.clock.now(), &to, to_bytes(&talk), &mut out);
                         }
                     }
                 }
@@ -102,18 +108,24 @@
     }
 
     /// A list from the future, which it says to have from the service itself.
-    fn stamp(&self, heard: ListVersion) -> Talk {
+    fn stamp(&self, heard: ListVersion) -> ReplicationMessage {
         let held = ListVersion { version: heard.version.saturating_add(FAR), ..heard };
-        let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age: 0 };
-        Talk::Stamp { held, digest: 1, entries: 0, sure: Some(0), claims: vec![claim] }
+        let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age_ms: 0 };
+        ReplicationMessage::ListStatus {
+            held,
+            digest: 1,
+            entries: 0,
+            confirmed_ms_ago: Some(0),
+            claims: vec![claim],
+        }
     }
 
     /// An order that would go before all others for ever.
-    fn order(&self) -> Talk {
+    fn order(&self) -> ReplicationMessage {
         let change = Change::Undrain { engine: "read-0".to_owned() };
         debug_assert!(subject(&change).is_some());
-        let id = OrderId { number: FAR, care: 0, router: self.name.clone(), incarnation: 1_000 };
+        let id = OrderId { number: FAR, restrictiveness: 0, router: self.name.clone(), incarnation: 1_000 };
         let note = ChangeNote { operator: "nobody".to_owned(), reason: "a defect".to_owned(), at: 0 };
-        Talk::Order { order: FleetOrder { id, over: None, change, note } }
+        ReplicationMessage::Order { order: FleetOrder { id, replaces: None, change, note } }
     }
 }
