--- a/crates/gaparch-audit/examples/tally.rs
+++ b/crates/gaparch-audit/examples/tally.rs
@@ -1,11 +1,11 @@
 //! Measures what recording costs where requests pass: `cargo run --release -p gaparch-audit --example tally`.
 
-use gaparch_audit::{Kind, Tally};
+use gaparch_audit::{SendKind, SendTally};
 use gaparch_protocol::versions::SendContext;
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Sends between two hand-overs, at some 2,000 requests a second.
+/// SendCounts between two hand-overs, at some 2,000 requests a second.
 const BATCH: u64 = 1_000;
 const ROUNDS: u64 = 2_000;
 
@@ -14,10 +14,10 @@
     let mut noted = Vec::new();
     let mut handed = Vec::new();
     for round in 0..ROUNDS {
-        let mut tally = Tally::default();
+        let mut tally = SendTally::default();
         let began = Instant::now();
         for n in 0..BATCH {
-            tally.note(black_box((n * 7 % engines) as u32), Kind::Read, n, 1, round * BATCH + n);
+            tally.record(black_box((n * 7 % engines) as u32), SendKind::Prefill, n, 1, round * BATCH + n);
         }
         noted.push(began.elapsed().as_nanos() as f64 / BATCH as f64);
         let began = Instant::now();
--- a/crates/gaparch-audit/src/lib.rs
+++ b/crates/gaparch-audit/src/lib.rs
@@ -1,33 +1,41 @@
-//! Which version of the list of engines each router of a site holds, and how one that lags is brought up by the others:
-//! decided here, without I/O, clock or randomness but its seed.
+//! Keeps the routers of a site on the same endpoint list and the same operators' orders, and records what each of them
+//! sent under which list. Without I/O, clock or randomness but its seed.
 //!
-//! [`Held`] is the list that a router acts on. It takes what the list service says and what other routers hand on, and
-//! never lets an older version take the place of a newer one. [`Follow`] speaks with the other routers: it tells them
-//! what is held here, hears what they hold, believes what enough of them have from the service itself, and fetches it
-//! where the own link to the service is silent, or answers old versions. [`Orders`] keeps operators' orders the same at
-//! all of them. [`Tally`] and [`Book`] record what was sent under which version. Times are nanoseconds of one monotonic clock.
+//! - [`ActiveList`] is the list that a router acts on. It takes what the list service and other routers say, and never
+//!   replaces a version by an older one.
+//! - [`ListFollower`] exchanges list versions with the other routers. It fetches a version that enough of them have from
+//!   the service where this router's own link to the service is silent, or answers old versions.
+//! - [`FleetOrders`] replicates operators' orders to all routers.
+//! - [`SendTally`] and [`AuditLog`] record what was sent under which version; [`AuditQuery`] reads the logs of all
+//!   routers.
+//!
+//! Times are nanoseconds of one monotonic clock, except in the log, which has wall-clock times.
+
+#![warn(missing_docs)]
 
-mod claims;
-mod fetch;
-mod follow;
-mod gather;
-mod held;
+mod list;
+mod log;
 mod orders;
-mod record;
-mod view;
 
-pub use follow::{Follow, Output, Settings};
 pub use gaparch_protocol::versions::FleetOrder;
-pub use gather::{answer, Gather, Told};
-pub use held::{digest, Held, HeldList, Refusal, Taken};
-pub use orders::{subject, Acked, OrderHappening, OrderOutput, Orders};
-pub use record::{Book, Chain, Gap, Kind, Sent, Tally};
-pub use view::{Happening, Row, View};
+pub use list::{
+    digest, ActiveList, FollowerOutput, FollowerSettings, ListEvent, ListFollower, ListOutcome,
+    ListRejection, ListSnapshot, ListView, PeerListStatus,
+};
+pub use log::{
+    answer_pages, AuditAnswer, AuditLog, AuditQuery, ChainVerifier, LogGap, SendBatch, SendKind, SendTally,
+};
+pub use orders::{subject, FleetOrders, OrderAck, OrderEvent, OrderOutput, SupersededOrder};
 
-/// Nanoseconds.
+/// An instant or a span of a monotonic clock, in nanoseconds.
 pub type Nanos = u64;
 
-/// Engines that a list may have.
-pub const MOST_ENTRIES: u32 = 10_000;
+/// The greatest number of entries of an endpoint list.
+pub const MAX_ENTRIES: u32 = 10_000;
+
+const MILLISECOND: Nanos = 1_000_000;
 
-const MS: Nanos = 1_000_000;
+/// The first eight bytes of a hash, from an offset on, as a big-endian number.
+fn hash_part(hash: &[u8], offset: usize) -> u64 {
+    hash.iter().skip(offset).take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+}
--- /dev/null
+++ b/crates/gaparch-audit/src/list/active.rs
@@ -0,0 +1,248 @@
+//! The endpoint list that a router acts on.
+
+use super::snapshot::{digest, entry_digest, ListSnapshot};
+use gaparch_protocol::list::{ListEntry, Scope, ServerState};
+use gaparch_protocol::versions::ListVersion;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use thiserror::Error;
+
+/// The number of epochs remembered. A service that began anew more often since is not told from one that never did.
+const MAX_EPOCHS: usize = 16;
+
+/// Why a list is not adopted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ListRejection {
+    /// A later version is in use already.
+    #[error("version {} is older than {}, which is in use", .offered.version, .held.version)]
+    Older {
+        /// The version in use.
+        held: ListVersion,
+        /// The version that was offered.
+        offered: ListVersion,
+    },
+    /// It is of an epoch of the service that another one has followed.
+    #[error(
+        "it is of epoch {}, which epoch {} has followed: a service that went back, or a second one",
+        .offered.rank, .held.rank
+    )]
+    ReplacedEpoch {
+        /// The version in use.
+        held: ListVersion,
+        /// The version that was offered.
+        offered: ListVersion,
+    },
+    /// Its entries are not those that its digest was made of.
+    #[error("its entries do not fit its digest")]
+    DigestMismatch,
+}
+
+/// What became of a list, or of changes to it, that were offered.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ListOutcome {
+    /// It was adopted.
+    Adopted {
+        /// Whether the list service began anew.
+        new_epoch: bool,
+    },
+    /// It states what is known already.
+    Unchanged,
+    /// Changes before it were missed: the whole list has to be requested.
+    Incomplete,
+    /// It was rejected.
+    Rejected(ListRejection),
+}
+
+/// An epoch of the list service, and its place in the order of epochs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct RankedEpoch {
+    epoch: u64,
+    rank: u32,
+}
+
+impl RankedEpoch {
+    fn of(version: &ListVersion) -> RankedEpoch {
+        RankedEpoch { epoch: version.epoch, rank: version.rank }
+    }
+}
+
+/// The list in use, and what is known of the list service's epochs.
+#[derive(Clone, Debug, Default)]
+pub struct ActiveList {
+    version: Option<ListVersion>,
+    entries: BTreeMap<String, ListEntry>,
+    digest: u64,
+    epochs: Vec<RankedEpoch>,
+    /// Whether another router has handed it on, and the service has not confirmed it here.
+    is_from_peer: bool,
+    /// A version that more than one router has from the service itself: nothing older is adopted from anybody.
+    floor: Option<ListVersion>,
+}
+
+impl ActiveList {
+    /// The version in use, if there is any yet.
+    pub fn version(&self) -> Option<ListVersion> {
+        self.version
+    }
+
+    /// A copy of the list in use.
+    pub fn snapshot(&self) -> Arc<ListSnapshot> {
+        let entries = self.entries.values().cloned().collect();
+        Arc::new(ListSnapshot { version: self.version.unwrap_or_default(), digest: self.digest, entries })
+    }
+
+    /// The rank of an epoch: one more than any known if it is new.
+    fn rank_of(&mut self, epoch: u64) -> u32 {
+        if let Some(known) = self.epochs.iter().find(|known| known.epoch == epoch) {
+            return known.rank;
+        }
+        let last = self.epochs.iter().map(|known| known.rank).max().unwrap_or(0);
+        let held = self.version.map_or(0, |version| version.rank);
+        let rank = last.max(held).saturating_add(1);
+        self.remember_epoch(RankedEpoch { epoch, rank });
+        rank
+    }
+
+    fn remember_epoch(&mut self, epoch: RankedEpoch) {
+        self.epochs.retain(|known| known.epoch != epoch.epoch);
+        if self.epochs.len() >= MAX_EPOCHS {
+            self.epochs.remove(0);
+        }
+        self.epochs.push(epoch);
+    }
+
+    /// Records that several routers have this version from the service itself. If they rank its epoch higher, so does
+    /// this router from now on: one that started later has seen fewer epochs.
+    pub fn corroborate(&mut self, version: ListVersion) {
+        self.floor = self.floor.max(Some(version));
+        let mut known = self.epochs.iter();
+        let is_ranked = known.any(|known| known.epoch == version.epoch && known.rank >= version.rank);
+        if !is_ranked {
+            self.remember_epoch(RankedEpoch::of(&version));
+        }
+        if let Some(held) = self.version.as_mut().filter(|held| held.epoch == version.epoch) {
+            held.rank = held.rank.max(version.rank);
+        }
+    }
+
+    /// Takes what the list service says. `is_first` tells whether it is the first update on its connection: a service
+    /// that does not state its epoch (0) may have begun anew there, and nowhere else.
+    pub fn apply_service_update(
+        &mut self,
+        epoch: u64,
+        is_first: bool,
+        scope: Scope,
+        version: u64,
+        entries: &[ListEntry],
+    ) -> ListOutcome {
+        let rank = self.rank_of(epoch);
+        let previous = self.version;
+        let mut offered = ListVersion { rank, epoch, version };
+        if let Some(held) = previous.filter(|held| held.is_later_than(&offered)) {
+            let is_full = scope == Scope::Full;
+            if epoch == 0 && held.epoch == 0 && is_first && is_full {
+                offered.rank = held.rank.saturating_add(1);
+                self.remember_epoch(RankedEpoch::of(&offered));
+            } else if !(is_full && self.may_go_back_to(&offered)) {
+                return ListOutcome::Rejected(outdated(held, offered));
+            }
+        }
+        let rejected = match scope {
+            Scope::Full => self.replace_entries(offered, entries),
+            Scope::Delta => self.change_entries(offered, entries),
+        };
+        if let Some(update) = rejected {
+            return update;
+        }
+        self.version = Some(offered);
+        self.is_from_peer = false;
+        let new_epoch = previous.is_some_and(|held| RankedEpoch::of(&held) != RankedEpoch::of(&offered));
+        ListOutcome::Adopted { new_epoch }
+    }
+
+    /// Whether an older version of the service is right: one router alone has stated the one in use, and the service
+    /// itself does not.
+    fn may_go_back_to(&self, offered: &ListVersion) -> bool {
+        self.is_from_peer && self.floor.is_none_or(|floor| !floor.is_later_than(offered))
+    }
+
+    /// Replaces all entries by those of a full update; returns what became of it if it is not adopted.
+    fn replace_entries(&mut self, offered: ListVersion, entries: &[ListEntry]) -> Option<ListOutcome> {
+        let entries = by_name(entries);
+        let offered_digest = digest(entries.values());
+        if self.version.is_some_and(|held| held.is_same_list(&offered)) {
+            // The same version with other entries is a defect of the service: the first statement holds.
+            self.is_from_peer = false;
+            let is_same = offered_digest == self.digest;
+            return Some(match is_same {
+                true => ListOutcome::Unchanged,
+                false => ListOutcome::Rejected(ListRejection::DigestMismatch),
+            });
+        }
+        self.digest = offered_digest;
+        self.entries = entries;
+        None
+    }
+
+    /// Applies the changes of a delta; returns what became of it if it is not adopted.
+    fn change_entries(&mut self, offered: ListVersion, entries: &[ListEntry]) -> Option<ListOutcome> {
+        let held = self.version.unwrap_or_default();
+        let is_same_epoch = self.version.is_some() && RankedEpoch::of(&held) == RankedEpoch::of(&offered);
+        if is_same_epoch && offered.version <= held.version {
+            return Some(ListOutcome::Unchanged);
+        }
+        if !is_same_epoch || held.version.saturating_add(1) != offered.version {
+            return Some(ListOutcome::Incomplete);
+        }
+        for entry in entries {
+            self.change_entry(entry);
+        }
+        None
+    }
+
+    fn change_entry(&mut self, entry: &ListEntry) {
+        let is_removed = entry.state == ServerState::Removed;
+        let before = match is_removed {
+            true => self.entries.remove(&entry.engine),
+            false => self.entries.insert(entry.engine.clone(), entry.clone()),
+        };
+        self.digest = self.digest.wrapping_sub(before.as_ref().map_or(0, entry_digest));
+        self.digest = self.digest.wrapping_add(if is_removed { 0 } else { entry_digest(entry) });
+    }
+
+    /// Takes a list that another router has handed on, as if the service had sent it.
+    pub fn apply_peer_list(&mut self, list: &ListSnapshot) -> ListOutcome {
+        let held = self.version.unwrap_or_default();
+        if self.version.is_some() && !list.version.is_later_than(&held) {
+            if list.version.is_same_list(&held) {
+                return ListOutcome::Unchanged;
+            }
+            return ListOutcome::Rejected(ListRejection::Older { held, offered: list.version });
+        }
+        if digest(&list.entries) != list.digest {
+            return ListOutcome::Rejected(ListRejection::DigestMismatch);
+        }
+        let new_epoch = self.version.is_some() && held.epoch != list.version.epoch;
+        let mut version = list.version;
+        if version.epoch == held.epoch {
+            version.rank = version.rank.max(held.rank);
+        }
+        self.remember_epoch(RankedEpoch::of(&version));
+        self.entries = by_name(&list.entries);
+        self.version = Some(version);
+        self.digest = list.digest;
+        self.is_from_peer = true;
+        ListOutcome::Adopted { new_epoch }
+    }
+}
+
+fn by_name(entries: &[ListEntry]) -> BTreeMap<String, ListEntry> {
+    entries.iter().map(|entry| (entry.engine.clone(), entry.clone())).collect()
+}
+
+fn outdated(held: ListVersion, offered: ListVersion) -> ListRejection {
+    match offered.epoch == held.epoch {
+        true => ListRejection::Older { held, offered },
+        false => ListRejection::ReplacedEpoch { held, offered },
+    }
+}
--- /dev/null
+++ b/crates/gaparch-audit/src/list/event.rs
@@ -0,0 +1,137 @@
+//! Events of the endpoint list that an operator may want to know of.
+
+use crate::Nanos;
+use gaparch_protocol::versions::ListVersion;
+use std::fmt;
+
+/// A change in how this router's list compares with what others have.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ListEvent {
+    /// The list service has confirmed nothing to this router for too long.
+    Unconfirmed {
+        /// For how long, in nanoseconds.
+        silent_for: Nanos,
+    },
+    /// The list service confirms the list in use again.
+    Confirmed,
+    /// Others have a later version.
+    Behind {
+        /// The version in use here.
+        held: ListVersion,
+        /// The version that others have.
+        believed: ListVersion,
+        /// For how long, in nanoseconds.
+        lag: Nanos,
+    },
+    /// The list in use is the one that others have.
+    CaughtUp {
+        /// The version in use.
+        version: ListVersion,
+        /// For how long it was behind, in nanoseconds.
+        after: Nanos,
+    },
+    /// Another router has handed on the list.
+    FetchedFromPeer {
+        /// The other router.
+        by: String,
+        /// The version of the list.
+        version: ListVersion,
+        /// For how long this router was behind, in nanoseconds.
+        after: Nanos,
+    },
+    /// The list service answers versions that others have left behind.
+    SourceOutdated {
+        /// The version in use here.
+        held: ListVersion,
+        /// The version that others have.
+        believed: ListVersion,
+    },
+    /// The list service is of another epoch than that of others: there are two, or one has begun anew unseen.
+    SourcesDiffer {
+        /// The version in use here.
+        held: ListVersion,
+        /// The version that others have.
+        believed: ListVersion,
+    },
+    /// One router states a version that nobody else has.
+    Outlier {
+        /// The router.
+        router: String,
+        /// The version that it states.
+        stated: ListVersion,
+        /// The version that others have.
+        believed: ListVersion,
+    },
+    /// What a router handed on does not fit the digest that was stated with it.
+    DigestMismatch {
+        /// The router.
+        by: String,
+        /// The version of the list.
+        version: ListVersion,
+    },
+}
+
+fn seconds(time: Nanos) -> f64 {
+    time as f64 / 1e9
+}
+
+/// A version as operators see it: rank of the epoch and count.
+struct ShortVersion<'a>(&'a ListVersion);
+
+impl fmt::Display for ShortVersion<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}.{}", self.0.rank, self.0.version)
+    }
+}
+
+impl fmt::Display for ListEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ListEvent::Unconfirmed { silent_for } => {
+                write!(f, "the list service has confirmed nothing for {:.1} s", seconds(*silent_for))
+            }
+            ListEvent::Confirmed => f.write_str("the list service confirms the list in use"),
+            ListEvent::Behind { held, believed, lag } => write!(
+                f,
+                "the list in use here is {}, others have had {} for {:.1} s",
+                ShortVersion(held),
+                ShortVersion(believed),
+                seconds(*lag)
+            ),
+            ListEvent::CaughtUp { version, after } => write!(
+                f,
+                "the list in use here is {}, as others have it, after {:.1} s",
+                ShortVersion(version),
+                seconds(*after)
+            ),
+            ListEvent::FetchedFromPeer { by, version, after } => write!(
+                f,
+                "list {} was fetched from router {by}, {:.1} s after others had it",
+                ShortVersion(version),
+                seconds(*after)
+            ),
+            ListEvent::SourceOutdated { held, believed } => write!(
+                f,
+                "the list service answers {}, though others have {} from it: it is not believed",
+                ShortVersion(held),
+                ShortVersion(believed)
+            ),
+            ListEvent::SourcesDiffer { held, believed } => write!(
+                f,
+                "the list service here is of epoch {}, that of others of {}: there are two, and each router follows its own",
+                held.rank, believed.rank
+            ),
+            ListEvent::Outlier { router, stated, believed } => write!(
+                f,
+                "router {router} states list {}, nobody else more than {}: its claim is not passed on",
+                ShortVersion(stated),
+                ShortVersion(believed)
+            ),
+            ListEvent::DigestMismatch { by, version } => write!(
+                f,
+                "list {} that router {by} handed on does not fit its digest",
+                ShortVersion(version)
+            ),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaparch-audit/src/list/follower/evaluate.rs
@@ -0,0 +1,159 @@
+//! Which list is believed, how it compares with the one in use, and what operators are told of it.
+
+use super::{FollowerOutput, ListFollower, Outlier};
+use crate::list::claims::BelievedList;
+use crate::list::event::ListEvent;
+use crate::{Nanos, MILLISECOND};
+use gaparch_protocol::versions::ListVersion;
+
+/// How long the service may take to say here what others have heard from it already.
+const SERVICE_DELAY: Nanos = 400 * MILLISECOND;
+/// Times the confirmation time after which a claim is forgotten.
+const CLAIM_LIFETIME: u64 = 4;
+/// Times the confirmation time after which the status of a router that is not present is forgotten.
+const STATUS_LIFETIME: u64 = 20;
+/// Times the confirmation time for which a router has to be an outlier before it is reported.
+const OUTLIER_PATIENCE: u64 = 2;
+
+impl ListFollower {
+    /// Determines which list is believed, whether it is the one in use, and starts a fetch if it has to.
+    pub(super) fn evaluate(&mut self, out: &mut Vec<FollowerOutput>) {
+        self.forget_old();
+        self.check_confirmation(out);
+        let since = self.now.saturating_sub(self.settings.confirm_within);
+        self.update_believed(since, out);
+        self.check_outliers(since, out);
+        let is_later =
+            |believed: &BelievedList| self.version().is_none_or(|own| believed.version.is_later_than(&own));
+        match self.believed.filter(is_later) {
+            Some(believed) => self.on_behind(believed, out),
+            None => self.on_up_to_date(out),
+        }
+    }
+
+    fn forget_old(&mut self) {
+        let confirm_within = self.settings.confirm_within;
+        self.claims.forget_before(self.now.saturating_sub(confirm_within * CLAIM_LIFETIME));
+        let oldest = self.now.saturating_sub(confirm_within * STATUS_LIFETIME);
+        let present = &self.present;
+        self.peers.retain(|name, status| status.reported_at >= oldest || present.contains(name));
+    }
+
+    /// Reports that the service has confirmed nothing for too long, or confirms again.
+    fn check_confirmation(&mut self, out: &mut Vec<FollowerOutput>) {
+        let silent_since = self.confirmed_at.unwrap_or(self.started_at);
+        let is_unconfirmed = self.now > silent_since + self.settings.confirm_within;
+        if is_unconfirmed == self.reported.unconfirmed {
+            return;
+        }
+        if !is_unconfirmed && self.confirmed_at.is_none() {
+            return;
+        }
+        self.reported.unconfirmed = is_unconfirmed;
+        let silent_for = self.now - silent_since;
+        out.push(FollowerOutput::Event(match is_unconfirmed {
+            true => ListEvent::Unconfirmed { silent_for },
+            false => ListEvent::Confirmed,
+        }));
+    }
+
+    fn update_believed(&mut self, since: Nanos, out: &mut Vec<FollowerOutput>) {
+        let believed = self.claims.believed(since, self.version());
+        if let Some(believed) = believed.filter(|believed| believed.is_corroborated) {
+            let is_new = self
+                .believed
+                .is_none_or(|before| before.version != believed.version || !before.is_corroborated);
+            if is_new || self.ranks_lower_than(&believed.version) {
+                out.push(FollowerOutput::Corroborated(believed.version));
+            }
+        }
+        self.believed = believed;
+    }
+
+    /// Whether the list in use is of the same epoch, which others rank higher.
+    fn ranks_lower_than(&self, version: &ListVersion) -> bool {
+        self.version().is_some_and(|own| own.epoch == version.epoch && own.rank < version.rank)
+    }
+
+    fn on_up_to_date(&mut self, out: &mut Vec<FollowerOutput>) {
+        self.fetch = None;
+        let Some(since) = self.behind_since.take() else { return };
+        if std::mem::take(&mut self.reported.behind) {
+            let version = self.version().unwrap_or_default();
+            let after = self.now - since;
+            out.push(FollowerOutput::Event(ListEvent::CaughtUp { version, after }));
+        }
+    }
+
+    /// Others have a later list from the service.
+    fn on_behind(&mut self, believed: BelievedList, out: &mut Vec<FollowerOutput>) {
+        let since = *self.behind_since.get_or_insert(self.now);
+        let held = self.version().unwrap_or_default();
+        let has_lasted = self.now >= since + self.settings.confirm_within;
+        if self.is_confirmed() && held.epoch != believed.version.epoch {
+            // Both services confirm their own list; which one is right only people know.
+            if has_lasted && !std::mem::replace(&mut self.reported.sources_differ, true) {
+                let believed = believed.version;
+                out.push(FollowerOutput::Event(ListEvent::SourcesDiffer { held, believed }));
+            }
+            return;
+        }
+        if self.is_confirmed() && (!self.is_service_delay_over(since) || !believed.is_corroborated) {
+            // The service will send it here, too; if not, it is a replica that hears of no change.
+            return;
+        }
+        self.report_behind(held, believed.version, since, has_lasted, out);
+        if self.fetch.is_none() {
+            self.start_fetch(believed, out);
+        }
+    }
+
+    fn is_service_delay_over(&self, since: Nanos) -> bool {
+        self.now >= since + SERVICE_DELAY.min(self.settings.confirm_within / 2)
+    }
+
+    fn report_behind(
+        &mut self,
+        held: ListVersion,
+        believed: ListVersion,
+        since: Nanos,
+        has_lasted: bool,
+        out: &mut Vec<FollowerOutput>,
+    ) {
+        // The service has confirmed the older list here since others had the later one.
+        let is_source_outdated = self.is_confirmed() && self.confirmed_at > Some(since);
+        if !has_lasted && !is_source_outdated {
+            return;
+        }
+        if std::mem::replace(&mut self.reported.behind, true) {
+            return;
+        }
+        out.push(FollowerOutput::Event(match is_source_outdated {
+            true => ListEvent::SourceOutdated { held, believed },
+            false => ListEvent::Behind { held, believed, lag: self.now - since },
+        }));
+    }
+
+    /// Reports routers that have stated versions for long that nobody else has.
+    fn check_outliers(&mut self, since: Nanos, out: &mut Vec<FollowerOutput>) {
+        let believed = match self.believed {
+            Some(believed) if believed.is_corroborated => believed.version,
+            _ if self.is_confirmed() => self.version().unwrap_or_default(),
+            _ => return self.outliers.clear(),
+        };
+        let claims = self.claims.outliers(since, believed);
+        self.outliers.retain(|router, _| claims.iter().any(|claim| claim.router == *router));
+        let patience = self.settings.confirm_within * OUTLIER_PATIENCE;
+        for claim in claims {
+            let first_seen = Outlier { since: self.now, is_reported: false };
+            let outlier = self.outliers.entry(claim.router.clone()).or_insert(first_seen);
+            if self.now < outlier.since + patience || outlier.is_reported {
+                continue;
+            }
+            outlier.is_reported = true;
+            self.rejected += 1;
+            let (router, stated) = (claim.router, claim.stated);
+            out.push(FollowerOutput::Event(ListEvent::Outlier { router, stated, believed }));
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaparch-audit/src/list/view.rs
@@ -0,0 +1,43 @@
+//! The endpoint lists of all routers as one router shows them.
+
+use crate::Nanos;
+use gaparch_protocol::versions::ListVersion;
+
+/// The list that another router uses, as it last said.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PeerListStatus {
+    /// The name of the router.
+    pub router: String,
+    /// The version that it uses.
+    pub held: ListVersion,
+    /// The digest of that list.
+    pub digest: u64,
+    /// How long before the report the list service confirmed it, in nanoseconds; `None` if another router handed it on,
+    /// or the service did not confirm it in time.
+    pub confirmed_ago: Option<Nanos>,
+    /// When the router reported it.
+    pub reported_at: Nanos,
+}
+
+/// The lists of all routers, as one router sees them.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListView {
+    /// The version in use here.
+    pub held: ListVersion,
+    /// The number of its entries.
+    pub entries: u32,
+    /// Nanoseconds since the list service confirmed it; `None` if it did not do so in time.
+    pub confirmed_ago: Option<Nanos>,
+    /// The version that the list service is believed to have, by what others have from it.
+    pub believed: Option<ListVersion>,
+    /// Whether more than one router has that version from the service.
+    pub is_corroborated: bool,
+    /// Since when a later version is believed than the one in use.
+    pub behind_since: Option<Nanos>,
+    /// The number of lists that were fetched from other routers.
+    pub fetched: u64,
+    /// The number of statements of other routers that were rejected.
+    pub rejected: u64,
+    /// What other routers use, in the order of their names.
+    pub peers: Vec<PeerListStatus>,
+}
--- /dev/null
+++ b/crates/gaparch-audit/src/log/chain.rs
@@ -0,0 +1,191 @@
+//! Verification of a log's hash chain.
+
+use crate::hash_part;
+use gaparch_protocol::ops::to_bytes;
+use gaparch_protocol::versions::AuditSegment;
+use sha2::{Digest, Sha256};
+use std::fmt;
+
+/// The number of gaps that are listed.
+const MAX_GAPS: usize = 1000;
+
+/// Where something is missing in a log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LogGap {
+    /// Segments between two numbers are not there, or can't be read.
+    Missing {
+        /// The number of the last segment before the gap.
+        after: u64,
+        /// The number of the first segment after the gap.
+        before: u64,
+    },
+    /// A segment does not have the hash of the one before: one of the two was altered.
+    HashMismatch {
+        /// The number of the segment.
+        at: u64,
+    },
+    /// A segment stands out of its order.
+    OutOfOrder {
+        /// The number of the segment.
+        at: u64,
+    },
+    /// A process did not shut down gracefully: what it sent last is not known.
+    UncleanShutdown {
+        /// The random number of the process.
+        run_id: u64,
+        /// The end of its last segment, in nanoseconds since the Unix epoch.
+        after: u64,
+    },
+    /// A later segment than the last one is known to have been written.
+    Truncated {
+        /// The number of the last segment.
+        after: u64,
+        /// The number of the segment that was written.
+        witnessed: u64,
+    },
+}
+
+impl fmt::Display for LogGap {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogGap::Missing { after, before } => {
+                write!(f, "segments {} to {} are missing", after + 1, before - 1)
+            }
+            LogGap::HashMismatch { at } => {
+                write!(f, "segment {at} does not have the hash of the one before: one of them was altered")
+            }
+            LogGap::OutOfOrder { at } => write!(f, "segment {at} is out of order"),
+            LogGap::UncleanShutdown { run_id, after } => write!(
+                f,
+                "process {run_id:x} did not shut down gracefully; what it sent after {after} ns is not known"
+            ),
+            LogGap::Truncated { after, witnessed } => {
+                write!(f, "the log ends with segment {after}, though segment {witnessed} was written")
+            }
+        }
+    }
+}
+
+/// The hash of a segment, by which the next one refers to it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct SegmentHash {
+    pub high: u64,
+    pub low: u64,
+}
+
+impl SegmentHash {
+    fn of(segment: &AuditSegment) -> SegmentHash {
+        let hash = Sha256::digest(to_bytes(segment));
+        SegmentHash { high: hash_part(&hash, 0), low: hash_part(&hash, 8) }
+    }
+}
+
+/// The end of a chain, to which the next segment is to be joined.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct ChainEnd {
+    pub number: u64,
+    pub hash: SegmentHash,
+}
+
+/// A process whose last segment so far does not end it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct OpenProcess {
+    run_id: u64,
+    last_segment_to: u64,
+}
+
+/// Verifies segments, in the order in which they are stored.
+#[derive(Clone, Debug, Default)]
+pub struct ChainVerifier {
+    end: Option<ChainEnd>,
+    open_process: Option<OpenProcess>,
+    segments: u64,
+    gaps: Vec<LogGap>,
+}
+
+impl ChainVerifier {
+    /// Takes the next segment.
+    pub fn push(&mut self, segment: &AuditSegment) {
+        self.segments += 1;
+        self.check_link(segment);
+        if self.open_process.is_some_and(|process| process.run_id != segment.run_id) {
+            self.close_open_process();
+        }
+        let process = OpenProcess { run_id: segment.run_id, last_segment_to: segment.to_at };
+        self.open_process = (!segment.ends_process).then_some(process);
+        if self.end.is_none_or(|end| segment.number > end.number) {
+            self.end = Some(ChainEnd { number: segment.number, hash: SegmentHash::of(segment) });
+        }
+    }
+
+    fn check_link(&mut self, segment: &AuditSegment) {
+        let Some(end) = self.end else { return };
+        let number = segment.number;
+        let previous = SegmentHash { high: segment.previous_hash_high, low: segment.previous_hash_low };
+        if number <= end.number {
+            self.add_gap(LogGap::OutOfOrder { at: number });
+        } else if number > end.number + 1 {
+            self.add_gap(LogGap::Missing { after: end.number, before: number });
+        } else if previous != end.hash {
+            self.add_gap(LogGap::HashMismatch { at: number });
+        }
+    }
+
+    /// Records that a segment with this number was written.
+    pub fn witness(&mut self, number: u64) {
+        let after = self.last_number();
+        if number > after {
+            self.add_gap(LogGap::Truncated { after, witnessed: number });
+        }
+    }
+
+    /// Records that no further segment of the last process follows.
+    pub(super) fn close_open_process(&mut self) {
+        if let Some(OpenProcess { run_id, last_segment_to }) = self.open_process.take() {
+            self.add_gap(LogGap::UncleanShutdown { run_id, after: last_segment_to });
+        }
+    }
+
+    fn add_gap(&mut self, gap: LogGap) {
+        if self.gaps.len() < MAX_GAPS {
+            self.gaps.push(gap);
+        }
+    }
+
+    /// The end of the chain.
+    pub(super) fn end(&self) -> ChainEnd {
+        self.end.unwrap_or_default()
+    }
+
+    /// Continues the chain after a number whose segment is lost: its number is not given anew.
+    pub(super) fn skip_to(&mut self, number: u64) {
+        if number > self.last_number() {
+            self.end = Some(ChainEnd { number, hash: SegmentHash::default() });
+        }
+    }
+
+    /// Joins a new segment to the end of the chain.
+    pub(super) fn append(&mut self, segment: &mut AuditSegment) {
+        let end = self.end();
+        segment.number = end.number + 1;
+        segment.previous_hash_high = end.hash.high;
+        segment.previous_hash_low = end.hash.low;
+        self.end = Some(ChainEnd { number: segment.number, hash: SegmentHash::of(segment) });
+        self.segments += 1;
+    }
+
+    /// The number of the last segment; 0 if there is none.
+    pub fn last_number(&self) -> u64 {
+        self.end().number
+    }
+
+    /// The number of segments.
+    pub fn segments(&self) -> u64 {
+        self.segments
+    }
+
+    /// The gaps that were found, the first ones if there are very many.
+    pub fn gaps(&self) -> &[LogGap] {
+        &self.gaps
+    }
+}
--- a/crates/gaparch-audit/tests/fleet.rs
+++ b/crates/gaparch-audit/tests/fleet.rs
@@ -1,6 +1,9 @@
 //! Routers that tell one another of versions, in virtual time: over any order, loss and duplication, whatever one says.
 
-use gaparch_audit::{digest, Follow, Happening, Held, HeldList, Nanos, Output, Settings, Taken};
+use gaparch_audit::{
+    digest, ActiveList, FollowerOutput, FollowerSettings, ListEvent, ListFollower, ListOutcome, ListSnapshot,
+    Nanos,
+};
 use gaparch_protocol::list::{ListEntry, Scope, ServerState};
 use gaparch_protocol::versions::{Claim, ListVersion, ReplicationMessage};
 use proptest::prelude::*;
@@ -52,12 +55,12 @@
 }
 
 struct Router {
-    held: Held,
-    follow: Follow,
+    held: ActiveList,
+    follow: ListFollower,
     /// The service reaches it.
     linked: bool,
     first: bool,
-    told: Vec<Happening>,
+    events: Vec<ListEvent>,
     heard_at: Nanos,
 }
 
@@ -81,11 +84,14 @@
 impl Fleet {
     fn new(routers: usize, engines: usize, seed: u64) -> Fleet {
         let router = |n: usize| Router {
-            held: Held::default(),
-            follow: Follow::new(Settings { router: name(n), confirm: CONFIRM, seed: seed + n as u64 }, 0),
+            held: ActiveList::default(),
+            follow: ListFollower::new(
+                FollowerSettings { router: name(n), confirm_within: CONFIRM, seed: seed + n as u64 },
+                0,
+            ),
             linked: true,
             first: true,
-            told: Vec::new(),
+            events: Vec::new(),
             heard_at: 0,
         };
         Fleet {
@@ -118,17 +124,17 @@
                 self.hear_service(n);
                 let mut out = Vec::new();
                 let others = (0..self.routers.len()).filter(|o| *o != n).map(name).collect();
-                if self.now >= self.routers[n].follow.next_at() {
-                    self.routers[n].follow.on_time(self.now, others, &mut out);
+                if self.now >= self.routers[n].follow.next_timer_at() {
+                    self.routers[n].follow.on_timer(self.now, others, &mut out);
                 }
                 self.carry_out(n, out);
             }
             let (due, later) = std::mem::take(&mut self.under_way).into_iter().partition(|m| m.0 <= self.now);
             self.under_way = later;
             let due: Vec<(Nanos, usize, usize, ReplicationMessage)> = due;
-            for (_, from, to, talk) in due {
+            for (_, from, to, message) in due {
                 let mut out = Vec::new();
-                self.routers[to].follow.on_talk(self.now, &name(from), talk, &mut out);
+                self.routers[to].follow.on_message(self.now, &name(from), message, &mut out);
                 self.carry_out(to, out);
             }
         }
@@ -145,52 +151,56 @@
         router.heard_at = self.now;
         let Service { epoch, version, entries } = &self.service;
         let first = std::mem::take(&mut router.first);
-        match router.held.from_service(*epoch, first, Scope::Full, *version, entries) {
-            Taken::New { .. } => router.follow.on_news(self.now, Some(router.held.list()), Some(self.now)),
-            Taken::Same => router.follow.on_news(self.now, Some(router.held.list()), Some(self.now)),
-            Taken::Missed | Taken::Refused(_) => {}
+        match router.held.apply_service_update(*epoch, first, Scope::Full, *version, entries) {
+            ListOutcome::Adopted { .. } => {
+                router.follow.on_list(self.now, Some(router.held.snapshot()), Some(self.now))
+            }
+            ListOutcome::Unchanged => {
+                router.follow.on_list(self.now, Some(router.held.snapshot()), Some(self.now))
+            }
+            ListOutcome::Incomplete | ListOutcome::Rejected(_) => {}
         }
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, n: usize, out: Vec<FollowerOutput>) {
         for output in out {
             match output {
-                Output::Say { to, talk } => {
+                FollowerOutput::Send { to, message } => {
                     let to: usize =
                         to.strip_prefix("router-").and_then(|t| t.parse().ok()).expect("a router");
-                    let talk = match self.liar {
-                        Some((liar, by)) if liar == n => lie_by(talk, by),
-                        _ => talk,
+                    let message = match self.liar {
+                        Some((liar, by)) if liar == n => lie_by(message, by),
+                        _ => message,
                     };
                     self.sent += 1;
                     for _ in 0..=usize::from(self.rng.random_bool(self.loss / 2.0)) {
                         if !self.rng.random_bool(self.loss) {
                             let late = self.rng.random_range(MS..=self.delay);
-                            self.under_way.push((self.now + late, n, to, talk.clone()));
+                            self.under_way.push((self.now + late, n, to, message.clone()));
                         }
                     }
                 }
-                Output::Take { list, .. } => {
+                FollowerOutput::Adopt { list, .. } => {
                     let router = &mut self.routers[n];
-                    if matches!(router.held.from_peer(&list), Taken::New { .. }) {
-                        router.follow.on_news(self.now, Some(router.held.list()), None);
+                    if matches!(router.held.apply_peer_list(&list), ListOutcome::Adopted { .. }) {
+                        router.follow.on_list(self.now, Some(router.held.snapshot()), None);
                     }
                 }
-                Output::Believed(version) => self.routers[n].held.believe(version),
-                Output::Happened(what) => self.routers[n].told.push(what),
+                FollowerOutput::Corroborated(version) => self.routers[n].held.corroborate(version),
+                FollowerOutput::Event(what) => self.routers[n].events.push(what),
             }
         }
     }
 
-    fn told(&self, of: impl Fn(&Happening) -> bool) -> usize {
-        self.routers.iter().flat_map(|r| &r.told).filter(|t| of(t)).count()
+    fn events(&self, of: impl Fn(&ListEvent) -> bool) -> usize {
+        self.routers.iter().flat_map(|r| &r.events).filter(|t| of(t)).count()
     }
 }
 
 /// Its versions are from the future, and its lists hold what nobody has listed.
-fn lie_by(talk: ReplicationMessage, by: u64) -> ReplicationMessage {
+fn lie_by(message: ReplicationMessage, by: u64) -> ReplicationMessage {
     let far = |v: ListVersion| ListVersion { version: v.version + by, ..v };
-    match talk {
+    match message {
         ReplicationMessage::ListStatus { held, digest, entries, claims, .. } => {
             let mut claims: Vec<Claim> =
                 claims.into_iter().map(|c| Claim { version: far(c.version), ..c }).collect();
@@ -206,9 +216,9 @@
                 claims,
             }
         }
-        ReplicationMessage::ListPage { version, digest, first: from, total: of, mut entries } => {
+        ReplicationMessage::ListPage { version, digest, first, total, mut entries } => {
             entries.iter_mut().for_each(|e| e.address = "10.9.9.9:1".to_owned());
-            ReplicationMessage::ListPage { version, digest, first: from, total: of, entries }
+            ReplicationMessage::ListPage { version, digest, first, total, entries }
         }
         want => want,
     }
@@ -223,9 +233,9 @@
     fleet.service.change();
     fleet.run(1_000 * MS);
     assert!(fleet.latest(3), "{:?}", fleet.version(3));
-    assert!(fleet.routers[3].told.iter().any(|t| matches!(t, Happening::BroughtUp { .. })));
-    assert!(fleet.routers[3].told.iter().any(|t| matches!(t, Happening::Unsure { .. })));
-    assert_eq!(fleet.told(|t| matches!(t, Happening::BroughtUp { .. })), 1, "nobody else needed it");
+    assert!(fleet.routers[3].events.iter().any(|t| matches!(t, ListEvent::FetchedFromPeer { .. })));
+    assert!(fleet.routers[3].events.iter().any(|t| matches!(t, ListEvent::Unconfirmed { .. })));
+    assert_eq!(fleet.events(|t| matches!(t, ListEvent::FetchedFromPeer { .. })), 1, "nobody else needed it");
 }
 
 #[test]
@@ -269,10 +279,10 @@
     fleet.run(3_000 * MS);
     assert!((0..5).all(|n| fleet.latest(n)), "{:?}", fleet.version(4));
     // Who starts now has seen one epoch only, and counts as the others do all the same.
-    fleet.routers[1].held = Held::default();
+    fleet.routers[1].held = ActiveList::default();
     fleet.routers[1].first = true;
     fleet.run(3_000 * MS);
-    assert_eq!(fleet.version(1), fleet.version(0), "ranks are told, too");
+    assert_eq!(fleet.version(1), fleet.version(0), "ranks are events, too");
 }
 
 #[test]
@@ -285,31 +295,34 @@
     fleet.run(1_000 * MS);
     let held = fleet.version(2);
     let router = &mut fleet.routers[2];
-    let taken = router.held.from_service(old.epoch, true, Scope::Full, old.version, &old.entries);
-    assert!(matches!(taken, Taken::Refused(_)), "{taken:?}");
+    let taken = router.held.apply_service_update(old.epoch, true, Scope::Full, old.version, &old.entries);
+    assert!(matches!(taken, ListOutcome::Rejected(_)), "{taken:?}");
     assert_eq!(fleet.version(2), held);
     // One that is answered so from its start on is brought up by the others, and says what is wrong.
     let now = fleet.now;
     let router = &mut fleet.routers[2];
-    (router.held, router.linked) = (Held::default(), false);
-    router.follow = Follow::new(Settings { router: name(2), confirm: CONFIRM, seed: 9 }, now);
-    let taken = router.held.from_service(old.epoch, true, Scope::Full, old.version, &old.entries);
-    assert!(matches!(taken, Taken::New { .. }));
-    router.follow.on_news(fleet.now, Some(router.held.list()), Some(fleet.now));
+    (router.held, router.linked) = (ActiveList::default(), false);
+    router.follow =
+        ListFollower::new(FollowerSettings { router: name(2), confirm_within: CONFIRM, seed: 9 }, now);
+    let taken = router.held.apply_service_update(old.epoch, true, Scope::Full, old.version, &old.entries);
+    assert!(matches!(taken, ListOutcome::Adopted { .. }));
+    router.follow.on_list(fleet.now, Some(router.held.snapshot()), Some(fleet.now));
     let mut refused = 0;
     for _ in 0..50 {
         fleet.run(100 * MS);
         let router = &mut fleet.routers[2];
-        match router.held.from_service(old.epoch, false, Scope::Full, old.version, &old.entries) {
-            Taken::Same => router.follow.on_news(fleet.now, Some(router.held.list()), Some(fleet.now)),
+        match router.held.apply_service_update(old.epoch, false, Scope::Full, old.version, &old.entries) {
+            ListOutcome::Unchanged => {
+                router.follow.on_list(fleet.now, Some(router.held.snapshot()), Some(fleet.now))
+            }
             other => {
-                assert!(matches!(other, Taken::Refused(_)), "{other:?}");
+                assert!(matches!(other, ListOutcome::Rejected(_)), "{other:?}");
                 refused += 1;
             }
         }
     }
     assert!(fleet.latest(2) && refused > 30, "{refused}");
-    assert!(fleet.routers[2].told.iter().any(|t| matches!(t, Happening::SourceIsOld { .. })));
+    assert!(fleet.routers[2].events.iter().any(|t| matches!(t, ListEvent::SourceOutdated { .. })));
 }
 
 #[test]
@@ -321,17 +334,23 @@
         for n in [3, 4] {
             let router = &mut fleet.routers[n];
             router.linked = false;
-            match router.held.from_service(other.epoch, false, Scope::Full, other.version, &other.entries) {
-                Taken::New { .. } => {
-                    router.follow.on_news(fleet.now, Some(router.held.list()), Some(fleet.now))
+            match router.held.apply_service_update(
+                other.epoch,
+                false,
+                Scope::Full,
+                other.version,
+                &other.entries,
+            ) {
+                ListOutcome::Adopted { .. } => {
+                    router.follow.on_list(fleet.now, Some(router.held.snapshot()), Some(fleet.now))
                 }
-                _ => router.follow.on_news(fleet.now, Some(router.held.list()), Some(fleet.now)),
+                _ => router.follow.on_list(fleet.now, Some(router.held.snapshot()), Some(fleet.now)),
             }
         }
         fleet.run(100 * MS);
     }
     assert!((0..3).all(|n| fleet.latest(n)) && (3..5).all(|n| fleet.version(n).epoch == 8));
-    assert!(fleet.told(|t| matches!(t, Happening::TwoSources { .. })) > 0);
+    assert!(fleet.events(|t| matches!(t, ListEvent::SourcesDiffer { .. })) > 0);
 }
 
 #[test]
@@ -350,8 +369,8 @@
             assert!(!moved, "{n} was moved: {:?}", fleet.version(n));
         }
         assert!((0..linked).all(|n| fleet.latest(n)), "{linked}: who hears the service follows it");
-        let named = |t: &Happening| matches!(t, Happening::Outlier { router, .. } if *router == name(1));
-        assert!(fleet.told(named) > 0, "{linked}");
+        let named = |t: &ListEvent| matches!(t, ListEvent::Outlier { router, .. } if *router == name(1));
+        assert!(fleet.events(named) > 0, "{linked}");
         // No false floor is left behind: the service is followed on.
         fleet.liar = None;
         (0..9).for_each(|n| fleet.routers[n].linked = true);
@@ -365,17 +384,20 @@
 fn a_page_that_was_harmed_is_not_acted_on() {
     let entries: Vec<ListEntry> = (0..3).map(|n| entry(n, ServerState::Ready)).collect();
     let version = ListVersion { rank: 1, epoch: 7, version: 3 };
-    let mut list = HeldList { version, digest: digest(&entries), entries };
-    let mut held = Held::default();
+    let mut list = ListSnapshot { version, digest: digest(&entries), entries };
+    let mut held = ActiveList::default();
     list.entries[1].state = ServerState::Removed;
-    assert!(matches!(held.from_peer(&list), Taken::Refused(_)));
+    assert!(matches!(held.apply_peer_list(&list), ListOutcome::Rejected(_)));
     list.entries[1].state = ServerState::Ready;
-    assert!(matches!(held.from_peer(&list), Taken::New { .. }));
+    assert!(matches!(held.apply_peer_list(&list), ListOutcome::Adopted { .. }));
     // And the service's next change goes on from there.
     let change = [entry(1, ServerState::Draining)];
-    assert!(matches!(held.from_service(7, true, Scope::Delta, 4, &change), Taken::New { .. }));
-    assert_eq!(held.from_service(7, false, Scope::Delta, 6, &change), Taken::Missed);
-    assert_eq!(held.list().digest, digest(&held.list().entries));
+    assert!(matches!(
+        held.apply_service_update(7, true, Scope::Delta, 4, &change),
+        ListOutcome::Adopted { .. }
+    ));
+    assert_eq!(held.apply_service_update(7, false, Scope::Delta, 6, &change), ListOutcome::Incomplete);
+    assert_eq!(held.snapshot().digest, digest(&held.snapshot().entries));
 }
 
 proptest! {
--- a/crates/gaparch-audit/tests/orders.rs
+++ b/crates/gaparch-audit/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Orders of the fleet in virtual time: any order, loss, doubling, splits, kills and old folders.
 
-use gaparch_audit::{subject, FleetOrder, Nanos, OrderHappening, OrderOutput, Orders};
+use gaparch_audit::{subject, FleetOrder, FleetOrders, Nanos, OrderEvent, OrderOutput};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
 use gaparch_protocol::versions::ReplicationMessage;
 use proptest::prelude::*;
@@ -16,12 +16,12 @@
 }
 
 struct Router {
-    orders: Orders,
+    orders: FleetOrders,
     /// What is in force, by what it is about.
     book: BTreeMap<String, Change>,
     disk: Vec<FleetOrder>,
     disk_works: bool,
-    told: Vec<OrderHappening>,
+    events: Vec<OrderEvent>,
 }
 
 struct Fleet {
@@ -53,17 +53,17 @@
 
     fn start(&mut self, n: usize, disk: Vec<FleetOrder>, incarnation: u64) {
         let seed = self.rng.random();
-        let orders = Orders::new(&name(n), incarnation, seed, disk.clone(), self.now);
+        let orders = FleetOrders::new(&name(n), incarnation, seed, disk.clone(), self.now);
         let book = disk.iter().filter_map(|o| Some((subject(&o.change)?, o.change.clone()))).collect();
-        self.routers[n] = Some(Router { orders, book, disk, disk_works: true, told: Vec::new() });
+        self.routers[n] = Some(Router { orders, book, disk, disk_works: true, events: Vec::new() });
     }
 
-    fn give(&mut self, n: usize, change: Change) {
+    fn issue(&mut self, n: usize, change: Change) {
         let note = Note { who: format!("operator-{n}"), why: "a test".to_owned(), at: 0 };
         let mut out = Vec::new();
         let router = self.routers[n].as_mut().expect("it runs");
         router.book.insert(subject(&change).expect("kept"), change.clone());
-        router.orders.give(self.now, &change, &note, &mut out);
+        router.orders.issue(self.now, &change, &note, &mut out);
         self.carry_out(n, out);
     }
 
@@ -76,13 +76,13 @@
         for output in out {
             let Some(router) = &mut self.routers[n] else { return };
             match output {
-                OrderOutput::Say { to, talk } => {
+                OrderOutput::Send { to, message } => {
                     let to: usize =
                         to.strip_prefix("router-").and_then(|t| t.parse().ok()).expect("a router");
                     for _ in 0..=usize::from(self.rng.random_bool(self.loss / 2.0)) {
                         if self.sides[n] == self.sides[to] && !self.rng.random_bool(self.loss) {
                             let late = self.rng.random_range(MS..80 * MS);
-                            self.under_way.push((self.now + late, n, to, talk.clone()));
+                            self.under_way.push((self.now + late, n, to, message.clone()));
                         }
                     }
                 }
@@ -92,15 +92,15 @@
                     router.orders.on_applied(self.now, &order.id, &mut out);
                     self.carry_out(n, out);
                 }
-                OrderOutput::Keep(all) => {
+                OrderOutput::Persist(all) => {
                     let mut out = Vec::new();
                     if router.disk_works {
                         router.disk.clone_from(&all);
-                        router.orders.on_kept(self.now, &all, &mut out);
+                        router.orders.on_stored(self.now, &all, &mut out);
                     }
                     self.carry_out(n, out);
                 }
-                OrderOutput::Happened(what) => router.told.push(what),
+                OrderOutput::Event(what) => router.events.push(what),
             }
         }
     }
@@ -113,17 +113,17 @@
                 let others = self.present(n);
                 let mut out = Vec::new();
                 if let Some(router) = &mut self.routers[n] {
-                    router.orders.on_time(self.now, others, &mut out);
+                    router.orders.on_timer(self.now, others, &mut out);
                 }
                 self.carry_out(n, out);
             }
             let (due, later): (Vec<_>, Vec<_>) =
                 std::mem::take(&mut self.under_way).into_iter().partition(|m| m.0 <= self.now);
             self.under_way = later;
-            for (_, from, to, talk) in due {
+            for (_, from, to, message) in due {
                 let mut out = Vec::new();
                 if let Some(router) = &mut self.routers[to] {
-                    router.orders.on_talk(self.now, &name(from), &talk, &mut out);
+                    router.orders.on_message(self.now, &name(from), &message, &mut out);
                 }
                 self.carry_out(to, out);
             }
@@ -136,7 +136,13 @@
 
     fn complete(&mut self, n: usize) -> bool {
         let others: Vec<String> = (0..self.routers.len()).filter(|o| *o != n).map(name).collect();
-        self.routers[n].as_mut().expect("it runs").orders.acked(&others).iter().all(|a| a.keeps)
+        self.routers[n]
+            .as_mut()
+            .expect("it runs")
+            .orders
+            .acknowledgements(&others)
+            .iter()
+            .all(|ack| ack.is_complete)
     }
 }
 
@@ -156,7 +162,7 @@
         let mut fleet = Fleet::new(count, count as u64);
         fleet.loss = loss;
         fleet.run(2_000 * MS);
-        fleet.give(0, drain(1));
+        fleet.issue(0, drain(1));
         assert!(!fleet.complete(0), "nobody else can have heard of it");
         fleet.run(within * MS);
         assert!((0..count).all(|n| fleet.book(n).len() == 1), "{count} at {loss}");
@@ -169,13 +175,13 @@
     let mut fleet = Fleet::new(5, 3);
     fleet.run(1_000 * MS);
     fleet.routers[3].as_mut().expect("it runs").disk_works = false;
-    fleet.give(0, drain(1));
+    fleet.issue(0, drain(1));
     fleet.run(5_000 * MS);
     assert_eq!(fleet.book(3).len(), 1, "it is in force there");
     assert!(!fleet.complete(0), "and a restart would forget it");
     fleet.routers[4] = None;
     fleet.routers[3].as_mut().expect("it runs").disk_works = true;
-    fleet.give(1, drain(2));
+    fleet.issue(1, drain(2));
     fleet.run(3_000 * MS);
     assert!(!fleet.complete(0), "one that is gone has not said so");
     fleet.start(4, Vec::new(), 2);
@@ -187,11 +193,11 @@
 fn of_two_on_two_sides_of_a_split_one_goes_first_and_both_are_shown() {
     let mut fleet = Fleet::new(6, 4);
     fleet.run(1_000 * MS);
-    fleet.give(2, drain(1));
+    fleet.issue(2, drain(1));
     fleet.run(1_000 * MS);
     fleet.sides = vec![0, 0, 0, 1, 1, 1];
-    fleet.give(0, free(1));
-    fleet.give(4, Change::Hold { engine: "engine-1".to_owned(), hold: Hold::Aside });
+    fleet.issue(0, free(1));
+    fleet.issue(4, Change::Hold { engine: "engine-1".to_owned(), hold: Hold::Aside });
     fleet.run(3_000 * MS);
     assert_ne!(fleet.book(1), fleet.book(5));
     fleet.sides = vec![0; 6];
@@ -200,21 +206,22 @@
     for n in 0..6 {
         assert_eq!(fleet.book(n)["engine engine-1"], aside, "the more careful one, at {n}");
     }
-    let overtaken: usize = fleet.routers.iter().flatten().map(|r| r.orders.overtaken().count()).sum();
+    let overtaken: usize = fleet.routers.iter().flatten().map(|r| r.orders.superseded().count()).sum();
     assert!(overtaken > 0, "what gave way is not lost silently");
-    let told = |w: &OrderHappening| matches!(w, OrderHappening::Overtaken { order, .. } if order.id.router == name(0));
-    assert!(fleet.routers.iter().flatten().any(|r| r.told.iter().any(told)));
+    let events =
+        |w: &OrderEvent| matches!(w, OrderEvent::Superseded { order, .. } if order.id.router == name(0));
+    assert!(fleet.routers.iter().flatten().any(|r| r.events.iter().any(events)));
 }
 
 #[test]
 fn an_old_folder_brings_no_order_back() {
     let mut fleet = Fleet::new(4, 5);
     fleet.run(1_000 * MS);
-    fleet.give(1, drain(1));
+    fleet.issue(1, drain(1));
     fleet.run(2_000 * MS);
     let old = fleet.routers[2].as_ref().expect("it runs").disk.clone();
     assert_eq!(old.len(), 1);
-    fleet.give(2, free(1));
+    fleet.issue(2, free(1));
     fleet.run(2_000 * MS);
     fleet.routers[2] = None;
     fleet.run(500 * MS);
@@ -222,7 +229,7 @@
     fleet.run(3_000 * MS);
     assert!((0..4).all(|n| fleet.book(n)["engine engine-1"] == free(1)), "{:?}", fleet.book(2));
     // And what it orders then is later than all.
-    fleet.give(2, drain(1));
+    fleet.issue(2, drain(1));
     fleet.run(2_000 * MS);
     assert!((0..4).all(|n| fleet.book(n)["engine engine-1"] == drain(1)));
 }
@@ -231,20 +238,19 @@
 fn a_number_from_the_future_is_not_taken_and_locks_nobody_out() {
     let mut fleet = Fleet::new(3, 6);
     fleet.run(1_000 * MS);
-    fleet.give(0, drain(1));
+    fleet.issue(0, drain(1));
     fleet.run(1_000 * MS);
     let mut lie = fleet.routers[1].as_ref().expect("it runs").orders.all().remove(0);
     (lie.id.number, lie.change, lie.id.restrictiveness) = (1 << 60, free(1), 0);
     let mut out = Vec::new();
     let router = fleet.routers[2].as_mut().expect("it runs");
-    router.orders.on_talk(fleet.now, &name(1), &ReplicationMessage::Order { order: lie }, &mut out);
+    router.orders.on_message(fleet.now, &name(1), &ReplicationMessage::Order { order: lie }, &mut out);
     fleet.carry_out(2, out);
     fleet.run(1_000 * MS);
     assert!((0..3).all(|n| fleet.book(n)["engine engine-1"] == drain(1)));
-    let told =
-        |w: &OrderHappening| matches!(w, OrderHappening::Implausible { router, .. } if *router == name(1));
-    assert!(fleet.routers[2].as_ref().expect("it runs").told.iter().any(told));
-    fleet.give(1, free(1));
+    let events = |w: &OrderEvent| matches!(w, OrderEvent::Implausible { router, .. } if *router == name(1));
+    assert!(fleet.routers[2].as_ref().expect("it runs").events.iter().any(events));
+    fleet.issue(1, free(1));
     fleet.run(1_000 * MS);
     assert!((0..3).all(|n| fleet.book(n)["engine engine-1"] == free(1)));
 }
@@ -253,7 +259,7 @@
 fn hundreds_of_orders_reach_one_that_starts_late() {
     let mut fleet = Fleet::new(3, 7);
     fleet.run(500 * MS);
-    (0..300).for_each(|n| fleet.give(n % 2, drain(n)));
+    (0..300).for_each(|n| fleet.issue(n % 2, drain(n)));
     fleet.routers[2] = None;
     fleet.run(2_000 * MS);
     fleet.start(2, Vec::new(), 2);
@@ -286,8 +292,8 @@
         for (who, what, engine) in steps {
             let n = who % count;
             match what {
-                0 | 1 => fleet.give(n, drain(engine)),
-                2 => fleet.give(n, free(engine)),
+                0 | 1 => fleet.issue(n, drain(engine)),
+                2 => fleet.issue(n, free(engine)),
                 3 => (0..count).for_each(|m| fleet.sides[m] = u8::from(m <= n)),
                 4 => old[n] = fleet.routers[n].as_ref().expect("it runs").disk.clone(),
                 _ => {
--- a/crates/gaparch-audit/tests/pinned_bytes.rs
+++ b/crates/gaparch-audit/tests/pinned_bytes.rs
@@ -2,7 +2,7 @@
 //!
 //! The constants were written by the build that introduced this test.
 
-use gaparch_audit::{digest, subject, Book, FleetOrder, Kind, OrderOutput, Orders, Tally};
+use gaparch_audit::{digest, subject, AuditLog, FleetOrder, FleetOrders, OrderOutput, SendKind, SendTally};
 use gaparch_protocol::list::{ListEntry, ServerState};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
 use gaparch_protocol::ops::to_bytes;
@@ -52,8 +52,8 @@
 }
 
 /// Gives one order of each kind at one router, and returns its last stored orders.
-fn orders_given() -> (Orders, Vec<FleetOrder>) {
-    let mut orders = Orders::new("router-1", 3, 1, Vec::new(), 0);
+fn orders_given() -> (FleetOrders, Vec<FleetOrder>) {
+    let mut orders = FleetOrders::new("router-1", 3, 1, Vec::new(), 0);
     let engine = || "engine-1".to_owned();
     let changes = [
         Change::Hold { engine: engine(), hold: Hold::Aside },
@@ -66,9 +66,9 @@
     for change in &changes {
         let note = Note { who: "ada ".repeat(20), why: "because ".repeat(40), at: 5 };
         let mut out = Vec::new();
-        orders.give(0, change, &note, &mut out);
+        orders.issue(0, change, &note, &mut out);
         for output in out {
-            if let OrderOutput::Keep(all) = output {
+            if let OrderOutput::Persist(all) = output {
                 kept = all;
             }
         }
@@ -92,14 +92,14 @@
     let lengths: Vec<usize> = kept.iter().map(|order| to_bytes(order).len()).collect();
     assert_eq!(lengths, [393, 348, 364, 363]);
     let mut out = Vec::new();
-    orders.on_kept(0, &kept, &mut out);
+    orders.on_stored(0, &kept, &mut out);
     let question = ReplicationMessage::OrderSummary { held: 0, stored: 0, wants_answer: true };
-    orders.on_talk(0, "router-2", &question, &mut out);
+    orders.on_message(0, "router-2", &question, &mut out);
     let answers: Vec<String> = out
         .iter()
         .filter_map(|output| match output {
-            OrderOutput::Say { talk: talk @ ReplicationMessage::OrderSummary { .. }, .. } => {
-                Some(hex(&to_bytes(talk)))
+            OrderOutput::Send { message: message @ ReplicationMessage::OrderSummary { .. }, .. } => {
+                Some(hex(&to_bytes(message)))
             }
             _ => None,
         })
@@ -115,14 +115,14 @@
         order_revision: 2,
         build: "1".to_owned(),
     };
-    let mut book = Book::new(5, Vec::new(), 0);
-    let mut pieces = vec![book.begin(1000).expect("a piece")];
-    let mut tally = Tally::default();
-    tally.note(3, Kind::Read, 71, 1, 2000);
-    tally.note(4, Kind::Write, 71, 2, 2001);
-    tally.note(3, Kind::Probe, 0, 0, 2002);
-    pieces.extend(book.take(&tally.take(stamp, 2003, |engine| format!("engine-{engine}"))));
-    pieces.extend(book.end(3000));
+    let mut book = AuditLog::new(5, Vec::new(), 0);
+    let mut pieces = vec![book.start(1000).expect("a piece")];
+    let mut tally = SendTally::default();
+    tally.record(3, SendKind::Prefill, 71, 1, 2000);
+    tally.record(4, SendKind::Decode, 71, 2, 2001);
+    tally.record(3, SendKind::Probe, 0, 0, 2002);
+    pieces.extend(book.append(&tally.take(stamp, 2003, |engine| format!("engine-{engine}"))));
+    pieces.extend(book.finish(3000));
     let written: Vec<String> = pieces.iter().map(|piece| hex(&to_bytes(piece))).collect();
     assert_eq!(written, ["000000000000000100000000000000000000000000000000000000000000000500000000000003e800000000000003e801000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000", "000000000000000295650229676ae28b3fbd5c5e08cb503f000000000000000500000000000007d00000000000000bb800010000000100000000000000070000000000000004010000000000000002000131000000020008656e67696e652d3300000000000000010000000000000000000000000000000100000000000007d000000000000007d20008656e67696e652d3400000000000000000000000000000001000000000000000000000000000007d100000000000007d10000000300000000000007d000000000000000470000000100000100000000000007d100000000000000470000000200010200000000000007d20000000000000000000000000000030000000000000000"]);
 }
--- a/crates/gaparch-audit/tests/pinned_traffic.rs
+++ b/crates/gaparch-audit/tests/pinned_traffic.rs
@@ -3,7 +3,9 @@
 //! The constant was written by the build that introduced this test. Another digest means that routers decide, or send,
 //! something else than before.
 
-use gaparch_audit::{Follow, Held, Nanos, OrderOutput, Orders, Output, Settings, Taken};
+use gaparch_audit::{
+    ActiveList, FleetOrders, FollowerOutput, FollowerSettings, ListFollower, ListOutcome, Nanos, OrderOutput,
+};
 use gaparch_protocol::list::{ListEntry, Scope, ServerState};
 use gaparch_protocol::ops::intent::{Change, Hold, Note};
 use gaparch_protocol::ops::to_bytes;
@@ -38,9 +40,9 @@
 }
 
 struct Router {
-    held: Held,
-    follow: Follow,
-    orders: Orders,
+    held: ActiveList,
+    follow: ListFollower,
+    orders: FleetOrders,
     /// The list service reaches it.
     is_linked: bool,
 }
@@ -58,9 +60,12 @@
 impl Fleet {
     fn new() -> Fleet {
         let router = |n: usize| Router {
-            held: Held::default(),
-            follow: Follow::new(Settings { router: name(n), confirm: 2 * SECOND, seed: n as u64 }, 0),
-            orders: Orders::new(&name(n), 1, 10 + n as u64, Vec::new(), 0),
+            held: ActiveList::default(),
+            follow: ListFollower::new(
+                FollowerSettings { router: name(n), confirm_within: 2 * SECOND, seed: n as u64 },
+                0,
+            ),
+            orders: FleetOrders::new(&name(n), 1, 10 + n as u64, Vec::new(), 0),
             is_linked: true,
         };
         let routers = (0..ROUTERS).map(router).collect();
@@ -68,14 +73,14 @@
         Fleet { now: 0, routers, in_flight, traffic, messages: 0, brought_up: 0 }
     }
 
-    fn say(&mut self, from: usize, to: &str, talk: ReplicationMessage) {
+    fn say(&mut self, from: usize, to: &str, message: ReplicationMessage) {
         self.traffic.update([from as u8]);
         self.traffic.update(to);
-        self.traffic.update(to_bytes(&talk));
+        self.traffic.update(to_bytes(&message));
         self.messages += 1;
         // Every fifth message is lost.
         if !self.messages.is_multiple_of(5) {
-            self.in_flight.push((from, number(to), talk));
+            self.in_flight.push((from, number(to), message));
         }
     }
 
@@ -84,24 +89,24 @@
         if !router.is_linked {
             return;
         }
-        let taken = router.held.from_service(7, false, Scope::Full, version, &entries(version));
-        if matches!(taken, Taken::New { .. } | Taken::Same) {
-            router.follow.on_news(self.now, Some(router.held.list()), Some(self.now));
+        let taken = router.held.apply_service_update(7, false, Scope::Full, version, &entries(version));
+        if matches!(taken, ListOutcome::Adopted { .. } | ListOutcome::Unchanged) {
+            router.follow.on_list(self.now, Some(router.held.snapshot()), Some(self.now));
         }
     }
 
-    fn carry_out(&mut self, router: usize, out: Vec<Output>) {
+    fn carry_out(&mut self, router: usize, out: Vec<FollowerOutput>) {
         for output in out {
             match output {
-                Output::Say { to, talk } => self.say(router, &to, talk),
-                Output::Take { list, .. } => {
+                FollowerOutput::Send { to, message } => self.say(router, &to, message),
+                FollowerOutput::Adopt { list, .. } => {
                     self.brought_up += 1;
                     let taker = &mut self.routers[router];
-                    taker.held.from_peer(&list);
-                    taker.follow.on_news(self.now, Some(taker.held.list()), None);
+                    taker.held.apply_peer_list(&list);
+                    taker.follow.on_list(self.now, Some(taker.held.snapshot()), None);
                 }
-                Output::Believed(version) => self.routers[router].held.believe(version),
-                Output::Happened(_) => {}
+                FollowerOutput::Corroborated(version) => self.routers[router].held.corroborate(version),
+                FollowerOutput::Event(_) => {}
             }
         }
     }
@@ -110,21 +115,21 @@
         for output in out {
             let mut next = Vec::new();
             match output {
-                OrderOutput::Say { to, talk } => self.say(router, &to, talk),
+                OrderOutput::Send { to, message } => self.say(router, &to, message),
                 OrderOutput::Apply(order) => {
                     self.routers[router].orders.on_applied(self.now, &order.id, &mut next);
                 }
-                OrderOutput::Keep(all) => self.routers[router].orders.on_kept(self.now, &all, &mut next),
-                OrderOutput::Happened(_) => {}
+                OrderOutput::Persist(all) => self.routers[router].orders.on_stored(self.now, &all, &mut next),
+                OrderOutput::Event(_) => {}
             }
             self.carry_out_orders(router, next);
         }
     }
 
-    fn give(&mut self, router: usize, change: &Change) {
+    fn issue(&mut self, router: usize, change: &Change) {
         let note = Note { who: name(router), why: "a test".to_owned(), at: self.now };
         let mut out = Vec::new();
-        self.routers[router].orders.give(self.now, change, &note, &mut out);
+        self.routers[router].orders.issue(self.now, change, &note, &mut out);
         self.carry_out_orders(router, out);
     }
 
@@ -132,10 +137,10 @@
         let until = self.now + time;
         while self.now < until {
             self.now += STEP;
-            for (from, to, talk) in std::mem::take(&mut self.in_flight) {
+            for (from, to, message) in std::mem::take(&mut self.in_flight) {
                 let (mut out, mut orders) = (Vec::new(), Vec::new());
-                self.routers[to].orders.on_talk(self.now, &name(from), &talk, &mut orders);
-                self.routers[to].follow.on_talk(self.now, &name(from), talk, &mut out);
+                self.routers[to].orders.on_message(self.now, &name(from), &message, &mut orders);
+                self.routers[to].follow.on_message(self.now, &name(from), message, &mut out);
                 self.carry_out(to, out);
                 self.carry_out_orders(to, orders);
             }
@@ -145,8 +150,8 @@
                 }
                 let others: Vec<String> = (0..ROUTERS).filter(|n| *n != router).map(name).collect();
                 let (mut out, mut orders) = (Vec::new(), Vec::new());
-                self.routers[router].follow.on_time(self.now, others.clone(), &mut out);
-                self.routers[router].orders.on_time(self.now, others, &mut orders);
+                self.routers[router].follow.on_timer(self.now, others.clone(), &mut out);
+                self.routers[router].orders.on_timer(self.now, others, &mut orders);
                 self.carry_out(router, out);
                 self.carry_out_orders(router, orders);
             }
@@ -160,12 +165,12 @@
     fleet.run(5 * SECOND, 1);
     fleet.routers[3].is_linked = false;
     fleet.run(5 * SECOND, 2);
-    fleet.give(1, &Change::Pause {});
-    fleet.give(2, &Change::Limit { name: "queue".to_owned(), value: Some(8.0) });
+    fleet.issue(1, &Change::Pause {});
+    fleet.issue(2, &Change::Limit { name: "queue".to_owned(), value: Some(8.0) });
     fleet.run(5 * SECOND, 3);
     // Neither router knows of the other's order yet.
-    fleet.give(1, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Drain });
-    fleet.give(4, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Aside });
+    fleet.issue(1, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Drain });
+    fleet.issue(4, &Change::Hold { engine: "engine-001".to_owned(), hold: Hold::Aside });
     fleet.routers[0].is_linked = false;
     fleet.run(10 * SECOND, 4);
     let digest: String = fleet.traffic.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/gaparch-cli/src/commands/audit.rs
+++ b/crates/gaparch-cli/src/commands/audit.rs
@@ -27,10 +27,10 @@
         return Err(format!("{}: there is no such folder", folder.display()).into());
     }
     let chain = verify_record(&folder)?;
-    for gap in &chain.gaps {
+    for gap in chain.gaps() {
         println!("gap: {gap}");
     }
-    let pieces = chain.pieces;
-    println!("{pieces} pieces, {}", if chain.gaps.is_empty() { "no gap" } else { "NOT whole" });
-    Ok(if chain.gaps.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let segments = chain.segments();
+    println!("{segments} segments, {}", if chain.gaps().is_empty() { "no gap" } else { "NOT whole" });
+    Ok(if chain.gaps().is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/gaparch-router/src/shell/audit.rs
+++ b/crates/gaparch-router/src/shell/audit.rs
@@ -1,7 +1,7 @@
 //! The record of what was sent under which version: written beside everything else, and never waited for.
 
 use super::ops::News;
-use gaparch_audit::{Book, Chain, Sent};
+use gaparch_audit::{AuditLog, ChainVerifier, SendBatch};
 use gaparch_net::Clock;
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::AuditSegment;
@@ -22,14 +22,14 @@
 const MARKS: u64 = 1024;
 
 /// The record, for whoever asks about it.
-pub(super) type Shared = Arc<Mutex<Book>>;
+pub(super) type Shared = Arc<Mutex<AuditLog>>;
 
-pub(super) fn lock(book: &Shared) -> MutexGuard<'_, Book> {
+pub(super) fn lock(book: &Shared) -> MutexGuard<'_, AuditLog> {
     book.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 pub(super) enum Message {
-    Sent(Sent),
+    Sent(SendBatch),
     /// The router ends in good order; told once all is on disk.
     Finish(oneshot::Sender<()>),
 }
@@ -42,7 +42,7 @@
 
 impl Shelf {
     /// Reads what is kept. A disk that can't be read keeps no router from starting; the record says what it lacks.
-    pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (Shelf, Book) {
+    pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (Shelf, AuditLog) {
         let mut pieces: Vec<AuditSegment> = Vec::new();
         let history =
             History::open(disk, "audit", SCHEMA, LIMITS, |_, body| pieces.extend(from_bytes(body))).ok();
@@ -50,7 +50,7 @@
             Ok((journal, found)) => (Some(journal), marked(&found.records)),
             Err(_) => (None, 0),
         };
-        (Shelf { history, mark }, Book::new(run, pieces, written))
+        (Shelf { history, mark }, AuditLog::new(run, pieces, written))
     }
 
     fn write(&mut self, piece: &AuditSegment) -> Result<(), String> {
@@ -71,14 +71,14 @@
 ///
 /// # Errors
 /// When the folder can't be had, or another has it.
-pub fn verify(folder: &Path) -> Result<Chain, StoreError> {
+pub fn verify(folder: &Path) -> Result<ChainVerifier, StoreError> {
     let folder = Folder::open(folder)?;
-    let mut chain = Chain::default();
+    let mut chain = ChainVerifier::default();
     History::open(folder.share(), "audit", SCHEMA, LIMITS, |_, body| {
-        from_bytes(body).iter().for_each(|piece| chain.take(piece));
+        from_bytes(body).iter().for_each(|piece| chain.push(piece));
     })?;
     let (_, found) = Journal::open(folder, "audit-mark", SCHEMA)?;
-    chain.witnessed(marked(&found.records));
+    chain.witness(marked(&found.records));
     Ok(chain)
 }
 
@@ -102,18 +102,18 @@
     for gap in lock(&book).gaps() {
         tracing::warn!(%gap, "the audit's record has a gap");
     }
-    let mut begins = lock(&book).begin(clock.now());
+    let mut begins = lock(&book).start(clock.now());
     loop {
         let (piece, finished) = if begins.is_some() {
             (begins.take(), None)
         } else {
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(Message::Sent(sent)) => (lock(&book).take(&sent), None),
-                    Some(Message::Finish(reply)) => (lock(&book).end(clock.now()), Some(reply)),
+                    Some(Message::Sent(sent)) => (lock(&book).append(&sent), None),
+                    Some(Message::Finish(reply)) => (lock(&book).finish(clock.now()), Some(reply)),
                     None => return,
                 },
-                _ = close.tick() => (lock(&book).close(false), None),
+                _ = close.tick() => (lock(&book).close_segment(false), None),
             }
         };
         if let Some(piece) = piece {
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -9,7 +9,7 @@
 use super::ops::News;
 use super::owner::Control;
 use super::versions::{Adopt, HeldNews};
-use gaparch_audit::{self as audit, FleetOrder, Follow, Gather, OrderOutput, Orders};
+use gaparch_audit::{self as audit, AuditQuery, FleetOrder, FleetOrders, ListFollower, OrderOutput};
 use gaparch_config::{Config, Fleet};
 use gaparch_membership::{Membership, MembershipEvent, OpenError, Output, Settings, SiteKey, View};
 use gaparch_net::{read_key, Clock};
@@ -160,11 +160,11 @@
     asks: mpsc::Receiver<Ask>,
     newer_told: bool,
     /// What is made of versions, where the settings say for how long a list may go unconfirmed.
-    follow: Option<Follow>,
+    follow: Option<ListFollower>,
     held: watch::Receiver<HeldNews>,
     adopt: watch::Sender<Adopt>,
     /// What is made of orders, where lists are followed, too.
-    orders: Option<Orders>,
+    orders: Option<FleetOrders>,
     issued: mpsc::Receiver<Issued>,
     apply: mpsc::Sender<FleetOrder>,
     applied: mpsc::Receiver<OrderId>,
@@ -172,7 +172,7 @@
     kept_orders: watch::Receiver<Kept>,
     record: audit_record::Shared,
     /// Questions to all records that are under way.
-    gathers: Vec<(Gather, oneshot::Sender<Option<AuditView>>)>,
+    gathers: Vec<(AuditQuery, oneshot::Sender<Option<AuditView>>)>,
     nonce: u64,
 }
 
@@ -233,13 +233,16 @@
     let (incarnation, incarnation_in) = watch::channel(0);
     let (adopt, adopt_in) = watch::channel(Adopt::default());
     let follow = fleet.confirm.map(|confirm| {
-        let settings =
-            audit::Settings { router: config.router.clone(), confirm, seed: config.module.seed ^ run.0 };
-        Follow::new(settings, clock.now())
+        let settings = audit::FollowerSettings {
+            router: config.router.clone(),
+            confirm_within: confirm,
+            seed: config.module.seed ^ run.0,
+        };
+        ListFollower::new(settings, clock.now())
     });
     let incarnation_now = kept.saturating_add(1);
     let orders = fleet.confirm.map(|_| {
-        Orders::new(&config.router, incarnation_now, config.module.seed ^ run.0, orders, clock.now())
+        FleetOrders::new(&config.router, incarnation_now, config.module.seed ^ run.0, orders, clock.now())
     });
     let (apply, apply_in) = mpsc::channel(fleet_orders::APPLIED);
     let (applied, applied_in) = mpsc::channel(fleet_orders::APPLIED);
@@ -306,9 +309,9 @@
         let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.carry_out(&mut out);
-            let others = self.follow.as_ref().map(Follow::next_at).into_iter();
-            let others = others.chain(self.orders.as_ref().map(Orders::next_at));
-            let others = others.chain(self.gathers.iter().map(|(gather, _)| gather.next_at()));
+            let others = self.follow.as_ref().map(ListFollower::next_timer_at).into_iter();
+            let others = others.chain(self.orders.as_ref().map(FleetOrders::next_timer_at));
+            let others = others.chain(self.gathers.iter().map(|(gather, _)| gather.next_timer_at()));
             let due = others.fold(self.core.next_timer_at(), u64::min);
             let due = Instant::from_std(self.clock.instant(due));
             tokio::select! {
@@ -317,23 +320,23 @@
                 () = sleep_until(due) => {
                     self.core.on_timer(self.clock.now(), &mut out);
                     self.carry_out(&mut out);
-                    self.follow_on(&mut out, Follow::on_time);
-                    self.order(&mut out, |orders, now, others, wanted| orders.on_time(now, others, wanted));
+                    self.follow_on(&mut out, ListFollower::on_timer);
+                    self.order(&mut out, |orders, now, others, wanted| orders.on_timer(now, others, wanted));
                     self.gather(&mut out);
                 }
                 Some((change, note)) = self.issued.recv(), if self.orders.is_some() => {
-                    self.order(&mut out, |orders, now, _, wanted| orders.give(now, &change, &note, wanted));
+                    self.order(&mut out, |orders, now, _, wanted| orders.issue(now, &change, &note, wanted));
                 }
                 Some(id) = self.applied.recv(), if self.orders.is_some() => {
                     self.order(&mut out, |orders, now, _, wanted| orders.on_applied(now, &id, wanted));
                 }
                 Ok(()) = self.kept_orders.changed(), if self.orders.is_some() => {
                     let kept = Kept::clone(&self.kept_orders.borrow_and_update());
-                    self.order(&mut out, |orders, now, _, wanted| orders.on_kept(now, &kept, wanted));
+                    self.order(&mut out, |orders, now, _, wanted| orders.on_stored(now, &kept, wanted));
                 }
                 Ok(()) = self.held.changed(), if self.follow.is_some() => {
                     let news = self.held.borrow_and_update().clone();
-                    self.follow_on(&mut out, |follow, now, _, _| follow.on_news(now, news.list, news.sure_at));
+                    self.follow_on(&mut out, |follow, now, _, _| follow.on_list(now, news.list, news.sure_at));
                 }
                 ask = self.asks.recv() => match ask {
                     Some(Ask::View(reply)) => {
@@ -406,7 +409,7 @@
                 }
                 Output::Event(what) => {
                     if let (MembershipEvent::Resumed { .. }, Some(follow)) = (&what, &mut self.follow) {
-                        follow.on_woken(self.clock.now());
+                        follow.on_resumed(self.clock.now());
                     }
                     let severity = severity(&what);
                     match severity {
@@ -418,8 +421,8 @@
         }
         for (from, talk) in talks {
             self.on_audit(&from, &talk, out);
-            self.order(out, |orders, now, _, wanted| orders.on_talk(now, &from, &talk, wanted));
-            self.follow_on(out, |follow, now, _, answers| follow.on_talk(now, &from, talk, answers));
+            self.order(out, |orders, now, _, wanted| orders.on_message(now, &from, &talk, wanted));
+            self.follow_on(out, |follow, now, _, answers| follow.on_message(now, &from, talk, answers));
         }
     }
 
@@ -427,7 +430,7 @@
     fn order(
         &mut self,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Orders, u64, Vec<String>, &mut Vec<OrderOutput>),
+        act: impl FnOnce(&mut FleetOrders, u64, Vec<String>, &mut Vec<OrderOutput>),
     ) {
         let now = self.clock.now();
         let Some(orders) = &mut self.orders else { return };
@@ -435,11 +438,13 @@
         act(orders, now, self.core.present_peers(), &mut wanted);
         for one in wanted {
             match one {
-                OrderOutput::Say { to, talk } => self.core.send_payload(now, &to, to_bytes(&talk), out),
+                OrderOutput::Send { to, message } => {
+                    self.core.send_payload(now, &to, to_bytes(&message), out)
+                }
                 // One that finds no room is handed over again.
                 OrderOutput::Apply(order) => drop(self.apply.try_send(order)),
-                OrderOutput::Keep(all) => drop(self.keep_orders.send_replace(Kept::new(all))),
-                OrderOutput::Happened(what) => self.tell(Severity::Warning, what.to_string()),
+                OrderOutput::Persist(all) => drop(self.keep_orders.send_replace(Kept::new(all))),
+                OrderOutput::Event(what) => self.tell(Severity::Warning, what.to_string()),
             }
         }
     }
@@ -457,7 +462,7 @@
         let stays = |m: &gaparch_membership::MemberView| m.state != MemberState::Left;
         let routers = self.core.view().members.into_iter().filter(stays).map(|m| m.info.name).collect();
         self.nonce += 1;
-        self.gathers.push((Gather::new(self.nonce, filter, routers, self.clock.now()), reply));
+        self.gathers.push((AuditQuery::new(self.nonce, filter, routers, self.clock.now()), reply));
         self.gather(out);
     }
 
@@ -465,7 +470,7 @@
     fn gather(&mut self, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let mut asks = Vec::new();
-        self.gathers.iter_mut().for_each(|(gather, _)| gather.on_time(now, &mut asks));
+        self.gathers.iter_mut().for_each(|(gather, _)| gather.on_timer(now, &mut asks));
         for (to, talk) in asks {
             self.core.send_payload(now, &to, to_bytes(&talk), out);
         }
@@ -474,10 +479,10 @@
         self.gathers = open;
         for (gather, reply) in over {
             let filter = gather.filter().clone();
-            let mut told = gather.told();
+            let mut told = gather.into_answers();
             let book = audit_record::lock(&self.record);
             let gaps = u32::try_from(book.gaps().len()).unwrap_or(u32::MAX);
-            told.push(audit::Told {
+            told.push(audit::AuditAnswer {
                 router: self.core.local_info().name,
                 rows: book.rows(&filter),
                 gaps: Some(gaps),
@@ -492,7 +497,7 @@
             let pages = {
                 let book = audit_record::lock(&self.record);
                 let gaps = u32::try_from(book.gaps().len()).unwrap_or(u32::MAX);
-                audit::answer(*nonce, now, gaps, &book.rows(filter), *row)
+                audit::answer_pages(*nonce, now, gaps, &book.rows(filter), *row)
             };
             for page in pages {
                 self.core.send_payload(now, from, to_bytes(&page), out);
@@ -501,7 +506,7 @@
         if matches!(talk, ReplicationMessage::AuditPage { .. }) {
             let mut asks = Vec::new();
             for (gather, _) in &mut self.gathers {
-                gather.on_talk(now, from, talk, &mut asks);
+                gather.on_message(now, from, talk, &mut asks);
             }
             for (to, talk) in asks {
                 self.core.send_payload(now, &to, to_bytes(&talk), out);
@@ -519,16 +524,16 @@
             view.members.into_iter().map(|m| (m.info.name, m.state)).collect();
         let stay = members.iter().filter(|(_, state)| **state != MemberState::Left);
         let names: Vec<String> = stay.map(|(name, _)| name.clone()).collect();
-        let row = |acked: audit::Acked| SpreadRow {
+        let row = |acked: audit::OrderAck| SpreadRow {
             state: members.get(&acked.router).copied().unwrap_or(MemberState::Alive),
             router: acked.router,
-            keeps: acked.keeps,
-            said_at: acked.said_at,
+            keeps: acked.is_complete,
+            said_at: acked.reported_at,
         };
-        let rows: Vec<SpreadRow> = orders.acked(&names).into_iter().map(row).collect();
+        let rows: Vec<SpreadRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
         let overtaken = orders
-            .overtaken()
-            .map(|(order, by)| Overtaken { order: order.clone(), by: by.clone() })
+            .superseded()
+            .map(|one| Overtaken { order: one.order.clone(), by: one.by.clone() })
             .collect();
         Some(SpreadView { complete: rows.iter().all(|r| r.keeps), orders: orders.all(), overtaken, rows })
     }
@@ -537,7 +542,7 @@
     fn follow_on(
         &mut self,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Follow, u64, Vec<String>, &mut Vec<audit::Output>),
+        act: impl FnOnce(&mut ListFollower, u64, Vec<String>, &mut Vec<audit::FollowerOutput>),
     ) {
         let now = self.clock.now();
         let Some(follow) = &mut self.follow else { return };
@@ -545,14 +550,16 @@
         act(follow, now, self.core.present_peers(), &mut wanted);
         for one in wanted {
             match one {
-                audit::Output::Say { to, talk } => self.core.send_payload(now, &to, to_bytes(&talk), out),
-                audit::Output::Take { list, by } => {
+                audit::FollowerOutput::Send { to, message } => {
+                    self.core.send_payload(now, &to, to_bytes(&message), out)
+                }
+                audit::FollowerOutput::Adopt { list, by } => {
                     self.adopt.send_modify(|adopt| adopt.list = Some((list, by)));
                 }
-                audit::Output::Believed(version) => {
+                audit::FollowerOutput::Corroborated(version) => {
                     self.adopt.send_modify(|adopt| adopt.believed = Some(version));
                 }
-                audit::Output::Happened(what) => self.tell(grave(&what), what.to_string()),
+                audit::FollowerOutput::Event(what) => self.tell(grave(&what), what.to_string()),
             }
         }
     }
@@ -608,7 +615,7 @@
 }
 
 /// What all records say together: those that did not answer, or have gaps, are unknown.
-fn audit_view(mut told: Vec<audit::Told>) -> AuditView {
+fn audit_view(mut told: Vec<audit::AuditAnswer>) -> AuditView {
     told.sort_by(|a, b| a.router.cmp(&b.router));
     let (mut rows, mut unknown) = (Vec::new(), Vec::new());
     for one in told {
@@ -627,38 +634,38 @@
     AuditView { complete: unknown.is_empty(), unknown, rows }
 }
 
-fn versions(view: audit::View) -> VersionsView {
-    let row = |row: audit::Row| VersionRow {
+fn versions(view: audit::ListView) -> VersionsView {
+    let row = |row: audit::PeerListStatus| VersionRow {
         router: row.router,
         held: row.held,
         digest: row.digest,
-        sure: row.sure,
-        said_at: row.said_at,
+        sure: row.confirmed_ago,
+        said_at: row.reported_at,
     };
     VersionsView {
         held: view.held,
         entries: view.entries,
-        sure: view.sure,
+        sure: view.confirmed_ago,
         believed: view.believed,
-        corroborated: view.corroborated,
+        corroborated: view.is_corroborated,
         behind_since: view.behind_since,
-        brought_up: view.brought_up,
-        refused: view.refused,
-        rows: view.rows.into_iter().map(row).collect(),
+        brought_up: view.fetched,
+        refused: view.rejected,
+        rows: view.peers.into_iter().map(row).collect(),
     }
 }
 
-fn grave(what: &audit::Happening) -> Severity {
+fn grave(what: &audit::ListEvent) -> Severity {
     match what {
-        audit::Happening::Sure | audit::Happening::CaughtUp { .. } | audit::Happening::BroughtUp { .. } => {
-            Severity::Info
-        }
-        audit::Happening::Unsure { .. }
-        | audit::Happening::Behind { .. }
-        | audit::Happening::Harmed { .. } => Severity::Warning,
-        audit::Happening::SourceIsOld { .. }
-        | audit::Happening::TwoSources { .. }
-        | audit::Happening::Outlier { .. } => Severity::Trouble,
+        audit::ListEvent::Confirmed
+        | audit::ListEvent::CaughtUp { .. }
+        | audit::ListEvent::FetchedFromPeer { .. } => Severity::Info,
+        audit::ListEvent::Unconfirmed { .. }
+        | audit::ListEvent::Behind { .. }
+        | audit::ListEvent::DigestMismatch { .. } => Severity::Warning,
+        audit::ListEvent::SourceOutdated { .. }
+        | audit::ListEvent::SourcesDiffer { .. }
+        | audit::ListEvent::Outlier { .. } => Severity::Trouble,
     }
 }
 
--- a/crates/gaparch-router/src/shell/owner.rs
+++ b/crates/gaparch-router/src/shell/owner.rs
@@ -6,7 +6,7 @@
 use super::ops::{Desk, Done, News, OrderReply};
 use super::versions::{Adopt, Verdict, Versions};
 use crate::core::{Accepted, ConnNo, Core, Counts, Input, ListUpdate, Output, Proposal, ToClient};
-use gaparch_audit::Kind;
+use gaparch_audit::SendKind;
 use gaparch_config::Config;
 use gaparch_net::Clock;
 use gaparch_ops::book::Denied;
@@ -444,13 +444,13 @@
         let Some(task) = self.engines.get(&engine) else { return };
         if let Some(versions) = &mut self.versions {
             let (kind, key) = match &frame {
-                EngineFrame::Read(job) => (Some(Kind::Read), job.key),
-                EngineFrame::Write { job, .. } => (Some(Kind::Write), job.key),
-                EngineFrame::Probe { .. } => (Some(Kind::Probe), NO_ATTEMPT),
+                EngineFrame::Read(job) => (Some(SendKind::Prefill), job.key),
+                EngineFrame::Write { job, .. } => (Some(SendKind::Decode), job.key),
+                EngineFrame::Probe { .. } => (Some(SendKind::Probe), NO_ATTEMPT),
                 _ => (None, NO_ATTEMPT),
             };
             if let Some(kind) = kind {
-                versions.tally.note(engine.0, kind, key.request, key.attempt, self.clock.now());
+                versions.tally.record(engine.0, kind, key.request, key.attempt, self.clock.now());
             }
         }
         if task.frames.try_send(frame).is_err() {
--- a/crates/gaparch-router/src/shell/versions.rs
+++ b/crates/gaparch-router/src/shell/versions.rs
@@ -4,7 +4,7 @@
 use super::audit::Message;
 use super::fleet_orders::Issued;
 use crate::core::ListUpdate;
-use gaparch_audit::{Held, HeldList, Nanos, Sent, Taken, Tally};
+use gaparch_audit::{ActiveList, ListOutcome, ListSnapshot, Nanos, SendBatch, SendTally};
 use gaparch_protocol::list::Scope;
 use gaparch_protocol::versions::{ListVersion, SendContext};
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldNews {
     /// None yet: the settings' engines alone.
-    pub list: Option<Arc<HeldList>>,
+    pub list: Option<Arc<ListSnapshot>>,
     /// The service itself has said so: when last. None: another router has handed it on.
     pub sure_at: Option<Nanos>,
 }
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Adopt {
     /// To be acted on, unless a later one is held by then; and who has handed it on.
-    pub list: Option<(Arc<HeldList>, String)>,
+    pub list: Option<(Arc<ListSnapshot>, String)>,
     pub believed: Option<ListVersion>,
 }
 
@@ -39,7 +39,7 @@
 
 /// The owner's side.
 pub(super) struct Versions {
-    held: Held,
+    held: ActiveList,
     epoch: u64,
     first: bool,
     /// The module asks for the list itself, and waits for each answer.
@@ -50,8 +50,8 @@
     /// What was refused last, so that it is told once.
     refused: Option<String>,
     /// What was sent since it was handed over last, and what could not be handed over yet.
-    pub tally: Tally,
-    waiting: VecDeque<Sent>,
+    pub tally: SendTally,
+    waiting: VecDeque<SendBatch>,
     record: mpsc::Sender<Message>,
     confirm: Nanos,
 }
@@ -68,14 +68,14 @@
         record: mpsc::Sender<Message>,
     ) -> Versions {
         Versions {
-            held: Held::default(),
+            held: ActiveList::default(),
             epoch: 0,
             first: true,
             asked,
             cell,
             issued,
             refused: None,
-            tally: Tally::default(),
+            tally: SendTally::default(),
             waiting: VecDeque::new(),
             record,
             confirm,
@@ -98,20 +98,20 @@
             } else if let Some(last) = self.waiting.back_mut() {
                 // The record's disk has been stuck for long: counts are kept, one an engine, and where versions differ under
                 // none, for a clean record of the wrong one would be a lie.
-                last.left_out += sent.left_out + sent.singles.len() as u64;
+                last.omitted_records += sent.omitted_records + sent.records.len() as u64;
                 last.at = sent.at;
-                if last.stamp != sent.stamp {
-                    last.stamp = SendContext::default();
+                if last.context != sent.context {
+                    last.context = SendContext::default();
                 }
-                for one in sent.sends {
-                    match last.sends.iter_mut().find(|known| known.engine == one.engine) {
+                for one in sent.counts {
+                    match last.counts.iter_mut().find(|known| known.engine == one.engine) {
                         Some(known) => {
                             known.prefills += one.prefills;
                             known.decodes += one.decodes;
                             known.probes += one.probes;
                             known.last_at = one.last_at;
                         }
-                        None => last.sends.push(one),
+                        None => last.counts.push(one),
                     }
                 }
             }
@@ -139,19 +139,20 @@
     /// What to do with an update, and what to tell operators of it.
     pub fn on_update(&mut self, update: &ListUpdate, now: Nanos) -> (Verdict, Option<String>) {
         let first = std::mem::take(&mut self.first);
-        match self.held.from_service(self.epoch, first, update.scope, update.version, &update.entries) {
-            Taken::New { new_epoch } => {
+        match self.held.apply_service_update(self.epoch, first, update.scope, update.version, &update.entries)
+        {
+            ListOutcome::Adopted { new_epoch } => {
                 self.refused = None;
-                self.cell.send_replace(HeldNews { list: Some(self.held.list()), sure_at: Some(now) });
+                self.cell.send_replace(HeldNews { list: Some(self.held.snapshot()), sure_at: Some(now) });
                 let text = "the list service counts anew: it was started from nothing, or went back";
                 (Verdict::Act, new_epoch.then(|| text.to_owned()))
             }
-            Taken::Same => {
+            ListOutcome::Unchanged => {
                 self.cell.send_modify(|news| news.sure_at = Some(now));
                 (if self.asked { Verdict::Act } else { Verdict::Nothing }, None)
             }
-            Taken::Missed => (Verdict::Fetch, None),
-            Taken::Refused(why) => {
+            ListOutcome::Incomplete => (Verdict::Fetch, None),
+            ListOutcome::Rejected(why) => {
                 let text = format!("what the list service says is not acted on: {why}");
                 let told = self.refused.as_ref() != Some(&text);
                 self.refused = Some(text.clone());
@@ -164,21 +165,21 @@
     pub fn on_adopt(&mut self, adopt: Adopt) -> Option<ListUpdate> {
         if let Some(believed) = adopt.believed {
             let before = self.held.version();
-            self.held.believe(believed);
+            self.held.corroborate(believed);
             if self.held.version() != before {
                 // The same list under the count that the others have: what was sure is as sure.
-                let list = self.held.list();
+                let list = self.held.snapshot();
                 self.cell.send_modify(|news| news.list = Some(list));
             }
         }
         let (list, _) = adopt.list?;
-        match self.held.from_peer(&list) {
-            Taken::New { .. } => {
-                self.cell.send_replace(HeldNews { list: Some(self.held.list()), sure_at: None });
+        match self.held.apply_peer_list(&list) {
+            ListOutcome::Adopted { .. } => {
+                self.cell.send_replace(HeldNews { list: Some(self.held.snapshot()), sure_at: None });
                 let version = list.version.version;
                 Some(ListUpdate { scope: Scope::Full, version, after: 0, entries: list.entries.clone() })
             }
-            Taken::Same | Taken::Missed | Taken::Refused(_) => None,
+            ListOutcome::Unchanged | ListOutcome::Incomplete | ListOutcome::Rejected(_) => None,
         }
     }
 }
