--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -1,7 +1,6 @@
 //! What operators and scripts read of a router's core, as text: it must not change when names in the code do. The constants
 //! in `pinned/` were written by the build of commit bdb4937.
 
-use gaparch::api::{ClassId, Nanos, RequestId, Role, ServerId, ServerState, Status};
 use gaparch_config::{server_id, Config, EXAMPLE};
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, RouterRun};
@@ -9,6 +8,7 @@
 use gaparch_protocol::ops::intent::{Change, Hold};
 use gaparch_protocol::ops::Order;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output};
+use gaparch_scheduler::api::{AttemptStatus, ClassId, Nanos, RequestId, Role, ServerId, ServerState};
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -34,7 +34,7 @@
         let mut router = Router { core, now: 1000 * SECOND, connections, endings: String::new() };
         router.take(&out);
         for engine in engines {
-            let role = if engine.kind == "reader" { Role::Read } else { Role::Write };
+            let role = if engine.kind == "reader" { Role::Prefill } else { Role::Decode };
             let facts = EngineFacts {
                 name: engine.name.clone(),
                 role,
@@ -99,7 +99,7 @@
                 EngineFrame::Read(job) if job.key.request >= 3 => {
                     let failed = EngineFrame::Outcome {
                         key: job.key,
-                        status: Status::Error,
+                        status: AttemptStatus::Error,
                         note: 0,
                         produced: 0,
                         report: None,
@@ -115,7 +115,7 @@
                     let key = job.key;
                     self.frame(engine, EngineFrame::Tokens { key, from: 0, count: 1, text: "a".to_owned() });
                     if key.request == 1 {
-                        let status = Status::Ok;
+                        let status = AttemptStatus::Ok;
                         self.frame(
                             engine,
                             EngineFrame::Outcome { key, status, note: 0, produced: 1, report: None },
