--- a/crates/gaparch-cli/src/commands/serve.rs
+++ b/crates/gaparch-cli/src/commands/serve.rs
@@ -65,7 +65,7 @@
     if let Some(counts) = router.stop().await {
         say(&format!(
             "gaparch: {why}; {} requests: {} served, {} refused, {} failed, {} left",
-            counts.requests, counts.served, counts.refused, counts.failed, counts.left
+            counts.requests, counts.served, counts.rejected, counts.failed, counts.client_disconnected
         ));
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -234,7 +234,7 @@
     shared.tell(Message::List(ListUpdate {
         scope: members.scope,
         version: members.generation,
-        after: after.unwrap_or(0),
+        base_version: after.unwrap_or(0),
         entries: members.entries,
     }));
 }
--- a/crates/gaparch-platform-router/src/owner.rs
+++ b/crates/gaparch-platform-router/src/owner.rs
@@ -11,7 +11,9 @@
 use gaparch_platform_protocol::ask::Ask;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job as EngineJob, RouterRun};
 use gaparch_protocol::ops::ending::WaitedFor;
-use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
+use gaparch_router::core::{
+    AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output, ResponseEvent,
+};
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::connecting::Carries;
 use std::collections::HashMap;
@@ -114,11 +116,11 @@
         // The list as it was last held comes first, so that nothing waits for a silent catalogue.
         if let Some(known) = &shared.config.known {
             let (scope, version, entries) = (known.scope, known.generation, known.entries.clone());
-            let update = ListUpdate { scope, version, after: 0, entries };
-            core.handle(now, Input::List(update), &mut out);
+            let update = ListUpdate { scope, version, base_version: 0, entries };
+            core.handle(now, Input::ListUpdated(update), &mut out);
         }
         if !ask {
-            core.handle(now, Input::ListUp, &mut out);
+            core.handle(now, Input::ListServiceUp, &mut out);
         }
         let mut owner = Owner {
             core,
@@ -151,7 +153,7 @@
         tidy.set_missed_tick_behavior(MissedTickBehavior::Delay);
         summary.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let due = self.core.next_at().map(|at| Instant::from_std(self.shared.clock.instant(at)));
+            let due = self.core.next_timer_at().map(|at| Instant::from_std(self.shared.clock.instant(at)));
             tokio::select! {
                 biased;
                 there = round.wait(due, &mut messages, &mut heard) => if !there { return },
@@ -164,13 +166,13 @@
                 self.carry_out(&mut out);
             }
             for Heard { from, data } in round.heard.drain(..) {
-                self.core.handle(self.shared.clock.now(), Input::Peer { from, data }, &mut out);
+                self.core.handle(self.shared.clock.now(), Input::GossipReceived { from, data }, &mut out);
             }
-            self.core.on_time(self.shared.clock.now(), &mut out);
+            self.core.on_timers_due(self.shared.clock.now(), &mut out);
             self.carry_out(&mut out);
             self.forget();
             let now = self.shared.clock.now();
-            if !messages.is_empty() || self.core.next_at().is_some_and(|at| at <= now) {
+            if !messages.is_empty() || self.core.next_timer_at().is_some_and(|at| at <= now) {
                 // Clients that close, lists and answers are noticed between two rounds, however many there are to do.
                 tokio::task::yield_now().await;
             }
@@ -180,7 +182,7 @@
     /// How many states are held for requests, and for how long the oldest one is, in nanoseconds.
     fn held(&self) -> (usize, Nanos) {
         let now = self.shared.clock.now();
-        let ages = self.core.held_states().map(|state| now.saturating_sub(state.since));
+        let ages = self.core.held_kv_caches().map(|state| now.saturating_sub(state.since));
         ages.fold((0, 0), |(count, longest), age| (count + 1, longest.max(age)))
     }
 
@@ -189,7 +191,7 @@
         let now = self.shared.clock.now();
         let most = self.shared.config.site.settings.kv_release_within;
         let (mut logged, mut oldest) = (Vec::new(), self.held_logged_to);
-        for state in self.core.held_states() {
+        for state in self.core.held_kv_caches() {
             let overdue = now.saturating_sub(state.since) > most && state.since > self.held_logged_to;
             if overdue && logged.len() < HELD_LINES {
                 oldest = oldest.max(state.since);
@@ -201,7 +203,7 @@
             tracing::info!(
                 request = state.request.0,
                 txn,
-                reader = state.reader.0,
+                reader = state.prefill_worker.0,
                 unanswered_at = state.unanswered_at.map(|server| server.0),
                 held_ms = now.saturating_sub(state.since) / 1_000_000,
                 "no writer is known to have fetched a state"
@@ -224,25 +226,25 @@
                 drop(place);
                 self.touched.push(id);
                 self.open.insert(id, Open { forward, answer: Some(answer), exchange: None, releasing: None });
-                self.core.handle(now, Input::Ask { id, ask: accepted(&ask, began) }, out);
+                self.core.handle(now, Input::RequestArrived { id, request: accepted(&ask, began) }, out);
             }
             Message::Gone(id) => {
                 self.touched.push(id);
-                self.core.handle(now, Input::ClientGone(id), out);
+                self.core.handle(now, Input::ClientDisconnected(id), out);
             }
             Message::Worker { server, id, no, at, seen } => {
                 self.touched.push(id);
                 self.on_worker(server, AttemptKey { request: id.0, attempt: no.0 }, at, seen, out);
             }
             Message::Probed { server, nonce, at, status } => {
-                self.core.handle(at, Input::Probed { engine: server, nonce, status }, out);
+                self.core.handle(at, Input::ProbeFinished { engine: server, nonce, status }, out);
             }
             Message::List(update) => {
                 tracing::debug!(entries = update.entries.len(), "the list has changed");
-                self.core.handle(now, Input::List(update), out);
+                self.core.handle(now, Input::ListUpdated(update), out);
                 self.shared.serving();
             }
-            Message::ListDown => self.core.handle(now, Input::ListDown, out),
+            Message::ListDown => self.core.handle(now, Input::ListServiceDown, out),
             Message::Open(reply) => {
                 while self.releases.try_join_next().is_some() {}
                 let _ = reply.send(self.open.len() + self.releases.len());
@@ -264,7 +266,7 @@
             }
             Seen::Reserved { held } => EngineFrame::Reserved { key, held },
         };
-        self.core.handle(at, Input::EngineFrame { engine, conn: ConnNo::EXCHANGES, frame }, out);
+        self.core.handle(at, Input::EngineFrame { engine, conn: ConnectionNumber::EXCHANGES, frame }, out);
     }
 
     fn carry_out(&mut self, out: &mut Vec<Output>) {
@@ -272,45 +274,45 @@
             match output {
                 Output::Client { id, event } => self.answer_client(id, event),
                 Output::Engine { engine, frame } => self.ask_worker(engine, frame),
-                Output::Watch(on) => {
+                Output::WatchEndpoints(on) => {
                     self.wanted.send_if_modified(|w| std::mem::replace(&mut w.watch, on) != on);
                 }
-                Output::Fetch => self.wanted.send_modify(|w| w.fetches += 1),
-                Output::Tell { peer, data } => {
+                Output::FetchEndpoints => self.wanted.send_modify(|w| w.fetches += 1),
+                Output::SendGossip { peer, data } => {
                     self.peers.iter().for_each(|peers| peers.tell(peer, &data));
                 }
-                Output::CloseIdle(server) => self.pool.close_idle(server),
+                Output::CloseIdleConnections(server) => self.pool.close_idle(server),
                 Output::Log(text) => tracing::info!(%text, "module"),
                 // A worker has no connection of its own here, and nobody keeps what became of requests.
-                Output::Connect { .. } | Output::Disconnect { .. } | Output::Ended(_) => {}
+                Output::Connect { .. } | Output::Disconnect { .. } | Output::RequestEnded(_) => {}
             }
         }
         // Nobody wants that stream any more: its exchange hears so by this.
         self.grant = None;
     }
 
-    fn answer_client(&mut self, id: RequestId, event: ToClient) {
+    fn answer_client(&mut self, id: RequestId, event: ResponseEvent) {
         self.touched.push(id);
         let Some(open) = self.open.get_mut(&id) else { return };
         let txn = open.forward.txn.as_str();
         let answer = match event {
-            ToClient::Opened { .. } => {
+            ResponseEvent::Started { .. } => {
                 let (pieces, stream) = mpsc::channel(PIECES);
                 if let Some((_, grant)) = self.grant.take_if(|(of, _)| *of == id) {
                     let _ = grant.send(pieces);
                 }
                 Answer::Stream(stream)
             }
-            ToClient::Refused { retry_after, waited_for, cause } => {
+            ResponseEvent::Rejected { retry_after, waited_for, cause } => {
                 tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, txn, ?cause, ?waited_for, "refused");
                 Answer::Refused { over_share: waited_for == Some(WaitedFor::OverShare), retry_after }
             }
-            ToClient::Failed { why, cause } => {
+            ResponseEvent::Failed { message: why, cause } => {
                 tracing::debug!(target: "gaparch_platform_router::wire", request = id.0, txn, ?cause, why, "failed");
                 Answer::Failed
             }
             // The events themselves never come by here.
-            ToClient::Part { .. } | ToClient::Finished { .. } => return,
+            ResponseEvent::Text { .. } | ResponseEvent::Finished { .. } => return,
         };
         // Once a stream has begun, its end says what became of it.
         if let Some(client) = open.answer.take() {
@@ -366,7 +368,7 @@
     fn send(&mut self, server: ServerId, ask: &EngineJob, reads: bool, carries: Carries) {
         let (id, no) = (RequestId(ask.key.request), AttemptNumber(ask.key.attempt));
         let target = self.target(server);
-        let waited = self.shared.clock.now().saturating_sub(self.core.asked_at(id));
+        let waited = self.shared.clock.now().saturating_sub(self.core.arrived_at(id));
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(target) = target else {
             let seen = Seen::Ended { status: AttemptStatus::ConnectFailed, note: 0 };
@@ -401,12 +403,12 @@
             target,
             reads,
             carries,
-            give_up_at: self.core.give_up_at(id),
+            give_up_at: self.core.deadline_at(id),
             forward,
             prior,
             releasing: open.releasing.take(),
             write_within: connect_within(settings),
-            write_by: self.core.write_by(id),
+            write_by: self.core.send_by(id),
             release_within: release_try(settings),
             written,
         };
@@ -415,7 +417,8 @@
     }
 
     fn release(&mut self, id: RequestId, at: ServerId) {
-        let mut targets: Vec<Target> = self.core.listed().filter_map(|server| self.target(server)).collect();
+        let mut targets: Vec<Target> =
+            self.core.listed_engines().filter_map(|server| self.target(server)).collect();
         // One that is drained or gone may hold it still.
         targets.extend(self.target(at).filter(|target| !targets.contains(target)));
         let Some(open) = self.open.get_mut(&id) else { return };
@@ -431,7 +434,7 @@
     }
 
     fn target(&self, server: ServerId) -> Option<Target> {
-        let (address, started) = self.core.process(server)?;
+        let (address, started) = self.core.endpoint_process(server)?;
         Some(Target { server, address, started })
     }
 
@@ -452,33 +455,33 @@
     }
 
     fn summary(&mut self) {
-        let counts = self.core.counts();
+        let counts = self.core.counters();
         let (workers, idle) = self.pool.sizes();
-        let reasons = self.core.reasons();
+        let reasons = self.core.reasons_by_kind();
         let (held, longest) = self.held();
         tracing::info!(
-            open = self.core.open(),
+            open = self.core.open_requests(),
             known = self.open.len(),
             releases = self.releases.len(),
             asked = counts.requests,
             served = counts.served,
-            refused = counts.refused,
+            refused = counts.rejected,
             failed = counts.failed,
-            left = counts.left,
+            left = counts.client_disconnected,
             overdue = counts.overdue,
             late_frames = counts.late_frames,
-            moot = counts.moot,
+            moot = counts.unsent_attempts,
             denied = %counts.denials,
             stopped = %self.shared.denials(),
-            second_answers = counts.second_answers,
-            refusals = %reasons.refused,
+            second_answers = counts.duplicate_answers,
+            refusals = %reasons.rejected,
             failures = %reasons.failed,
             attempts = %reasons.attempts,
             retries = %reasons.retries,
             held,
             held_longest_ms = longest / 1_000_000,
             closed = %self.shared.closes,
-            dropped = counts.dropped_entries,
+            dropped = counts.ignored_entries,
             strange = self.peers.as_ref().map_or(0, |peers| peers.dropped()),
             workers,
             idle,
@@ -490,19 +493,19 @@
     }
 }
 
-fn accepted(ask: &Ask, began: Nanos) -> Accepted {
-    Accepted {
+fn accepted(ask: &Ask, began: Nanos) -> AcceptedRequest {
+    AcceptedRequest {
         class: ask.class,
         tenant: ask.tenant,
         session: ask.session,
         prefix: ask.prefix,
-        prompt_len: ask.prompt_len,
-        prefix_len: ask.prefix_len,
-        max_out: ask.max_out,
-        hint: None,
-        repeat: ask.repeat,
-        again: ask.again,
-        give_up_at: Some(began.saturating_add(ask.wait)),
+        prompt_tokens: ask.prompt_len,
+        prefix_tokens: ask.prefix_len,
+        max_output_tokens: ask.max_out,
+        expected_output_tokens: None,
+        client_retry: ask.repeat,
+        client_reconnect: ask.again,
+        deadline_at: Some(began.saturating_add(ask.wait)),
         // The body goes from client to worker beside the core.
         prompt: String::new(),
         fingerprint: 0,
--- /dev/null
+++ b/crates/gaparch-router/src/core/connection.rs
@@ -0,0 +1,122 @@
+//! The one connection to each engine.
+
+use gaparch_config::Attempts;
+use gaparch_scheduler::api::{LoadReport, Nanos, RequestId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// One connection that was asked for; the next one to the same engine has another number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionNumber(pub u64);
+
+impl ConnectionNumber {
+    /// Stands for all exchanges with an engine where there is no one connection.
+    pub const EXCHANGES: ConnectionNumber = ConnectionNumber(0);
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum State {
+    #[default]
+    New,
+    Connecting(ConnectionNumber),
+    Connected(ConnectionNumber),
+    Disconnected,
+}
+
+#[derive(Clone, Debug, Default)]
+pub(super) struct EngineConnection {
+    state: State,
+    /// Tries that have failed one after the other.
+    consecutive_failures: u32,
+    /// Requests with an attempt out there.
+    pub in_flight: BTreeSet<RequestId>,
+    /// Probes out, by nonce, with when they were sent.
+    pub outstanding_probes: BTreeMap<u64, Nanos>,
+    /// The last report that came by itself.
+    pub last_report: Option<LoadReport>,
+    pub attempt_counters: AttemptCounters,
+}
+
+/// Attempts at an engine, counted from the start of the router.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct AttemptCounters {
+    pub attempts: u64,
+    pub failed: u64,
+    pub cancelled: u64,
+}
+
+/// What a lost connection leaves behind.
+pub(super) struct LostConnection {
+    pub was_connected: bool,
+    pub reconnect_after: Nanos,
+    pub outstanding_probes: BTreeMap<u64, Nanos>,
+}
+
+impl EngineConnection {
+    /// The link to an engine that each attempt reaches by itself.
+    pub fn connectionless() -> EngineConnection {
+        EngineConnection {
+            state: State::Connected(ConnectionNumber::EXCHANGES),
+            ..EngineConnection::default()
+        }
+    }
+
+    pub fn is_new(&self) -> bool {
+        self.state == State::New
+    }
+
+    pub fn is_disconnected(&self) -> bool {
+        matches!(self.state, State::New | State::Disconnected)
+    }
+
+    pub fn is_connected(&self) -> bool {
+        matches!(self.state, State::Connected(_))
+    }
+
+    /// It may be up soon.
+    pub fn is_connecting_first_time(&self) -> bool {
+        matches!(self.state, State::Connecting(_)) && self.consecutive_failures == 0
+    }
+
+    pub fn is_current(&self, conn: ConnectionNumber) -> bool {
+        self.state == State::Connected(conn)
+    }
+
+    pub fn number(&self) -> Option<ConnectionNumber> {
+        match self.state {
+            State::Connecting(conn) | State::Connected(conn) => Some(conn),
+            State::New | State::Disconnected => None,
+        }
+    }
+
+    pub fn start_connecting(&mut self, conn: ConnectionNumber) {
+        self.state = State::Connecting(conn);
+    }
+
+    /// Whether that is the connection that is waited for.
+    pub fn on_connected(&mut self, conn: ConnectionNumber) -> bool {
+        let expected = self.state == State::Connecting(conn);
+        if expected {
+            self.state = State::Connected(conn);
+            self.consecutive_failures = 0;
+        }
+        expected
+    }
+
+    /// `None` if it is another connection that went down.
+    pub fn on_disconnected(&mut self, conn: ConnectionNumber, settings: &Attempts) -> Option<LostConnection> {
+        let was_up = self.is_current(conn);
+        if self.number() != Some(conn) {
+            return None;
+        }
+        let doubled = settings.reconnect_after.saturating_mul(1 << self.consecutive_failures.min(20));
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.state = State::Disconnected;
+        self.in_flight.clear();
+        self.last_report = None;
+        Some(LostConnection {
+            was_connected: was_up,
+            reconnect_after: doubled.min(settings.reconnect_most),
+            outstanding_probes: std::mem::take(&mut self.outstanding_probes),
+        })
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/core/endpoint_updates.rs
@@ -0,0 +1,116 @@
+//! The list, and the engines that it makes the router connect to.
+
+use super::connection::{ConnectionNumber, EngineConnection};
+use super::endpoint_table::ListUpdate;
+use super::request::{Attempt, TrackedRequest};
+use super::{Core, Output};
+use gaparch_config::Links;
+use gaparch_scheduler::api::{AttemptStatus, EndpointUpdate, Event, RequestId, ServerId};
+use std::collections::BTreeSet;
+
+impl Core {
+    pub(super) fn on_list_service_up(&mut self, out: &mut Vec<Output>) {
+        // Where it must be asked, the module asks.
+        if !self.config.module.poll_endpoints {
+            out.push(Output::WatchEndpoints(true));
+        }
+    }
+
+    pub(super) fn on_list_service_down(&mut self) {
+        if self.config.module.poll_endpoints {
+            self.scheduler_events.push_back(Event::EndpointsChanged {
+                update: EndpointUpdate::Failed,
+                endpoints: Vec::new().into(),
+            });
+        }
+    }
+
+    pub(super) fn on_list_update(&mut self, update: ListUpdate, out: &mut Vec<Output>) {
+        let told =
+            self.endpoints.apply_update(update, &self.config, &self.orders, self.now, &mut self.counters);
+        let Some((kind, entries)) = told else {
+            // A change was missed: the whole list tells.
+            return out.push(Output::FetchEndpoints);
+        };
+        let changed =
+            (kind == EndpointUpdate::Delta).then(|| entries.iter().map(|entry| entry.server).collect());
+        self.scheduler_events.push_back(Event::EndpointsChanged { update: kind, endpoints: entries.into() });
+        match changed {
+            Some(changed) => self.follow_endpoints(changed, out),
+            None => self.follow_all_endpoints(out),
+        }
+    }
+
+    /// Connects to what is listed anew, and lets go of what is gone.
+    pub(super) fn follow_all_endpoints(&mut self, out: &mut Vec<Output>) {
+        let mut all: BTreeSet<ServerId> = self.connections.keys().copied().collect();
+        all.extend(self.endpoints.present());
+        self.follow_endpoints(all, out);
+    }
+
+    /// The same for those that a change of the list names: of a long list few change at once.
+    fn follow_endpoints(&mut self, engines: BTreeSet<ServerId>, out: &mut Vec<Output>) {
+        self.fail_waiting_attempts();
+        for engine in engines {
+            if self.endpoints.is_present(engine) {
+                let link = match self.config.links {
+                    Links::Connections => EngineConnection::default,
+                    Links::Exchanges => EngineConnection::connectionless,
+                };
+                self.connections.entry(engine).or_insert_with(link);
+            }
+            self.follow_endpoint(engine, out);
+        }
+        if self.config.links == Links::Exchanges {
+            // New engines come under new names all day: what is gone must not stay in the books.
+            let engines = &self.connections;
+            self.endpoints.forget_removed(|engine| engines.contains_key(&engine));
+        }
+    }
+
+    /// Sends that wait for a connection are not to go out after the drain.
+    fn fail_waiting_attempts(&mut self) {
+        let roster = &self.endpoints;
+        let waits = |l: &TrackedRequest| l.attempt.filter(|a| a.waits && !roster.is_ready(a.server));
+        let waiting: Vec<(RequestId, Attempt)> =
+            self.requests.iter().filter_map(|(id, l)| Some((*id, waits(l)?))).collect();
+        for (id, attempt) in waiting {
+            self.finish_attempt(id, attempt, AttemptStatus::ConnectFailed, 0, None);
+        }
+    }
+
+    fn follow_endpoint(&mut self, engine: ServerId, out: &mut Vec<Output>) {
+        let Some(link) = self.connections.get(&engine) else { return };
+        if self.endpoints.is_present(engine) {
+            if link.is_new() {
+                self.connect(engine, out);
+            }
+        } else {
+            self.disconnect_if_idle(engine, out);
+        }
+    }
+
+    /// Something of ours has ended at an engine: if it is not wanted any more, that may have been the last.
+    pub(super) fn queue_disconnect_check(&mut self, engine: ServerId) {
+        if !self.endpoints.is_present(engine) && !self.disconnect_candidates.contains(&engine) {
+            self.disconnect_candidates.push(engine);
+        }
+    }
+
+    /// Closes the connection to an engine that is not wanted any more, once nothing of ours runs or waits there: a
+    /// state that is still to be fetched would go with it.
+    pub(super) fn disconnect_if_idle(&mut self, engine: ServerId, out: &mut Vec<Output>) {
+        let Some(link) = self.connections.get(&engine).filter(|_| !self.endpoints.is_present(engine)) else {
+            return;
+        };
+        let holds = |l: &TrackedRequest| l.kv_held_at.contains(&engine);
+        if !link.in_flight.is_empty() || self.requests.values().any(holds) {
+            return;
+        }
+        if let Some(conn) = link.number().filter(|c| *c != ConnectionNumber::EXCHANGES) {
+            out.push(Output::Disconnect { engine, reason: "no longer listed, or set aside" });
+            self.on_engine_disconnected(engine, conn, out);
+        }
+        self.connections.remove(&engine);
+    }
+}
--- a/crates/gaparch-router/src/core/figures.rs
+++ b/crates/gaparch-router/src/core/load_values.rs
@@ -1,17 +1,20 @@
 //! Figures of engines and of the list: what no one should send is dropped and counted.
 
-use super::Counts;
+use super::Counters;
 use gaparch_scheduler::api::LoadReport;
 
 /// No figure of a report or a weight makes sense above this.
-const MOST: f64 = 1e9;
+const MAX_VALUE: f64 = 1e9;
 
-pub(super) fn sound(figure: f64) -> bool {
-    figure.is_finite() && (0.0..=MOST).contains(&figure)
+pub(super) fn is_valid(figure: f64) -> bool {
+    figure.is_finite() && (0.0..=MAX_VALUE).contains(&figure)
 }
 
 /// The report without its figures that make no sense; `None` if none is left.
-pub(super) fn clean(report: Option<LoadReport>, counts: &mut Counts) -> Option<LoadReport> {
+pub(super) fn without_invalid_values(
+    report: Option<LoadReport>,
+    counts: &mut Counters,
+) -> Option<LoadReport> {
     let mut report = report?;
     let figures = [
         &mut report.in_flight,
@@ -21,9 +24,9 @@
         &mut report.pending_prefill_kilotokens,
     ];
     for figure in figures {
-        if figure.is_some_and(|f| !sound(f)) {
+        if figure.is_some_and(|f| !is_valid(f)) {
             *figure = None;
-            counts.dropped_figures += 1;
+            counts.ignored_values += 1;
         }
     }
     (report != LoadReport::default()).then_some(report)
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -1,7 +1,7 @@
 //! What operators order and look at, as far as the core has to do with it.
 
-use super::request::{Live, Stage};
-use super::{Core, Output, ToClient};
+use super::request::{Stage, TrackedRequest};
+use super::{Core, Output, ResponseEvent};
 use gaparch_config::Span;
 use gaparch_ops::book::{Denied, EngineStanding, Standing};
 use gaparch_ops::limits::{limited_tenant, tenant_limit, OPEN_REQUESTS};
@@ -82,29 +82,29 @@
     /// # Errors
     /// When it may not; the message says why.
     pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, Denied> {
-        let (taken, effect) = self.book.propose(order, who, now, &self.standing())?;
+        let (taken, effect) = self.orders.propose(order, who, now, &self.site_state())?;
         Ok(Proposal { taken, effect })
     }
 
     /// The number of the last change by an operator.
     pub fn orders_revision(&self) -> u64 {
-        self.book.revision()
+        self.orders.revision()
     }
 
     /// The name of an engine that was ever listed.
     pub fn engine_name(&self, engine: ServerId) -> &str {
-        self.roster.name(engine)
+        self.endpoints.name(engine)
     }
 
     /// An order that another router has handed on, as it is taken here; `None` where it is what holds already.
     ///
     /// # Errors
     /// When it makes no sense here; the message says why.
-    pub fn adopt(&self, change: &Change, note: &Note) -> Result<Option<Taken>, Denied> {
-        self.book.adopt(change, note, &self.limits())
+    pub fn adopt_fleet_order(&self, change: &Change, note: &Note) -> Result<Option<Taken>, Denied> {
+        self.orders.adopt(change, note, &self.limits())
     }
 
-    fn standing(&self) -> Standing {
+    fn site_state(&self) -> Standing {
         let standing = |view: EngineView| EngineStanding {
             takes_new: view.state == EngineState::Ready && view.avoided != Some(Avoid::Unreachable),
             name: view.name,
@@ -126,7 +126,7 @@
     pub fn limits(&self) -> Vec<LimitView> {
         let most = self.config.limits.open_requests as f64;
         let limit = |name: String, by_settings: f64, least, most, unit: &str| LimitView {
-            value: self.book.limit(&name).unwrap_or(by_settings),
+            value: self.orders.limit(&name).unwrap_or(by_settings),
             name,
             by_settings,
             least,
@@ -145,24 +145,25 @@
     /// Tells the module of all quotas that operators have set.
     pub(super) fn set_quotas(&mut self) {
         for (n, name) in self.config.names.tenants.iter().enumerate() {
-            if let Some(per_s) = self.book.limit(&tenant_limit(name)) {
-                self.events.push_back(Event::QuotaChanged { tenant: TenantId(n), quota_per_second: per_s });
+            if let Some(per_s) = self.orders.limit(&tenant_limit(name)) {
+                self.scheduler_events
+                    .push_back(Event::QuotaChanged { tenant: TenantId(n), quota_per_second: per_s });
             }
         }
     }
 
-    pub(super) fn on_taken(&mut self, taken: Taken, out: &mut Vec<Output>) {
+    pub(super) fn on_operator_change(&mut self, taken: Taken, out: &mut Vec<Output>) {
         let change = taken.change.clone();
-        self.book.apply(taken);
+        self.orders.apply(taken);
         match change {
             Change::Hold { engine, .. } | Change::Free { engine } => {
-                if let Some(entry) = self.roster.hold_changed(&engine, &self.book) {
+                if let Some(entry) = self.endpoints.apply_operator_hold(&engine, &self.orders) {
                     let entries = vec![entry].into();
-                    self.events.push_back(Event::EndpointsChanged {
+                    self.scheduler_events.push_back(Event::EndpointsChanged {
                         update: EndpointUpdate::Delta,
                         endpoints: entries,
                     });
-                    self.follow_roster(out);
+                    self.follow_all_endpoints(out);
                 }
             }
             Change::Limit { name, value } => {
@@ -172,7 +173,7 @@
                     let by_settings =
                         self.config.module.tenants.get(tenant.0).map_or(0.0, |t| t.quota_per_second);
                     let per_s = value.unwrap_or(by_settings);
-                    self.events.push_back(Event::QuotaChanged { tenant, quota_per_second: per_s });
+                    self.scheduler_events.push_back(Event::QuotaChanged { tenant, quota_per_second: per_s });
                 }
             }
             // Looked at where requests come in; the shell stops.
@@ -185,13 +186,13 @@
     /// All engines that were ever listed, in the order of their names.
     pub fn engine_views(&self) -> Vec<EngineView> {
         let mut streaming: BTreeMap<ServerId, u32> = BTreeMap::new();
-        let begun = self.live.values().filter_map(|l| l.attempt).filter(|a| a.begun);
+        let begun = self.requests.values().filter_map(|l| l.attempt).filter(|a| a.begun);
         begun.for_each(|a| *streaming.entry(a.server).or_default() += 1);
         let seen: BTreeMap<ServerId, ServerView> = self.policy.views().map(|v| (v.server, v)).collect();
-        let view = |(id, known): (&ServerId, &super::roster::Known)| {
+        let view = |(id, known): (&ServerId, &super::endpoint_table::KnownEndpoint)| {
             let seen = seen.get(id)?;
-            let link = self.engines.get(id);
-            let tally = link.map(|l| l.tally).unwrap_or_default();
+            let link = self.connections.get(id);
+            let tally = link.map(|l| l.attempt_counters).unwrap_or_default();
             let part = |rest: &gaparch_scheduler::view::PartialEjection| PartRest {
                 class: self.config.names.classes.get(rest.class.0).cloned().unwrap_or_default(),
                 tenant: self.tenant_name(rest.tenant).to_owned(),
@@ -204,8 +205,8 @@
                 rack: known.listed.rack.clone(),
                 address: known.listed.address.clone(),
                 listed: listed_state(known.listed.state),
-                state: listed_state(known.entry.state),
-                connected: link.is_some_and(|l| l.is_up()),
+                state: listed_state(known.endpoint.state),
+                connected: link.is_some_and(|l| l.is_connected()),
                 avoided: seen.avoid_reason.map(avoid),
                 rests: seen.partial_ejections.iter().map(part).collect(),
                 waiting: seen.awaiting_first_token,
@@ -215,39 +216,39 @@
                 memory_said: seen.reported_memory_utilization,
                 pace: seen.latency_ratio,
                 cold_budget: seen.slow_start_budget,
-                started_at: known.entry.started_at,
+                started_at: known.endpoint.started_at,
                 heard_at: seen.last_response_at,
                 attempts: tally.attempts,
                 failed: tally.failed,
-                called_off: tally.called_off,
+                called_off: tally.cancelled,
             })
         };
-        let mut views: Vec<EngineView> = self.roster.all().filter_map(view).collect();
+        let mut views: Vec<EngineView> = self.endpoints.iter().filter_map(view).collect();
         views.sort_by(|a, b| a.name.cmp(&b.name));
         views
     }
 
     /// The router's own figures; the owner's lag is for the shell to fill in.
     pub fn figures(&self) -> Figures {
-        let counts = self.counts;
+        let counts = self.counters;
         let mut figures = Figures {
             at: self.now,
             requests: counts.requests,
             served: counts.served,
-            in_time: counts.in_time,
-            refused: counts.refused,
+            in_time: counts.within_objective,
+            refused: counts.rejected,
             failed: counts.failed,
-            left: counts.left,
+            left: counts.client_disconnected,
             tokens: counts.tokens,
-            paused: self.book.paused(),
+            paused: self.orders.paused(),
             ..Figures::default()
         };
-        for live in self.live.values() {
+        for live in self.requests.values() {
             match live.phase() {
-                super::Phase::Held => figures.held += 1,
-                super::Phase::Reading => figures.reading += 1,
-                super::Phase::Read => figures.read += 1,
-                super::Phase::Writing => figures.writing += 1,
+                super::Phase::Queued => figures.held += 1,
+                super::Phase::Prefilling => figures.reading += 1,
+                super::Phase::Prefilled => figures.read += 1,
+                super::Phase::Decoding => figures.writing += 1,
                 super::Phase::Streaming => figures.streaming += 1,
                 super::Phase::Ended => {}
             }
@@ -256,105 +257,110 @@
     }
 
     /// The oldest open requests, at most so many.
-    pub fn live_views(&self, most: usize) -> Vec<LiveView> {
-        let open = self.live.iter().filter(|(_, l)| !l.ended);
-        open.take(most).map(|(id, live)| self.live_view(*id, live)).collect()
+    pub fn open_request_views(&self, most: usize) -> Vec<LiveView> {
+        let open = self.requests.iter().filter(|(_, l)| !l.answered);
+        open.take(most).map(|(id, live)| self.request_view(*id, live)).collect()
     }
 
     /// One that is open.
-    pub fn live_one(&self, id: RequestId) -> Option<LiveView> {
-        self.live.get(&id).filter(|l| !l.ended).map(|live| self.live_view(id, live))
+    pub fn open_request_view(&self, id: RequestId) -> Option<LiveView> {
+        self.requests.get(&id).filter(|l| !l.answered).map(|live| self.request_view(id, live))
     }
 
-    fn live_view(&self, id: RequestId, live: &Live) -> LiveView {
+    fn request_view(&self, id: RequestId, live: &TrackedRequest) -> LiveView {
         let phase = match live.phase() {
-            super::Phase::Held => Phase::Held,
-            super::Phase::Reading => Phase::Reading,
-            super::Phase::Read => Phase::Read,
-            super::Phase::Writing => Phase::Writing,
+            super::Phase::Queued => Phase::Held,
+            super::Phase::Prefilling => Phase::Reading,
+            super::Phase::Prefilled => Phase::Read,
+            super::Phase::Decoding => Phase::Writing,
             super::Phase::Streaming => Phase::Streaming,
             super::Phase::Ended => Phase::Ended,
         };
-        let at = live.attempt.map(|a| a.server).or(live.state_at);
+        let at = live.attempt.map(|a| a.server).or(live.kv_cache_at);
         LiveView {
             request: RequestName { run: self.run.0, number: id.0 },
-            asked_at: live.asked_at,
+            asked_at: live.arrived_at,
             class: self.class_name(live).to_owned(),
-            tenant: self.tenant_name(live.ask.tenant).to_owned(),
+            tenant: self.tenant_name(live.request.tenant).to_owned(),
             phase,
             kind: None,
-            engine: at.map(|server| self.roster.name(server)).unwrap_or_default().to_owned(),
+            engine: at.map(|server| self.endpoints.name(server)).unwrap_or_default().to_owned(),
             tokens: live.usage.output,
-            took_us: micros(self.now.saturating_sub(live.asked_at)),
-            steps: self.steps(live),
+            took_us: micros(self.now.saturating_sub(live.arrived_at)),
+            steps: self.attempt_views(live),
         }
     }
 
-    fn class_name(&self, live: &Live) -> &str {
-        self.config.names.classes.get(live.ask.class.0).map_or("", String::as_str)
+    fn class_name(&self, live: &TrackedRequest) -> &str {
+        self.config.names.classes.get(live.request.class.0).map_or("", String::as_str)
     }
 
     fn tenant_name(&self, tenant: Option<TenantId>) -> &str {
         tenant.and_then(|t| self.config.names.tenants.get(t.0)).map_or("", String::as_str)
     }
 
-    fn steps(&self, live: &Live) -> Vec<Step> {
-        let step = |note: &super::request::StepNote| Step {
-            engine: self.roster.name(note.server).to_owned(),
+    fn attempt_views(&self, live: &TrackedRequest) -> Vec<Step> {
+        let step = |note: &super::request::AttemptRecord| Step {
+            engine: self.endpoints.name(note.server).to_owned(),
             stage: match note.stage {
-                Stage::Read => ending::Stage::Read,
-                Stage::Write => ending::Stage::Write,
+                Stage::Prefill => ending::Stage::Read,
+                Stage::Decode => ending::Stage::Write,
             },
-            from_us: micros(note.from.saturating_sub(live.asked_at)),
-            took_us: micros(note.took),
+            from_us: micros(note.started_at.saturating_sub(live.arrived_at)),
+            took_us: micros(note.duration),
             end: note.end,
         };
-        live.steps.iter().map(step).collect()
+        live.attempt_records.iter().map(step).collect()
     }
 
     // --- How requests ended ---------------------------------------------------------------------------
 
-    pub(super) fn is_in_time(&self, id: RequestId, event: &ToClient) -> bool {
-        let Some(live) = self.live.get(&id) else { return false };
-        let aim = live.ask.aim(&self.config.module);
-        let in_time = |first: Nanos| first.saturating_sub(live.asked_at) <= aim;
-        matches!(event, ToClient::Finished { .. }) && live.first_at.is_some_and(in_time)
+    pub(super) fn met_latency_objective(&self, id: RequestId, event: &ResponseEvent) -> bool {
+        let Some(live) = self.requests.get(&id) else { return false };
+        let aim = live.request.latency_objective(&self.config.module);
+        let in_time = |first: Nanos| first.saturating_sub(live.arrived_at) <= aim;
+        matches!(event, ResponseEvent::Finished { .. }) && live.first_token_at.is_some_and(in_time)
     }
 
     /// Hands over how a request ended, where there is somebody to keep it; `None`: its client left.
-    pub(super) fn note_ending(&mut self, id: RequestId, event: Option<&ToClient>, out: &mut Vec<Output>) {
+    pub(super) fn report_ending(
+        &mut self,
+        id: RequestId,
+        event: Option<&ResponseEvent>,
+        out: &mut Vec<Output>,
+    ) {
         if self.config.operations.is_none() {
             return;
         }
         let (kind, cause, waited_for, retry_after) = match event {
             None => (EndKind::Left, Cause::ClientLeft, None, None),
-            Some(ToClient::Refused { retry_after, cause, waited_for }) => {
+            Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
                 (EndKind::Refused, *cause, *waited_for, Some(*retry_after))
             }
-            Some(ToClient::Failed { cause, .. }) => (EndKind::Failed, *cause, None, None),
+            Some(ResponseEvent::Failed { cause, .. }) => (EndKind::Failed, *cause, None, None),
             Some(_) => (EndKind::Served, Cause::Answered, None, None),
         };
         let lost = matches!(kind, EndKind::Refused | EndKind::Failed);
-        let evidence = if lost { self.evidence() } else { Vec::new() };
-        let Some(live) = self.live.get(&id) else { return };
+        let evidence = if lost { self.engine_evidence() } else { Vec::new() };
+        let Some(live) = self.requests.get(&id) else { return };
         let request = RequestName { run: self.run.0, number: id.0 };
         let ending = Ending {
             class: self.class_name(live).to_owned(),
-            tenant: self.tenant_name(live.ask.tenant).to_owned(),
+            tenant: self.tenant_name(live.request.tenant).to_owned(),
             waited_for,
             retry_after_ms: retry_after.and_then(told_to_stay_away),
-            first_after_us: live.first_at.map(|at| micros(at.saturating_sub(live.asked_at))),
+            first_after_us: live.first_token_at.map(|at| micros(at.saturating_sub(live.arrived_at))),
             tokens: live.usage.output,
-            steps: self.steps(live),
+            steps: self.attempt_views(live),
             evidence,
-            fingerprint: live.ask.fingerprint,
-            ..Ending::bare(request, live.asked_at, self.now, kind, cause)
+            fingerprint: live.request.fingerprint,
+            ..Ending::bare(request, live.arrived_at, self.now, kind, cause)
         };
-        out.push(Output::Ended(Box::new(ending)));
+        out.push(Output::RequestEnded(Box::new(ending)));
     }
 
     /// How the engines look now, those avoided first.
-    fn evidence(&mut self) -> Vec<Evidence> {
+    fn engine_evidence(&mut self) -> Vec<Evidence> {
         if let Some((at, evidence)) = &self.evidence {
             if self.now < at.saturating_add(EVIDENCE_FOR) {
                 return evidence.clone();
@@ -363,7 +369,7 @@
         let mut views: Vec<ServerView> = self.policy.views().collect();
         views.sort_by_key(|v| v.avoid_reason.is_none());
         let one = |view: &ServerView| Evidence {
-            engine: self.roster.name(view.server).to_owned(),
+            engine: self.endpoints.name(view.server).to_owned(),
             avoided: view.avoid_reason.map(|a| avoid(a).word().to_owned()).unwrap_or_default(),
             memory: view.memory_utilization,
             unread: view.queued_prompt_tokens,
@@ -375,7 +381,7 @@
     }
 
     /// The settings in force, for people.
-    pub fn settings(&self) -> Vec<Setting> {
+    pub fn settings_listing(&self) -> Vec<Setting> {
         let module = &self.config.module;
         let mut all = vec![
             ("router", format!("{}, {} of {}", self.config.router, module.router_index, module.router_count)),
--- /dev/null
+++ b/crates/gaparch-router/src/core/output.rs
@@ -0,0 +1,107 @@
+//! Outputs of the router core: what the shell around it must do.
+
+use super::ConnectionNumber;
+use gaparch_protocol::client::{StopReason, Usage};
+use gaparch_protocol::engine::EngineFrame;
+use gaparch_protocol::ops::ending::{Cause, Ending, WaitedFor};
+use gaparch_scheduler::api::{Nanos, RequestId, ServerId};
+
+/// A part of the response to one client. In order: at most one `Started`, any number of `Text`, and exactly one of the rest.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ResponseEvent {
+    /// The first token is there.
+    Started {
+        /// Tokens counted so far.
+        usage: Usage,
+    },
+    /// More of the generated text.
+    Text {
+        /// The new text only.
+        text: String,
+    },
+    /// The response is complete.
+    Finished {
+        /// Tokens counted in all.
+        usage: Usage,
+        /// Why the engine stopped generating.
+        reason: StopReason,
+    },
+    /// The request was rejected before it had any effect; a retry is safe.
+    Rejected {
+        /// When a retry makes sense; 0 where the settings allow no time to be told.
+        retry_after: Nanos,
+        /// Why it was rejected.
+        cause: Cause,
+        /// What it was queued for, if it was queued.
+        waited_for: Option<WaitedFor>,
+    },
+    /// The request failed; whether it had an effect is not known.
+    Failed {
+        /// The reason in words, for the client.
+        message: &'static str,
+        /// The reason, for operators.
+        cause: Cause,
+    },
+}
+
+impl ResponseEvent {
+    /// Whether no further event follows.
+    pub fn is_last(&self) -> bool {
+        !matches!(self, ResponseEvent::Started { .. } | ResponseEvent::Text { .. })
+    }
+}
+
+/// Something that the shell must do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output {
+    /// Pass a part of a response to the client.
+    Client {
+        /// The client's request.
+        id: RequestId,
+        /// The part of the response.
+        event: ResponseEvent,
+    },
+    /// Send a frame to an engine.
+    Engine {
+        /// The engine.
+        engine: ServerId,
+        /// The frame.
+        frame: EngineFrame,
+    },
+    /// Connect to an engine. [`Input::EngineConnected`](super::Input::EngineConnected) or
+    /// [`Input::EngineDisconnected`](super::Input::EngineDisconnected) must follow within the connect time-out.
+    Connect {
+        /// The engine.
+        engine: ServerId,
+        /// Names this connection in the inputs that follow.
+        conn: ConnectionNumber,
+        /// The engine's name in the list.
+        name: String,
+        /// The engine's address in the list.
+        address: String,
+    },
+    /// Send a last frame with a reason and close the connection to an engine.
+    Disconnect {
+        /// The engine.
+        engine: ServerId,
+        /// Why, for the engine and the log.
+        reason: &'static str,
+    },
+    /// Ask the list service for changes of the list, or for no more of them.
+    WatchEndpoints(bool),
+    /// Ask the list service for the full list once.
+    FetchEndpoints,
+    /// Send a gossip message to other routers.
+    SendGossip {
+        /// The index of the recipient in the settings; all of them if none is given.
+        peer: Option<u32>,
+        /// The message.
+        data: Vec<u8>,
+    },
+    /// Close the connections to an engine on which no exchange is in flight.
+    CloseIdleConnections(ServerId),
+    /// Write a line to the log.
+    Log(String),
+    /// A request has ended; emitted only where the settings have an operations side that records it.
+    RequestEnded(Box<Ending>),
+}
--- a/crates/gaparch-router/src/core/reasons.rs
+++ b/crates/gaparch-router/src/core/reason_counters.rs
@@ -9,17 +9,17 @@
 
 /// How often something happened, by its reason. The reasons are a closed set of words.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReasonCounts {
+pub struct ReasonCounters {
     counts: BTreeMap<&'static str, u64>,
 }
 
-impl ReasonCounts {
+impl ReasonCounters {
     pub(super) fn count(&mut self, reason: &'static str) {
         *self.counts.entry(reason).or_default() += 1;
     }
 }
 
-impl fmt::Display for ReasonCounts {
+impl fmt::Display for ReasonCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write_counts(f, self.counts.iter().map(|(reason, count)| (*reason, *count)))
     }
@@ -27,22 +27,22 @@
 
 /// Reasons of all that has ended since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reasons {
+pub struct ReasonsByKind {
     /// Requests that were refused, by their cause.
-    pub refused: ReasonCounts,
+    pub rejected: ReasonCounters,
     /// Requests that failed, by their cause.
-    pub failed: ReasonCounts,
+    pub failed: ReasonCounters,
     /// Attempts that did not do what they were sent for, by their status.
-    pub attempts: ReasonCounts,
+    pub attempts: ReasonCounters,
     /// Attempts after another of the same request, by the status of the one before.
-    pub retries: ReasonCounts,
+    pub retries: ReasonCounters,
 }
 
 /// What was read for a request and that no writer is known to have fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldState {
+pub struct HeldKvCache {
     pub request: RequestId,
-    pub reader: ServerId,
+    pub prefill_worker: ServerId,
     /// When its read ended.
     pub since: Nanos,
     /// Where a write for it is out that has not been answered.
@@ -51,21 +51,21 @@
 
 impl Core {
     /// Why attempts and requests have ended since the start.
-    pub fn reasons(&self) -> &Reasons {
-        &self.reasons
+    pub fn reasons_by_kind(&self) -> &ReasonsByKind {
+        &self.reasons_by_kind
     }
 
     /// How the last attempt of a request has ended, if one has.
     pub fn last_status(&self, id: RequestId) -> Option<AttemptStatus> {
-        self.live.get(&id)?.last_status
+        self.requests.get(&id)?.last_status
     }
 
     /// What is held for requests whose answer has not begun.
-    pub fn held_states(&self) -> impl Iterator<Item = HeldState> + '_ {
-        self.live.iter().filter_map(|(request, live)| {
-            let (reader, since) = (live.state_at?, live.held_since?);
+    pub fn held_kv_caches(&self) -> impl Iterator<Item = HeldKvCache> + '_ {
+        self.requests.iter().filter_map(|(request, live)| {
+            let (reader, since) = (live.kv_cache_at?, live.kv_cache_since?);
             let unanswered_at = live.attempt.map(|attempt| attempt.server);
-            Some(HeldState { request: *request, reader, since, unanswered_at })
+            Some(HeldKvCache { request: *request, prefill_worker: reader, since, unanswered_at })
         })
     }
 }
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -13,61 +13,61 @@
 
 /// A request whose names have been looked up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Accepted {
+pub struct AcceptedRequest {
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub session: Option<AffinityKey>,
     pub prefix: Option<AffinityKey>,
     /// Tokens; 0 where not told.
-    pub prompt_len: u32,
-    pub prefix_len: u32,
-    pub max_out: u32,
+    pub prompt_tokens: u32,
+    pub prefix_tokens: u32,
+    pub max_output_tokens: u32,
     /// Rough length of the answer in tokens.
-    pub hint: Option<u32>,
-    pub repeat: bool,
+    pub expected_output_tokens: Option<u32>,
+    pub client_retry: bool,
     /// It asks for the rest of a stream that broke.
-    pub again: bool,
+    pub client_reconnect: bool,
     /// When its client leaves, where it says so itself.
-    pub give_up_at: Option<Nanos>,
+    pub deadline_at: Option<Nanos>,
     pub prompt: String,
     /// The same for the same question of the same client, as far as can be told.
     pub fingerprint: u64,
 }
 
-impl Accepted {
+impl AcceptedRequest {
     /// How soon its first token is wanted, by what its client has told.
-    pub(super) fn aim(&self, settings: &Settings) -> Nanos {
+    pub(super) fn latency_objective(&self, settings: &Settings) -> Nanos {
         let class = settings.classes.get(self.class.0);
         let (aim, per_token) =
             class.map_or((0, 0.0), |c| (c.latency_objective, c.latency_objective_per_prompt_token));
-        aim.saturating_add((per_token * f64::from(self.prompt_len)) as Nanos)
+        aim.saturating_add((per_token * f64::from(self.prompt_tokens)) as Nanos)
     }
 
     /// As the module is told of it. Where the client does not say, the deadline grows twice as much with the prompt as the aim does.
-    pub(super) fn request(&self, id: RequestId, settings: &Settings, now: Nanos) -> Request {
+    pub(super) fn to_scheduler_request(&self, id: RequestId, settings: &Settings, now: Nanos) -> Request {
         let class = settings.classes.get(self.class.0);
         let (deadline, per_token, token_aim) = class.map_or((0, 0.0, 0), |c| {
             (c.deadline, c.latency_objective_per_prompt_token, c.token_latency_objective)
         });
-        let longer = 2.0 * per_token * f64::from(self.prompt_len);
+        let longer = 2.0 * per_token * f64::from(self.prompt_tokens);
         Request {
             id,
             class: self.class,
             tenant: self.tenant,
             session: self.session,
             prefix: self.prefix,
-            prompt_tokens: f64::from(self.prompt_len),
-            prefix_tokens: f64::from(self.prefix_len),
-            max_output_tokens: f64::from(self.max_out),
+            prompt_tokens: f64::from(self.prompt_tokens),
+            prefix_tokens: f64::from(self.prefix_tokens),
+            max_output_tokens: f64::from(self.max_output_tokens),
             expected_duration: self
-                .hint
+                .expected_output_tokens
                 .map(|tokens| Nanos::from(tokens).saturating_mul(token_aim))
                 .filter(|h| *h > 0),
             deadline_at: self
-                .give_up_at
+                .deadline_at
                 .unwrap_or_else(|| now.saturating_add(deadline).saturating_add(longer as Nanos)),
-            client_retry: self.repeat,
-            client_reconnect: self.again,
+            client_retry: self.client_retry,
+            client_reconnect: self.client_reconnect,
         }
     }
 
@@ -79,9 +79,9 @@
             tenant: self.tenant.and_then(|t| u16::try_from(t.0).ok()),
             session: self.session.map(|k| k.0),
             prefix: self.prefix.map(|k| k.0),
-            prompt_len: self.prompt_len,
-            prefix_len: self.prefix_len,
-            max_out: self.max_out,
+            prompt_len: self.prompt_tokens,
+            prefix_len: self.prefix_tokens,
+            max_out: self.max_output_tokens,
             patience_ms: u32::try_from(patience_ms.max(1)).unwrap_or(u32::MAX),
             prompt: self.prompt.clone(),
         }
@@ -90,14 +90,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    Read,
-    Write,
+    Prefill,
+    Decode,
 }
 
 /// The attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Attempt {
-    pub no: AttemptNumber,
+    pub number: AttemptNumber,
     pub server: ServerId,
     pub stage: Stage,
     pub sent_at: Nanos,
@@ -112,91 +112,97 @@
 /// Where a request is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    Held,
-    Reading,
-    Read,
-    Writing,
+    Queued,
+    Prefilling,
+    Prefilled,
+    Decoding,
     Streaming,
     Ended,
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Live {
-    pub ask: Accepted,
-    pub give_up_at: Nanos,
+pub(super) struct TrackedRequest {
+    pub request: AcceptedRequest,
+    pub deadline_at: Nanos,
     pub next_attempt: u32,
     /// When the last byte of the attempt that is out has to be written.
-    pub write_by: Nanos,
+    pub send_by: Nanos,
     /// Falls due where the module has not answered in the client's time.
-    pub overdue: Option<TimerKey>,
+    pub overdue_timer: Option<TimerKey>,
     pub attempt: Option<Attempt>,
     /// Its first write that may have run.
-    pub ran: Option<MayHaveRun>,
+    pub may_have_run: Option<MayHaveRun>,
     /// The reader whose state a writer is to fetch.
-    pub state_at: Option<ServerId>,
+    pub kv_cache_at: Option<ServerId>,
     /// When the read of that state ended.
-    pub held_since: Option<Nanos>,
+    pub kv_cache_since: Option<Nanos>,
     /// How its last attempt ended.
     pub last_status: Option<AttemptStatus>,
     /// Engines that hold something for it.
-    pub held_at: Vec<ServerId>,
+    pub kv_held_at: Vec<ServerId>,
     /// The final answer is given: only the books are still open.
-    pub ended: bool,
+    pub answered: bool,
     pub usage: Usage,
-    pub begun_at: Nanos,
+    pub streaming_since: Nanos,
     pub last_token_at: Nanos,
-    pub asked_at: Nanos,
-    pub first_at: Option<Nanos>,
+    pub arrived_at: Nanos,
+    pub first_token_at: Option<Nanos>,
     /// The first [`MAX_STEPS`] attempts.
-    pub steps: Vec<StepNote>,
+    pub attempt_records: Vec<AttemptRecord>,
 }
 
 /// An attempt, for whoever asks what became of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct StepNote {
+pub(super) struct AttemptRecord {
     pub server: ServerId,
     pub stage: Stage,
-    pub from: Nanos,
-    pub took: Nanos,
+    pub started_at: Nanos,
+    pub duration: Nanos,
     pub end: StepEnd,
 }
 
-impl Live {
-    pub fn new(ask: Accepted, give_up_at: Nanos, now: Nanos) -> Live {
-        Live {
-            usage: Usage { prompt: ask.prompt_len, ..Usage::default() },
-            ask,
-            give_up_at,
+impl TrackedRequest {
+    pub fn new(ask: AcceptedRequest, give_up_at: Nanos, now: Nanos) -> TrackedRequest {
+        TrackedRequest {
+            usage: Usage { prompt: ask.prompt_tokens, ..Usage::default() },
+            request: ask,
+            deadline_at: give_up_at,
             next_attempt: 0,
-            write_by: Nanos::MAX,
-            overdue: None,
+            send_by: Nanos::MAX,
+            overdue_timer: None,
             attempt: None,
-            ran: None,
-            state_at: None,
-            held_since: None,
+            may_have_run: None,
+            kv_cache_at: None,
+            kv_cache_since: None,
             last_status: None,
-            held_at: Vec::new(),
-            ended: false,
-            begun_at: 0,
+            kv_held_at: Vec::new(),
+            answered: false,
+            streaming_since: 0,
             last_token_at: 0,
-            asked_at: now,
-            first_at: None,
-            steps: Vec::new(),
+            arrived_at: now,
+            first_token_at: None,
+            attempt_records: Vec::new(),
         }
     }
 
     /// Notes an attempt that begins.
-    pub fn step_begins(&mut self, server: ServerId, stage: Stage, now: Nanos) {
-        if self.steps.len() < MAX_STEPS {
-            self.steps.push(StepNote { server, stage, from: now, took: 0, end: StepEnd::Out });
+    pub fn record_attempt_start(&mut self, server: ServerId, stage: Stage, now: Nanos) {
+        if self.attempt_records.len() < MAX_STEPS {
+            self.attempt_records.push(AttemptRecord {
+                server,
+                stage,
+                started_at: now,
+                duration: 0,
+                end: StepEnd::Out,
+            });
         }
     }
 
     /// Notes how the last attempt ended.
-    pub fn step_ends(&mut self, status: AttemptStatus, now: Nanos) {
-        let out = self.steps.last_mut().filter(|s| s.end == StepEnd::Out);
+    pub fn record_attempt_end(&mut self, status: AttemptStatus, now: Nanos) {
+        let out = self.attempt_records.last_mut().filter(|s| s.end == StepEnd::Out);
         if let Some(step) = out {
-            step.took = now.saturating_sub(step.from);
+            step.duration = now.saturating_sub(step.started_at);
             step.end = match status {
                 AttemptStatus::Ok | AttemptStatus::Prefilled => StepEnd::Done,
                 AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => StepEnd::Error,
@@ -211,31 +217,31 @@
 
     pub fn phase(&self) -> Phase {
         match self.attempt {
-            _ if self.ended => Phase::Ended,
+            _ if self.answered => Phase::Ended,
             Some(Attempt { begun: true, .. }) => Phase::Streaming,
-            Some(Attempt { stage: Stage::Read, .. }) => Phase::Reading,
-            Some(_) => Phase::Writing,
-            None if self.state_at.is_some() => Phase::Read,
-            None => Phase::Held,
+            Some(Attempt { stage: Stage::Prefill, .. }) => Phase::Prefilling,
+            Some(_) => Phase::Decoding,
+            None if self.kv_cache_at.is_some() => Phase::Prefilled,
+            None => Phase::Queued,
         }
     }
 
     /// Answered, with nothing out and nothing held.
-    pub fn is_done(&self) -> bool {
-        self.ended && self.attempt.is_none() && self.held_at.is_empty()
+    pub fn can_be_forgotten(&self) -> bool {
+        self.answered && self.attempt.is_none() && self.kv_held_at.is_empty()
     }
 
-    pub fn hold(&mut self, server: ServerId) {
-        if !self.held_at.contains(&server) {
-            self.held_at.push(server);
+    pub fn add_kv_holder(&mut self, server: ServerId) {
+        if !self.kv_held_at.contains(&server) {
+            self.kv_held_at.push(server);
         }
     }
 
     /// When a begun stream has taken too long, as things stand.
-    pub fn stream_until(&self, times: &[ClassTimes]) -> Nanos {
-        let times = times.get(self.ask.class.0).copied();
+    pub fn stream_deadline(&self, times: &[ClassTimes]) -> Nanos {
+        let times = times.get(self.request.class.0).copied();
         let times = times.unwrap_or(ClassTimes { stream: Nanos::MAX, silence: Nanos::MAX });
-        let whole = self.begun_at.saturating_add(times.stream);
+        let whole = self.streaming_since.saturating_add(times.stream);
         whole.min(self.last_token_at.saturating_add(times.silence))
     }
 }
--- /dev/null
+++ b/crates/gaparch-router/src/core/request_lifecycle.rs
@@ -0,0 +1,114 @@
+//! Requests come in, and get their one final answer.
+
+use super::request::{AcceptedRequest, TrackedRequest};
+use super::timers::Timer;
+use super::{Core, Output, ResponseEvent};
+use gaparch_ops::limits::OPEN_REQUESTS;
+use gaparch_protocol::ops::ending::Cause;
+use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
+
+impl Core {
+    pub(super) fn on_request(&mut self, id: RequestId, ask: AcceptedRequest, out: &mut Vec<Output>) {
+        self.counters.requests += 1;
+        if self.requests.contains_key(&id) {
+            self.counters.rejected += 1;
+            return out.push(Output::Client { id, event: self.rejection(Cause::TooMuchOpen) });
+        }
+        let request = ask.to_scheduler_request(id, &self.config.module, self.now);
+        let most = self.orders.limit(OPEN_REQUESTS).map_or(usize::MAX, |most| most as usize);
+        let closed = match () {
+            () if self.stop_at.is_some_and(|at| self.now >= at) => Some(Cause::Stopping),
+            () if self.orders.paused() => Some(Cause::Paused),
+            () if self.unanswered >= most => Some(Cause::TooMuchOpen),
+            () => None,
+        };
+        self.unanswered += 1;
+        if let Some(cause) = closed {
+            // The module never hears of it: it is not accepted.
+            self.requests.insert(id, TrackedRequest::new(ask, request.deadline_at, self.now));
+            self.answer(id, self.rejection(cause), out);
+            return self.forget_if_done(id);
+        }
+        let overdue = request.deadline_at.saturating_add(self.config.module.answer_grace);
+        let overdue = self.timers.set(overdue, Timer::RequestOverdue(id));
+        let live = TrackedRequest::new(ask, request.deadline_at, self.now);
+        self.requests.insert(id, TrackedRequest { overdue_timer: Some(overdue), ..live });
+        self.scheduler_events.push_back(Event::RequestArrived(request));
+    }
+
+    /// The refusal of what is not accepted.
+    pub(super) fn rejection(&self, cause: Cause) -> ResponseEvent {
+        let retry_after = self.config.module.advertised_retry_after();
+        ResponseEvent::Rejected { retry_after, cause, waited_for: None }
+    }
+
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(live) = self.requests.get_mut(&id).filter(|l| !l.answered) else { return };
+        live.answered = true;
+        self.unanswered -= 1;
+        self.counters.client_disconnected += 1;
+        self.report_ending(id, None, out);
+        let Some(live) = self.requests.get(&id) else { return };
+        let begun = live.attempt.filter(|a| a.begun);
+        self.scheduler_events.push_back(Event::ClientDisconnected(id));
+        // Nobody reads the stream: it ends, and the module hears of its attempt.
+        if let Some(attempt) = begun {
+            self.send_cancel(id, attempt);
+            self.finish_attempt(id, attempt, AttemptStatus::Cancelled, 0, None);
+        }
+        self.forget_if_done(id);
+    }
+
+    /// The one final answer. Whatever comes second is dropped.
+    pub(super) fn answer(&mut self, id: RequestId, event: ResponseEvent, out: &mut Vec<Output>) {
+        let Some(live) = self.requests.get_mut(&id).filter(|l| !l.answered) else {
+            return self.counters.duplicate_answers += 1;
+        };
+        live.answered = true;
+        self.unanswered -= 1;
+        match event {
+            ResponseEvent::Finished { .. } => self.counters.served += 1,
+            ResponseEvent::Rejected { cause, .. } => {
+                self.counters.rejected += 1;
+                self.reasons_by_kind.rejected.count(cause.word());
+            }
+            ResponseEvent::Failed { cause, .. } => {
+                self.counters.failed += 1;
+                self.reasons_by_kind.failed.count(cause.word());
+            }
+            ResponseEvent::Started { .. } | ResponseEvent::Text { .. } => self.counters.failed += 1,
+        }
+        self.counters.within_objective += u64::from(self.met_latency_objective(id, &event));
+        self.report_ending(id, Some(&event), out);
+        out.push(Output::Client { id, event });
+    }
+
+    pub(super) fn forget_if_done(&mut self, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(TrackedRequest::can_be_forgotten) {
+            return;
+        }
+        if let Some(overdue) = self.requests.remove(&id).and_then(|live| live.overdue_timer) {
+            self.timers.cancel(overdue);
+        }
+    }
+
+    pub(super) fn stop_now(&mut self, out: &mut Vec<Output>) {
+        self.stop_at(self.now);
+        let open: Vec<RequestId> =
+            self.requests.iter().filter(|(_, l)| !l.answered).map(|(id, _)| *id).collect();
+        for id in open {
+            // What was never sent anywhere is harmless to repeat; of the rest nothing is promised.
+            let untouched = self.requests.get(&id).is_some_and(|l| l.next_attempt == 0);
+            let answer = match untouched {
+                true => self.rejection(Cause::Stopping),
+                false => ResponseEvent::Failed { message: "the router was stopped", cause: Cause::Stopping },
+            };
+            self.answer(id, answer, out);
+            self.scheduler_events.push_back(Event::ClientDisconnected(id));
+            if let Some(attempt) = self.requests.get(&id).and_then(|l| l.attempt) {
+                self.send_cancel(id, attempt);
+                self.finish_attempt(id, attempt, AttemptStatus::Cancelled, 0, None);
+            }
+        }
+    }
+}
--- a/crates/gaparch-router/src/core/timers.rs
+++ b/crates/gaparch-router/src/core/timers.rs
@@ -5,16 +5,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    Module(TimerToken),
+    Scheduler(TimerToken),
     /// An attempt's time-out.
-    Attempt(RequestId, AttemptNumber),
+    AttemptTimeout(RequestId, AttemptNumber),
     /// An attempt that waits for its connection.
-    Connect(RequestId, AttemptNumber),
+    ConnectTimeout(RequestId, AttemptNumber),
     /// The client's time is up.
-    Overdue(RequestId),
+    RequestOverdue(RequestId),
     /// A begun stream may have gone on or been silent for too long.
-    Stream(RequestId),
-    Probe(ServerId, u64),
+    StreamLimit(RequestId),
+    ProbeTimeout(ServerId, u64),
     Reconnect(ServerId),
 }
 
@@ -50,12 +50,12 @@
         self.due.len()
     }
 
-    pub fn next(&self) -> Option<Nanos> {
+    pub fn next_at(&self) -> Option<Nanos> {
         self.due.keys().next().map(|key| key.at)
     }
 
-    pub fn pop(&mut self, now: Nanos) -> Option<Timer> {
-        let due = self.next()? <= now;
+    pub fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
+        let due = self.next_at()? <= now;
         due.then(|| self.due.pop_first()).flatten().map(|(_, timer)| timer)
     }
 }
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -3,7 +3,7 @@
 use super::ops::Door;
 use super::owner::NewRequest;
 use super::stall::Stall;
-use crate::core::{Accepted, ToClient};
+use crate::core::{AcceptedRequest, ResponseEvent};
 use bytes::{Bytes, BytesMut};
 use gaparch_config::Config;
 use gaparch_protocol::client::{parse_request, Answer, Ask, ClientEvent, Dialect, ErrorKind, Usage};
@@ -50,7 +50,7 @@
 
 impl Shared {
     /// Refuses a request that the owner never hears of.
-    fn turn_away(&self, id: RequestId, ask: &Accepted) -> Refusal {
+    fn turn_away(&self, id: RequestId, ask: &AcceptedRequest) -> Refusal {
         let retry_after = self.config.module.advertised_retry_after();
         if let Some(door) = &self.door {
             let names = &self.config.names;
@@ -260,21 +260,21 @@
     }
 }
 
-fn accepted(shared: &Shared, ask: Ask, class: ClassId, tenant: Option<TenantId>) -> Accepted {
+fn accepted(shared: &Shared, ask: Ask, class: ClassId, tenant: Option<TenantId>) -> AcceptedRequest {
     // Nobody follows a client up where there is no ledger: then the prompt need not be read through.
     let fingerprint = shared.door.as_ref().map_or(0, |_| fingerprint(&ask, class, tenant));
-    Accepted {
+    AcceptedRequest {
         class,
         tenant,
         session: ask.session.as_deref().map(AffinityKey::from_text),
         prefix: ask.prefix.as_deref().map(AffinityKey::from_text),
-        prompt_len: ask.prompt_tokens,
-        prefix_len: ask.prefix_tokens,
-        max_out: ask.max_tokens,
-        hint: ask.answer_hint,
-        repeat: ask.repeat,
-        again: false,
-        give_up_at: None,
+        prompt_tokens: ask.prompt_tokens,
+        prefix_tokens: ask.prefix_tokens,
+        max_output_tokens: ask.max_tokens,
+        expected_output_tokens: ask.answer_hint,
+        client_retry: ask.repeat,
+        client_reconnect: false,
+        deadline_at: None,
         fingerprint,
         prompt: ask.prompt,
     }
@@ -290,7 +290,7 @@
 /// A request that the owner has, or will have. Dropped before its last event, its client has left.
 struct Ticket {
     id: RequestId,
-    events: mpsc::Receiver<ToClient>,
+    events: mpsc::Receiver<ResponseEvent>,
     gone: mpsc::UnboundedSender<RequestId>,
     over: bool,
     _open: OwnedSemaphorePermit,
@@ -305,7 +305,7 @@
     }
 }
 
-fn submit(shared: &Shared, ask: Accepted) -> Result<Ticket, Refusal> {
+fn submit(shared: &Shared, ask: AcceptedRequest) -> Result<Ticket, Refusal> {
     let id = RequestId(shared.next_id.fetch_add(1, Ordering::Relaxed));
     let Ok(open) = Arc::clone(&shared.open).try_acquire_owned() else {
         return Err(shared.turn_away(id, &ask));
@@ -321,10 +321,10 @@
 /// Waits until the answer begins, or it is clear that none will.
 async fn first(ticket: &mut Ticket) -> Result<Usage, Refusal> {
     let first = ticket.events.recv().await;
-    ticket.over = first.as_ref().is_none_or(ToClient::is_last);
+    ticket.over = first.as_ref().is_none_or(ResponseEvent::is_last);
     match first {
-        Some(ToClient::Opened { usage }) => Ok(usage),
-        Some(ToClient::Refused { retry_after, cause, waited_for }) => {
+        Some(ResponseEvent::Started { usage }) => Ok(usage),
+        Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
             let over_share = waited_for == Some(WaitedFor::OverShare);
             let why = waited_for.map_or(cause.word(), WaitedFor::word);
             let message = format!("nothing was done; a retry is harmless ({why})");
@@ -333,7 +333,7 @@
             let status = if over_share { StatusCode::TOO_MANY_REQUESTS } else { refusal.status };
             Err(Refusal { status, ..refusal })
         }
-        Some(ToClient::Failed { why, .. }) => Err(Refusal::failed(why)),
+        Some(ResponseEvent::Failed { message: why, .. }) => Err(Refusal::failed(why)),
         _ => Err(Refusal::failed("the router has ended")),
     }
 }
@@ -342,17 +342,17 @@
     let mut text = String::new();
     loop {
         match ticket.events.recv().await {
-            Some(ToClient::Part { text: part }) => text.push_str(&part),
-            Some(ToClient::Finished { usage, reason }) => {
+            Some(ResponseEvent::Text { text: part }) => text.push_str(&part),
+            Some(ResponseEvent::Finished { usage, reason }) => {
                 ticket.over = true;
                 return Ok(Answer { id, model, text, usage, reason });
             }
-            Some(ToClient::Opened { .. }) => {}
-            Some(ToClient::Failed { why, .. }) => {
+            Some(ResponseEvent::Started { .. }) => {}
+            Some(ResponseEvent::Failed { message: why, .. }) => {
                 ticket.over = true;
                 return Err(Refusal::failed(why));
             }
-            Some(ToClient::Refused { .. }) | None => {
+            Some(ResponseEvent::Rejected { .. }) | None => {
                 ticket.over = true;
                 return Err(Refusal::failed("the answer broke off"));
             }
@@ -385,21 +385,21 @@
         EventBody { ticket, dialect, first: Some(opened), idle, keep_alive, done: false }
     }
 
-    fn put(&mut self, event: ToClient, out: &mut BytesMut) {
+    fn put(&mut self, event: ResponseEvent, out: &mut BytesMut) {
         self.done = event.is_last();
         self.ticket.over = self.done;
         let mut encode = |event: ClientEvent| self.dialect.encode(&event, out);
         match event {
-            ToClient::Opened { .. } => {}
-            ToClient::Part { text } => encode(ClientEvent::Part { text }),
-            ToClient::Finished { usage, reason } => {
+            ResponseEvent::Started { .. } => {}
+            ResponseEvent::Text { text } => encode(ClientEvent::Part { text }),
+            ResponseEvent::Finished { usage, reason } => {
                 encode(ClientEvent::PartClosed);
                 encode(ClientEvent::Usage { usage, reason });
                 encode(ClientEvent::Closed { reason });
             }
             // A refusal after the first event would be a broken promise; it is told as a failure.
-            ToClient::Refused { .. } => encode(failed("the answer broke off")),
-            ToClient::Failed { why, .. } => encode(failed(why)),
+            ResponseEvent::Rejected { .. } => encode(failed("the answer broke off")),
+            ResponseEvent::Failed { message: why, .. } => encode(failed(why)),
         }
     }
 }
--- a/crates/gaparch-router/src/shell/engine.rs
+++ b/crates/gaparch-router/src/shell/engine.rs
@@ -1,6 +1,6 @@
 //! One connection to one engine.
 
-use crate::core::ConnNo;
+use crate::core::ConnectionNumber;
 use gaparch_net::{write_frames, FrameReader, ReadError};
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, Peer, RouterRun, VERSION};
 use gaparch_protocol::frame::encode;
@@ -14,7 +14,7 @@
 
 pub(super) struct Plan {
     pub engine: ServerId,
-    pub conn: ConnNo,
+    pub conn: ConnectionNumber,
     pub name: String,
     pub address: String,
     pub run: RouterRun,
@@ -26,9 +26,9 @@
 
 #[derive(Debug)]
 pub(super) enum EngineMessage {
-    Up { engine: ServerId, conn: ConnNo, facts: EngineFacts },
-    Down { engine: ServerId, conn: ConnNo, reason: String },
-    Frames { engine: ServerId, conn: ConnNo, frames: Vec<EngineFrame> },
+    Up { engine: ServerId, conn: ConnectionNumber, facts: EngineFacts },
+    Down { engine: ServerId, conn: ConnectionNumber, reason: String },
+    Frames { engine: ServerId, conn: ConnectionNumber, frames: Vec<EngineFrame> },
 }
 
 /// An engine that takes no bytes for so long loses its connection: what waits to be written must not reach
@@ -84,7 +84,7 @@
 
 async fn read(
     engine: ServerId,
-    conn: ConnNo,
+    conn: ConnectionNumber,
     mut reader: FrameReader<OwnedReadHalf>,
     inbox: &mpsc::Sender<EngineMessage>,
 ) -> String {
--- a/crates/gaparch-router/src/shell/list.rs
+++ b/crates/gaparch-router/src/shell/list.rs
@@ -131,7 +131,7 @@
                             ListMessage::Update(ListUpdate {
                                 scope,
                                 version,
-                                after: version.saturating_sub(1),
+                                base_version: version.saturating_sub(1),
                                 entries,
                             })
                         }
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -29,7 +29,7 @@
 pub use lag::{Lag, LagSummary};
 pub use ops::{Disks, FleetDisks, OperationsError};
 
-use crate::core::{Core, Counts};
+use crate::core::{Core, Counters};
 use gaparch_config::Config;
 use gaparch_net::Clock;
 use gaparch_protocol::engine::RouterRun;
@@ -103,7 +103,7 @@
     }
 
     /// What was counted so far; `None` once it has ended.
-    pub async fn counts(&self) -> Option<Counts> {
+    pub async fn counts(&self) -> Option<Counters> {
         let (answer, wait) = oneshot::channel();
         self.control.send(Control::Counts(answer)).await.ok()?;
         wait.await.ok()
@@ -116,7 +116,7 @@
 
     /// Ends in good order: nothing new is taken, what runs has the stated time, what is left then is
     /// answered for. Returns what was counted.
-    pub async fn stop(self) -> Option<Counts> {
+    pub async fn stop(self) -> Option<Counters> {
         self.accepting.iter().for_each(JoinHandle::abort);
         self.control.send(Control::Stop).await.ok()?;
         // The others learn that it goes, and need not find it dead.
@@ -221,7 +221,7 @@
             let asker = fleet.as_ref().map(fleet::Running::asker);
             let channels = ops::Channels { control: control.clone(), news, fleet: asker };
             let (desk, running) =
-                ops::start(prepared, &config, run, clock, core.settings(), channels).await?;
+                ops::start(prepared, &config, run, clock, core.settings_listing(), channels).await?;
             (Some(desk), Some(running))
         }
         None => (None, None),
--- a/crates/gaparch-router/src/shell/owner.rs
+++ b/crates/gaparch-router/src/shell/owner.rs
@@ -5,7 +5,9 @@
 use super::list::{self, ListCommand, ListMessage};
 use super::ops::{Desk, Done, News, OrderReply};
 use super::versions::{Adopt, Verdict, Versions};
-use crate::core::{Accepted, ConnNo, Core, Counts, Input, ListUpdate, Output, Proposal, ToClient};
+use crate::core::{
+    AcceptedRequest, ConnectionNumber, Core, Counters, Input, ListUpdate, Output, Proposal, ResponseEvent,
+};
 use gaparch_audit::Kind;
 use gaparch_config::Config;
 use gaparch_net::Clock;
@@ -43,12 +45,12 @@
 #[derive(Debug)]
 pub(super) struct NewRequest {
     pub id: RequestId,
-    pub ask: Accepted,
-    pub answers: mpsc::Sender<ToClient>,
+    pub ask: AcceptedRequest,
+    pub answers: mpsc::Sender<ResponseEvent>,
 }
 
 pub(super) enum Control {
-    Counts(oneshot::Sender<Counts>),
+    Counts(oneshot::Sender<Counters>),
     Open(oneshot::Sender<usize>),
     /// `here`: for this router alone.
     Order {
@@ -83,7 +85,7 @@
 
 /// Dropped, its task writes what is left, closes and ends by itself.
 struct EngineTask {
-    conn: ConnNo,
+    conn: ConnectionNumber,
     frames: mpsc::Sender<EngineFrame>,
 }
 
@@ -92,7 +94,7 @@
     clock: Clock,
     config: Config,
     lag: Arc<Lag>,
-    clients: HashMap<RequestId, mpsc::Sender<ToClient>>,
+    clients: HashMap<RequestId, mpsc::Sender<ResponseEvent>>,
     engines: BTreeMap<ServerId, EngineTask>,
     engine_inbox: mpsc::Sender<EngineMessage>,
     engine_messages: mpsc::Receiver<EngineMessage>,
@@ -160,7 +162,7 @@
         let mut show = tokio::time::interval(SHOW_EVERY);
         show.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let due = self.core.next_at().map(|at| Instant::from_std(self.clock.instant(at)));
+            let due = self.core.next_timer_at().map(|at| Instant::from_std(self.clock.instant(at)));
             let round = tokio::select! {
                 biased;
                 control = ports.control.recv() => match control {
@@ -188,17 +190,17 @@
             let now = self.clock.now();
             for id in gone_batch.drain(..) {
                 self.clients.remove(&id);
-                self.core.handle(now, Input::ClientGone(id), &mut out);
+                self.core.handle(now, Input::ClientDisconnected(id), &mut out);
             }
             for message in engine_batch.drain(..) {
                 self.on_engine(now, message, &mut out);
             }
             for request in request_batch.drain(..) {
                 self.clients.insert(request.id, request.answers);
-                let input = Input::Ask { id: request.id, ask: request.ask };
+                let input = Input::RequestArrived { id: request.id, request: request.ask };
                 self.core.handle(now, input, &mut out);
             }
-            self.core.on_time(self.clock.now(), &mut out);
+            self.core.on_timers_due(self.clock.now(), &mut out);
             self.carry_out(&mut out);
             let lag = round + began.elapsed();
             self.board_lag = self.board_lag.max(lag);
@@ -209,8 +211,8 @@
     fn on_control(&mut self, control: Control, out: &mut Vec<Output>) {
         let now = self.clock.now();
         match control {
-            Control::Counts(answer) => drop(answer.send(self.core.counts())),
-            Control::Open(answer) => drop(answer.send(self.core.open())),
+            Control::Counts(answer) => drop(answer.send(self.core.counters())),
+            Control::Open(answer) => drop(answer.send(self.core.open_requests())),
             Control::Order { order, who, here, reply } => self.on_order(&order, &who, here, reply, out),
             Control::FleetOrder { order, reply } => {
                 let done = self.on_fleet_order(&order, out);
@@ -218,15 +220,15 @@
                 let _ = reply.send(done);
             }
             Control::Live(most, answer) => {
-                let live = (self.core.live_views(most), self.core.open() as u64);
+                let live = (self.core.open_request_views(most), self.core.open_requests() as u64);
                 drop(answer.send(live));
             }
-            Control::One(id, answer) => drop(answer.send(self.core.live_one(id))),
-            Control::Routers(routers) => self.core.handle(now, Input::Routers(routers), out),
+            Control::One(id, answer) => drop(answer.send(self.core.open_request_view(id))),
+            Control::Routers(routers) => self.core.handle(now, Input::RouterCountChanged(routers), out),
             Control::Adopt(adopt) => {
                 self.hand_over();
                 let update = self.versions.as_mut().and_then(|versions| versions.on_adopt(adopt));
-                update.into_iter().for_each(|update| self.core.handle(now, Input::List(update), out));
+                update.into_iter().for_each(|update| self.core.handle(now, Input::ListUpdated(update), out));
             }
             Control::Stop => self.core.handle(now, Input::StopAt(now), out),
             Control::StopNow => {
@@ -263,7 +265,7 @@
             permit.send((proposal.taken.change.clone(), proposal.taken.note.clone()));
         }
         self.hand_over();
-        self.core.handle(now, Input::Taken(proposal.taken.clone()), out);
+        self.core.handle(now, Input::OperatorChange(proposal.taken.clone()), out);
         // Whoever asks after the acknowledgement sees what it did.
         self.show();
         if let Some(desk) = &mut self.desk {
@@ -277,7 +279,7 @@
         let who = format!("{} at {}", order.note.who, order.id.router);
         let note = Note { who, ..order.note.clone() };
         let Some(desk) = &mut self.desk else { return false };
-        let taken = match self.core.adopt(&order.change, &note) {
+        let taken = match self.core.adopt_fleet_order(&order.change, &note) {
             Ok(None) => return true,
             Ok(Some(taken)) => taken,
             Err(denied) => {
@@ -289,7 +291,7 @@
         };
         let Some(permit) = desk.reserve() else { return false };
         self.hand_over();
-        self.core.handle(now, Input::Taken(taken.clone()), out);
+        self.core.handle(now, Input::OperatorChange(taken.clone()), out);
         self.show();
         if let Some(desk) = &mut self.desk {
             // The fleet's own record of it is what is answered for; that this one is kept, too, nobody waits for.
@@ -310,7 +312,7 @@
     fn on_engine(&mut self, now: u64, message: EngineMessage, out: &mut Vec<Output>) {
         match message {
             EngineMessage::Up { engine, conn, facts } => {
-                self.core.handle(now, Input::EngineUp { engine, conn, facts }, out);
+                self.core.handle(now, Input::EngineConnected { engine, conn, facts }, out);
             }
             EngineMessage::Down { engine, conn, reason } => {
                 tracing::info!(engine = engine.0, conn = conn.0, %reason, "engine connection down");
@@ -318,7 +320,7 @@
                     // Another connection is there already.
                     self.engines.insert(engine, other);
                 });
-                self.core.handle(now, Input::EngineDown { engine, conn }, out);
+                self.core.handle(now, Input::EngineDisconnected { engine, conn }, out);
             }
             EngineMessage::Frames { engine, conn, frames } => {
                 for frame in frames {
@@ -333,16 +335,16 @@
         let input = match message {
             ListMessage::Up(epoch) => {
                 self.versions.iter_mut().for_each(|versions| versions.on_up(epoch));
-                Input::ListUp
+                Input::ListServiceUp
             }
             ListMessage::Down(reason) => {
                 tracing::warn!(%reason, "the list service can't be had");
-                Input::ListDown
+                Input::ListServiceDown
             }
             ListMessage::Update(update) => match self.judge(&update, now) {
-                Verdict::Act => Input::List(update),
+                Verdict::Act => Input::ListUpdated(update),
                 Verdict::Nothing => return,
-                Verdict::Fetch => return out.push(Output::Fetch),
+                Verdict::Fetch => return out.push(Output::FetchEndpoints),
             },
         };
         self.core.handle(now, input, out);
@@ -408,20 +410,20 @@
                     let _ = task.frames.try_send(EngineFrame::Bye { reason: reason.to_owned() });
                 }
             }
-            Output::Watch(on) => self.pass_to_list(ListCommand::Watch(on), lost),
-            Output::Fetch => self.pass_to_list(ListCommand::Fetch, lost),
-            Output::Ended(ending) => {
+            Output::WatchEndpoints(on) => self.pass_to_list(ListCommand::Watch(on), lost),
+            Output::FetchEndpoints => self.pass_to_list(ListCommand::Fetch, lost),
+            Output::RequestEnded(ending) => {
                 if let Some(desk) = &mut self.desk {
                     desk.tell(News::Ended(ending));
                 }
             }
             // Its settings permit no messages between routers, and the one connection to an engine stays.
-            Output::Tell { .. } | Output::CloseIdle(_) => {}
+            Output::SendGossip { .. } | Output::CloseIdleConnections(_) => {}
             Output::Log(text) => tracing::info!(%text, "module"),
         }
     }
 
-    fn pass_to_client(&mut self, id: RequestId, event: ToClient, lost: &mut Vec<Input>) {
+    fn pass_to_client(&mut self, id: RequestId, event: ResponseEvent, lost: &mut Vec<Input>) {
         let last = event.is_last();
         if last {
             tracing::debug!(request = id.0, ?event, "answered");
@@ -433,7 +435,7 @@
         }
         if sent.is_err() && !last {
             tracing::info!(request = id.0, "its client reads too slowly, or has left");
-            lost.push(Input::ClientGone(id));
+            lost.push(Input::ClientDisconnected(id));
         }
     }
 
@@ -457,14 +459,14 @@
             let conn = task.conn;
             tracing::warn!(engine = engine.0, "an engine does not take its frames");
             self.engines.remove(&engine);
-            lost.push(Input::EngineDown { engine, conn });
+            lost.push(Input::EngineDisconnected { engine, conn });
         }
     }
 
     fn pass_to_list(&mut self, command: ListCommand, lost: &mut Vec<Input>) {
         let sent = self.list.as_ref().is_some_and(|list| list.try_send(command).is_ok());
         if !sent {
-            lost.push(Input::ListDown);
+            lost.push(Input::ListServiceDown);
         }
     }
 }
--- a/crates/gaparch-router/src/shell/versions.rs
+++ b/crates/gaparch-router/src/shell/versions.rs
@@ -176,7 +176,12 @@
             Taken::New { .. } => {
                 self.cell.send_replace(HeldNews { list: Some(self.held.list()), sure_at: None });
                 let version = list.version.version;
-                Some(ListUpdate { scope: Scope::Full, version, after: 0, entries: list.entries.clone() })
+                Some(ListUpdate {
+                    scope: Scope::Full,
+                    version,
+                    base_version: 0,
+                    entries: list.entries.clone(),
+                })
             }
             Taken::Same | Taken::Missed | Taken::Refused(_) => None,
         }
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -8,7 +8,9 @@
 use gaparch_protocol::ops::intent::{Change, Hold, Note, Taken};
 use gaparch_protocol::ops::view::EngineState;
 use gaparch_protocol::ops::Order;
-use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, Phase, ToClient};
+use gaparch_router::core::{
+    AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output, Phase, ResponseEvent,
+};
 use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, Role, ServerId, ServerState};
 use std::collections::BTreeMap;
 
@@ -18,7 +20,7 @@
 struct Bench {
     core: Core,
     now: Nanos,
-    conns: BTreeMap<ServerId, ConnNo>,
+    conns: BTreeMap<ServerId, ConnectionNumber>,
     seen: Vec<Output>,
 }
 
@@ -52,7 +54,7 @@
         let (zone, rack) = ("north".to_owned(), "n1".to_owned());
         let facts = EngineFacts { name: name.to_owned(), role, memory: 1e5, zone, rack, started_at };
         let conn = self.conns[&engine];
-        self.input(Input::EngineUp { engine, conn, facts });
+        self.input(Input::EngineConnected { engine, conn, facts });
     }
 
     fn input(&mut self, input: Input) -> Vec<Output> {
@@ -79,9 +81,9 @@
     fn pass(&mut self, span: Nanos) -> Vec<Output> {
         let until = self.now + span;
         let mut out = Vec::new();
-        while let Some(at) = self.core.next_at().filter(|at| *at <= until) {
+        while let Some(at) = self.core.next_timer_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.core.on_time(self.now, &mut out);
+            self.core.on_timers_due(self.now, &mut out);
         }
         self.now = until;
         self.note(&out);
@@ -93,7 +95,7 @@
     }
 
     fn ask_if_room(&mut self, id: u64) -> Option<(ServerId, AttemptKey)> {
-        let mut out = self.input(Input::Ask { id: RequestId(id), ask: question() });
+        let mut out = self.input(Input::RequestArrived { id: RequestId(id), request: question() });
         // The module may look before it sends.
         out.extend(self.pass(100 * MS));
         sent(&out)
@@ -107,19 +109,19 @@
     }
 }
 
-fn question() -> Accepted {
-    Accepted {
+fn question() -> AcceptedRequest {
+    AcceptedRequest {
         class: gaparch_scheduler::api::ClassId(0),
         tenant: None,
         session: None,
         prefix: None,
-        prompt_len: 500,
-        prefix_len: 0,
-        max_out: 50,
-        hint: None,
-        repeat: false,
-        again: false,
-        give_up_at: None,
+        prompt_tokens: 500,
+        prefix_tokens: 0,
+        max_output_tokens: 50,
+        expected_output_tokens: None,
+        client_retry: false,
+        client_reconnect: false,
+        deadline_at: None,
         prompt: "hello".to_owned(),
         fingerprint: 1,
     }
@@ -142,7 +144,7 @@
     EngineFrame::Outcome { key, status, note: 0, produced, report: None }
 }
 
-fn answers(seen: &[Output], id: u64) -> Vec<ToClient> {
+fn answers(seen: &[Output], id: u64) -> Vec<ResponseEvent> {
     let of = |o: &Output| match o {
         Output::Client { id: i, event } if i.0 == id && event.is_last() => Some(event.clone()),
         _ => None,
@@ -158,13 +160,13 @@
 fn a_request_goes_through_its_phases_to_one_answer() {
     let mut bench = Bench::new();
     let (writer, key) = bench.read(1);
-    assert_eq!(bench.core.phase(RequestId(1)), Some(Phase::Writing));
+    assert_eq!(bench.core.phase(RequestId(1)), Some(Phase::Decoding));
     bench.frame(writer, tokens(key, 0));
     assert_eq!(bench.core.phase(RequestId(1)), Some(Phase::Streaming));
     bench.frame(writer, tokens(key, 1));
     bench.frame(writer, outcome(key, AttemptStatus::Ok, 2));
     assert_eq!(bench.core.phase(RequestId(1)), None);
-    assert!(matches!(answers(&bench.seen, 1)[..], [ToClient::Finished { .. }]));
+    assert!(matches!(answers(&bench.seen, 1)[..], [ResponseEvent::Finished { .. }]));
 }
 
 #[test]
@@ -173,9 +175,9 @@
     let (writer, key) = bench.read(1);
     bench.frame(writer, tokens(key, 0));
     bench.frame(writer, outcome(key, AttemptStatus::Ok, 1));
-    let before = bench.core.counts();
+    let before = bench.core.counters();
     assert_eq!(bench.frame(writer, outcome(key, AttemptStatus::Ok, 1)), vec![]);
-    assert_eq!(bench.core.counts().late_frames, before.late_frames + 1);
+    assert_eq!(bench.core.counters().late_frames, before.late_frames + 1);
     let (reader, key) = bench.ask(2);
     bench.pass(20 * S);
     assert_eq!(answers(&bench.seen, 2).len(), 1);
@@ -210,7 +212,7 @@
         let (other, other_key) = bench.ask(2);
         assert_ne!(writer, other);
         let out = bench.frame(writer, wrong(key));
-        assert_eq!((disconnects(&out), bench.core.counts().violations), (1, 1), "{name}");
+        assert_eq!((disconnects(&out), bench.core.counters().protocol_violations), (1, 1), "{name}");
         let done = EngineFrame::ReadDone { key: other_key, kept: 0, prompt_len: 5, report: None };
         assert!(sent(&bench.frame(other, done)).is_some(), "{name}: the other goes on");
         bench.pass(20 * S);
@@ -223,11 +225,11 @@
     let mut bench = Bench::new();
     let engine = server_id("read-1");
     let conn = bench.conns[&engine];
-    bench.input(Input::EngineDown { engine, conn });
+    bench.input(Input::EngineDisconnected { engine, conn });
     bench.pass(S);
     assert_ne!(bench.conns[&engine], conn, "it is connected to again");
     bench.up("read-1", Role::Decode, 1);
-    assert_eq!(bench.core.counts().violations, 1);
+    assert_eq!(bench.core.counters().protocol_violations, 1);
 }
 
 #[test]
@@ -243,7 +245,7 @@
     };
     let done = EngineFrame::ReadDone { key, kept: 0, prompt_len: 5, report: Some(report) };
     assert!(sent(&bench.frame(reader, done)).is_some());
-    assert_eq!(bench.core.counts().dropped_figures, 4);
+    assert_eq!(bench.core.counters().ignored_values, 4);
     let entry = |engine: &str, kind: &str, weight| ListEntry {
         engine: engine.to_owned(),
         address: "127.0.0.1:7201".to_owned(),
@@ -255,26 +257,26 @@
         started_at: None,
     };
     let entries = vec![entry("write-1", "writer", Some(f64::NAN)), entry("new", "no-such-kind", None)];
-    bench.input(Input::List(ListUpdate { scope: Scope::Full, version: 1, after: 0, entries }));
-    let counts = bench.core.counts();
-    assert_eq!((counts.dropped_figures, counts.dropped_entries), (5, 1));
+    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Full, version: 1, base_version: 0, entries }));
+    let counts = bench.core.counters();
+    assert_eq!((counts.ignored_values, counts.ignored_entries), (5, 1));
 }
 
 #[test]
 fn a_missed_change_of_the_list_is_asked_for_and_a_drain_stops_sends_at_once() {
     let mut bench = Bench::new();
-    let full = |version| ListUpdate { scope: Scope::Full, version, after: 0, entries: vec![] };
-    bench.input(Input::List(full(3)));
-    let gap = ListUpdate { scope: Scope::Delta, version: 9, after: 8, entries: vec![] };
-    assert_eq!(bench.input(Input::List(gap)), vec![Output::Fetch]);
+    let full = |version| ListUpdate { scope: Scope::Full, version, base_version: 0, entries: vec![] };
+    bench.input(Input::ListUpdated(full(3)));
+    let gap = ListUpdate { scope: Scope::Delta, version: 9, base_version: 8, entries: vec![] };
+    assert_eq!(bench.input(Input::ListUpdated(gap)), vec![Output::FetchEndpoints]);
     // The whole list named none: nothing is sent any more, and the request is answered in time.
     bench.now += 10 * MS;
     let before = bench.seen.len();
-    bench.input(Input::Ask { id: RequestId(5), ask: question() });
+    bench.input(Input::RequestArrived { id: RequestId(5), request: question() });
     bench.pass(10 * S);
     assert_eq!(sent(&bench.seen[before..]), None);
-    assert!(matches!(answers(&bench.seen, 5)[..], [ToClient::Refused { .. }]));
-    assert_eq!(bench.core.counts().overdue, 0);
+    assert!(matches!(answers(&bench.seen, 5)[..], [ResponseEvent::Rejected { .. }]));
+    assert_eq!(bench.core.counters().overdue, 0);
 }
 
 /// A read waits for its connection, and its reader drains by a change of the list: it is not sent once that is up.
@@ -294,12 +296,12 @@
     let readers = |state| vec![entry("read-1", "reader", state), entry("read-2", "reader", state)];
     let entries =
         [readers(ServerState::Ready), vec![entry("write-1", "writer", ServerState::Ready)]].concat();
-    bench.input(Input::List(ListUpdate { scope: Scope::Full, version: 3, after: 0, entries }));
-    bench.input(Input::Ask { id: RequestId(1), ask: question() });
+    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Full, version: 3, base_version: 0, entries }));
+    bench.input(Input::RequestArrived { id: RequestId(1), request: question() });
     bench.pass(100 * MS);
     assert_eq!(sent(&bench.seen), None, "no connection is up");
     let entries = readers(ServerState::Draining);
-    bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 4, after: 3, entries }));
+    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Delta, version: 4, base_version: 3, entries }));
     bench.up("read-1", Role::Prefill, 1);
     bench.up("read-2", Role::Prefill, 1);
     assert_eq!(sent(&bench.seen), None, "sent to a drained reader");
@@ -322,14 +324,14 @@
     };
     let entries =
         vec![entry("read-1"), entry("read-2"), ListEntry { kind: "writer".to_owned(), ..entry("write-1") }];
-    bench.input(Input::List(ListUpdate { scope: Scope::Full, version: 3, after: 0, entries }));
+    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Full, version: 3, base_version: 0, entries }));
     bench.pass(1000 * MS);
     let joined = bench.now;
     let entries = vec![entry("read-9")];
-    bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 4, after: 3, entries }));
+    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Delta, version: 4, base_version: 3, entries }));
     bench.pass(10 * MS);
     bench.up("read-9", Role::Prefill, 1);
-    let began = bench.core.process(server_id("read-9")).map(|(_, began)| began);
+    let began = bench.core.endpoint_process(server_id("read-9")).map(|(_, began)| began);
     assert_eq!(began, Some(joined));
 }
 
@@ -343,7 +345,7 @@
     bench.pass(4 * S);
     assert!(answers(&bench.seen, 1).is_empty(), "it is silent for less than is allowed");
     let out = bench.pass(2 * S);
-    assert!(matches!(answers(&out, 1)[..], [ToClient::Failed { .. }]));
+    assert!(matches!(answers(&out, 1)[..], [ResponseEvent::Failed { .. }]));
     assert!(out.contains(&Output::Engine { engine: writer, frame: EngineFrame::Cancel(key) }));
 }
 
@@ -353,13 +355,13 @@
     bench.read(1);
     bench.ask(2);
     bench.input(Input::StopAt(bench.now));
-    let refused = bench.input(Input::Ask { id: RequestId(3), ask: question() });
-    assert!(matches!(answers(&refused, 3)[..], [ToClient::Refused { .. }]));
+    let refused = bench.input(Input::RequestArrived { id: RequestId(3), request: question() });
+    assert!(matches!(answers(&refused, 3)[..], [ResponseEvent::Rejected { .. }]));
     bench.input(Input::StopNow);
     for id in 1..=3 {
         assert_eq!(answers(&bench.seen, id).len(), 1, "{id}");
     }
-    assert_eq!(bench.core.open(), 0);
+    assert_eq!(bench.core.open_requests(), 0);
 }
 
 #[test]
@@ -372,7 +374,7 @@
                 bench.frame(engine, EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None });
             }
             if id % 7 == 0 {
-                bench.input(Input::ClientGone(RequestId(id)));
+                bench.input(Input::ClientDisconnected(RequestId(id)));
             }
         }
         bench.pass(20 * S);
@@ -387,18 +389,18 @@
 
 impl Bench {
     fn ask_raw(&mut self, id: u64) -> Vec<Output> {
-        self.input(Input::Ask { id: RequestId(id), ask: question() })
+        self.input(Input::RequestArrived { id: RequestId(id), request: question() })
     }
 
     fn order(&mut self, change: Change) -> Vec<Output> {
         let proposal = self.core.propose(self.now, &order(change), "someone").expect("allowed");
-        self.input(Input::Taken(proposal.taken))
+        self.input(Input::OperatorChange(proposal.taken))
     }
 
     fn endings(&self) -> Vec<&Ending> {
         self.seen
             .iter()
-            .filter_map(|o| if let Output::Ended(ending) = o { Some(ending.as_ref()) } else { None })
+            .filter_map(|o| if let Output::RequestEnded(ending) = o { Some(ending.as_ref()) } else { None })
             .collect()
     }
 }
@@ -420,7 +422,12 @@
             started_at: None,
         };
         let scope = if version == 1 { Scope::Full } else { Scope::Delta };
-        bench.input(Input::List(ListUpdate { scope, version, after: version - 1, entries: vec![entry] }));
+        bench.input(Input::ListUpdated(ListUpdate {
+            scope,
+            version,
+            base_version: version - 1,
+            entries: vec![entry],
+        }));
         bench.ask_raw(version);
     }
     let reads = |bench: &Bench| {
@@ -461,18 +468,18 @@
     bench.ask(1);
     bench.order(Change::Pause {});
     let refused = bench.ask_raw(2);
-    assert!(matches!(answers(&refused, 2)[..], [ToClient::Refused { cause: Cause::Paused, .. }]));
+    assert!(matches!(answers(&refused, 2)[..], [ResponseEvent::Rejected { cause: Cause::Paused, .. }]));
     bench.order(Change::Resume {});
     bench.ask(3);
     bench.order(Change::Limit { name: "open-requests".to_owned(), value: Some(2.0) });
     let refused = bench.ask_raw(4);
-    assert!(matches!(answers(&refused, 4)[..], [ToClient::Refused { cause: Cause::TooMuchOpen, .. }]));
+    assert!(matches!(answers(&refused, 4)[..], [ResponseEvent::Rejected { cause: Cause::TooMuchOpen, .. }]));
     let causes: Vec<Cause> = bench.endings().iter().map(|e| e.cause).collect();
     assert_eq!(causes, [Cause::Paused, Cause::TooMuchOpen]);
-    bench.input(Input::ClientGone(RequestId(1)));
+    bench.input(Input::ClientDisconnected(RequestId(1)));
     let left = bench.endings().pop().expect("an ending");
     assert_eq!((left.kind, left.steps.len(), left.evidence.len()), (EndKind::Left, 1, 0));
-    assert_eq!(bench.core.open(), 1);
+    assert_eq!(bench.core.open_requests(), 1);
 }
 
 #[test]
@@ -487,8 +494,8 @@
     let asked = |o: &Output| matches!(o, Output::Connect { name, .. } if name == "write-2");
     assert!(!out.iter().any(asked), "no connection to what is set aside");
     let mut out = Vec::new();
-    core.handle(1000 * S, Input::Ask { id: RequestId(1), ask: question() }, &mut out);
-    assert!(matches!(answers(&out, 1)[..], [ToClient::Refused { cause: Cause::Paused, .. }]));
+    core.handle(1000 * S, Input::RequestArrived { id: RequestId(1), request: question() }, &mut out);
+    assert!(matches!(answers(&out, 1)[..], [ResponseEvent::Rejected { cause: Cause::Paused, .. }]));
 }
 
 #[test]
@@ -496,7 +503,7 @@
     let mut bench = Bench::new();
     for engine in ["write-1", "write-2"] {
         let conn = bench.conns[&server_id(engine)];
-        bench.input(Input::EngineDown { engine: server_id(engine), conn });
+        bench.input(Input::EngineDisconnected { engine: server_id(engine), conn });
     }
     bench.ask_raw(1);
     bench.pass(6 * S);
@@ -512,11 +519,11 @@
     let reader = server_id("read-1");
     let again = |bench: &mut Bench, started_at: u64| {
         let conn = bench.conns[&reader];
-        bench.input(Input::EngineDown { engine: reader, conn });
+        bench.input(Input::EngineDisconnected { engine: reader, conn });
         let away = bench.now;
         bench.pass(5 * S);
         bench.up("read-1", Role::Prefill, started_at);
-        (away, bench.core.process(reader).expect("listed").1)
+        (away, bench.core.endpoint_process(reader).expect("listed").1)
     };
     let (_, began) = again(&mut bench, 1);
     assert_eq!(began, 1, "the same process: its connection was lost");
@@ -533,22 +540,22 @@
 #[test]
 fn requests_that_are_over_leave_no_timers_however_long_their_clients_would_have_waited() {
     let mut bench = Bench::new();
-    let before = bench.core.timers();
+    let before = bench.core.timer_count();
     for id in 1..=500 {
-        let ask = Accepted { give_up_at: Some(bench.now + 3600 * S), ..question() };
-        let asked = bench.input(Input::Ask { id: RequestId(id), ask });
+        let ask = AcceptedRequest { deadline_at: Some(bench.now + 3600 * S), ..question() };
+        let asked = bench.input(Input::RequestArrived { id: RequestId(id), request: ask });
         if id % 2 == 0 {
-            bench.input(Input::ClientGone(RequestId(id)));
+            bench.input(Input::ClientDisconnected(RequestId(id)));
         } else if let Some((engine, key)) = sent(&asked) {
             bench.frame(engine, EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None });
-            bench.input(Input::ClientGone(RequestId(id)));
+            bench.input(Input::ClientDisconnected(RequestId(id)));
         } else {
             bench.pass(100 * MS);
-            bench.input(Input::ClientGone(RequestId(id)));
+            bench.input(Input::ClientDisconnected(RequestId(id)));
         }
     }
     bench.pass(30 * S);
-    let left = bench.core.timers().saturating_sub(before);
+    let left = bench.core.timer_count().saturating_sub(before);
     assert!(left < 10, "{left} timers for 500 requests that are over");
 }
 
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -5,7 +5,9 @@
 use gaparch_ops::book::Book;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
 use gaparch_protocol::list::{ListEntry, Scope};
-use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
+use gaparch_router::core::{
+    AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output, ResponseEvent,
+};
 use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, ServerId, ServerState};
 
 const MS: Nanos = 1_000_000;
@@ -43,7 +45,12 @@
         let mut bench = Bench { core, now: 1000 * S, out };
         let ready = |name: &str| entry(name, ServerState::Ready);
         let entries = vec![ready("r-1"), ready("r-2"), ready("w-1"), ready("w-2")];
-        bench.input(Input::List(ListUpdate { scope: Scope::Full, version: 5, after: 0, entries }));
+        bench.input(Input::ListUpdated(ListUpdate {
+            scope: Scope::Full,
+            version: 5,
+            base_version: 0,
+            entries,
+        }));
         bench
     }
 
@@ -55,35 +62,35 @@
 
     fn pass(&mut self, span: Nanos) -> Vec<Output> {
         let (until, mut out) = (self.now + span, Vec::new());
-        while let Some(at) = self.core.next_at().filter(|at| *at <= until) {
+        while let Some(at) = self.core.next_timer_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.core.on_time(self.now, &mut out);
+            self.core.on_timers_due(self.now, &mut out);
         }
         self.now = until;
         out
     }
 
     fn frame(&mut self, engine: ServerId, frame: EngineFrame) -> Vec<Output> {
-        self.input(Input::EngineFrame { engine, conn: ConnNo::EXCHANGES, frame })
+        self.input(Input::EngineFrame { engine, conn: ConnectionNumber::EXCHANGES, frame })
     }
 
     fn ask(&mut self, id: u64) -> (ServerId, AttemptKey) {
-        let ask = Accepted {
+        let ask = AcceptedRequest {
             class: gaparch_scheduler::api::ClassId(0),
             tenant: None,
             session: Some(gaparch_scheduler::api::AffinityKey(id)),
             prefix: Some(gaparch_scheduler::api::AffinityKey(id)),
-            prompt_len: 100,
-            prefix_len: 50,
-            max_out: 20,
-            hint: None,
-            repeat: false,
-            again: false,
-            give_up_at: Some(self.now + 5 * S),
+            prompt_tokens: 100,
+            prefix_tokens: 50,
+            max_output_tokens: 20,
+            expected_output_tokens: None,
+            client_retry: false,
+            client_reconnect: false,
+            deadline_at: Some(self.now + 5 * S),
             prompt: String::new(),
             fingerprint: 0,
         };
-        let out = self.input(Input::Ask { id: RequestId(id), ask });
+        let out = self.input(Input::RequestArrived { id: RequestId(id), request: ask });
         sent(&out).expect("a read")
     }
 }
@@ -108,7 +115,7 @@
     let mut bench = Bench::new();
     let gone = |name: &str| entry(name, ServerState::Removed);
     let entries = vec![gone("r-1"), gone("r-2"), entry("r-3", ServerState::Ready)];
-    bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 6, after: 5, entries }));
+    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Delta, version: 6, base_version: 5, entries }));
     for id in 1..=20 {
         let (reader, key) = bench.ask(id);
         assert_eq!(reader, server_id("r-3"));
@@ -127,7 +134,7 @@
         let (writer, key) = sent(&bench.frame(reader, read)).expect("a write");
         let begun = EngineFrame::Tokens { key, from: 0, count: 0, text: String::new() };
         let out = bench.frame(writer, begun);
-        let opened = |o: &Output| matches!(o, Output::Client { event: ToClient::Opened { .. }, .. });
+        let opened = |o: &Output| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. });
         assert_eq!(out.iter().filter(|o| opened(o)).count(), 1);
         let ok = EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced: 0, report: None };
         bench.frame(writer, ok);
@@ -136,16 +143,16 @@
             let (new, old) = (format!("w-new-{id}"), format!("w-new-{}", id - 10));
             let entries = vec![entry(&new, ServerState::Ready), entry(&old, ServerState::Removed)];
             let update =
-                ListUpdate { scope: Scope::Delta, version: 5 + id, after: bench_version(id), entries };
-            assert_eq!(sent(&bench.input(Input::List(update))), None);
+                ListUpdate { scope: Scope::Delta, version: 5 + id, base_version: bench_version(id), entries };
+            assert_eq!(sent(&bench.input(Input::ListUpdated(update))), None);
         }
     }
-    assert_eq!(bench.core.counts().served, 10_000);
-    assert_eq!((bench.core.open(), bench.core.listed().count()), (0, 5));
+    assert_eq!(bench.core.counters().served, 10_000);
+    assert_eq!((bench.core.open_requests(), bench.core.listed_engines().count()), (0, 5));
     assert!((1..=10_000).all(|id| bench.core.phase(RequestId(id)).is_none()));
     // Every timer falls due in time: none waits for ever.
     bench.pass(20 * S);
-    assert_eq!(bench.core.next_at(), None);
+    assert_eq!(bench.core.next_timer_at(), None);
 }
 
 /// The version before: lists jump by ten here, as the platform's may.
@@ -163,7 +170,12 @@
         let mut bench = Bench::new();
         let (reader, key) = bench.ask(1);
         let gone: Vec<ListEntry> = ["r-1", "r-2"].map(|name| entry(name, ServerState::Removed)).to_vec();
-        bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 6, after: 5, entries: gone }));
+        bench.input(Input::ListUpdated(ListUpdate {
+            scope: Scope::Delta,
+            version: 6,
+            base_version: 5,
+            entries: gone,
+        }));
         let broken = EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None };
         assert_eq!(releases(&bench.frame(reader, broken), 1), 1, "{status:?}");
     }
@@ -188,7 +200,7 @@
     assert!(!out.iter().any(|o| matches!(o, Output::Connect { .. } | Output::Disconnect { .. })));
     let read = EngineFrame::ReadDone { key: two.1, kept: 0, prompt_len: 0, report: None };
     assert!(sent(&bench.frame(first, read)).is_some());
-    assert_eq!(bench.core.counts().late_frames, 0);
+    assert_eq!(bench.core.counters().late_frames, 0);
 }
 
 #[test]
@@ -196,16 +208,26 @@
     let mut bench = Bench::new();
     for n in 0..20_000u64 {
         let entries = vec![entry(&format!("w-{n}-x"), ServerState::Removed)];
-        bench.input(Input::List(ListUpdate { scope: Scope::Delta, version: 6 + n, after: 5 + n, entries }));
+        bench.input(Input::ListUpdated(ListUpdate {
+            scope: Scope::Delta,
+            version: 6 + n,
+            base_version: 5 + n,
+            entries,
+        }));
     }
     // The list has room for 10,000: had they stayed, the next one would be dropped.
     let start = Some(bench.now + 10_000 * S);
     let entries = vec![ListEntry { started_at: start, ..entry("w-new", ServerState::Ready) }];
     let version = 20_006;
-    bench.input(Input::List(ListUpdate { scope: Scope::Delta, version, after: version - 1, entries }));
-    assert_eq!((bench.core.counts().dropped_entries, bench.core.counts().dropped_figures), (0, 1));
+    bench.input(Input::ListUpdated(ListUpdate {
+        scope: Scope::Delta,
+        version,
+        base_version: version - 1,
+        entries,
+    }));
+    assert_eq!((bench.core.counters().ignored_entries, bench.core.counters().ignored_values), (0, 1));
     // It is there now, so it has begun by now; its clock is off, and it may well be new.
-    assert_eq!(bench.core.process(server_id("w-new")).map(|(_, began)| began), Some(bench.now));
+    assert_eq!(bench.core.endpoint_process(server_id("w-new")).map(|(_, began)| began), Some(bench.now));
 }
 
 /// A release goes out beside a write that is not answered, and the state stays booked: the write may have arrived.
@@ -214,19 +236,19 @@
     let mut bench = Bench::new();
     let (reader, key) = bench.ask(1);
     let frame = EngineFrame::ReadDone { key, kept: 0, prompt_len: 0, report: None };
-    let out = bench.input(Input::EngineFrame { engine: reader, conn: ConnNo::EXCHANGES, frame });
+    let out = bench.input(Input::EngineFrame { engine: reader, conn: ConnectionNumber::EXCHANGES, frame });
     let (writer, key) = sent(&out).expect("a write");
-    assert_eq!(bench.core.held_states().count(), 1);
+    assert_eq!(bench.core.held_kv_caches().count(), 1);
     let out = bench.pass(600 * MS);
     assert_eq!(releases(&out, 1), 1, "{out:?}");
     let frame = EngineFrame::Tokens { key, from: 0, count: 0, text: String::new() };
-    let out = bench.input(Input::EngineFrame { engine: writer, conn: ConnNo::EXCHANGES, frame });
+    let out = bench.input(Input::EngineFrame { engine: writer, conn: ConnectionNumber::EXCHANGES, frame });
     assert!(
-        out.iter().any(|o| matches!(o, Output::Client { event: ToClient::Opened { .. }, .. })),
+        out.iter().any(|o| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. })),
         "{out:?}"
     );
-    assert_eq!(bench.core.held_states().count(), 0);
+    assert_eq!(bench.core.held_kv_caches().count(), 0);
     let ended = EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced: 0, report: None };
-    bench.input(Input::EngineFrame { engine: writer, conn: ConnNo::EXCHANGES, frame: ended });
+    bench.input(Input::EngineFrame { engine: writer, conn: ConnectionNumber::EXCHANGES, frame: ended });
     assert_eq!(bench.core.phase(RequestId(1)), None);
 }
--- a/crates/gaparch-router/tests/long_lists.rs
+++ b/crates/gaparch-router/tests/long_lists.rs
@@ -28,13 +28,13 @@
         let (after, version) = (self.version, self.version + 1);
         self.version = version;
         let mut out = Vec::new();
-        let update = ListUpdate { scope, version, after, entries };
-        self.core.handle(NOW, Input::List(update), &mut out);
+        let update = ListUpdate { scope, version, base_version: after, entries };
+        self.core.handle(NOW, Input::ListUpdated(update), &mut out);
         out
     }
 
     fn listed(&self) -> BTreeSet<ServerId> {
-        self.core.listed().collect()
+        self.core.listed_engines().collect()
     }
 }
 
@@ -78,11 +78,11 @@
     let mut bench = Bench::new();
     bench.tell(Scope::Full, vec![entry(&first, ServerState::Ready), entry(&second, ServerState::Ready)]);
     assert_eq!(bench.listed().len(), 1);
-    assert_eq!(bench.core.counts().dropped_entries, 1);
+    assert_eq!(bench.core.counters().ignored_entries, 1);
     // What is said of the second does not touch the first.
     bench.tell(Scope::Delta, vec![entry(&second, ServerState::Removed)]);
     assert_eq!(bench.listed().len(), 1);
-    assert_eq!(bench.core.counts().dropped_entries, 2);
+    assert_eq!(bench.core.counters().ignored_entries, 2);
 }
 
 #[test]
@@ -93,7 +93,7 @@
     let mut bench = Bench::new();
     bench.tell(Scope::Full, [list(&names), list(&names)].concat());
     assert_eq!(bench.listed().len(), ENGINES);
-    assert_eq!(bench.core.counts().dropped_entries, 0);
+    assert_eq!(bench.core.counters().ignored_entries, 0);
 }
 
 /// A change deals with what it names; what has come of many of them is what a whole list would say.
@@ -125,5 +125,5 @@
     bench.tell(Scope::Full, names.iter().map(|name| entry(name, ServerState::Ready)).collect());
     bench.tell(Scope::Full, others);
     assert_eq!(bench.listed().len(), ENGINES);
-    assert_eq!(bench.core.counts().dropped_entries, 0);
+    assert_eq!(bench.core.counters().ignored_entries, 0);
 }
--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -7,7 +7,7 @@
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_protocol::ops::intent::{Change, Hold};
 use gaparch_protocol::ops::Order;
-use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output};
+use gaparch_router::core::{AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output};
 use gaparch_scheduler::api::{AttemptStatus, ClassId, Nanos, RequestId, Role, ServerId, ServerState};
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 struct Router {
     core: Core,
     now: Nanos,
-    connections: BTreeMap<ServerId, ConnNo>,
+    connections: BTreeMap<ServerId, ConnectionNumber>,
     /// How requests ended, a line of JSON each.
     endings: String,
 }
@@ -45,7 +45,7 @@
             };
             let engine = server_id(&engine.name);
             let conn = router.connections[&engine];
-            router.input(Input::EngineUp { engine, conn, facts });
+            router.input(Input::EngineConnected { engine, conn, facts });
         }
         router
     }
@@ -54,7 +54,7 @@
         for output in out {
             match output {
                 Output::Connect { engine, conn, .. } => drop(self.connections.insert(*engine, *conn)),
-                Output::Ended(ending) => {
+                Output::RequestEnded(ending) => {
                     self.endings += &serde_json::to_string(ending).expect("JSON");
                     self.endings.push('\n');
                 }
@@ -74,9 +74,9 @@
     fn pass(&mut self, span: Nanos) -> Vec<Output> {
         let until = self.now + span;
         let mut out = Vec::new();
-        while let Some(at) = self.core.next_at().filter(|at| *at <= until) {
+        while let Some(at) = self.core.next_timer_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.core.on_time(self.now, &mut out);
+            self.core.on_timers_due(self.now, &mut out);
         }
         self.now = until;
         self.take(&out);
@@ -84,8 +84,8 @@
     }
 
     fn ask(&mut self, id: u64, class: usize) {
-        let ask = Accepted { class: ClassId(class), ..question() };
-        let out = self.input(Input::Ask { id: RequestId(id), ask });
+        let ask = AcceptedRequest { class: ClassId(class), ..question() };
+        let out = self.input(Input::RequestArrived { id: RequestId(id), request: ask });
         self.serve(out);
         let out = self.pass(SECOND / 10);
         self.serve(out);
@@ -142,7 +142,7 @@
         match self.core.propose(self.now, &order, "office") {
             Ok(proposal) => {
                 let effect = proposal.effect.clone();
-                self.input(Input::Taken(proposal.taken));
+                self.input(Input::OperatorChange(proposal.taken));
                 format!("{effect}\n")
             }
             Err(denied) => format!("denied: {denied}\n"),
@@ -150,19 +150,19 @@
     }
 }
 
-fn question() -> Accepted {
-    Accepted {
+fn question() -> AcceptedRequest {
+    AcceptedRequest {
         class: ClassId(0),
         tenant: None,
         session: None,
         prefix: None,
-        prompt_len: 500,
-        prefix_len: 0,
-        max_out: 50,
-        hint: None,
-        repeat: false,
-        again: false,
-        give_up_at: None,
+        prompt_tokens: 500,
+        prefix_tokens: 0,
+        max_output_tokens: 50,
+        expected_output_tokens: None,
+        client_retry: false,
+        client_reconnect: false,
+        deadline_at: None,
         prompt: "hello".to_owned(),
         fingerprint: 1,
     }
@@ -174,7 +174,7 @@
 
 #[test]
 fn the_settings_in_force_are_listed_by_the_pinned_words() {
-    assert_eq!(lines(&Router::new().core.settings()), include_str!("pinned/settings.jsonl"));
+    assert_eq!(lines(&Router::new().core.settings_listing()), include_str!("pinned/settings.jsonl"));
 }
 
 #[test]
@@ -190,10 +190,10 @@
     }
     router.ask(5, 1);
     router.ask(6, 2);
-    router.input(Input::ClientGone(RequestId(6)));
+    router.input(Input::ClientDisconnected(RequestId(6)));
     let engine = server_id("write-1");
     let conn = router.connections[&engine];
-    router.input(Input::EngineDown { engine, conn });
+    router.input(Input::EngineDisconnected { engine, conn });
     router.ask(7, 0);
     let change = ListEntry {
         engine: "read-2".to_owned(),
@@ -205,15 +205,20 @@
         weight: None,
         started_at: None,
     };
-    router.input(Input::List(ListUpdate { scope: Scope::Full, version: 1, after: 0, entries: vec![change] }));
+    router.input(Input::ListUpdated(ListUpdate {
+        scope: Scope::Full,
+        version: 1,
+        base_version: 0,
+        entries: vec![change],
+    }));
     let mut seen = lines(&router.core.engine_views());
     seen += &lines(&[router.core.figures()]);
-    seen += &lines(&router.core.live_views(10));
+    seen += &lines(&router.core.open_request_views(10));
     router.pass(10 * SECOND);
     router.input(Input::StopNow);
     seen += &router.endings;
-    let reasons = router.core.reasons();
-    let counts = [&reasons.refused, &reasons.failed, &reasons.attempts, &reasons.retries];
+    let reasons = router.core.reasons_by_kind();
+    let counts = [&reasons.rejected, &reasons.failed, &reasons.attempts, &reasons.retries];
     seen += &counts.map(|count| format!("{count}\n")).concat();
     seen += &lines(&[router.core.figures()]);
     assert_eq!(seen, include_str!("pinned/views.jsonl"));
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -57,13 +57,13 @@
     fn list(&mut self, scope: Scope, passed: Nanos, entries: Vec<ListEntry>) {
         let after = self.version;
         self.version += 1;
-        let update = ListUpdate { scope, version: self.version, after, entries };
-        self.core.handle(Router::clock(self.offset, passed), Input::List(update), &mut Vec::new());
+        let update = ListUpdate { scope, version: self.version, base_version: after, entries };
+        self.core.handle(Router::clock(self.offset, passed), Input::ListUpdated(update), &mut Vec::new());
     }
 
     /// For how long that worker has run by the router's reckoning; `None`: long.
     fn age(&self, name: &str, passed: Nanos) -> Option<i64> {
-        let (_, began) = self.core.process(server_id(name)).expect("it is listed");
+        let (_, began) = self.core.endpoint_process(server_id(name)).expect("it is listed");
         let now = Router::clock(self.offset, passed);
         (began > 0).then(|| (i128::from(now) - i128::from(began)) as i64)
     }
@@ -93,10 +93,14 @@
     for offset in OFFSETS {
         for stepped in [0, -HOUR] {
             let mut router = Router::start(offset, [whole_fleet(), vec![entry("w-3", Some(-50))]].concat());
-            let before = router.core.process(server_id("w-3"));
+            let before = router.core.endpoint_process(server_id("w-3"));
             let told = 100 * S + LIST_DELAY;
             router.list(Scope::Delta, told, vec![entry("w-3", Some(100 + stepped))]);
-            assert_ne!(router.core.process(server_id("w-3")), before, "it counts as the same process");
+            assert_ne!(
+                router.core.endpoint_process(server_id("w-3")),
+                before,
+                "it counts as the same process"
+            );
             let age = router.age("w-3", told).expect("it has just begun");
             let range = 0..=LIST_DELAY as i64;
             assert!(range.contains(&age), "{offset} s ahead, {stepped} s stepped: {age} ns old");
--- a/crates/gaparch-testbed/src/site.rs
+++ b/crates/gaparch-testbed/src/site.rs
@@ -17,7 +17,7 @@
 use gaparch_protocol::ops::intent::{Change, Hold};
 use gaparch_protocol::ops::view::Snapshot;
 use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
-use gaparch_router::core::Counts;
+use gaparch_router::core::Counters;
 use gaparch_router::shell::{serve_on, Disks};
 use gaparch_router::{RouterHandle, ServeError};
 use gaparch_scheduler::api::{Nanos, Role, ServerState};
@@ -343,7 +343,7 @@
     }
 
     /// Ends a router in good order; what it counted.
-    pub async fn stop_router(&mut self, router: usize) -> Option<Counts> {
+    pub async fn stop_router(&mut self, router: usize) -> Option<Counters> {
         let Router { handle, runtime } = self.routers[router].take()?;
         let counts = runtime.spawn(handle.stop()).await.ok().flatten();
         runtime.shutdown_background();
@@ -537,19 +537,19 @@
 
     /// Stops the routers in good order after what is held has had time to be let go of, and judges all that
     /// went over the sockets.
-    pub async fn judge(&mut self, effects: &[Effect]) -> (Verdict, Counts) {
+    pub async fn judge(&mut self, effects: &[Effect]) -> (Verdict, Counters) {
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let mut counts = Counts::default();
+        let mut counts = Counters::default();
         for router in 0..self.plan.routers {
             if let Some(of_one) = self.stop_router(router).await {
                 counts.overdue += of_one.overdue;
                 counts.requests += of_one.requests;
                 counts.served += of_one.served;
-                counts.refused += of_one.refused;
+                counts.rejected += of_one.rejected;
                 counts.failed += of_one.failed;
-                counts.left += of_one.left;
+                counts.client_disconnected += of_one.client_disconnected;
                 counts.late_frames += of_one.late_frames;
-                counts.violations += of_one.violations;
+                counts.protocol_violations += of_one.protocol_violations;
             }
         }
         let figures = crate::badday::figures(&self.plan);
--- a/crates/gaparch-testbed/tests/appliance.rs
+++ b/crates/gaparch-testbed/tests/appliance.rs
@@ -173,7 +173,11 @@
         ends.push(served(&answers));
         let (verdict, counts) = site.judge(&[]).await;
         assert!(verdict.holds(), "{verdict}");
-        assert_eq!((counts.refused, counts.failed, counts.left), (0, 0, 0), "consoles: {consoles}");
+        assert_eq!(
+            (counts.rejected, counts.failed, counts.client_disconnected),
+            (0, 0, 0),
+            "consoles: {consoles}"
+        );
     }
     assert_eq!(ends, [150, 150]);
 }
--- a/crates/gaparch-testbed/tests/hard_cases.rs
+++ b/crates/gaparch-testbed/tests/hard_cases.rs
@@ -55,7 +55,7 @@
     }
     let (verdict, counts) = site.judge(&[]).await;
     assert!(verdict.holds(), "{verdict}");
-    assert_eq!((counts.overdue, counts.violations), (0, 0));
+    assert_eq!((counts.overdue, counts.protocol_violations), (0, 0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -77,7 +77,7 @@
     site.fault("write-0", Fault::Pause(false)).await;
     let (verdict, counts) = site.judge(&[]).await;
     assert!(verdict.holds(), "{verdict}");
-    assert_eq!(counts.violations, 0, "tokens that come late are no violation");
+    assert_eq!(counts.protocol_violations, 0, "tokens that come late are no violation");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -293,7 +293,7 @@
         assert!(served(&answers) >= least, "{name}: {}", served(&answers));
         let (verdict, counts) = site.judge(&[]).await;
         assert!(verdict.holds(), "{name}: {verdict}");
-        assert_eq!(counts.violations > 0, violates, "{name}: {counts:?}");
+        assert_eq!(counts.protocol_violations > 0, violates, "{name}: {counts:?}");
         assert_eq!(counts.overdue, 0, "{name}");
     }
 }
