--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -1,7 +1,7 @@
 //! What operators order and look at, as far as the core has to do with it.
 
-use super::request::{Live, Stage};
-use super::{Core, Output, ToClient};
+use super::request::{Stage, TrackedRequest};
+use super::{Core, Output, ResponseEvent};
 use gaparch_config::Span;
 use gaparch_ops::limits::{limited_tenant, tenant_limit, OPEN_REQUESTS};
 use gaparch_ops::{EngineStatus, OrderDenied, SiteStatus};
@@ -84,29 +84,33 @@
     /// # Errors
     /// When it may not; the message says why.
     pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, OrderDenied> {
-        let proposed = self.book.propose(order, who, now, &self.standing())?;
+        let proposed = self.orders.propose(order, who, now, &self.site_state())?;
         Ok(Proposal { taken: proposed.change, effect: proposed.effect })
     }
 
     /// The number of the last change by an operator.
     pub fn orders_revision(&self) -> u64 {
-        self.book.revision()
+        self.orders.revision()
     }
 
     /// The name of an engine that was ever listed.
     pub fn engine_name(&self, engine: ServerId) -> &str {
-        self.roster.name(engine)
+        self.endpoints.name(engine)
     }
 
     /// An order that another router has handed on, as it is taken here; `None` where it is what holds already.
     ///
     /// # Errors
     /// When it makes no sense here; the message says why.
-    pub fn adopt(&self, change: &Change, note: &ChangeNote) -> Result<Option<AcceptedChange>, OrderDenied> {
-        self.book.adopt(change, note, &self.limits())
+    pub fn adopt_fleet_order(
+        &self,
+        change: &Change,
+        note: &ChangeNote,
+    ) -> Result<Option<AcceptedChange>, OrderDenied> {
+        self.orders.adopt(change, note, &self.limits())
     }
 
-    fn standing(&self) -> SiteStatus {
+    fn site_state(&self) -> SiteStatus {
         let standing = |view: EngineView| EngineStatus {
             accepts_requests: view.state == EngineState::Ready
                 && view.avoid_reason != Some(AvoidReason::Unreachable),
@@ -129,7 +133,7 @@
     pub fn limits(&self) -> Vec<LimitView> {
         let most = self.config.limits.open_requests as f64;
         let limit = |name: String, by_settings: f64, least, most, unit: &str| LimitView {
-            value: self.book.limit(&name).unwrap_or(by_settings),
+            value: self.orders.limit(&name).unwrap_or(by_settings),
             name,
             configured_value: by_settings,
             min: least,
@@ -148,24 +152,25 @@
     /// Tells the module of all quotas that operators have set.
     pub(super) fn set_quotas(&mut self) {
         for (n, name) in self.config.names.tenants.iter().enumerate() {
-            if let Some(per_s) = self.book.limit(&tenant_limit(name)) {
-                self.events.push_back(Event::QuotaChanged { tenant: TenantId(n), quota_per_second: per_s });
+            if let Some(per_s) = self.orders.limit(&tenant_limit(name)) {
+                self.scheduler_events
+                    .push_back(Event::QuotaChanged { tenant: TenantId(n), quota_per_second: per_s });
             }
         }
     }
 
-    pub(super) fn on_taken(&mut self, taken: AcceptedChange, out: &mut Vec<Output>) {
+    pub(super) fn on_operator_change(&mut self, taken: AcceptedChange, out: &mut Vec<Output>) {
         let change = taken.change.clone();
-        self.book.apply(taken);
+        self.orders.apply(taken);
         match change {
             Change::Drain { engine, .. } | Change::Undrain { engine } => {
-                if let Some(entry) = self.roster.hold_changed(&engine, &self.book) {
+                if let Some(entry) = self.endpoints.apply_operator_hold(&engine, &self.orders) {
                     let entries = vec![entry].into();
-                    self.events.push_back(Event::EndpointsChanged {
+                    self.scheduler_events.push_back(Event::EndpointsChanged {
                         update: EndpointUpdate::Delta,
                         endpoints: entries,
                     });
-                    self.follow_roster(out);
+                    self.follow_all_endpoints(out);
                 }
             }
             Change::SetLimit { name, value } => {
@@ -175,7 +180,7 @@
                     let by_settings =
                         self.config.module.tenants.get(tenant.0).map_or(0.0, |t| t.quota_per_second);
                     let per_s = value.unwrap_or(by_settings);
-                    self.events.push_back(Event::QuotaChanged { tenant, quota_per_second: per_s });
+                    self.scheduler_events.push_back(Event::QuotaChanged { tenant, quota_per_second: per_s });
                 }
             }
             // Looked at where requests come in; the shell stops.
@@ -188,13 +193,13 @@
     /// All engines that were ever listed, in the order of their names.
     pub fn engine_views(&self) -> Vec<EngineView> {
         let mut streaming: BTreeMap<ServerId, u32> = BTreeMap::new();
-        let begun = self.live.values().filter_map(|l| l.attempt).filter(|a| a.begun);
+        let begun = self.requests.values().filter_map(|l| l.attempt).filter(|a| a.begun);
         begun.for_each(|a| *streaming.entry(a.server).or_default() += 1);
         let seen: BTreeMap<ServerId, ServerView> = self.policy.views().map(|v| (v.server, v)).collect();
-        let view = |(id, known): (&ServerId, &super::roster::Known)| {
+        let view = |(id, known): (&ServerId, &super::endpoint_table::KnownEndpoint)| {
             let seen = seen.get(id)?;
-            let link = self.engines.get(id);
-            let tally = link.map(|l| l.tally).unwrap_or_default();
+            let link = self.connections.get(id);
+            let tally = link.map(|l| l.attempt_counters).unwrap_or_default();
             let part = |rest: &gaparch_scheduler::view::PartialEjection| PartialEjection {
                 class: self.config.names.classes.get(rest.class.0).cloned().unwrap_or_default(),
                 tenant: self.tenant_name(rest.tenant).to_owned(),
@@ -207,8 +212,8 @@
                 rack: known.listed.rack.clone(),
                 address: known.listed.address.clone(),
                 listed_state: listed_state(known.listed.state),
-                state: listed_state(known.entry.state),
-                connected: link.is_some_and(|l| l.is_up()),
+                state: listed_state(known.endpoint.state),
+                connected: link.is_some_and(|l| l.is_connected()),
                 avoid_reason: seen.avoid_reason.map(avoid),
                 partial_ejections: seen.partial_ejections.iter().map(part).collect(),
                 awaiting_first_token: seen.awaiting_first_token,
@@ -218,39 +223,39 @@
                 reported_memory_utilization: seen.reported_memory_utilization,
                 latency_ratio: seen.latency_ratio,
                 slow_start_budget: seen.slow_start_budget,
-                started_at: known.entry.started_at,
+                started_at: known.endpoint.started_at,
                 last_response_at: seen.last_response_at,
                 attempts: tally.attempts,
                 failed: tally.failed,
-                cancelled: tally.called_off,
+                cancelled: tally.cancelled,
             })
         };
-        let mut views: Vec<EngineView> = self.roster.all().filter_map(view).collect();
+        let mut views: Vec<EngineView> = self.endpoints.iter().filter_map(view).collect();
         views.sort_by(|a, b| a.name.cmp(&b.name));
         views
     }
 
     /// The router's own figures; the owner's lag is for the shell to fill in.
     pub fn figures(&self) -> RouterMetrics {
-        let counts = self.counts;
+        let counts = self.counters;
         let mut figures = RouterMetrics {
             at: self.now,
             requests: counts.requests,
             served: counts.served,
-            served_in_time: counts.in_time,
-            rejected: counts.refused,
+            served_in_time: counts.within_objective,
+            rejected: counts.rejected,
             failed: counts.failed,
-            client_disconnected: counts.left,
+            client_disconnected: counts.client_disconnected,
             tokens: counts.tokens,
-            paused: self.book.is_paused(),
+            paused: self.orders.is_paused(),
             ..RouterMetrics::default()
         };
-        for live in self.live.values() {
+        for live in self.requests.values() {
             match live.phase() {
-                super::Phase::Held => figures.queued += 1,
-                super::Phase::Reading => figures.prefilling += 1,
-                super::Phase::Read => figures.prefilled += 1,
-                super::Phase::Writing => figures.decoding += 1,
+                super::Phase::Queued => figures.queued += 1,
+                super::Phase::Prefilling => figures.prefilling += 1,
+                super::Phase::Prefilled => figures.prefilled += 1,
+                super::Phase::Decoding => figures.decoding += 1,
                 super::Phase::Streaming => figures.streaming += 1,
                 super::Phase::Ended => {}
             }
@@ -259,105 +264,110 @@
     }
 
     /// The oldest open requests, at most so many.
-    pub fn live_views(&self, most: usize) -> Vec<RequestView> {
-        let open = self.live.iter().filter(|(_, l)| !l.ended);
-        open.take(most).map(|(id, live)| self.live_view(*id, live)).collect()
+    pub fn open_request_views(&self, most: usize) -> Vec<RequestView> {
+        let open = self.requests.iter().filter(|(_, l)| !l.answered);
+        open.take(most).map(|(id, live)| self.request_view(*id, live)).collect()
     }
 
     /// One that is open.
-    pub fn live_one(&self, id: RequestId) -> Option<RequestView> {
-        self.live.get(&id).filter(|l| !l.ended).map(|live| self.live_view(id, live))
+    pub fn open_request_view(&self, id: RequestId) -> Option<RequestView> {
+        self.requests.get(&id).filter(|l| !l.answered).map(|live| self.request_view(id, live))
     }
 
-    fn live_view(&self, id: RequestId, live: &Live) -> RequestView {
+    fn request_view(&self, id: RequestId, live: &TrackedRequest) -> RequestView {
         let phase = match live.phase() {
-            super::Phase::Held => Phase::Queued,
-            super::Phase::Reading => Phase::Prefilling,
-            super::Phase::Read => Phase::Prefilled,
-            super::Phase::Writing => Phase::Decoding,
+            super::Phase::Queued => Phase::Queued,
+            super::Phase::Prefilling => Phase::Prefilling,
+            super::Phase::Prefilled => Phase::Prefilled,
+            super::Phase::Decoding => Phase::Decoding,
             super::Phase::Streaming => Phase::Streaming,
             super::Phase::Ended => Phase::Ended,
         };
-        let at = live.attempt.map(|a| a.server).or(live.state_at);
+        let at = live.attempt.map(|a| a.server).or(live.kv_cache_at);
         RequestView {
             request: GlobalRequestId { run: self.run.0, number: id.0 },
-            received_at: live.asked_at,
+            received_at: live.arrived_at,
             class: self.class_name(live).to_owned(),
-            tenant: self.tenant_name(live.ask.tenant).to_owned(),
+            tenant: self.tenant_name(live.request.tenant).to_owned(),
             phase,
             kind: None,
-            engine: at.map(|server| self.roster.name(server)).unwrap_or_default().to_owned(),
+            engine: at.map(|server| self.endpoints.name(server)).unwrap_or_default().to_owned(),
             tokens: live.usage.output_tokens,
-            elapsed_us: micros(self.now.saturating_sub(live.asked_at)),
-            attempts: self.steps(live),
+            elapsed_us: micros(self.now.saturating_sub(live.arrived_at)),
+            attempts: self.attempt_views(live),
         }
     }
 
-    fn class_name(&self, live: &Live) -> &str {
-        self.config.names.classes.get(live.ask.class.0).map_or("", String::as_str)
+    fn class_name(&self, live: &TrackedRequest) -> &str {
+        self.config.names.classes.get(live.request.class.0).map_or("", String::as_str)
     }
 
     fn tenant_name(&self, tenant: Option<TenantId>) -> &str {
         tenant.and_then(|t| self.config.names.tenants.get(t.0)).map_or("", String::as_str)
     }
 
-    fn steps(&self, live: &Live) -> Vec<AttemptRecord> {
-        let step = |note: &super::request::StepNote| AttemptRecord {
-            engine: self.roster.name(note.server).to_owned(),
+    fn attempt_views(&self, live: &TrackedRequest) -> Vec<AttemptRecord> {
+        let step = |note: &super::request::AttemptRecord| AttemptRecord {
+            engine: self.endpoints.name(note.server).to_owned(),
             stage: match note.stage {
-                Stage::Read => outcome::Stage::Prefill,
-                Stage::Write => outcome::Stage::Decode,
+                Stage::Prefill => outcome::Stage::Prefill,
+                Stage::Decode => outcome::Stage::Decode,
             },
-            sent_after_us: micros(note.from.saturating_sub(live.asked_at)),
-            took_us: micros(note.took),
+            sent_after_us: micros(note.started_at.saturating_sub(live.arrived_at)),
+            took_us: micros(note.duration),
             end: note.end,
         };
-        live.steps.iter().map(step).collect()
+        live.attempt_records.iter().map(step).collect()
     }
 
     // --- How requests ended ---------------------------------------------------------------------------
 
-    pub(super) fn is_in_time(&self, id: RequestId, event: &ToClient) -> bool {
-        let Some(live) = self.live.get(&id) else { return false };
-        let aim = live.ask.aim(&self.config.module);
-        let in_time = |first: Nanos| first.saturating_sub(live.asked_at) <= aim;
-        matches!(event, ToClient::Finished { .. }) && live.first_at.is_some_and(in_time)
+    pub(super) fn met_latency_objective(&self, id: RequestId, event: &ResponseEvent) -> bool {
+        let Some(live) = self.requests.get(&id) else { return false };
+        let aim = live.request.latency_objective(&self.config.module);
+        let in_time = |first: Nanos| first.saturating_sub(live.arrived_at) <= aim;
+        matches!(event, ResponseEvent::Finished { .. }) && live.first_token_at.is_some_and(in_time)
     }
 
     /// Hands over how a request ended, where there is somebody to keep it; `None`: its client left.
-    pub(super) fn note_ending(&mut self, id: RequestId, event: Option<&ToClient>, out: &mut Vec<Output>) {
+    pub(super) fn report_ending(
+        &mut self,
+        id: RequestId,
+        event: Option<&ResponseEvent>,
+        out: &mut Vec<Output>,
+    ) {
         if self.config.operations.is_none() {
             return;
         }
         let (kind, cause, waited_for, retry_after) = match event {
             None => (OutcomeKind::ClientDisconnected, OutcomeCause::ClientDisconnected, None, None),
-            Some(ToClient::Refused { retry_after, cause, waited_for }) => {
+            Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
                 (OutcomeKind::Rejected, *cause, *waited_for, Some(*retry_after))
             }
-            Some(ToClient::Failed { cause, .. }) => (OutcomeKind::Failed, *cause, None, None),
+            Some(ResponseEvent::Failed { cause, .. }) => (OutcomeKind::Failed, *cause, None, None),
             Some(_) => (OutcomeKind::Served, OutcomeCause::Answered, None, None),
         };
         let lost = matches!(kind, OutcomeKind::Rejected | OutcomeKind::Failed);
-        let evidence = if lost { self.evidence() } else { Vec::new() };
-        let Some(live) = self.live.get(&id) else { return };
+        let evidence = if lost { self.engine_evidence() } else { Vec::new() };
+        let Some(live) = self.requests.get(&id) else { return };
         let request = GlobalRequestId { run: self.run.0, number: id.0 };
         let ending = RequestOutcome {
             class: self.class_name(live).to_owned(),
-            tenant: self.tenant_name(live.ask.tenant).to_owned(),
+            tenant: self.tenant_name(live.request.tenant).to_owned(),
             queueing_reason: waited_for,
             retry_after_ms: retry_after.and_then(told_to_stay_away),
-            first_token_after_us: live.first_at.map(|at| micros(at.saturating_sub(live.asked_at))),
+            first_token_after_us: live.first_token_at.map(|at| micros(at.saturating_sub(live.arrived_at))),
             tokens: live.usage.output_tokens,
-            attempts: self.steps(live),
+            attempts: self.attempt_views(live),
             evidence,
-            fingerprint: live.ask.fingerprint,
-            ..RequestOutcome::bare(request, live.asked_at, self.now, kind, cause)
+            fingerprint: live.request.fingerprint,
+            ..RequestOutcome::bare(request, live.arrived_at, self.now, kind, cause)
         };
-        out.push(Output::Ended(Box::new(ending)));
+        out.push(Output::RequestEnded(Box::new(ending)));
     }
 
     /// How the engines look now, those avoided first.
-    fn evidence(&mut self) -> Vec<EngineEvidence> {
+    fn engine_evidence(&mut self) -> Vec<EngineEvidence> {
         if let Some((at, evidence)) = &self.evidence {
             if self.now < at.saturating_add(EVIDENCE_FOR) {
                 return evidence.clone();
@@ -366,7 +376,7 @@
         let mut views: Vec<ServerView> = self.policy.views().collect();
         views.sort_by_key(|v| v.avoid_reason.is_none());
         let one = |view: &ServerView| EngineEvidence {
-            engine: self.roster.name(view.server).to_owned(),
+            engine: self.endpoints.name(view.server).to_owned(),
             avoid_reason: view.avoid_reason.map(|a| avoid(a).name().to_owned()).unwrap_or_default(),
             memory_utilization: view.memory_utilization,
             queued_prompt_tokens: view.queued_prompt_tokens,
@@ -378,7 +388,7 @@
     }
 
     /// The settings in force, for people.
-    pub fn settings(&self) -> Vec<Setting> {
+    pub fn settings_listing(&self) -> Vec<Setting> {
         let module = &self.config.module;
         let mut all = vec![
             ("router", format!("{}, {} of {}", self.config.router, module.router_index, module.router_count)),
