--- a/crates/gaparch-platform/src/catalogue/mod.rs
+++ b/crates/gaparch-platform-protocol/src/catalogue/mod.rs
@@ -1,7 +1,7 @@
 //! The catalogue: which workers there are.
 
-use gaparch::api::ServerState;
 use gaparch_protocol::list::{ListEntry, Scope};
+use gaparch_scheduler::api::ServerState;
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
@@ -146,7 +146,7 @@
             },
             state: match self.lifecycle.as_str() {
                 "ready" => ServerState::Ready,
-                "gone" => ServerState::Gone,
+                "gone" => ServerState::Removed,
                 // A word that is not known is no invitation.
                 _ => ServerState::Draining,
             },
--- a/crates/gaparch-node/src/run.rs
+++ b/crates/gaparch-platform-router/src/run.rs
@@ -9,10 +9,10 @@
 use crate::shared::{Message, Phase, Shared};
 use crate::transient::connect_failure;
 use crate::worker::Pool;
-use gaparch::policy::connecting::ConnectFailure;
-use gaparch::policy::intake::{ACCEPTED_FOR, TAKEN_FOR};
 use gaparch_net::{Clock, Signal, Signals};
-use gaparch_platform::config::{ConfigError, NodeConfig};
+use gaparch_platform_protocol::config::{ConfigError, NodeConfig};
+use gaparch_scheduler::policy::connecting::ConnectFailure;
+use gaparch_scheduler::policy::intake::{ACCEPTED_FOR, TAKEN_FOR};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -99,7 +99,7 @@
     let config = load(&file)?;
     let no_listener = |address| move |source| NodeError::Listen { address, source };
     let listener = listen(config.listen).await.map_err(no_listener(config.listen))?;
-    let peer_socket = match config.peers.clone().filter(|_| config.site.settings.peers) {
+    let peer_socket = match config.peers.clone().filter(|_| config.site.settings.can_gossip) {
         Some(peers) => {
             let address = peers.listen;
             Some(PeerSocket::bind(peers).await.map_err(no_listener(address))?)
--- a/crates/gaparch-lab/src/list_service.rs
+++ b/crates/gaparch-testbed/src/list_service.rs
@@ -1,11 +1,11 @@
 //! A list service to stand in for a real one: it pushes changes, goes silent, or fails.
 
 use crate::record::{Record, What};
-use gaparch::api::ServerState;
 use gaparch_net::{Clock, FrameReader};
 use gaparch_protocol::frame::encode;
 use gaparch_protocol::list::{ListEntry, ListFrame, Scope, VERSION, VERSION_EPOCHS};
 use gaparch_protocol::DEFAULT_MAX_FRAME;
+use gaparch_scheduler::api::ServerState;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
             self.history.remove(0);
         }
         match entry.state {
-            ServerState::Gone => drop(self.entries.remove(&entry.engine)),
+            ServerState::Removed => drop(self.entries.remove(&entry.engine)),
             _ => drop(self.entries.insert(entry.engine.clone(), entry)),
         }
     }
--- a/crates/gaparch-lab/src/site.rs
+++ b/crates/gaparch-testbed/src/site.rs
@@ -8,7 +8,6 @@
 use crate::list_service::ListService;
 use crate::load::{Answered, Client, Patience, Question};
 use crate::record::{Ask, Record, What};
-use gaparch::api::{Nanos, Role, ServerState};
 use gaparch_config::{Config, Problem};
 use gaparch_engine::server::{self, EngineHandle, EngineOptions};
 use gaparch_engine::{EngineSpec, Fault};
@@ -21,6 +20,7 @@
 use gaparch_router::core::Counts;
 use gaparch_router::shell::{serve_on, Disks};
 use gaparch_router::{RouterHandle, ServeError};
+use gaparch_scheduler::api::{Nanos, Role, ServerState};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -228,9 +228,9 @@
             router + 1,
             self.addresses[router],
             plan.dialect,
-            memory(Role::Read),
-            memory(Role::Write),
-            memory(Role::Both),
+            memory(Role::Prefill),
+            memory(Role::Decode),
+            memory(Role::Mixed),
         );
         for class in &plan.classes {
             let _ = write!(xml, r#"<class id="{}" {}/>"#, class.name, class.attributes);
@@ -484,9 +484,9 @@
 
 fn kind(role: Role) -> &'static str {
     match role {
-        Role::Read => "read",
-        Role::Write => "write",
-        Role::Both => "both",
+        Role::Prefill => "read",
+        Role::Decode => "write",
+        Role::Mixed => "both",
     }
 }
 
