--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -11,7 +11,7 @@
 use gaparch_platform_protocol::body::{put_chunk, Framing, LAST_CHUNK, MOST_BODY};
 use gaparch_platform_protocol::head::{self, HeadError, RequestHead};
 use gaparch_scheduler::api::{Nanos, RequestId};
-use gaparch_scheduler::policy::intake::Carried;
+use gaparch_scheduler::policy::shutdown_intake::ConnectionHistory;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -159,7 +159,7 @@
     /// Waits for a head; with it, when its first byte came.
     async fn head(&mut self, first: bool) -> Result<(RequestHead, Instant), Nothing> {
         let mut began = (!self.link.buf.is_empty()).then(Instant::now);
-        let carried = if first { Carried::Nothing } else { Carried::Requests };
+        let carried = if first { ConnectionHistory::Unused } else { ConnectionHistory::CarriedRequests };
         let mut resting = began.is_none().then(|| self.idle.enter(carried));
         let mut phase = self.shared.phase.subscribe();
         loop {
--- a/crates/gaparch-platform-router/src/client/idle.rs
+++ b/crates/gaparch-platform-router/src/client/idle.rs
@@ -1,7 +1,7 @@
 //! Client connections without an open request, in the order in which they make room for others.
 
 use crate::shared::lock;
-use gaparch_scheduler::policy::intake::Carried;
+use gaparch_scheduler::policy::shutdown_intake::ConnectionHistory;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     since: BTreeMap<Place, (Instant, Arc<Notify>)>,
 }
 
-type Place = (Carried, u64);
+type Place = (ConnectionHistory, u64);
 
 /// A connection is idle for as long as it holds this.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 }
 
 impl Idle {
-    pub fn enter(self: &Arc<Idle>, carried: Carried) -> Resting {
+    pub fn enter(self: &Arc<Idle>, carried: ConnectionHistory) -> Resting {
         let mut waiting = lock(&self.waiting);
         waiting.next += 1;
         let (place, close) = ((carried, waiting.next), Arc::new(Notify::new()));
@@ -78,8 +78,11 @@
     #[tokio::test]
     async fn the_longest_idle_is_asked_first_and_who_asks_meanwhile_never() {
         let idle = Arc::new(Idle::default());
-        let (first, second, third) =
-            (idle.enter(Carried::Requests), idle.enter(Carried::Requests), idle.enter(Carried::Requests));
+        let (first, second, third) = (
+            idle.enter(ConnectionHistory::CarriedRequests),
+            idle.enter(ConnectionHistory::CarriedRequests),
+            idle.enter(ConnectionHistory::CarriedRequests),
+        );
         drop(first);
         idle.close_next();
         second.asked_to_close().await;
@@ -94,7 +97,8 @@
     #[tokio::test]
     async fn who_never_asked_is_asked_to_close_before_who_has() {
         let idle = Arc::new(Idle::default());
-        let (used, unused) = (idle.enter(Carried::Requests), idle.enter(Carried::Nothing));
+        let (used, unused) =
+            (idle.enter(ConnectionHistory::CarriedRequests), idle.enter(ConnectionHistory::Unused));
         idle.close_next();
         unused.asked_to_close().await;
         idle.close_next();
--- a/crates/gaparch-platform-router/src/owner.rs
+++ b/crates/gaparch-platform-router/src/owner.rs
@@ -13,7 +13,7 @@
 use gaparch_protocol::ops::ending::WaitedFor;
 use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output, ToClient};
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId, ServerId};
-use gaparch_scheduler::policy::connecting::Carries;
+use gaparch_scheduler::policy::connect::SendRisk;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -320,9 +320,9 @@
 
     fn ask_worker(&mut self, server: ServerId, frame: EngineFrame) {
         match frame {
-            EngineFrame::Read(job) => self.send(server, &job, true, Carries::NothingHeld),
+            EngineFrame::Read(job) => self.send(server, &job, true, SendRisk::TimeOnly),
             EngineFrame::Write { job, state } => {
-                let carries = if state.is_some() { Carries::HeldState } else { Carries::NothingHeld };
+                let carries = if state.is_some() { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
                 self.send(server, &job, false, carries);
             }
             EngineFrame::Cancel(key) => {
@@ -363,7 +363,7 @@
         }
     }
 
-    fn send(&mut self, server: ServerId, ask: &EngineJob, reads: bool, carries: Carries) {
+    fn send(&mut self, server: ServerId, ask: &EngineJob, reads: bool, carries: SendRisk) {
         let (id, no) = (RequestId(ask.key.request), AttemptNumber(ask.key.attempt));
         let target = self.target(server);
         let waited = self.shared.clock.now().saturating_sub(self.core.asked_at(id));
--- a/crates/gaparch-platform-router/src/run.rs
+++ b/crates/gaparch-platform-router/src/run.rs
@@ -11,8 +11,8 @@
 use crate::worker::Pool;
 use gaparch_net::{Clock, Signal, Signals};
 use gaparch_platform_protocol::config::{ConfigError, NodeConfig};
-use gaparch_scheduler::policy::connecting::ConnectFailure;
-use gaparch_scheduler::policy::intake::{ACCEPTED_FOR, TAKEN_FOR};
+use gaparch_scheduler::policy::connect::ConnectFailure;
+use gaparch_scheduler::policy::shutdown_intake::{ACCEPT_CONNECTIONS_FOR, ACCEPT_REQUESTS_FOR};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -149,10 +149,12 @@
     }
     let told_to_end = Instant::now();
     // By the clock, whatever keeps this task busy until then.
-    shared.tell(Message::StopAt(shared.clock.at((told_to_end + Duration::from_nanos(TAKEN_FOR)).into_std())));
+    shared.tell(Message::StopAt(
+        shared.clock.at((told_to_end + Duration::from_nanos(ACCEPT_REQUESTS_FOR)).into_std()),
+    ));
     shared.phase.send_replace(Phase::Leaving);
     tracing::info!("ending: what is open is finished");
-    sleep_until(told_to_end + Duration::from_nanos(ACCEPTED_FOR)).await;
+    sleep_until(told_to_end + Duration::from_nanos(ACCEPT_CONNECTIONS_FOR)).await;
     shared.phase.send_replace(Phase::Closing);
     let _ = accepting.await;
     finish(&shared, &clients, most_clients).await;
--- a/crates/gaparch-platform-router/src/shared.rs
+++ b/crates/gaparch-platform-router/src/shared.rs
@@ -7,7 +7,7 @@
 use gaparch_platform_protocol::config::NodeConfig;
 use gaparch_router::core::ListUpdate;
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId, ServerId};
-use gaparch_scheduler::policy::permits::{Denial, Denials};
+use gaparch_scheduler::policy::send_guards::{Denial, Denials};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/gaparch-platform-router/src/transient.rs
+++ b/crates/gaparch-platform-router/src/transient.rs
@@ -1,7 +1,7 @@
 //! System calls that fail for a moment, as Linux documents them, and what is done about it.
 
 use bytes::Buf;
-use gaparch_scheduler::policy::connecting::ConnectFailure;
+use gaparch_scheduler::policy::connect::ConnectFailure;
 use rustix::io::Errno;
 use std::io::{self, IoSlice};
 use std::time::Duration;
--- a/crates/gaparch-platform-router/src/worker/calls.rs
+++ b/crates/gaparch-platform-router/src/worker/calls.rs
@@ -9,8 +9,8 @@
 use gaparch_platform_protocol::body::MOST_BODY;
 use gaparch_platform_protocol::worker::{probe_head, probe_meaning, release_head, reserve_head, reserved};
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId};
-use gaparch_scheduler::policy::connecting::Carries;
-use gaparch_scheduler::policy::releasing::{next_round_after, Rounds};
+use gaparch_scheduler::policy::connect::SendRisk;
+use gaparch_scheduler::policy::kv_release::{next_round_after, ReleaseRounds};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -101,12 +101,13 @@
     let Release { txn, mut targets, within } = release;
     // Who answered last is most likely to run. Where a read was left unanswered that is another than its reader.
     targets.sort_by_key(|target| std::cmp::Reverse(pool.heard_at(*target)));
-    let mut rounds = Rounds::new(targets.len(), clock.now());
+    let mut rounds = ReleaseRounds::new(targets.len(), clock.now());
     let mut tries = JoinSet::new();
     while let Some(round) = rounds.next(clock.now()) {
         sleep(Duration::from_nanos(round.pause)).await;
         for target in round.servers.iter().filter_map(|place| targets.get(*place)) {
-            let carries = if round.fresh { Carries::HeldState } else { Carries::NothingHeld };
+            let carries =
+                if round.needs_fresh_connections { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
             tries.spawn(tell_release(txn.clone(), *target, carries, within, Arc::clone(&pool)));
         }
         // One that has it is enough: the others are not waited for.
@@ -132,7 +133,13 @@
 }
 
 /// One try of a release; whether that worker has answered.
-async fn tell_release(txn: Txn, target: Target, carries: Carries, within: Duration, pool: Arc<Pool>) -> bool {
+async fn tell_release(
+    txn: Txn,
+    target: Target,
+    carries: SendRisk,
+    within: Duration,
+    pool: Arc<Pool>,
+) -> bool {
     let head = release_head(&txn, &target.address.to_string());
     let tried = async {
         let conn = pool.get_for(target, carries).await.ok()?;
--- a/crates/gaparch-platform-router/src/worker/exchange.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange.rs
@@ -13,8 +13,8 @@
 use gaparch_platform_protocol::head::AnswerHead;
 use gaparch_platform_protocol::worker::{job_head, kept, meaning, Meaning};
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId};
-use gaparch_scheduler::policy::connecting::Carries;
-use gaparch_scheduler::policy::permits::{self, Denial, SendFacts};
+use gaparch_scheduler::policy::connect::SendRisk;
+use gaparch_scheduler::policy::send_guards::{self, Denial, SendFacts};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -33,7 +33,7 @@
     pub target: Target,
     pub reads: bool,
     /// Whether something is held for its request that it is to fetch.
-    pub carries: Carries,
+    pub carries: SendRisk,
     /// When the client stops waiting for its first token.
     pub give_up_at: Nanos,
     pub forward: Arc<Forward>,
@@ -198,16 +198,16 @@
 /// Whether an attempt whose connection is up may still be sent: its client may have left since it was decided on, its time
 /// may be over, or its worker may be drained or gone, perhaps by a list that the owner has not come to yet.
 fn may_send(job: &Job, shared: &Shared) -> Result<(), Denial> {
-    permits::may_send(&SendFacts {
+    send_guards::may_send(&SendFacts {
         now: shared.clock.now(),
-        give_up_at: job.give_up_at,
-        write_by: job.write_by,
+        deadline_at: job.give_up_at,
+        send_by: job.write_by,
         // The attempt before it was waited for, and an answer cancels what is out.
         answered: false,
-        another_out: false,
-        attempts_used: false,
+        attempt_in_flight: false,
+        attempts_exhausted: false,
         repeat: None,
-        client_left: job.forward.is_left(),
+        client_disconnected: job.forward.is_left(),
         server_ready: shared.ready_workers.may_be_sent_to(job.target.server),
     })
 }
--- a/crates/gaparch-platform-router/src/worker/pool.rs
+++ b/crates/gaparch-platform-router/src/worker/pool.rs
@@ -5,7 +5,7 @@
 use crate::transient::connect_failure;
 use gaparch_platform_protocol::head::AnswerHead;
 use gaparch_scheduler::api::{Nanos, ServerId};
-use gaparch_scheduler::policy::connecting::{second_try_after, Carries, ConnectFailure, TRY_AGAIN};
+use gaparch_scheduler::policy::connect::{hedge_connection_after, ConnectFailure, SendRisk, RETRY_INTERVAL};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LastExchange {
     /// An attempt of a request, whose answer may be followed by another some milliseconds late.
-    Attempt(Carries),
+    Attempt(SendRisk),
     /// A call without a body, as a probe or a release.
     Call,
 }
@@ -89,8 +89,8 @@
     }
 
     /// A connection to that process: an idle one that is still good, if one may be used, else a new one.
-    pub async fn get_for(&self, target: Target, carries: Carries) -> Result<Conn, ConnectFailure> {
-        if carries.may_reuse() {
+    pub async fn get_for(&self, target: Target, carries: SendRisk) -> Result<Conn, ConnectFailure> {
+        if carries.may_reuse_connection() {
             self.get(target).await
         } else {
             self.fresh(target).await
@@ -115,10 +115,10 @@
         let tries = async {
             loop {
                 last = match self.connect(target).await {
-                    Err(failure) if failure.is_tried_again() => failure,
+                    Err(failure) if failure.is_retryable() => failure,
                     done => return done,
                 };
-                sleep(Duration::from_nanos(TRY_AGAIN)).await;
+                sleep(Duration::from_nanos(RETRY_INTERVAL)).await;
             }
         };
         let done = timeout(self.connect_within, tries).await;
@@ -129,7 +129,7 @@
     async fn connect(&self, target: Target) -> Result<Conn, ConnectFailure> {
         let first = self.connect_once(target);
         tokio::pin!(first);
-        let patience = second_try_after(self.connect_within.as_nanos() as Nanos);
+        let patience = hedge_connection_after(self.connect_within.as_nanos() as Nanos);
         tokio::select! {
             biased;
             done = &mut first => return done,
@@ -224,7 +224,7 @@
             return;
         };
         let (most, settle) = match exchange {
-            LastExchange::Attempt(carries) => (carries.kept(MOST_IDLE), SETTLE),
+            LastExchange::Attempt(carries) => (carries.idle_connections(MOST_IDLE), SETTLE),
             LastExchange::Call => (MOST_IDLE, Duration::ZERO),
         };
         let over = (worker.idle.len() + 1).saturating_sub(most);
--- a/crates/gaparch-platform-router/src/worker/pool_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/pool_tests.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use gaparch_platform_protocol::head::take_answer;
 use gaparch_scheduler::api::ServerId;
-use gaparch_scheduler::policy::connecting::{Carries, ConnectFailure};
+use gaparch_scheduler::policy::connect::{ConnectFailure, SendRisk};
 use gaparch_testbed::platform::Stuck;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     let conn = pool.fresh(target).await.expect("it listens");
     let (socket, _) = listener.accept().expect("accepted");
     pool.heard(target);
-    pool.put(conn, &answer_head(), LastExchange::Attempt(Carries::NothingHeld));
+    pool.put(conn, &answer_head(), LastExchange::Attempt(SendRisk::TimeOnly));
     tokio::time::sleep(SETTLE * 2).await;
     (pool, target, listener, socket)
 }
@@ -36,7 +36,7 @@
     let (pool, target, _listener, _socket) = kept().await;
     let conn = pool.get(target).await.expect("it is kept");
     assert!(conn.idle.is_some());
-    pool.put(conn, &answer_head(), LastExchange::Attempt(Carries::NothingHeld));
+    pool.put(conn, &answer_head(), LastExchange::Attempt(SendRisk::TimeOnly));
     // Bytes that belong to nobody may still be on their way.
     assert!(pool.idle(target).is_none());
     // Behind a probe none are, and the read that was probed for follows at once.
--- a/crates/gaparch-router/src/core/actions.rs
+++ b/crates/gaparch-router/src/core/actions.rs
@@ -10,8 +10,8 @@
     Action, AttemptNumber, AttemptOutcome, AttemptStatus, Event, GiveUpCause, LoadReport, Nanos, RequestId,
     Role, ServerId,
 };
-use gaparch_scheduler::policy::permits::{self, Denial, Repeat, SendFacts};
-use gaparch_scheduler::policy::releasing::goes_beside_a_write;
+use gaparch_scheduler::policy::kv_release::may_release_beside_decode;
+use gaparch_scheduler::policy::send_guards::{self, Denial, Repeat, SendFacts};
 
 impl Core {
     pub(super) fn act(&mut self, action: Action, out: &mut Vec<Output>) {
@@ -93,14 +93,14 @@
         let (zone, cell) = self.roster.place(server);
         // A read has no effect.
         let ran = live.ran.filter(|_| !reads).zip(class);
-        permits::may_send(&SendFacts {
+        send_guards::may_send(&SendFacts {
             now: self.now,
-            give_up_at: live.give_up_at,
-            write_by: by,
+            deadline_at: live.give_up_at,
+            send_by: by,
             answered: live.ended,
-            client_left: false,
-            another_out: live.attempt.is_some() && !settings.can_hedge,
-            attempts_used: live.next_attempt >= settings.max_attempts,
+            client_disconnected: false,
+            attempt_in_flight: live.attempt.is_some() && !settings.can_hedge,
+            attempts_exhausted: live.next_attempt >= settings.max_attempts,
             server_ready: self.roster.ready(server),
             repeat: ran.map(|(ran, class)| Repeat { class, ran, zone, cell }),
         })
@@ -111,7 +111,7 @@
         let Some(live) = self.live.get(&id) else { return Ok(()) };
         let Some(class) = self.config.module.classes.get(live.ask.class.0) else { return Ok(()) };
         let out = live.attempt.is_some_and(|a| a.stage == Stage::Write && !a.waits);
-        permits::may_refuse(class, out || live.ran.is_some())
+        send_guards::may_reject(class, out || live.ran.is_some())
     }
 
     /// A refusal; where one would promise too much, a failure, which promises nothing.
@@ -204,7 +204,7 @@
         live.held_at.extend(fetched_from.filter(|s| held.contains(s)));
         live.state_at = fetched_from;
         let arrived = write.is_some_and(|w| self.policy.has_run_since(w.server, w.sent_at));
-        let beside = goes_beside_a_write(self.config.links == Links::Exchanges, arrived);
+        let beside = may_release_beside_decode(self.config.links == Links::Exchanges, arrived);
         for server in held {
             let is_fetched = Some(server) == fetched_from;
             if beside || !is_fetched {
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -28,7 +28,7 @@
 use gaparch_protocol::ops::ending::{Cause, Ending, Evidence, WaitedFor};
 use gaparch_protocol::ops::intent::Taken;
 use gaparch_scheduler::api::{AttemptStatus, EndpointUpdate, Event, Nanos, RequestId, ServerId};
-use gaparch_scheduler::policy::permits::Denials;
+use gaparch_scheduler::policy::send_guards::Denials;
 use gaparch_scheduler::policy::Policy;
 use request::Live;
 use roster::Roster;
--- a/crates/gaparch-router/src/core/roster.rs
+++ b/crates/gaparch-router/src/core/roster.rs
@@ -10,7 +10,7 @@
 use gaparch_scheduler::api::{
     CellId, Endpoint, EndpointUpdate, Nanos, Role, ServerId, ServerState, Settings, ZoneId,
 };
-use gaparch_scheduler::policy::start_times::{self, ListedStart};
+use gaparch_scheduler::policy::process_start::{self, ListedStart};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -135,15 +135,15 @@
         };
         let start = |listed: &ListEntry| ListedStart {
             kind: config.names.kind(&listed.kind),
-            told: listed.started_at,
+            listed: listed.started_at,
             known: before(listed)
                 .filter(|known| known.listed.started_at == listed.started_at)
                 .and_then(|known| known.entry.started_at),
         };
         let starts: Vec<ListedStart> = entries.iter().map(start).collect();
         let began = match whole {
-            true => start_times::of_whole_list(now, config.module.slow_start_duration, &starts),
-            false => start_times::of_change(now, &starts),
+            true => process_start::starts_of_full_list(now, config.module.slow_start_duration, &starts),
+            false => process_start::starts_of_delta(now, &starts),
         };
         let after_the_last = |listed: &ListEntry, start: &ListedStart, began: Option<Nanos>| {
             let last =
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -1,108 +1,169 @@
 //! Every value that the decisions go by, with its reason.
 
 use crate::api::{Nanos, TimerToken};
-use crate::state::Nearness;
-
-pub const MS: Nanos = 1_000_000;
-/// Between looks at deadlines, held requests and overdue attempts.
-pub const TICK: Nanos = 10 * MS;
-/// Looks before its client leaves, an unanswered request ends.
-pub const LAST_CALL: f64 = 2.5;
-/// Of the release time, until a state is sent somewhere or let go.
-pub const RELEASE_SHARE: f64 = 0.7;
-/// Of it, from which the server of an unanswered write is probed.
-pub const PROBE_SHARE: f64 = 0.3;
-/// Of it, from which a state is sent to another writer if that server does not answer a probe.
-pub const LEAVE_SHARE: f64 = 0.6;
-/// Of it, from which a state is let go of beside its unanswered write.
-pub const LET_GO_SHARE: f64 = 0.9;
-/// A write to a running server has arrived by then, and a probe is answered.
-pub const ARRIVE_WITHIN: Nanos = 50 * MS;
-/// The design's: a full server is left alone, news needs no probe.
-pub const RECENTLY: Nanos = 1000 * MS;
-/// Of its memory, from which a writer looks full: answers in progress grow.
-pub const FULL_SHARE: f64 = 0.92;
-/// A near writer yields with this share of memory more held than the least.
-pub const WRITER_YIELD: f64 = 0.25;
-/// And this more for each second that far writes begin later: slow links.
-pub const MOVE_YIELD: f64 = 0.5;
-/// Times an even share that a reader is home to, whatever writers its cell has.
-pub const HOME_MOST: f64 = 1.6;
-/// Of a shared beginning, for each reader's even part of all requests it makes up.
-pub const HOMES: f64 = 3.0;
-/// Over which requests are counted for that.
-pub const SEEN_SPAN: Nanos = 60_000 * MS;
-/// Tokens that a read costs whatever its length: steps, hand-over.
-pub const READ_BASE: f64 = 400.0;
-/// Prompt length taken when none is told.
-pub const PROMPT_UNKNOWN: f64 = 500.0;
-/// Older news is none: many routers hear seldom from each server.
-pub const NEWS_FOR: Nanos = 3000 * MS;
-/// Of all service, that messages and probes before a choice may cost, each.
-pub const NEWS_WORTH: f64 = 0.015;
-/// Least gap between messages, some 50 bytes each; more where it must pay.
-pub const TELL_EVERY: Nanos = 300 * MS;
-/// How long a read waits for the answers of probes.
-pub const LOOK_FOR: Nanos = 30 * MS;
-/// Of the reader's cell, probed during a read.
-pub const LOOK_WRITERS: usize = 2;
-/// A writer whose probe takes longer has a queue: it looks full.
-pub const LOOK_LATE: Nanos = 120 * MS;
-/// Of reports, when own work is told from that of other routers.
-pub const REPORT_LAG: Nanos = 500 * MS;
-/// Of a new sample in running means: about the last ten count.
-pub const GAIN: f64 = 0.1;
-/// Of a slower sample in the pace of a read that waits for nothing.
-pub const BEST_GAIN: f64 = 0.02;
-/// Of a new sample in a server's own pace.
-pub const PACE_GAIN: f64 = 0.25;
-/// A server that fails rests until this router would come to it so often again.
-pub const REST_VISITS: f64 = 1.0;
-/// At most.
-pub const REST_MOST: Nanos = 16_000 * MS;
-/// Times its peers' median latency, a server counts as so much smaller.
-pub const SLOW_FROM: f64 = 2.0;
-/// And from here on it gets one request at a time.
-pub const SLOW_SHUN: f64 = 3.0;
-/// Before a server's own pace is believed.
-pub const SAMPLES: u32 = 3;
-/// To a server that could not be reached.
-pub const PROBE_EVERY: Nanos = 400 * MS;
-/// A write not begun for this long is queued: its writer looks full.
-pub const STALLED: Nanos = 400 * MS;
-/// And is called off if another writer has room.
-pub const WRITE_PATIENCE: Nanos = 900 * MS;
-/// Of the aim: a reader with a longer wait looks full, and the rest waits here.
-pub const READ_WAIT: f64 = 0.25;
-/// Of the aim: a read is lost: too many come, all routers together.
-pub const READ_LATE: f64 = 1.0;
-/// Part of the reads lately sent that goes on then, once a second at most.
-pub const READS_CUT: f64 = 0.8;
-/// A second, until then.
-pub const READS_GROW: f64 = 0.2;
-/// Past that and its expected time, by which a read is overdue.
-pub const DEVIATIONS: f64 = 4.0;
-/// Attempts that may be called off for each sent: in a jam more would add to it.
-pub const CALL_OFFS: f64 = 0.2;
-/// Time-out of a send where attempts can't be called off.
-pub const BLIND_PATIENCE: Nanos = 1500 * MS;
-/// For a read and a write from the start.
-pub const ATTEMPTS_KEPT: u32 = 2;
-/// Over which the load of warm peers is averaged, for the cold budget.
-pub const PEER_SPAN: Nanos = 5000 * MS;
-/// Mean requests a window that a cold server gets when peers tell nothing.
-pub const COLD_FLOOR: f64 = 0.5;
-/// Times its share before a tenant is over it: routers see uneven parts.
-pub const SHARE_SLACK: f64 = 1.5;
-/// Seconds of its share that may come at once, and one request besides.
-pub const SHARE_BURST: f64 = 2.0;
-/// Servers up to which a request chooses among all, and a tick goes through all.
-pub const WALKED: usize = 256;
-/// Of more: near its key.
-pub const NEAR: Nearness = Nearness { enough: 64, most: 256, points: 16, edge: 1e-3 };
-/// A second before a choice, where there are many servers: some 2 KB with all else.
-pub const PROBES: f64 = 16.0;
-/// At held requests for each event, where each has servers of its own to be looked at.
-pub const LOOKS: usize = 8;
+use crate::state::{EjectionBounds, LatencyComparison, LearningGains, NeighborhoodLimits, RateReduction};
+
+/// Nanoseconds in a millisecond.
+const MILLISECOND: Nanos = 1_000_000;
+
+/// The timer of the tick.
 pub const TICK_TIMER: TimerToken = TimerToken(0);
-pub const ASK_TIMER: TimerToken = TimerToken(1);
+/// The timer after which the endpoint list is asked for again.
+pub const ENDPOINT_POLL_TIMER: TimerToken = TimerToken(1);
+
+/// The time between two checks of deadlines, queued requests and overdue attempts.
+pub const TICK_INTERVAL: Nanos = 10 * MILLISECOND;
+/// An unanswered request ends so many checks before its client leaves, so that the answer still
+/// reaches it.
+pub const GIVE_UP_MARGIN_CHECKS: f64 = 2.5;
+/// What counts as recent: a server that was saturated is left alone for so long, and one heard from
+/// needs no probe.
+pub const RECENT: Nanos = 1000 * MILLISECOND;
+
+/// The share of the KV release time by which a KV cache has to be sent for, or its request is given
+/// up.
+pub const PLACEMENT_SHARE: f64 = 0.7;
+/// The share of the KV release time after which the server of an unanswered decode attempt is probed.
+pub const PROBE_SHARE: f64 = 0.3;
+/// The share of it after which another decode worker is tried, if that server does not answer the
+/// probe.
+pub const RETRY_SHARE: f64 = 0.6;
+/// The share of it after which the KV cache is released beside its unanswered decode attempt.
+pub const RELEASE_SHARE: f64 = 0.9;
+/// The time in which an attempt reaches a running server, and in which that answers a probe.
+pub const DELIVERY_TIME: Nanos = 50 * MILLISECOND;
+
+/// The KV cache utilization from which a decode worker counts as saturated: answers in progress grow.
+pub const SATURATION_UTILIZATION: f64 = 0.92;
+/// How much higher the KV cache utilization of a near decode worker may be than that of the least
+/// loaded one.
+pub const NEAR_DECODE_TOLERANCE: f64 = 0.25;
+/// What is added to that for each second that decoding begins later across cells, as it does over
+/// slow links.
+pub const SLOW_LINK_TOLERANCE: f64 = 0.5;
+/// The least relative speed that a server counts with, so that its load stays finite.
+pub const MIN_RELATIVE_SPEED: f64 = 0.02;
+/// The least share of a warm server's speed that one that is warming up counts with.
+pub const MIN_SLOW_START_SPEED: f64 = 0.1;
+
+/// The most affinity that a prefill worker attracts, as a multiple of an even share, whatever
+/// decode workers its cell has.
+pub const MAX_AFFINITY: f64 = 1.6;
+/// The least affinity that a prefill worker attracts, so that weights stay finite.
+pub const MIN_AFFINITY: f64 = 1e-3;
+/// The least share of a cell's weight that is divided by.
+pub const MIN_CELL_SHARE: f64 = 1e-9;
+/// Prefill workers that a shared prefix is spread over, for each even worker's share of all
+/// requests that it makes up.
+pub const WORKERS_PER_PREFIX_SHARE: f64 = 3.0;
+/// The span over which requests are counted for that.
+pub const POPULARITY_SPAN: Nanos = 60_000 * MILLISECOND;
+
+/// Tokens that a prefill costs whatever its length, for its steps and the hand-over.
+pub const PREFILL_BASE_TOKENS: f64 = 400.0;
+/// The prompt length that is assumed where a request has none.
+pub const DEFAULT_PROMPT_TOKENS: f64 = 500.0;
+/// The weight of a new sample in running means, so that about the last ten count.
+pub const MEAN_GAIN: f64 = 0.1;
+/// How the prefill cost model learns: a slower sample moves the unloaded pace by little, as it may
+/// have queued.
+pub const PREFILL_GAINS: LearningGains = LearningGains { mean: MEAN_GAIN, slower_unloaded: 0.02 };
+/// A prefill is overdue when it is slower than the mean by so many deviations.
+pub const OVERDUE_DEVIATIONS: f64 = 4.0;
+/// The share of the latency objective from which a wait makes a prefill worker count as saturated;
+/// further requests wait in the router's queue.
+pub const PREFILL_WAIT_SHARE: f64 = 0.25;
+/// The share of the latency objective from which a prefill is lost, a sign of more requests than
+/// all routers can serve.
+pub const PREFILL_LOST_SHARE: f64 = 1.0;
+/// How prefills are throttled after a lost one: to a share of those recently sent, at most once a
+/// second.
+pub const PREFILL_REDUCTION: RateReduction =
+    RateReduction { factor: 0.8, measured_over: RATE_SPAN, interval: RECENT };
+/// The share by which the prefill rate grows in a second.
+pub const PREFILL_RATE_GROWTH: f64 = 0.2;
+
+/// The age from which load reports count no longer: many routers hear seldom from each server.
+pub const LOAD_MAX_AGE: Nanos = 3000 * MILLISECOND;
+/// The lag of load reports, with which own work is told from that of other routers.
+pub const REPORT_LAG: Nanos = 500 * MILLISECOND;
+/// The points that each request earns for probes, and for gossip: the share of all service that
+/// each of them may cost.
+pub const INFORMATION_POINTS: f64 = 0.015;
+/// The most points that are saved up.
+pub const MAX_INFORMATION_POINTS: f64 = INFORMATION_POINTS * 100.0;
+/// The least time between two gossip messages, of some 50 bytes each; more where they have to be
+/// earned.
+pub const GOSSIP_INTERVAL: Nanos = 300 * MILLISECOND;
+/// The size of a gossip message for which its cost is set, in bytes.
+pub const GOSSIP_COST_BYTES: f64 = 256.0;
+
+/// How long a prefill waits for the answers of load probes.
+pub const PROBE_WAIT: Nanos = 30 * MILLISECOND;
+/// The number of decode workers of the prefill worker's cell that are probed during a prefill.
+pub const PROBED_DECODE_WORKERS: usize = 2;
+/// A decode worker whose probe takes longer has a queue, and counts as saturated.
+pub const SLOW_PROBE_LATENCY: Nanos = 120 * MILLISECOND;
+/// The most load probes a second where there are many servers: some 2 KB with all that belongs to
+/// them.
+pub const LOAD_PROBES_PER_SECOND: f64 = 16.0;
+/// The time between two probes of a server that could not be reached.
+pub const HEALTH_CHECK_INTERVAL: Nanos = 400 * MILLISECOND;
+
+/// A server that fails is ejected until this router would send to it so often again.
+pub const EJECTION_VISITS: f64 = 1.0;
+/// The longest ejection.
+pub const MAX_EJECTION: Nanos = 16_000 * MILLISECOND;
+/// The latency ratio to the median of its peers from which a server counts as so much smaller.
+pub const SLOW_LATENCY_RATIO: f64 = 2.0;
+/// The latency ratio from which a server is an outlier, and gets one request at a time.
+pub const OUTLIER_LATENCY_RATIO: f64 = 3.0;
+/// How the latencies of servers are compared: a server's own counts from its third sample on.
+pub const LATENCY_COMPARISON: LatencyComparison =
+    LatencyComparison { gain: 0.25, needed_samples: 3, sweep_above: SERVERS_PER_STEP };
+
+/// A decode attempt without a first token for so long is queued: its worker counts as saturated.
+pub const DECODE_STALL: Nanos = 400 * MILLISECOND;
+/// A decode attempt without a first token for so long is cancelled if another worker has capacity.
+pub const DECODE_PATIENCE: Nanos = 900 * MILLISECOND;
+/// The cancellations that are allowed at the start.
+pub const INITIAL_CANCELLATIONS: f64 = 1.0;
+/// The cancellations that each attempt sent allows: in a jam more would add to it.
+pub const CANCELLATIONS_PER_ATTEMPT: f64 = 0.2;
+/// The most cancellations that are saved up.
+pub const MAX_CANCELLATIONS: f64 = 1.0 + CANCELLATIONS_PER_ATTEMPT * 10.0;
+/// The least timeout of a send where attempts can't be cancelled.
+pub const MIN_SEND_TIMEOUT: Nanos = 1500 * MILLISECOND;
+/// The attempts that an answer takes from the start: a prefill and a decode attempt.
+pub const ATTEMPTS_FROM_START: u32 = 2;
+/// The attempts that an answer takes once there is a KV cache.
+pub const ATTEMPTS_FROM_KV_CACHE: u32 = 1;
+
+/// The span over which rates of sends are measured, for slow start and for the throttle.
+pub const RATE_SPAN: Nanos = 5000 * MILLISECOND;
+/// Mean requests that a server that is warming up gets in an overload window when its peers get
+/// nothing.
+pub const SLOW_START_FLOOR: f64 = 0.5;
+/// The shortest overload window that is divided by, in seconds.
+pub const MIN_OVERLOAD_WINDOW_SECONDS: f64 = 0.1;
+
+/// How many times its even part a tenant may send through this router: routers see uneven parts of
+/// its requests.
+pub const QUOTA_TOLERANCE: f64 = 1.5;
+/// Seconds of its quota that a tenant may send at once, and one request besides.
+pub const QUOTA_BURST_SECONDS: f64 = 2.0;
+
+/// The number of servers up to which a request chooses among all, and a tick goes through all.
+pub const SERVERS_PER_STEP: usize = 256;
+/// Among which servers a request chooses where there are more.
+pub const NEIGHBORHOOD: NeighborhoodLimits =
+    NeighborhoodLimits { enough: 64, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
+/// Queued requests that are checked for each event, where each has servers of its own.
+pub const ADMISSION_CHECKS_PER_EVENT: usize = 8;
+
+/// The bounds of an ejection whose server this router would send to again after `revisit`, in
+/// nanoseconds.
+pub fn ejection_bounds(revisit: f64) -> EjectionBounds {
+    let shortest = (EJECTION_VISITS * revisit) as Nanos;
+    EjectionBounds { shortest: shortest.clamp(RECENT, MAX_EJECTION), longest: MAX_EJECTION }
+}
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -1,68 +1,116 @@
-//! Which servers a request may be sent to now: cold, ill, or outside the group that drops its repeats.
+//! Which servers a request may be sent to now: not in slow start without budget, unhealthy, or
+//! outside the scope in which its repeats are deduplicated.
 
-use super::constants::*;
-use super::permits::{may_repeat, Repeat};
+use super::constants::{NEIGHBORHOOD, TICK_INTERVAL};
+use super::health::is_unhealthy;
+use super::send_guards::{may_repeat, Repeat};
+use super::slow_start::slow_start_allows;
 use super::Policy;
-use crate::api::*;
-use crate::state::*;
+use crate::api::{Idempotency, Nanos, TrafficClass};
+use crate::state::{InFlightRequest, Neighborhood, Server, ServerIndices, TrafficClassKey};
+
+/// What servers are wanted for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum WorkerPool {
+    /// To prefill.
+    Prefill,
+    /// To decode.
+    Decode,
+}
 
 impl Policy {
-    /// Servers of one stage that may be sent to now, leaving out ill ones while enough others are left.
-    pub(crate) fn candidates(&self, reads: bool, work: &Work) -> Vec<&Server> {
-        self.open_to(&self.near(Some(work)).places, reads, Some(work), Some(work.part()))
+    /// The servers that a request may be sent to now, without unhealthy ones while enough others
+    /// are left.
+    pub(crate) fn candidates(&self, pool: WorkerPool, request: &InFlightRequest) -> Vec<&Server> {
+        let neighborhood = self.neighborhood(Some(request));
+        self.eligible_servers(&neighborhood.servers, pool, Some(request), Some(request.traffic()))
+    }
+
+    /// The servers that a request chooses among; without a request all. A repeat may be bound to
+    /// servers anywhere.
+    pub(super) fn neighborhood(&self, request: Option<&InFlightRequest>) -> Neighborhood<'_> {
+        let cell = request.and_then(|request| self.servers.get(request.kv_cache?.server)?.listing.cell);
+        let bound = request.filter(|request| request.may_have_run.is_none());
+        self.fleet.neighborhood(bound.map(|request| request.position), cell, NEIGHBORHOOD)
     }
 
-    /// Those that a request chooses among; without one all. A repeat may be bound to servers anywhere.
-    pub(super) fn near(&self, work: Option<&Work>) -> Near<'_> {
-        let cell = work.and_then(|w| self.servers.get(&w.state?.0)?.cell);
-        self.averages.near(work.filter(|w| w.may_have_run.is_none()).map(|w| w.position), cell, NEAR)
+    /// The eligible ones among servers, for a request or for any of a traffic class. With no decode
+    /// worker left mixed servers take KV caches too.
+    pub(super) fn eligible_servers(
+        &self,
+        among: &ServerIndices,
+        pool: WorkerPool,
+        request: Option<&InFlightRequest>,
+        traffic: Option<TrafficClassKey>,
+    ) -> Vec<&Server> {
+        let allowed = self.allowed_servers(among, pool, request);
+        let failed = request.map_or(&[][..], |request| &request.failed_servers);
+        let is_healthy =
+            |server: &Server| !is_unhealthy(self.now, server, traffic) && !failed.contains(&server.id);
+        let healthy: Vec<&Server> = allowed.iter().copied().filter(|server| is_healthy(server)).collect();
+        // Where most look unhealthy the cause is likely elsewhere, and the few left would be swamped.
+        if !healthy.is_empty() && healthy.len() * 3 >= allowed.len() {
+            return healthy;
+        }
+        let none_reachable = allowed.iter().all(|server| server.liveness.is_unreachable());
+        let is_reachable = |server: &&Server| none_reachable || !server.liveness.is_unreachable();
+        allowed.into_iter().filter(is_reachable).collect()
     }
 
-    /// The same for any request of a part of the traffic. With no writer left mixed servers take states too.
-    pub(super) fn open_to(
+    fn allowed_servers(
         &self,
-        all: &Places,
-        reads: bool,
-        work: Option<&Work>,
-        part: Option<Part>,
+        among: &ServerIndices,
+        pool: WorkerPool,
+        request: Option<&InFlightRequest>,
     ) -> Vec<&Server> {
-        let may = |s: &&Server| self.cold_budget_allows(s) && work.is_none_or(|w| self.may_go_to(w, s));
-        let of = |pool: &[usize]| self.servers.at(pool).filter(may).collect::<Vec<&Server>>();
-        let open = of(if reads { &all.readers } else { &all.writers });
-        let open =
-            if open.iter().all(|s| s.unreachable) && !reads { [open, of(&all.mixed)].concat() } else { open };
-        let avoid = work.map_or(&[][..], |w| &w.avoid);
-        let well = |s: &&Server| !self.ill(s, part) && !avoid.contains(&s.id);
-        let well: Vec<&Server> = open.iter().copied().filter(well).collect();
-        // Where most look ill the cause is likely elsewhere, and the few left would be swamped.
-        if !well.is_empty() && well.len() * 3 >= open.len() {
-            return well;
+        let is_allowed = |server: &&Server| {
+            slow_start_allows(self.now, &self.settings, server)
+                && request.is_none_or(|request| self.allows_repeat(request, server))
+        };
+        let allowed_of = |indices: &[usize]| self.servers.at(indices).filter(is_allowed).collect();
+        if pool == WorkerPool::Prefill {
+            return allowed_of(&among.prefill);
+        }
+        let mut allowed: Vec<&Server> = allowed_of(&among.decode);
+        if allowed.iter().all(|server| server.liveness.is_unreachable()) {
+            let mixed: Vec<&Server> = allowed_of(&among.mixed);
+            allowed.extend(mixed);
         }
-        let none = open.iter().all(|s| s.unreachable);
-        open.into_iter().filter(|s| none || !s.unreachable).collect()
+        allowed
     }
 
-    /// Rule 2 for keyed requests that may have run: same group, within the window.
-    fn may_go_to(&self, work: &Work, s: &Server) -> bool {
-        let Some(ran) = work.may_have_run else { return true };
-        let (zone, cell) = (s.zone, s.cell);
-        let dropped = |class: &TrafficClass| may_repeat(self.now, &Repeat { class, ran, zone, cell });
-        !self.spent(work) && self.set.classes.get(work.request.class.0).is_some_and(dropped)
+    /// Whether a server would drop the request as a repeat if it has run, or it has not.
+    fn allows_repeat(&self, request: &InFlightRequest, server: &Server) -> bool {
+        let Some(ran) = request.may_have_run else { return true };
+        let Some(class) = self.class_of(request) else { return false };
+        let (zone, cell) = (server.listing.zone, server.listing.cell);
+        !self.is_repeat_impossible(request) && may_repeat(self.now, &Repeat { class, ran, zone, cell })
     }
 
     /// It may have run and may never be sent again: waiting would only keep its client.
-    pub(super) fn spent(&self, work: &Work) -> bool {
-        let Some(ran) = work.may_have_run else { return false };
-        let Some(class) = self.set.classes.get(work.request.class.0) else { return true };
-        let over = self.now.saturating_add(TICK) >= self.repeat_by(work);
-        class.idempotency == Idempotency::NotIdempotent
-            || class.deduplication_scope.domain(ran.zone, ran.cell).is_none()
-            || over
+    pub(super) fn is_repeat_impossible(&self, request: &InFlightRequest) -> bool {
+        let Some(ran) = request.may_have_run else { return false };
+        let Some(class) = self.class_of(request) else { return true };
+        let is_too_late = self.now.saturating_add(TICK_INTERVAL) >= self.repeat_deadline(request);
+        let has_no_scope = class.deduplication_scope.domain(ran.zone, ran.cell).is_none();
+        class.idempotency == Idempotency::NotIdempotent || has_no_scope || is_too_late
+    }
+
+    /// When the last byte of its next send has to be out: one with a key is a repeat only within
+    /// its window.
+    pub(super) fn repeat_deadline(&self, request: &InFlightRequest) -> Nanos {
+        let Some(ran) = request.may_have_run else { return Nanos::MAX };
+        let Some(class) = self.class_of(request) else { return Nanos::MAX };
+        ran.at.saturating_add(class.deduplication_window)
+    }
+
+    /// The class of a request, if it is one of the settings.
+    pub(super) fn class_of(&self, request: &InFlightRequest) -> Option<&TrafficClass> {
+        self.settings.classes.get(request.request().class.0)
     }
 
-    /// When the last byte of its next send has to be out: a keyed one is a repeat only within its window.
-    pub(super) fn repeat_by(&self, work: &Work) -> Nanos {
-        let ran = work.may_have_run.zip(self.set.classes.get(work.request.class.0));
-        ran.map_or(Nanos::MAX, |(ran, class)| ran.at.saturating_add(class.deduplication_window))
+    /// A second attempt of the request is harmless, whatever the first has done.
+    pub(super) fn is_idempotent(&self, request: &InFlightRequest) -> bool {
+        self.class_of(request).is_some_and(|class| class.idempotency == Idempotency::Idempotent)
     }
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,92 +1,145 @@
-//! Health of servers, by symptom and against their peers.
+//! Health of servers, by their failures and against their peers.
 
-use super::constants::*;
+use super::constants::{
+    ejection_bounds, HEALTH_CHECK_INTERVAL, OUTLIER_LATENCY_RATIO, POPULARITY_SPAN, RECENT, REPORT_LAG,
+    SLOW_PROBE_LATENCY,
+};
 use super::Policy;
-use crate::api::*;
-use crate::state::*;
+use crate::api::{Action, AffinityKey, AttemptOutcome, AttemptStatus, LoadReport, Nanos, Role, ServerId};
+use crate::state::{InFlightRequest, Server, TrafficClassKey};
 
-impl Policy {
-    pub(crate) fn ill(&self, s: &Server, part: Option<Part>) -> bool {
-        let rests = s.rests(self.now, None) || part.is_some() && s.rests(self.now, part);
-        s.unreachable || rests || s.pace_ratio >= SLOW_SHUN && s.unbegun > 0
-    }
+/// Whether a server is to be avoided: unreachable, ejected for all traffic or for this class, or an
+/// outlier that has its one request.
+pub(crate) fn is_unhealthy(now: Nanos, server: &Server, traffic: Option<TrafficClassKey>) -> bool {
+    let is_ejected = server.ejections.is_ejected(now, None)
+        || traffic.is_some() && server.ejections.is_ejected(now, traffic);
+    let is_busy_outlier =
+        server.latency.ratio() >= OUTLIER_LATENCY_RATIO && server.own_load.awaiting_first_token() > 0;
+    server.liveness.is_unreachable() || is_ejected || is_busy_outlier
+}
 
-    /// Takes a server out for a while, for all traffic or for a part that it refuses or leaves unanswered
-    /// while it serves the rest. One failure has to tell where a router seldom meets a server.
-    pub(super) fn rest(&mut self, server: ServerId, part: Option<Part>) {
-        let visits = REST_VISITS * self.seen.gap(self.now, SEEN_SPAN) * self.servers.len() as f64;
-        let (now, least) = (self.now, (visits as Nanos).clamp(RECENTLY, REST_MOST));
-        self.servers.get_mut(&server).into_iter().for_each(|s| s.rest(now, part, least, REST_MOST));
+impl Policy {
+    /// Ejects a server for a while, for all traffic or for a class that it rejects or leaves
+    /// unanswered while it serves the rest. One failure has to tell where a router seldom sends to
+    /// a server.
+    pub(super) fn eject(&mut self, id: ServerId, traffic: Option<TrafficClassKey>) {
+        let interval = self.traffic.mean_interval(self.now, POPULARITY_SPAN);
+        let bounds = ejection_bounds(interval * self.servers.len() as f64);
+        if let Some(server) = self.servers.get_mut(id) {
+            server.ejections.eject(self.now, traffic, bounds);
+        }
     }
 
-    pub(super) fn note_health(&mut self, o: &AttemptOutcome) {
-        let (now, part) = (self.now, self.works.get(&o.id).map(Work::part));
-        let Some(s) = self.servers.get_mut(&o.server) else { return };
-        if o.status.is_answer() {
-            s.answered(now, o.latency);
+    /// Records what the end of an attempt says of its server.
+    pub(super) fn record_health(&mut self, outcome: &AttemptOutcome) {
+        let now = self.now;
+        let traffic = self.requests.get(outcome.id).map(InFlightRequest::traffic);
+        let Some(server) = self.servers.get_mut(outcome.server) else { return };
+        let is_answer = outcome.status.is_answer();
+        if is_answer {
+            server.liveness.record_answer(now, outcome.latency);
         }
-        let heard = o.status.is_answer() || o.status == AttemptStatus::Reset;
-        s.heard_at = if heard { now } else { s.heard_at };
-        match o.status {
+        if is_answer || outcome.status == AttemptStatus::Reset {
+            server.liveness.record_response(now);
+        }
+        match outcome.status {
             AttemptStatus::Ok | AttemptStatus::Prefilled => {
-                (s.unreachable, s.lost) = (false, false);
-                part.into_iter().for_each(|part| s.served(part));
-            }
-            AttemptStatus::Error | AttemptStatus::Unknown => self.rest(o.server, None),
-            AttemptStatus::Rejected if !o.kv_cache_missing || s.role == Role::Prefill => {
-                s.full_at = Some(now);
-                self.rest(o.server, part);
+                server.liveness.mark_reachable();
+                if let Some(traffic) = traffic {
+                    server.ejections.record_success(traffic);
+                }
             }
-            AttemptStatus::Timeout => self.rest(o.server, part),
-            // A probe tells when it is back. A broken connection alone is no new process, and not cold.
-            AttemptStatus::ConnectFailed | AttemptStatus::Reset => {
-                (s.unreachable, s.lost, s.probe_at) = (true, s.lost || o.status != AttemptStatus::Reset, now);
+            AttemptStatus::Error | AttemptStatus::Unknown => self.eject(outcome.server, None),
+            AttemptStatus::Rejected if is_saturated(outcome, server.listing.role) => {
+                server.saturated_at = Some(now);
+                self.eject(outcome.server, traffic);
             }
+            AttemptStatus::Timeout => self.eject(outcome.server, traffic),
+            // A probe finds out when it is back. A broken connection alone is no new process, and
+            // not warming up.
+            AttemptStatus::ConnectFailed => server.liveness.mark_connection_lost(now),
+            AttemptStatus::Reset => server.liveness.mark_unresponsive(now),
             _ => {}
         }
     }
 
-    pub(super) fn on_probed(
+    /// A probe has ended.
+    pub(super) fn on_probe_finished(
         &mut self,
-        server: ServerId,
+        id: ServerId,
         status: AttemptStatus,
         latency: Nanos,
         report: Option<LoadReport>,
     ) {
-        let (now, waits) = (self.now, self.reads.tokens(latency));
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.note_report(now, REPORT_LAG, report, self.reads.size.value);
-        s.asked_at = None;
+        let now = self.now;
+        let queued_tokens = self.prefill_cost.tokens_within(latency);
+        let debt = AffinityKey(self.settings.seed).unit_interval(id);
+        let Some(server) = self.servers.get_mut(id) else { return };
+        server.record_report(now, REPORT_LAG, report, self.prefill_cost.mean_computed_tokens());
+        server.liveness.record_probe_finished();
         if status.is_answer() {
-            s.answered(now, latency);
+            server.liveness.record_answer(now, latency);
         }
         if matches!(status, AttemptStatus::Ok | AttemptStatus::Timeout) {
-            s.others_unread = Some((waits - s.unread).max(0.0));
-            s.news_at = now;
-            let late = s.role != Role::Prefill && latency >= LOOK_LATE;
-            s.full_at = if late { Some(now) } else { s.full_at };
+            record_probe_latency(now, server, latency, queued_tokens);
         }
-        if status == AttemptStatus::ConnectFailed {
-            (s.unreachable, s.lost, s.probe_at) = (true, true, now + PROBE_EVERY);
-        } else if status == AttemptStatus::Ok {
-            if s.lost {
-                // It may be a new process that the list has not told of: cold, or all routers pour onto it.
-                s.back_at = now;
-                s.budget = Bucket::owing(now, AffinityKey(self.set.seed).unit_interval(server));
+        match status {
+            AttemptStatus::ConnectFailed => {
+                server.liveness.mark_connection_lost(now + HEALTH_CHECK_INTERVAL);
             }
-            (s.unreachable, s.lost) = (false, false);
-            (s.heard_at, s.quick_at) = (now, if latency < LOOK_LATE { now } else { s.quick_at });
+            AttemptStatus::Ok => record_probe_success(now, server, latency, debt),
+            _ => {}
         }
     }
 
-    pub(super) fn probe(&mut self) {
-        for s in self.servers.values_mut().filter(|s| s.ready && s.unreachable && s.probe_at <= self.now) {
-            if self.set.can_probe {
-                s.probe_at = self.now + PROBE_EVERY;
-                self.out.push(Action::Probe(s.id));
-            } else if self.now >= s.probe_at + RECENTLY {
-                s.unreachable = false;
+    /// Probes the servers that could not be reached, or tries them again where probes are not
+    /// allowed.
+    pub(super) fn check_unreachable_servers(&mut self) {
+        let now = self.now;
+        for server in self.servers.iter_mut() {
+            let is_checked = server.listing.is_ready() && server.liveness.is_unreachable();
+            if !is_checked || server.liveness.next_probe_at() > now {
+                continue;
+            }
+            if self.settings.can_probe {
+                server.liveness.schedule_probe(now + HEALTH_CHECK_INTERVAL);
+                self.actions.push(Action::Probe(server.id));
+            } else if now >= server.liveness.next_probe_at() + RECENT {
+                server.liveness.presume_reachable();
             }
         }
     }
 }
+
+/// Whether a rejection says that the server is saturated: a decode worker may have rejected a KV
+/// cache that it did not find.
+fn is_saturated(outcome: &AttemptOutcome, role: Role) -> bool {
+    !is_kv_cache_missing(outcome) || role == Role::Prefill
+}
+
+/// Whether a server rejected an attempt because it found no KV cache to fetch.
+pub(super) fn is_kv_cache_missing(outcome: &AttemptOutcome) -> bool {
+    outcome.status == AttemptStatus::Rejected && outcome.kv_cache_missing
+}
+
+/// A probe waits in the server's queue: its latency shows how long that is.
+fn record_probe_latency(now: Nanos, server: &mut Server, latency: Nanos, queued_tokens: f64) {
+    let peer_tokens = (queued_tokens - server.own_load.queued_prompt_tokens()).max(0.0);
+    server.reported_load.record_queue(now, peer_tokens);
+    if server.listing.role != Role::Prefill && latency >= SLOW_PROBE_LATENCY {
+        server.saturated_at = Some(now);
+    }
+}
+
+fn record_probe_success(now: Nanos, server: &mut Server, latency: Nanos, debt: f64) {
+    if server.liveness.is_connection_lost() {
+        // It may be a new process that the list has not named yet: it warms up, or all routers
+        // would pour onto it.
+        server.slow_start.record_recovery(now, debt);
+    }
+    server.liveness.mark_reachable();
+    server.liveness.record_response(now);
+    if latency < SLOW_PROBE_LATENCY {
+        server.liveness.record_fast_probe(now);
+    }
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,127 +1,177 @@
-//! Every decision of the router. The interface (settings, events, actions) is in `src/api.rs`,
-//! the tables are in `src/state/`, the reasons at length in `docs/design.md`.
-//! Read it along a request's path: asked -> held while all writers look full -> read at its home reader
-//! -> written near that reader -> answered. Then come health, cold servers and the clock.
+//! Every decision of the router. The interface (settings, events, actions) is in `src/api.rs`, the
+//! tables are in `src/state/`, the reasons at length in `docs/design.md`.
+//!
+//! Read it along a request's path: it arrives and is queued while all decode workers look
+//! saturated, is prefilled at the worker that it has affinity to, decoded near that worker, and
+//! answered. Then come health, slow start and the clock.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `admission` | requests that come in, and are held before their read while all writers look full |
-//! | `reading` | where it is read: at home, unless that is clearly busier than the least loaded |
-//! | `writing` | where a request that has been read is written: at a writer with room near the state |
-//! | `eligibility` | which servers a request may be sent to now: not cold, ill, or outside its group |
-//! | `arrivals` | whether a write has reached a running server, and what is done while nobody knows |
-//! | `attempts` | attempts: their send, their beginning, their end, and what follows it |
-//! | `endings` | the end of a request: refused where trying again is harmless, else failed |
-//! | `health` | health of servers, by symptom and against their peers |
-//! | `slow_start` | slow start: what a server that has just started may be sent |
-//! | `permits` | whether something may be sent, sent again or refused now: the rules, asked before each |
-//! | `releasing` | how what is held for a request is let go of until some server has heard of it |
-//! | `intake` | what is taken in while a router ends, and which connection makes room for another |
-//! | `start_times` | when a listed process began, by the router's own clock |
-//! | `members` | the list of servers |
-//! | `connecting` | what a connection that did not come up says, and whether it is tried again |
+//! | `request_arrival` | what is expected of a request that arrives, and which prefill workers it prefers |
+//! | `quotas` | whether a request is beyond its tenant's quota |
+//! | `admission` | which queued requests are admitted to their prefill, and when |
+//! | `prefill_placement` | where it is prefilled: at its preferred worker, unless that is clearly busier |
+//! | `prefill_affinity` | which prefill workers a request has affinity to |
+//! | `decode_placement` | where it is decoded: at a worker with capacity near its KV cache |
+//! | `decode_capacity` | whether a decode worker has capacity |
+//! | `eligibility` | which servers a request may be sent to now |
+//! | `load_probes` | which servers are probed before a choice, and what that may cost |
+//! | `unanswered_decode` | whether a decode attempt has arrived, and what is done while nobody knows |
+//! | `attempts` | when and how an attempt is sent, and its first token |
+//! | `attempt_end` | what is learnt from the end of an attempt, and what follows it |
+//! | `request_end` | the end of a request: rejected where a retry is harmless, else failed |
+//! | `health` | health of servers, by their failures and against their peers |
+//! | `slow_start` | what a server that has just started may be sent |
+//! | `send_guards` | whether something may be sent, sent again or rejected now, by the rules |
+//! | `kv_release` | how the KV cache of a request is released until some server has confirmed it |
+//! | `shutdown_intake` | what is accepted while a router shuts down, and which connection is closed |
+//! | `process_start` | when a listed process started, by the router's own clock |
+//! | `endpoints` | the endpoint list |
+//! | `connect` | what a failed connection says, and whether it is retried |
 //! | `deadlines` | the clock: deadlines, and attempts that take too long |
-//! | `peers` | messages between routers |
+//! | `gossip` | messages between routers, and the load of silent ones |
 
 mod admission;
-pub mod arrivals;
+mod attempt_end;
 mod attempts;
-pub mod connecting;
+pub mod connect;
 mod constants;
 mod deadlines;
+mod decode_capacity;
+mod decode_placement;
 mod eligibility;
-mod endings;
+mod endpoints;
+mod gossip;
 mod health;
-pub mod intake;
-mod members;
-mod peers;
-pub mod permits;
-mod reading;
-pub mod releasing;
+pub mod kv_release;
+mod load_probes;
+mod prefill_affinity;
+mod prefill_placement;
+pub mod process_start;
+mod quotas;
+mod request_arrival;
+mod request_end;
+pub mod send_guards;
+pub mod shutdown_intake;
 mod slow_start;
-pub mod start_times;
-mod writing;
+pub mod unanswered_decode;
+
+pub(crate) use eligibility::WorkerPool;
+pub(crate) use health::is_unhealthy;
+pub(crate) use slow_start::{is_warming_up, slow_start_allows};
 
-use crate::api::*;
-use crate::state::*;
-use constants::*;
+use crate::api::{Action, Event, Nanos, Settings};
+use crate::state::{
+    decode_gossip, Budget, DecodeStartDelays, FleetSummary, PeerLoad, PrefillCostModel, RequestTable,
+    ServerTable, TrafficStatistics,
+};
+use admission::Admission;
+use constants::{
+    ENDPOINT_POLL_TIMER, INITIAL_CANCELLATIONS, LOAD_MAX_AGE, SERVERS_PER_STEP, TICK_INTERVAL, TICK_TIMER,
+};
+use gossip::Gossip;
+use quotas::TenantQuotas;
+use slow_start::SlowStart;
 
-#[derive(Default)]
+/// The decisions of one router. Each field owns the state of one concern; the modules turn events
+/// into calls on them.
 pub struct Policy {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) now: Nanos,
-    out: Vec<Action>,
-    pub(crate) servers: Servers,
-    works: Works,
-    /// Held before their read.
-    waiting: Held,
-    shares: Vec<Bucket>,
-    prompts: Vec<Mean>, // tokens by class
-    answers: Vec<Mean>,
-    to_first: Lagged, // from the read's send to the first token
-    reads: Reads,
-    throttle: Throttle,        // of reads
-    call_offs: f64,            // attempts that may be called off yet
-    usual: Vec<(Lagged, f64)>, // by kind: mean requests a second sent to a warm server, and its weight
-    moves: [Mean; 2],          // seconds to the first token of a write, in the reader's cell and out of it
-    seen: Seen,
-    told: Told,  // what other routers told that they hold
-    untold: f64, // and what those not heard from may hold at each server
-    told_at: Nanos,
-    purses: [f64; 2], // what may be spent on messages and on probes, in points of service a request
-    averages: Averages,
-    ticking: bool,
-    looked: Option<Turn>, // at held requests, up to this one
+    actions: Vec<Action>,
+    pub(crate) servers: ServerTable,
+    fleet: FleetSummary,
+    requests: RequestTable,
+    admission: Admission,
+    quotas: TenantQuotas,
+    traffic: TrafficStatistics,
+    prefill_cost: PrefillCostModel,
+    decode_delays: DecodeStartDelays,
+    slow_start: SlowStart,
+    probe_budget: Budget,
+    cancellation_budget: Budget,
+    gossip: Gossip,
+    peer_load: PeerLoad,
+    tick_is_scheduled: bool,
 }
 
 impl Policy {
-    pub fn new(set: Settings) -> Policy {
+    /// A router that knows its settings, and no server yet.
+    pub fn new(settings: Settings) -> Policy {
+        let allowances = settings.classes.iter().map(|class| class.latency_objective_per_prompt_token);
+        let slowest_pace = allowances.fold(0.0, f64::max);
         Policy {
-            shares: vec![Bucket::default(); set.tenants.len()],
-            prompts: vec![Mean::default(); set.classes.len()],
-            answers: vec![Mean::default(); set.classes.len()],
-            usual: vec![(Lagged::default(), 1.0); set.kinds.len() + 1],
-            call_offs: 1.0,
-            reads: Reads::guessed(
-                set.classes.iter().map(|c| c.latency_objective_per_prompt_token).fold(0.0, f64::max),
-            ),
-            set,
-            ..Policy::default()
+            now: 0,
+            actions: Vec::new(),
+            servers: ServerTable::default(),
+            fleet: FleetSummary::default(),
+            requests: RequestTable::default(),
+            admission: Admission::default(),
+            quotas: TenantQuotas::new(settings.tenants.len()),
+            traffic: TrafficStatistics::new(settings.classes.len()),
+            prefill_cost: PrefillCostModel::with_unloaded_pace(slowest_pace),
+            decode_delays: DecodeStartDelays::default(),
+            slow_start: SlowStart::new(settings.kinds.len()),
+            probe_budget: Budget::default(),
+            cancellation_budget: Budget::with_points(INITIAL_CANCELLATIONS),
+            gossip: Gossip::default(),
+            peer_load: PeerLoad::default(),
+            tick_is_scheduled: false,
+            settings,
         }
     }
 
+    /// Takes an event, and returns what is to be done, in this order.
     pub fn handle(&mut self, now: Nanos, event: Event) -> Vec<Action> {
-        // A clock that went back would make ages of less than nothing.
+        // A clock that went back would make ages negative.
         self.now = now.max(self.now);
-        let now = self.now;
         if let Event::GossipReceived { from, data } = event {
-            self.told.hear(now, from, held_from_bytes(&data));
+            self.peer_load.record(self.now, from, decode_gossip(&data));
             return Vec::new();
         }
-        let every = self.servers.walk_every(TICK, WALKED);
-        self.averages.news(now, every, NEWS_FOR, &mut self.servers, &mut self.told);
-        self.note_untold();
+        let interval = self.servers.sweep_interval(TICK_INTERVAL, SERVERS_PER_STEP);
+        self.update_fleet_load(interval);
+        self.dispatch(event);
+        self.admit();
+        self.schedule_tick();
+        std::mem::take(&mut self.actions)
+    }
+
+    fn dispatch(&mut self, event: Event) {
         match event {
-            Event::EndpointsChanged { update: kind, endpoints: entries } => self.on_members(kind, &entries),
-            Event::RequestArrived(request) => self.on_request(request),
+            Event::EndpointsChanged { update, endpoints } => self.on_endpoints_changed(update, &endpoints),
+            Event::RequestArrived(request) => self.on_request_arrived(request),
             Event::TimerFired(TICK_TIMER) => self.on_tick(),
-            Event::TimerFired(ASK_TIMER) => self.out.push(Action::WatchEndpoints(true)),
-            Event::FirstToken { id, attempt, latency, .. } => self.on_first(id, attempt, latency),
-            Event::AttemptFinished(outcome) => self.on_outcome(outcome),
-            Event::ClientDisconnected(id) => self.end(id, None),
-            Event::QuotaChanged { tenant, quota_per_second: per_s } => self.set.set_quota(tenant, per_s),
-            Event::RouterCountChanged(routers) => self.set.router_count = routers.max(1),
-            Event::ProbeFinished { server: s, status, latency: l, report } => {
-                self.on_probed(s, status, l, report)
+            Event::TimerFired(ENDPOINT_POLL_TIMER) => self.actions.push(Action::WatchEndpoints(true)),
+            Event::FirstToken { id, attempt, latency, .. } => self.on_first_token(id, attempt, latency),
+            Event::AttemptFinished(outcome) => self.on_attempt_finished(&outcome),
+            Event::ClientDisconnected(id) => self.end_request(id, None),
+            Event::QuotaChanged { tenant, quota_per_second } => {
+                self.settings.set_quota(tenant, quota_per_second);
+            }
+            Event::RouterCountChanged(routers) => self.settings.router_count = routers.max(1),
+            Event::ProbeFinished { server, status, latency, report } => {
+                self.on_probe_finished(server, status, latency, report);
             }
             Event::TimerFired(_) | Event::ReservationAnswered { .. } | Event::GossipReceived { .. } => {}
         }
-        self.admit();
-        let unbegun = !self.waiting.is_empty() || !self.works.active().is_empty();
-        if !self.ticking && (unbegun || self.servers.values().any(|s| s.unreachable)) {
-            self.ticking = true;
-            self.out.push(Action::SetTimer { token: TICK_TIMER, delay: TICK });
+    }
+
+    /// Brings up to date what is known of all servers' load, at most once an interval.
+    fn update_fleet_load(&mut self, interval: Nanos) {
+        let (servers, peer_load) = (&mut self.servers, &mut self.peer_load);
+        self.fleet.update_load(self.now, interval, LOAD_MAX_AGE, servers, peer_load);
+        self.estimate_unreported_load();
+    }
+
+    /// Keeps the tick running while there is anything that time alone may change.
+    fn schedule_tick(&mut self) {
+        let has_waiting_requests = !self.admission.is_empty() || !self.requests.active().is_empty();
+        let is_needed =
+            || has_waiting_requests || self.servers.iter().any(|server| server.liveness.is_unreachable());
+        if !self.tick_is_scheduled && is_needed() {
+            self.tick_is_scheduled = true;
+            self.actions.push(Action::SetTimer { token: TICK_TIMER, delay: TICK_INTERVAL });
         }
-        std::mem::take(&mut self.out)
     }
 }
--- /dev/null
+++ b/src/policy/prefill_placement.rs
@@ -0,0 +1,198 @@
+//! Where a request is prefilled: at the worker that it has affinity to, unless that is clearly
+//! busier than the least loaded one.
+
+use super::constants::{PREFILL_BASE_TOKENS, PREFILL_WAIT_SHARE, PROBED_DECODE_WORKERS, PROBE_WAIT, RECENT};
+use super::decode_placement::DecodeUrgency;
+use super::eligibility::WorkerPool;
+use super::prefill_affinity::{preferred_workers, PrefillCandidates};
+use super::slow_start::is_warming_up;
+use super::Policy;
+use crate::api::{CellId, Nanos, RequestId, Role, ServerId};
+use crate::state::{
+    least_with_tie_breaker, sample_by_rank, Attempt, InFlightRequest, Neighborhood, Server, Stage,
+};
+
+/// What can be done for a request that wants its prefill.
+enum PrefillChoice {
+    /// There is no prefill worker at all.
+    NoWorker,
+    /// None has capacity.
+    NoCapacity,
+    /// One was chosen.
+    Chosen(PrefillPlan),
+}
+
+/// A prefill that is planned.
+struct PrefillPlan {
+    attempt: Attempt,
+    /// The cell of its worker.
+    cell: Option<CellId>,
+    /// Workers whose load is probed before it is sent.
+    probed_before: Vec<ServerId>,
+    /// Until when their answers are awaited.
+    probe_deadline: Nanos,
+}
+
+impl Policy {
+    /// Sends a request to its prefill; whether it was sent.
+    pub(super) fn start_prefill(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(id) else { return true };
+        let plan = match self.choose_prefill(request) {
+            PrefillChoice::NoWorker => return self.start_at_decode_worker(id),
+            PrefillChoice::NoCapacity => return false,
+            PrefillChoice::Chosen(plan) => plan,
+        };
+        let deadline = plan.probe_deadline;
+        self.requests.update_unindexed(id, |request| request.probe_deadline = Some(deadline));
+        if self.now < deadline && self.probe_loads(&plan.probed_before) {
+            return false;
+        }
+        let probed_meanwhile = self.decode_workers_to_probe(id, plan.cell);
+        self.admission.record_prefill(self.now);
+        self.send(id, plan.attempt);
+        self.probe_loads(&probed_meanwhile);
+        true
+    }
+
+    fn choose_prefill(&self, request: &InFlightRequest) -> PrefillChoice {
+        let neighborhood = self.neighborhood(Some(request));
+        let traffic = Some(request.traffic());
+        let workers =
+            self.eligible_servers(&neighborhood.servers, WorkerPool::Prefill, Some(request), traffic);
+        if workers.is_empty() {
+            return PrefillChoice::NoWorker;
+        }
+        let candidates = self.prefill_candidates(request, workers, &neighborhood);
+        let Some(first) = candidates.preferred.first().copied() else { return PrefillChoice::NoCapacity };
+        let cost = |server: &Server| self.prefill_cost_at(server, candidates.tokens_at(server, request));
+        let has_capacity = |server: &&Server| {
+            !server.was_saturated_within(self.now, RECENT)
+                && !self.is_prefill_wait_long(server, request.time_to_objective())
+        };
+        let open = candidates.workers.iter().copied().filter(has_capacity);
+        let costs = open.map(|server| (cost(server), server));
+        let Some((_, least)) = least_with_tie_breaker(costs, request.tie_breaker) else {
+            return PrefillChoice::NoCapacity;
+        };
+        let preferred = Some(first).filter(has_capacity).unwrap_or(least);
+        let tolerated_tokens =
+            self.prefill_cost.mean_computed_tokens().max(candidates.tokens_at(preferred, request));
+        let tolerance = tolerated_tokens / self.relative_speed(preferred);
+        let chosen = if cost(preferred) > cost(least) + tolerance { least } else { preferred };
+        let stage = if chosen.listing.role == Role::Mixed { Stage::Combined } else { Stage::Prefill };
+        let attempt = Attempt {
+            prompt_tokens: candidates.tokens_at(chosen, request),
+            queued_tokens: cost(chosen),
+            probe_outstanding: chosen.liveness.awaits_probe_for(self.now, PROBE_WAIT),
+            ..Attempt::planned(chosen.id, stage)
+        };
+        PrefillChoice::Chosen(PrefillPlan {
+            attempt,
+            cell: chosen.listing.cell,
+            probed_before: self.prefill_workers_to_probe(request, &candidates, first),
+            probe_deadline: request.probe_deadline.unwrap_or(self.now + PROBE_WAIT),
+        })
+    }
+
+    /// Keeps the workers that can serve the request: a mixed one decodes it too, for others there
+    /// are decode workers.
+    fn prefill_candidates<'s>(
+        &'s self,
+        request: &InFlightRequest,
+        mut workers: Vec<&'s Server>,
+        neighborhood: &Neighborhood<'_>,
+    ) -> PrefillCandidates<'s> {
+        let can_decode_later =
+            neighborhood.servers.mixed.is_empty() || self.decode_workers_have_capacity(request);
+        workers.retain(|server| match server.listing.role {
+            Role::Mixed => self.has_capacity(server, request.expected_kv_tokens()),
+            Role::Prefill | Role::Decode => can_decode_later,
+        });
+        let weights = neighborhood.distance_weights(&self.servers);
+        let preferred = preferred_workers(request, &workers, &weights);
+        PrefillCandidates { workers, preferred }
+    }
+
+    /// The preferred worker, and another one: one that is warming up is likely idle, as no router
+    /// sends it much.
+    fn prefill_workers_to_probe(
+        &self,
+        request: &InFlightRequest,
+        candidates: &PrefillCandidates<'_>,
+        first: &Server,
+    ) -> Vec<ServerId> {
+        let others = candidates.workers.iter().filter(|server| server.id != first.id);
+        let other = others.max_by_key(|server| {
+            let is_warming_up = is_warming_up(self.now, &self.settings, server);
+            let rank = request.tie_breaker.rendezvous_rank(server.id);
+            (is_warming_up, candidates.is_preferred(server), rank)
+        });
+        [first.id].into_iter().chain(other.map(|server| server.id)).collect()
+    }
+
+    /// Decode workers of the prefill worker's cell that are probed during the prefill, if one is
+    /// worth it.
+    fn decode_workers_to_probe(&self, id: RequestId, cell: Option<CellId>) -> Vec<ServerId> {
+        let Some(request) = self.requests.get(id) else { return Vec::new() };
+        let is_near = |server: &&Server| server.listing.cell.is_some() && server.listing.cell == cell;
+        let servers = self.neighborhood(Some(request)).servers;
+        // Mixed servers stand in for decode workers that can't be reached.
+        let mut near =
+            self.servers.at(&servers.decode).chain(self.servers.at(&servers.mixed)).filter(is_near);
+        if !near.any(|server| self.is_worth_probing(server)) {
+            return Vec::new();
+        }
+        let candidates = self.candidates(WorkerPool::Decode, request).into_iter().filter(is_near);
+        sample_by_rank(candidates, PROBED_DECODE_WORKERS, request.tie_breaker)
+    }
+
+    /// What a worker has to prefill with so many tokens more, in tokens at the pace of an average
+    /// one.
+    fn prefill_cost_at(&self, server: &Server, tokens: f64) -> f64 {
+        let queued = server.own_load.queued_prompt_tokens() + self.peer_queued_tokens(server) + tokens;
+        queued / self.relative_speed(server)
+    }
+
+    /// A prefill worker with a long wait counts as saturated, but one with nothing of ours is tried
+    /// all the same.
+    pub(super) fn is_prefill_wait_long(&self, server: &Server, time_to_objective: f64) -> bool {
+        if server.own_load.awaiting_first_token() == 0 {
+            return false;
+        }
+        let wait = self.prefill_cost_at(server, 0.0) * self.prefill_cost.unloaded_pace();
+        wait > PREFILL_WAIT_SHARE * time_to_objective
+    }
+
+    /// What other routers' requests have queued there, by reports or by how long a probe takes;
+    /// else the mean.
+    fn peer_queued_tokens(&self, server: &Server) -> f64 {
+        let reported = server.reported_load.peer_queued_tokens();
+        let known = reported.or(self.fleet.mean_peer_queued_tokens(server.listing.role));
+        known.unwrap_or(0.0).max(self.tokens_behind_probe(server))
+    }
+
+    /// The queue that an outstanding probe shows, by how long it has been out.
+    fn tokens_behind_probe(&self, server: &Server) -> f64 {
+        let Some(sent_at) = server.liveness.probe_sent_at() else { return 0.0 };
+        let usual = if server.liveness.awaits_probe_for(self.now, PROBE_WAIT) {
+            self.prefill_cost.mean_tokens_behind_silent_probe()
+        } else {
+            0.0
+        };
+        self.prefill_cost.tokens_within(self.now - sent_at).max(usual)
+    }
+
+    /// With no prefill worker at all a decode worker that can prefill takes the request whole.
+    fn start_at_decode_worker(&mut self, id: RequestId) -> bool {
+        if !self.settings.decode_workers_can_prefill {
+            return false;
+        }
+        let Some(request) = self.requests.get(id) else { return false };
+        let tokens = PREFILL_BASE_TOKENS + request.request().prompt_tokens;
+        let chosen = self.choose_decode_worker(request, DecodeUrgency::OnceThereIsCapacity);
+        let Some(server) = chosen else { return false };
+        let planned = Attempt::planned(server, Stage::Combined);
+        self.send(id, Attempt { prompt_tokens: tokens, queued_tokens: tokens, ..planned });
+        true
+    }
+}
--- /dev/null
+++ b/src/policy/request_arrival.rs
@@ -0,0 +1,82 @@
+//! What is expected of a request that arrives, and which prefill workers it prefers.
+
+use super::constants::{
+    DEFAULT_PROMPT_TOKENS, INFORMATION_POINTS, MAX_INFORMATION_POINTS, MEAN_GAIN, NEIGHBORHOOD,
+    POPULARITY_SPAN, WORKERS_PER_PREFIX_SHARE,
+};
+use super::Policy;
+use crate::api::{Action, GiveUpReason, Nanos, Request, TrafficClass};
+use crate::state::{next_power_of_four, InFlightRequest, PrefillAffinity, RequestFacts};
+
+impl Policy {
+    pub(super) fn on_request_arrived(&mut self, request: Request) {
+        let Some(class) = self.settings.classes.get(request.class.0).cloned() else {
+            let cause = GiveUpReason::UnknownClass.into();
+            return self.actions.push(Action::Fail { id: request.id, cause });
+        };
+        let (id, deadline_at) = (request.id, request.deadline_at);
+        let facts = self.record_arrival(request, &class);
+        self.requests.insert(id, InFlightRequest::new(facts, self.settings.seed));
+        if deadline_at <= self.give_up_horizon() {
+            return self.give_up(id, GiveUpReason::DeadlineExceeded);
+        }
+        self.enqueue(id);
+    }
+
+    /// Counts a request in the statistics, and says what is expected of it.
+    fn record_arrival(&mut self, request: Request, class: &TrafficClass) -> RequestFacts {
+        let is_length_known = request.prompt_tokens > 0.0;
+        let prompt_tokens = if is_length_known { request.prompt_tokens } else { DEFAULT_PROMPT_TOKENS };
+        let expected_output_tokens = expected_output_tokens(&request, class);
+        let over_quota = self.quotas.exceeds_quota(self.now, &self.settings, request.tenant);
+        self.gossip.earn();
+        self.probe_budget.earn(INFORMATION_POINTS, MAX_INFORMATION_POINTS);
+        let affinity = self.prefill_affinity(&request);
+        self.traffic.record_size(request.class, prompt_tokens, expected_output_tokens, MEAN_GAIN);
+        self.estimate_unreported_load();
+        RequestFacts {
+            arrived_at: self.now,
+            over_quota,
+            objective_at: objective_at(self.now, &request, class, prompt_tokens),
+            expected_output_tokens,
+            affinity,
+            request: Request { prompt_tokens, ..request },
+        }
+    }
+
+    /// The affinity of a request. Its shared prefix is spread over more workers where it surely is
+    /// more than one worker's part of all requests, by what this router saw, as it would swamp one.
+    /// The number is coarse, so that sessions stay where they are.
+    fn prefill_affinity(&mut self, request: &Request) -> PrefillAffinity {
+        let workers = self.fleet.ready().prefill.len();
+        let recent = self.traffic.record_arrival(self.now, request.prefix, POPULARITY_SPAN);
+        let certain = (recent.same_prefix - recent.same_prefix.sqrt()).max(0.0);
+        let share = certain / recent.total.max(1.0);
+        let spread = (share * WORKERS_PER_PREFIX_SHARE * workers as f64) as usize;
+        PrefillAffinity::of(request, next_power_of_four(spread), NEIGHBORHOOD.enough)
+    }
+}
+
+/// The expected length of an answer: as the expected duration says, else half of what is allowed.
+fn expected_output_tokens(request: &Request, class: &TrafficClass) -> f64 {
+    let expected = match request.expected_duration {
+        Some(duration) if class.token_latency_objective > 0 => {
+            duration as f64 / class.token_latency_objective as f64
+        }
+        _ => request.max_output_tokens / 2.0,
+    };
+    if request.max_output_tokens > 0.0 {
+        expected.min(request.max_output_tokens)
+    } else {
+        expected
+    }
+}
+
+/// When the first token is due; without a latency objective, when the client leaves.
+fn objective_at(now: Nanos, request: &Request, class: &TrafficClass, prompt_tokens: f64) -> Nanos {
+    if class.latency_objective == 0 {
+        return request.deadline_at;
+    }
+    let for_prompt = (class.latency_objective_per_prompt_token * prompt_tokens) as Nanos;
+    now.saturating_add(class.latency_objective.saturating_add(for_prompt))
+}
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,34 +1,75 @@
 //! Slow start: what a server that has just started may be sent.
 
-use super::constants::*;
-use super::Policy;
-use crate::state::*;
+use super::constants::{MIN_OVERLOAD_WINDOW_SECONDS, RATE_SPAN, SLOW_START_FLOOR};
+use crate::api::{Nanos, Settings};
+use crate::state::{seconds, warm_servers_by_kind, LaggedValue, Server, ServerTable, WarmServers};
 
-impl Policy {
-    pub(crate) fn cold(&self, s: &Server) -> bool {
-        s.began_at() > 0 && self.now < s.began_at().saturating_add(self.set.slow_start_duration)
-    }
+/// What a warm server of a kind is usually sent.
+#[derive(Clone, Copy)]
+struct UsualLoad {
+    /// In mean requests a second.
+    rate: LaggedValue,
+    /// The mean weight of the servers that are sent it.
+    weight: f64,
+}
+
+/// What warm servers are usually sent, by kind, from which the budgets of those that are warming up
+/// follow.
+pub(super) struct SlowStart {
+    usual_by_kind: Vec<UsualLoad>,
+}
 
-    /// Rule 4, kept by each router alone: a part of what it sends to a warm peer; debts differ at the start.
-    pub(crate) fn cold_budget_allows(&self, s: &Server) -> bool {
-        !self.cold(s) || s.budget.level >= 0.0
+impl SlowStart {
+    /// `kinds`: the kinds of the settings; servers without a kind are one more.
+    pub(super) fn new(kinds: usize) -> SlowStart {
+        let nothing_yet = UsualLoad { rate: LaggedValue::default(), weight: 1.0 };
+        SlowStart { usual_by_kind: vec![nothing_yet; kinds + 1] }
     }
 
-    pub(super) fn fill_cold_budgets(&mut self) {
-        let (now, span_s) = (self.now, PEER_SPAN as f64 / 1e9);
-        let floor =
-            COLD_FLOOR / (self.set.overload_window as f64 / 1e9).max(0.1) / f64::from(self.set.router_count);
-        let part = (self.set.overload_factor * self.set.slow_start_speed).min(1.0);
-        // Servers of a kind are of one size, and where weights differ they tell of smaller ones.
-        let rate = |s: &Server| s.sent.get(now, PEER_SPAN) / span_s;
-        let warm = warm_by_kind(&self.servers, self.usual.len(), |s| !self.cold(s), rate);
-        for ((usual, weight), warm) in self.usual.iter_mut().zip(warm) {
-            *weight = warm.weight.unwrap_or(*weight);
-            let peers = warm.rate.unwrap_or(usual.value);
-            usual.follow(now, peers, PEER_SPAN);
-            let rate = peers.max(usual.value) * part;
-            let size = |s: &Server| (s.weight / *weight).min(1.0);
-            self.servers.change_at(&warm.cold, |s| s.budget.fill(now, (rate * size(s)).max(floor), 0.0));
+    /// Refills the budgets of the servers that are warming up: with a share of what this router
+    /// sends to a warm peer.
+    pub(super) fn refill_budgets(&mut self, now: Nanos, settings: &Settings, servers: &mut ServerTable) {
+        let span_seconds = seconds(RATE_SPAN);
+        let floor = floor_per_second(settings);
+        let share = (settings.overload_factor * settings.slow_start_speed).min(1.0);
+        let rate = |server: &Server| server.slow_start.recent_work(now, RATE_SPAN) / span_seconds;
+        let is_warm = |server: &Server| !is_warming_up(now, settings, server);
+        let by_kind = warm_servers_by_kind(servers, self.usual_by_kind.len(), is_warm, rate);
+        for (usual, warm) in self.usual_by_kind.iter_mut().zip(by_kind) {
+            let rate = usual.update(now, &warm) * share;
+            // Servers of a kind are of one size, and where weights differ they tell of smaller ones.
+            let size = |server: &Server| (server.listing.weight / usual.weight).min(1.0);
+            servers.change_at(&warm.warming_up, |server| {
+                let per_second = (rate * size(server)).max(floor);
+                server.slow_start.refill_budget(now, per_second);
+            });
         }
     }
 }
+
+impl UsualLoad {
+    /// Follows the warm servers; the greater of their present and their usual rate.
+    fn update(&mut self, now: Nanos, warm: &WarmServers) -> f64 {
+        self.weight = warm.mean_weight.unwrap_or(self.weight);
+        let present = warm.mean_rate.unwrap_or(self.rate.value());
+        self.rate.follow(now, present, RATE_SPAN);
+        present.max(self.rate.value())
+    }
+}
+
+fn floor_per_second(settings: &Settings) -> f64 {
+    let window = seconds(settings.overload_window).max(MIN_OVERLOAD_WINDOW_SECONDS);
+    SLOW_START_FLOOR / window / f64::from(settings.router_count)
+}
+
+/// Whether its process started so short ago that it is still warming up.
+pub(crate) fn is_warming_up(now: Nanos, settings: &Settings, server: &Server) -> bool {
+    let started_at = server.process_started_at();
+    started_at > 0 && now < started_at.saturating_add(settings.slow_start_duration)
+}
+
+/// Whether slow start lets it be sent something. Each router keeps to it alone; debts differ at the
+/// start.
+pub(crate) fn slow_start_allows(now: Nanos, settings: &Settings, server: &Server) -> bool {
+    !is_warming_up(now, settings, server) || server.slow_start.budget() >= 0.0
+}
--- /dev/null
+++ b/src/state/prefix_popularity.rs
@@ -0,0 +1,54 @@
+//! How often requests came lately, in all and by shared prefix.
+
+use super::DecayingSum;
+use crate::api::{AffinityKey, Nanos};
+use std::collections::BTreeMap;
+
+/// After so many requests, prefixes that were not seen for long are dropped.
+const CLEANUP_INTERVAL: u32 = 1024;
+/// A prefix with a lower recent count is dropped.
+const NEGLIGIBLE_COUNT: f64 = 0.01;
+
+/// Counts of earlier requests, as they have decayed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RecentRequests {
+    /// With the same shared prefix; 0 without one.
+    pub same_prefix: f64,
+    /// All requests.
+    pub total: f64,
+}
+
+/// Decaying counts of requests, in all and by shared prefix.
+#[derive(Clone, Debug, Default)]
+pub struct PrefixPopularity {
+    first_request_at: Nanos,
+    requests_seen: u32,
+    total: DecayingSum,
+    by_prefix: BTreeMap<AffinityKey, DecayingSum>,
+}
+
+impl PrefixPopularity {
+    /// The mean time between requests over the last `span`, in nanoseconds.
+    pub fn mean_interval(&self, now: Nanos, span: Nanos) -> f64 {
+        let observed = now.saturating_sub(self.first_request_at).min(span);
+        observed as f64 / self.total.value_at(now, span).max(1.0)
+    }
+
+    /// Counts a request, and returns how many there were before it.
+    pub fn record(&mut self, now: Nanos, prefix: Option<AffinityKey>, span: Nanos) -> RecentRequests {
+        let total = self.total.value_at(now, span);
+        if self.first_request_at == 0 {
+            self.first_request_at = now;
+        }
+        self.total.add(now, 1.0, span);
+        self.requests_seen = self.requests_seen.wrapping_add(1);
+        if self.requests_seen.is_multiple_of(CLEANUP_INTERVAL) {
+            self.by_prefix.retain(|_, count| count.value_at(now, span) >= NEGLIGIBLE_COUNT);
+        }
+        let Some(prefix) = prefix else { return RecentRequests { same_prefix: 0.0, total } };
+        let count = self.by_prefix.entry(prefix).or_default();
+        let same_prefix = count.value_at(now, span);
+        count.add(now, 1.0, span);
+        RecentRequests { same_prefix, total }
+    }
+}
--- /dev/null
+++ b/src/state/request_table.rs
@@ -0,0 +1,102 @@
+//! The requests in flight, with what the decisions ask of all of them kept up to date as each
+//! changes.
+
+use super::InFlightRequest;
+use crate::api::RequestId;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Fractions of a token in which the decode demand is summed: whole numbers, so that the order of
+/// changes leaves no trace.
+const FRACTIONS_PER_TOKEN: f64 = 1024.0;
+/// The most tokens that one request counts for: a sum of a million such still fits.
+const MAX_TOKENS_PER_REQUEST: f64 = 1e9;
+
+/// The requests in flight, by id.
+#[derive(Clone, Debug, Default)]
+pub struct RequestTable {
+    entries: BTreeMap<RequestId, Entry>,
+    /// Those without a first token that have an attempt in flight or a KV cache.
+    active: BTreeSet<RequestId>,
+    /// The sum of the entries' decode demand.
+    decode_demand: i64,
+}
+
+#[derive(Clone, Debug)]
+struct Entry {
+    request: InFlightRequest,
+    /// What it adds to the sum, in fractions of a token.
+    decode_demand: i64,
+}
+
+impl RequestTable {
+    /// The request with that id.
+    pub fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
+        self.entries.get(&id).map(|entry| &entry.request)
+    }
+
+    /// Changes a request, and then brings up to date what is kept of all; `None` without such a
+    /// request.
+    pub fn update<T>(&mut self, id: RequestId, change: impl FnOnce(&mut InFlightRequest) -> T) -> Option<T> {
+        let changed = change(&mut self.entries.get_mut(&id)?.request);
+        self.refresh(id);
+        Some(changed)
+    }
+
+    /// Changes what no index depends on: anything but the attempt, the KV cache and the end of a
+    /// request.
+    pub fn update_unindexed<T>(
+        &mut self,
+        id: RequestId,
+        change: impl FnOnce(&mut InFlightRequest) -> T,
+    ) -> Option<T> {
+        self.entries.get_mut(&id).map(|entry| change(&mut entry.request))
+    }
+
+    /// Adds a request, in place of one with the same id.
+    pub fn insert(&mut self, id: RequestId, request: InFlightRequest) {
+        self.remove(id);
+        self.entries.insert(id, Entry { request, decode_demand: 0 });
+        self.refresh(id);
+    }
+
+    /// Drops a request.
+    pub fn remove(&mut self, id: RequestId) {
+        self.active.remove(&id);
+        self.decode_demand -= self.entries.remove(&id).map_or(0, |entry| entry.decode_demand);
+    }
+
+    fn refresh(&mut self, id: RequestId) {
+        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let demand = decode_demand(&entry.request);
+        self.decode_demand += demand - std::mem::replace(&mut entry.decode_demand, demand);
+        if is_active(&entry.request) {
+            self.active.insert(id);
+        } else {
+            self.active.remove(&id);
+        }
+    }
+
+    /// KV cache tokens that decode workers will have to take for requests that they were not sent
+    /// yet.
+    pub fn decode_demand_tokens(&self) -> f64 {
+        self.decode_demand as f64 / FRACTIONS_PER_TOKEN
+    }
+
+    /// Requests without a first token that have an attempt in flight or a KV cache, in the order of
+    /// their ids.
+    pub fn active(&self) -> &BTreeSet<RequestId> {
+        &self.active
+    }
+}
+
+fn decode_demand(request: &InFlightRequest) -> i64 {
+    if !request.will_need_decode() {
+        return 0;
+    }
+    let tokens = request.expected_kv_tokens().clamp(0.0, MAX_TOKENS_PER_REQUEST);
+    (tokens * FRACTIONS_PER_TOKEN) as i64
+}
+
+fn is_active(request: &InFlightRequest) -> bool {
+    request.awaits_first_token() && (request.attempt.is_some() || request.kv_cache.is_some())
+}
--- /dev/null
+++ b/src/state/warm_servers.rs
@@ -0,0 +1,54 @@
+//! What the warm servers of a kind are sent, as the measure for those that are warming up.
+
+use super::fleet_summary::MeanAccumulator;
+use super::{Server, ServerTable};
+
+/// The warm servers of a kind, and the indices of those that are warming up.
+#[derive(Clone, Debug, Default)]
+pub struct WarmServers {
+    /// The mean rate of the warm ones that are ready; `None` without one.
+    pub mean_rate: Option<f64>,
+    /// Their mean weight; `None` without one.
+    pub mean_weight: Option<f64>,
+    /// The indices of those that are warming up.
+    pub warming_up: Vec<usize>,
+}
+
+#[derive(Clone, Copy, Default)]
+struct Means {
+    rate: MeanAccumulator,
+    weight: MeanAccumulator,
+}
+
+/// Goes through all servers once, and gathers them by kind. The last of `kinds` is that of servers
+/// without a kind.
+pub fn warm_servers_by_kind(
+    servers: &ServerTable,
+    kinds: usize,
+    is_warm: impl Fn(&Server) -> bool,
+    rate: impl Fn(&Server) -> f64,
+) -> Vec<WarmServers> {
+    let mut means = vec![Means::default(); kinds];
+    let mut by_kind = vec![WarmServers::default(); kinds];
+    for (index, server) in servers.iter().enumerate() {
+        let Some(kind) = kind_index(server, kinds) else { continue };
+        if !is_warm(server) {
+            by_kind[kind].warming_up.push(index);
+        } else if server.listing.is_ready() {
+            means[kind].rate.add(rate(server));
+            means[kind].weight.add(server.listing.weight);
+        }
+    }
+    for (warm, means) in by_kind.iter_mut().zip(means) {
+        warm.mean_rate = means.rate.mean();
+        warm.mean_weight = means.weight.mean();
+    }
+    by_kind
+}
+
+fn kind_index(server: &Server, kinds: usize) -> Option<usize> {
+    match server.listing.kind {
+        None => Some(kinds - 1),
+        Some(kind) => Some(kind.0).filter(|kind| kind + 1 < kinds),
+    }
+}
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,116 +1,144 @@
-//! What the module thinks of each server, and what kept a request waiting, to be looked at: nothing here changes or
-//! decides anything.
+//! What the module thinks of each server, and what kept a request waiting, for operators: nothing
+//! here changes state.
 
 use crate::api::{ClassId, GiveUpReason, Nanos, QueueingReason, Role, ServerId, TenantId};
-use crate::policy::Policy;
-use crate::state::{Server, Work};
+use crate::policy::{is_unhealthy, is_warming_up, slow_start_allows, Policy, WorkerPool};
+use crate::state::{InFlightRequest, Server, TrafficClassKey};
 
 /// Why a server gets nothing new, or less than its peers, the strongest reason first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvoidReason {
-    /// It is listed as draining or gone, or no longer listed.
+    /// It is listed as draining or removed, or is not listed any more.
     NotReady,
     /// It could not be reached, or has answered nothing for too long.
     Unreachable,
-    /// It rests after failures until then.
-    Ejected { until: Nanos },
-    /// So much slower than its peers that it gets one request at a time.
+    /// It is ejected after failures.
+    Ejected {
+        /// When the ejection ends.
+        until: Nanos,
+    },
+    /// It is so much slower than its peers that it gets one request at a time.
     Outlier,
-    /// It is cold, and has had its part of what warm peers get.
+    /// It is warming up, and was sent its share of what warm peers get.
     WarmingUp,
-    /// It said, or is guessed, to be full.
+    /// It reported, or is estimated, to be saturated.
     Saturated,
 }
 
-/// A part of the traffic that a server refuses or leaves unanswered while it serves the rest.
+/// A traffic class for which a server is ejected: it rejects that or leaves it unanswered while it
+/// serves the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialEjection {
+    /// The class of the requests.
     pub class: ClassId,
+    /// Their tenant, if known.
     pub tenant: Option<TenantId>,
+    /// When the ejection ends.
     pub until: Nanos,
 }
 
 /// One server as the module sees it now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
+    /// Its id.
     pub server: ServerId,
+    /// What it is asked to do.
     pub role: Role,
+    /// Why it gets nothing new, or less than its peers, if so.
     pub avoid_reason: Option<AvoidReason>,
-    /// At most one for each class and tenant; those that are over are left out.
+    /// The ejections for a traffic class that hold now: at most one for each class and tenant.
     pub partial_ejections: Vec<PartialEjection>,
-    /// Own attempts out there that have not begun an answer.
+    /// Own attempts in flight that have not sent their first token.
     pub awaiting_first_token: u32,
-    /// Own prompt tokens that wait there to be read.
+    /// Own prompt tokens that are not prefilled yet.
     pub queued_prompt_tokens: f64,
-    /// Share of its memory held, by guess; 0 where its memory is not known.
+    /// The estimated share of its KV cache in use; 0 where its capacity is not known.
     pub memory_utilization: f64,
-    /// The same as it last reported.
+    /// The share of its KV cache in use as it last reported.
     pub reported_memory_utilization: Option<f64>,
     /// Its latency as a multiple of its peers' median.
     pub latency_ratio: f64,
-    /// What it may be sent at once while it is cold, in mean requests; `None` once it is warm.
+    /// What it may be sent at once while it is warming up, in mean requests; `None` once it is warm.
     pub slow_start_budget: Option<f64>,
-    /// When it last answered anything.
+    /// When it last sent anything; 0: never.
     pub last_response_at: Nanos,
 }
 
 impl Policy {
-    /// What has kept a request that has no attempt out, as far as it can be told now.
-    pub(crate) fn held_by(&self, work: &Work, reason: GiveUpReason) -> Option<QueueingReason> {
-        let none = |reads| self.candidates(reads, work).is_empty();
-        Some(match work {
-            w if w.sent.is_some() || !reason.ends_a_wait() => return None,
-            _ if none(false) => QueueingReason::NoDecodeWorker,
-            w if w.state.is_none() && !self.set.decode_workers_can_prefill && none(true) => {
-                QueueingReason::NoPrefillWorker
-            }
-            w if w.over_share => QueueingReason::OverQuota,
-            w if !self.writers_have_room(w) => QueueingReason::DecodeWorkersSaturated,
-            _ => QueueingReason::PrefillWorkersSaturated,
+    /// What has kept a request waiting that has no attempt in flight, as far as it can be told now.
+    pub(crate) fn queueing_reason(
+        &self,
+        request: &InFlightRequest,
+        reason: GiveUpReason,
+    ) -> Option<QueueingReason> {
+        if request.attempt.is_some() || !reason.ends_a_wait() {
+            return None;
+        }
+        let has_none = |pool| self.candidates(pool, request).is_empty();
+        let needs_prefill_worker = request.kv_cache.is_none() && !self.settings.decode_workers_can_prefill;
+        Some(if has_none(WorkerPool::Decode) {
+            QueueingReason::NoDecodeWorker
+        } else if needs_prefill_worker && has_none(WorkerPool::Prefill) {
+            QueueingReason::NoPrefillWorker
+        } else if request.facts.over_quota {
+            QueueingReason::OverQuota
+        } else if !self.decode_workers_have_capacity(request) {
+            QueueingReason::DecodeWorkersSaturated
+        } else {
+            QueueingReason::PrefillWorkersSaturated
         })
     }
 
     /// Whether a server has answered something that was sent after that time.
     pub fn has_run_since(&self, server: ServerId, at: Nanos) -> bool {
-        self.servers.get(&server).is_some_and(|s| s.runs_since(at))
+        self.servers.get(server).is_some_and(|server| server.liveness.ran_since(at))
     }
 
-    /// All servers that it was ever told of, in the order of their ids.
+    /// All servers that are known, in the order of their ids.
     pub fn views(&self) -> impl Iterator<Item = ServerView> + '_ {
-        self.servers.values().map(|s| self.view(s))
+        self.servers.iter().map(|server| self.view(server))
     }
 
-    fn view(&self, s: &Server) -> ServerView {
-        let rests = s.rests.iter().filter(|(_, rest)| self.now < rest.until);
-        let of_part = |(part, rest): (&Option<(ClassId, Option<TenantId>)>, &crate::state::Rest)| {
-            part.map(|(class, tenant)| PartialEjection { class, tenant, until: rest.until })
-        };
-        let memory = if s.memory > 0.0 { self.memory_share(s) } else { 0.0 };
+    fn view(&self, server: &Server) -> ServerView {
+        let has_known_capacity = server.listing.kv_capacity_tokens > 0.0;
+        let is_warming_up = is_warming_up(self.now, &self.settings, server);
+        let partial_ejections = server.ejections.by_class(self.now).map(partial_ejection);
         ServerView {
-            server: s.id,
-            role: s.role,
-            avoid_reason: self.avoided(s),
-            partial_ejections: rests.filter_map(of_part).collect(),
-            awaiting_first_token: s.unbegun,
-            queued_prompt_tokens: s.unread,
-            memory_utilization: memory,
-            reported_memory_utilization: s.share,
-            latency_ratio: s.pace_ratio,
-            slow_start_budget: self.cold(s).then_some(s.budget.level),
-            last_response_at: s.heard_at,
+            server: server.id,
+            role: server.listing.role,
+            avoid_reason: self.avoid_reason(server),
+            partial_ejections: partial_ejections.collect(),
+            awaiting_first_token: server.own_load.awaiting_first_token(),
+            queued_prompt_tokens: server.own_load.queued_prompt_tokens(),
+            memory_utilization: if has_known_capacity { self.memory_utilization(server) } else { 0.0 },
+            reported_memory_utilization: server.reported_load.memory_utilization(),
+            latency_ratio: server.latency.ratio(),
+            slow_start_budget: is_warming_up.then_some(server.slow_start.budget()),
+            last_response_at: server.liveness.last_response_at(),
         }
     }
 
-    fn avoided(&self, s: &Server) -> Option<AvoidReason> {
-        let resting = s.rests.get(&None).map(|rest| rest.until).filter(|until| self.now < *until);
-        match s {
-            s if !s.ready => Some(AvoidReason::NotReady),
-            s if s.unreachable => Some(AvoidReason::Unreachable),
-            _ if resting.is_some() => resting.map(|until| AvoidReason::Ejected { until }),
-            s if self.ill(s, None) => Some(AvoidReason::Outlier),
-            s if !self.cold_budget_allows(s) => Some(AvoidReason::WarmingUp),
-            s if s.role != Role::Prefill && !self.has_room(s, 0.0) => Some(AvoidReason::Saturated),
-            _ => None,
+    fn avoid_reason(&self, server: &Server) -> Option<AvoidReason> {
+        if !server.listing.is_ready() {
+            return Some(AvoidReason::NotReady);
+        }
+        if server.liveness.is_unreachable() {
+            return Some(AvoidReason::Unreachable);
+        }
+        if let Some(until) = server.ejections.ejected_until(self.now) {
+            return Some(AvoidReason::Ejected { until });
+        }
+        if is_unhealthy(self.now, server, None) {
+            return Some(AvoidReason::Outlier);
         }
+        if !slow_start_allows(self.now, &self.settings, server) {
+            return Some(AvoidReason::WarmingUp);
+        }
+        let is_saturated = server.listing.role != Role::Prefill && !self.has_capacity(server, 0.0);
+        is_saturated.then_some(AvoidReason::Saturated)
     }
 }
+
+fn partial_ejection((traffic, until): (TrafficClassKey, Nanos)) -> PartialEjection {
+    PartialEjection { class: traffic.class, tenant: traffic.tenant, until }
+}
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -4,12 +4,13 @@
 
 use common::{class, kinds, settings, Router, MS, S};
 use gaparch_scheduler::api::*;
-use gaparch_scheduler::state::{new_server, Averages, Nearness, Position, Server, Servers};
+use gaparch_scheduler::state::{FleetSummary, NeighborhoodLimits, RingPosition, Server, ServerTable};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// As in the module.
-const NEARNESS: Nearness = Nearness { enough: NEAR, most: 256, points: 16, edge: 1e-3 };
+const NEARNESS: NeighborhoodLimits =
+    NeighborhoodLimits { enough: NEAR, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
 const NEAR: usize = 64;
 const WALKED: usize = 256;
 const READER: usize = 0;
@@ -36,24 +37,24 @@
 
 /// The module's tables of a list, told in so many pieces.
 struct Listed {
-    servers: Servers,
-    averages: Averages,
+    servers: ServerTable,
+    fleet: FleetSummary,
 }
 
 impl Listed {
     fn of(entries: &[Endpoint]) -> Listed {
-        let mut listed = Listed { servers: Servers::default(), averages: Averages::default() };
+        let mut listed = Listed { servers: ServerTable::default(), fleet: FleetSummary::default() };
         listed.tell(entries);
         listed
     }
 
     fn tell(&mut self, entries: &[Endpoint]) {
         let role = |e: &Endpoint| if e.kind == Some(KindId(READER)) { Role::Prefill } else { Role::Decode };
-        self.servers.insert_missing(entries.iter().map(|e| new_server(e.server, role(e), 1e5)));
+        self.servers.insert_missing(entries.iter().map(|e| Server::new(e.server, role(e), 1e5)));
         for entry in entries {
-            self.servers.get_mut(&entry.server).expect("made").listed(0, entry, 0.0);
+            self.servers.get_mut(entry.server).expect("made").update_listing(0, entry, 0.0);
         }
-        self.averages.list(&mut self.servers, WALKED, NEARNESS);
+        self.fleet.update_listed(&mut self.servers, WALKED, NEARNESS);
     }
 
     fn ids(&self, places: &[usize]) -> BTreeSet<ServerId> {
@@ -65,23 +66,24 @@
         self.near_position(position(key))
     }
 
-    fn near_position(&self, position: Position) -> [BTreeSet<ServerId>; 2] {
-        let near = self.averages.near(Some(position), None, NEARNESS);
-        [self.ids(&near.places.readers), self.ids(&near.places.writers)]
+    fn near_position(&self, position: RingPosition) -> [BTreeSet<ServerId>; 2] {
+        let near = self.fleet.neighborhood(Some(position), None, NEARNESS);
+        [self.ids(&near.servers.prefill), self.ids(&near.servers.decode)]
     }
 
     /// The home of a key, as the module hashes it.
     fn home(&self, key: u64) -> ServerId {
-        let near = self.averages.near(Some(position(key)), None, NEARNESS);
-        let fade = near.fade(&self.servers);
-        let distance = |s: &&Server| -AffinityKey(key).unit_interval(s.id).ln() / (s.home * fade.of(s.id));
-        let home = self.servers.at(&near.places.readers).min_by(|a, b| distance(a).total_cmp(&distance(b)));
+        let near = self.fleet.neighborhood(Some(position(key)), None, NEARNESS);
+        let weights = near.distance_weights(&self.servers);
+        let distance =
+            |s: &&Server| -AffinityKey(key).unit_interval(s.id).ln() / (s.affinity_weight * weights.of(s.id));
+        let home = self.servers.at(&near.servers.prefill).min_by(|a, b| distance(a).total_cmp(&distance(b)));
         home.expect("there are readers").id
     }
 }
 
-fn position(key: u64) -> Position {
-    Position::Key(AffinityKey(key).rendezvous_rank(ServerId(0)))
+fn position(key: u64) -> RingPosition {
+    RingPosition::Key(AffinityKey(key).rendezvous_rank(ServerId(0)))
 }
 
 /// Homes of many keys that differ between two lists, as a share.
@@ -105,10 +107,10 @@
 #[test]
 fn of_few_servers_all_are_chosen_among() {
     let listed = Listed::of(&fleet(256, 12));
-    assert!(!listed.averages.has_many());
+    assert!(!listed.fleet.uses_neighborhoods());
     let [readers, writers] = listed.near(7);
     assert_eq!((readers.len(), writers.len()), (86, 170));
-    assert!(Listed::of(&fleet(257, 12)).averages.has_many());
+    assert!(Listed::of(&fleet(257, 12)).fleet.uses_neighborhoods());
 }
 
 /// Cells of any size, one role far scarcer than the other, servers without a cell: all are borne.
@@ -183,7 +185,7 @@
     ) {
         let mut entries = fleet(servers, cell);
         let whole = Listed::of(&entries);
-        let mut in_pieces = Listed { servers: Servers::default(), averages: Averages::default() };
+        let mut in_pieces = Listed { servers: ServerTable::default(), fleet: FleetSummary::default() };
         let reversed: Vec<Endpoint> = entries.iter().rev().cloned().collect();
         reversed.chunks(reversed.len().div_ceil(pieces)).for_each(|piece| in_pieces.tell(piece));
         for key in 0..50 {
@@ -271,7 +273,7 @@
                 looks += 1;
                 assert!(looks <= most_looks, "{servers}: {} seen in {looks} looks", seen.len());
                 seen.extend(listed.near_position(at).into_iter().flatten());
-                at = listed.averages.near(Some(at), None, NEARNESS).next.expect("there are more");
+                at = listed.fleet.neighborhood(Some(at), None, NEARNESS).next.expect("there are more");
             }
         }
     }
@@ -283,8 +285,8 @@
     let entries = fleet(2_000, 12);
     let listed = Listed::of(&entries);
     for cell in (0..160).map(CellId) {
-        let near = listed.averages.near(Some(position(3)), Some(cell), NEARNESS);
-        let writers = listed.ids(&near.places.writers);
+        let near = listed.fleet.neighborhood(Some(position(3)), Some(cell), NEARNESS);
+        let writers = listed.ids(&near.servers.decode);
         let of_cell = entries.iter().filter(|e| e.cell == Some(cell) && e.kind == Some(KindId(WRITER)));
         assert!(of_cell.clone().count() > 0);
         of_cell.for_each(|e| assert!(writers.contains(&e.server), "{cell:?}"));
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -668,17 +668,21 @@
 #[test]
 fn a_reads_pace_is_learnt_from_what_it_truly_read() {
     // The prefix was kept, though the router could not know: told as unread, the pace would be a seventh.
-    let mut reads = gaparch_scheduler::state::Reads::default();
-    let sent = gaparch_scheduler::state::Sent {
-        unread: 7000.0,
-        queued: 7000.0,
-        ..gaparch_scheduler::state::Sent::to(ServerId(1), gaparch_scheduler::state::Stage::Read)
+    let mut reads = gaparch_scheduler::state::PrefillCostModel::default();
+    let sent = gaparch_scheduler::state::Attempt {
+        prompt_tokens: 7000.0,
+        queued_tokens: 7000.0,
+        ..gaparch_scheduler::state::Attempt::planned(ServerId(1), gaparch_scheduler::state::Stage::Prefill)
     };
+    let gains = gaparch_scheduler::state::LearningGains { mean: 0.1, slower_unloaded: 0.02 };
     for _ in 0..10 {
-        reads.done(&sent, 50_000_000, 1000.0, 0.1, 0.02);
+        reads.record_finished(&sent, 50_000_000, 1000.0, gains);
     }
-    assert_eq!(reads.best, 50_000.0);
-    assert_eq!(reads.tokens(100_000_000), 2000.0);
+    assert_eq!(reads.unloaded_pace(), 50_000.0);
+    assert_eq!(reads.tokens_within(100_000_000), 2000.0);
     // Until then the settings' own allowance for a token is gone by.
-    assert_eq!(gaparch_scheduler::state::Reads::guessed(100_000.0).tokens(100_000_000), 1000.0);
+    assert_eq!(
+        gaparch_scheduler::state::PrefillCostModel::with_unloaded_pace(100_000.0).tokens_within(100_000_000),
+        1000.0
+    );
 }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -3,7 +3,7 @@
 use gaparch_scheduler::api::{
     AttemptStatus, CellId, DeduplicationScope, Idempotency, Nanos, TrafficClass, ZoneId,
 };
-use gaparch_scheduler::policy::permits::{may_refuse, may_send, Denial, Denials, Repeat, SendFacts};
+use gaparch_scheduler::policy::send_guards::{may_reject, may_send, Denial, Denials, Repeat, SendFacts};
 use gaparch_scheduler::state::MayHaveRun;
 
 const NOW: Nanos = 1_000_000;
@@ -26,12 +26,12 @@
 fn allowed() -> SendFacts<'static> {
     SendFacts {
         now: NOW,
-        give_up_at: NOW + 1,
-        write_by: NOW + 1,
+        deadline_at: NOW + 1,
+        send_by: NOW + 1,
         answered: false,
-        client_left: false,
-        another_out: false,
-        attempts_used: false,
+        client_disconnected: false,
+        attempt_in_flight: false,
+        attempts_exhausted: false,
         server_ready: true,
         repeat: None,
     }
@@ -42,17 +42,17 @@
     assert_eq!(may_send(&allowed()), Ok(()));
     let denied = [
         (SendFacts { answered: true, ..allowed() }, Denial::Answered),
-        (SendFacts { client_left: true, ..allowed() }, Denial::ClientLeft),
-        (SendFacts { give_up_at: NOW, ..allowed() }, Denial::Deadline),
-        (SendFacts { another_out: true, ..allowed() }, Denial::AnotherOut),
-        (SendFacts { attempts_used: true, ..allowed() }, Denial::AttemptsUsed),
-        (SendFacts { write_by: NOW, ..allowed() }, Denial::TooLate),
-        (SendFacts { server_ready: false, ..allowed() }, Denial::NotReady),
+        (SendFacts { client_disconnected: true, ..allowed() }, Denial::ClientDisconnected),
+        (SendFacts { deadline_at: NOW, ..allowed() }, Denial::DeadlineExceeded),
+        (SendFacts { attempt_in_flight: true, ..allowed() }, Denial::AttemptInFlight),
+        (SendFacts { attempts_exhausted: true, ..allowed() }, Denial::AttemptsExhausted),
+        (SendFacts { send_by: NOW, ..allowed() }, Denial::TooLate),
+        (SendFacts { server_ready: false, ..allowed() }, Denial::ServerNotReady),
     ];
     for (facts, denial) in denied {
         assert_eq!(may_send(&facts), Err(denial));
         // A drained worker is no reason to end the request, the others are.
-        assert_eq!(denial.status() == AttemptStatus::ConnectFailed, denial == Denial::NotReady);
+        assert_eq!(denial.status() == AttemptStatus::ConnectFailed, denial == Denial::ServerNotReady);
     }
 }
 
@@ -97,8 +97,8 @@
         (Idempotency::NotIdempotent, DeduplicationScope::All, false),
     ] {
         let class = class(effect, group);
-        assert!(may_refuse(&class, false).is_ok());
-        assert_eq!(may_refuse(&class, true).is_ok(), harmless_after_a_run, "{effect:?} {group:?}");
+        assert!(may_reject(&class, false).is_ok());
+        assert_eq!(may_reject(&class, true).is_ok(), harmless_after_a_run, "{effect:?} {group:?}");
     }
 }
 
@@ -106,10 +106,10 @@
 fn denials_are_counted_by_reason_and_told_by_name() {
     let mut denials = Denials::default();
     assert_eq!(denials.to_string(), "");
-    denials.count(Denial::NotReady);
-    denials.count(Denial::NotReady);
-    denials.count(Denial::AnotherOut);
-    let total: u64 = Denial::ALL.into_iter().map(|denial| denials.of(denial)).sum();
-    assert_eq!((total, denials.of(Denial::NotReady)), (3, 2));
+    denials.count(Denial::ServerNotReady);
+    denials.count(Denial::ServerNotReady);
+    denials.count(Denial::AttemptInFlight);
+    let total: u64 = Denial::ALL.into_iter().map(|denial| denials.count_of(denial)).sum();
+    assert_eq!((total, denials.count_of(Denial::ServerNotReady)), (3, 2));
     assert_eq!(denials.to_string(), "another_out=1,not_ready=2");
 }
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,8 +1,8 @@
 //! Bytes and names that others read, held as they are: messages between routers, and the names in logs and counters.
 
 use gaparch_scheduler::api::{AttemptStatus, ServerId};
-use gaparch_scheduler::policy::permits::{Denial, Denials};
-use gaparch_scheduler::state::{held_from_bytes, held_to_bytes};
+use gaparch_scheduler::policy::send_guards::{Denial, Denials};
+use gaparch_scheduler::state::{decode_gossip, encode_gossip};
 use std::collections::BTreeMap;
 
 /// Servers 1, 2 and 0x01020304 with 16, 1000 and more tokens than fit; amounts are in units of 16 tokens.
@@ -11,7 +11,7 @@
 #[test]
 fn messages_between_routers_keep_their_bytes() {
     let held = [(1, 16.0), (2, 1000.0), (3, 15.9), (0x0102_0304, 1e12)];
-    let bytes = held_to_bytes(held.into_iter().map(|(server, tokens)| (ServerId(server), tokens)));
+    let bytes = encode_gossip(held.into_iter().map(|(server, tokens)| (ServerId(server), tokens)));
     assert_eq!(bytes, MESSAGE);
 }
 
@@ -19,15 +19,15 @@
 fn messages_between_routers_are_read_as_before() {
     let read =
         BTreeMap::from([(ServerId(1), 16.0), (ServerId(2), 992.0), (ServerId(0x0102_0304), 1_048_560.0)]);
-    assert_eq!(held_from_bytes(&MESSAGE), read);
+    assert_eq!(decode_gossip(&MESSAGE), read);
     // What is left of an entry that was cut off is no entry.
-    assert_eq!(held_from_bytes(&MESSAGE[..17]).len(), 2);
-    assert!(held_from_bytes(&[]).is_empty());
+    assert_eq!(decode_gossip(&MESSAGE[..17]).len(), 2);
+    assert!(decode_gossip(&[]).is_empty());
 }
 
 #[test]
 fn a_message_holds_no_more_than_42_servers() {
-    let bytes = held_to_bytes((0..100).map(|server| (ServerId(server), 32.0)));
+    let bytes = encode_gossip((0..100).map(|server| (ServerId(server), 32.0)));
     assert_eq!(bytes.len(), 252);
 }
 
--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -5,7 +5,7 @@
 
 use super::state::*;
 use gaparch_scheduler::api::*;
-use gaparch_scheduler::policy::arrivals::{state_after, NextStep, StateAfter, UnansweredWrite};
+use gaparch_scheduler::policy::unanswered_decode::{kv_cache_fate, KvCacheFate, NextStep, UnansweredDecode};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Nanos = 1_000_000;
@@ -774,7 +774,7 @@
         if sent.stage != Stage::Write || sent.released {
             return false;
         }
-        let write = UnansweredWrite {
+        let write = UnansweredDecode {
             now: self.now,
             sent_at: sent.at,
             held_since,
@@ -790,14 +790,14 @@
         let room = |s: &&Server| s.id != sent.server && self.has_room(s, work.need());
         let leaves = write.is_silent() && may && self.candidates(false, work).iter().any(room);
         match write.next_step() {
-            NextStep::Leave | NextStep::LetGo if leaves => {
+            NextStep::Retry | NextStep::Release if leaves => {
                 let now = self.now;
                 self.servers.entry(sent.server).and_modify(|s| (s.unreachable, s.probe_at) = (true, now));
                 self.works.entry(id).and_modify(|w| w.sent = Some(Sent { cancelled: true, ..*sent }));
                 self.out.push(Action::Cancel { id, attempt: sent.no });
                 return true;
             }
-            NextStep::LetGo => {
+            NextStep::Release => {
                 self.works.entry(id).and_modify(|w| w.sent = Some(Sent { released: true, ..*sent }));
                 self.out.push(Action::ReleaseKv(id));
             }
@@ -807,7 +807,7 @@
                 self.servers.entry(sent.server).and_modify(|s| s.asked_at = Some(now));
                 self.out.push(Action::Probe(sent.server));
             }
-            NextStep::Probe | NextStep::Wait | NextStep::Leave => {}
+            NextStep::Probe | NextStep::Wait | NextStep::Retry => {}
         }
         false
     }
@@ -815,14 +815,14 @@
     fn settle_state(&mut self, o: &AttemptOutcome, sent: &Sent) {
         let runs = self.servers.get(&o.server).is_some_and(|s| s.ran_at > sent.at);
         let Some(work) = self.works.get_mut(&o.id) else { return };
-        match state_after(o.status, sent.released, runs) {
+        match kv_cache_fate(o.status, sent.released, runs) {
             _ if o.status == AttemptStatus::Prefilled => work.state = Some((o.server, self.now)),
-            StateAfter::HeldAnew => work.state = work.state.map(|(reader, _)| (reader, self.now)),
-            StateAfter::Gone if work.state.is_some() && !work.ended => {
+            KvCacheFate::HeldAnew => work.state = work.state.map(|(reader, _)| (reader, self.now)),
+            KvCacheFate::Released if work.state.is_some() && !work.ended => {
                 work.state = None;
                 self.out.push(Action::ReleaseKv(o.id));
             }
-            StateAfter::Gone | StateAfter::Held => {}
+            KvCacheFate::Released | KvCacheFate::Held => {}
         }
     }
 
