--- a/crates/gaparch-platform-protocol/src/ask.rs
+++ b/crates/gaparch-platform-protocol/src/ask.rs
@@ -1,7 +1,7 @@
 //! What a client asks, as its head says it.
 
 use crate::head::{One, RequestHead};
-use gaparch_platform_settings::Site;
+use gaparch_platform_settings::PlatformSettings;
 use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, TenantId};
 use thiserror::Error;
 
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// When something in it is missing or makes no sense.
-    pub fn read(head: &RequestHead, site: &Site) -> Result<Ask, AskError> {
+    pub fn read(head: &RequestHead, site: &PlatformSettings) -> Result<Ask, AskError> {
         let path = head.target.split('?').next().unwrap_or_default();
         if path != ASK_PATH {
             return Err(AskError::Path);
--- a/crates/gaparch-platform-protocol/src/config.rs
+++ b/crates/gaparch-platform-protocol/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that the platform gives a router at its start, and again at each SIGHUP.
 
 use crate::catalogue::{ListLimits, Members};
-use gaparch_platform_settings::Site;
+use gaparch_platform_settings::{diagnose, PlatformSettings, SettingsDiagnostic};
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -37,9 +37,9 @@
     pub peers: Option<Peers>,
     /// The list as this router last held it.
     pub known: Option<Members>,
-    pub site: Site,
-    /// What of the settings is missing or makes no sense, a line each; it stops nothing.
-    pub odd: Vec<String>,
+    pub site: PlatformSettings,
+    /// What of the settings is missing or makes no sense, it stops nothing.
+    pub odd: Vec<SettingsDiagnostic>,
     /// How long an idle connection to a worker lives, at its side.
     pub idle_close_ns: Option<u64>,
 }
@@ -75,7 +75,7 @@
         if !settings.is_object() {
             return Err(ConfigError::Missing("settings"));
         }
-        let site = gaparch_platform_settings::read(settings, seed(&all["seed"])?);
+        let site = PlatformSettings::read(settings, seed(&all["seed"])?);
         if site.classes.is_empty() {
             return Err(ConfigError::Missing("settings.services"));
         }
@@ -106,7 +106,7 @@
             // An old list that can't be read is none: the catalogue tells.
             known: Members::from_value(&all["known"]).ok(),
             idle_close_ns: settings["caps"]["idleCloseNs"].as_u64().filter(|ns| *ns > 0),
-            odd: gaparch_platform_settings::oddities(settings, &site),
+            odd: diagnose(settings, &site),
             site,
         })
     }
--- a/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -128,7 +128,7 @@
 
     fn read(headers: &str) -> Result<Ask, AskError> {
         let settings = json!({"services": [{"name": "batch"}, {"name": "chat"}], "tenants": [{"name": "t0"}, {"name": "t1"}]});
-        let site = gaparch_platform_settings::read(&settings, 0);
+        let site = gaparch_platform_settings::PlatformSettings::read(&settings, 0);
         Ask::read(&request(&format!("POST /v1/chat/completions?v=2 HTTP/1.1\r\n{headers}\r\n\r\n")), &site)
     }
 
--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -108,7 +108,7 @@
     assert_eq!((config.name.as_str(), config.sockets), ("n0", 400));
     assert_eq!(config.listen.to_string(), "127.0.0.1:8080");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:9090");
-    assert_eq!(config.site.settings.seed, 255);
+    assert_eq!(config.site.scheduler.seed, 255);
     assert_eq!(config.list_limits, ListLimits { bytes: 8320 * 512, entries: 8320 });
     let address = |text: &str| text.parse().expect("an address");
     let peers = Peers {
@@ -137,7 +137,7 @@
     assert_eq!((config.listen.port(), config.discovery.port()), (1, 2));
     assert_eq!(config.list_limits, ListLimits { bytes: 16384 * 512, entries: 16384 });
     assert_eq!((config.peers, config.known, config.idle_close_ns), (None, None, None));
-    assert_eq!(config.site.settings.seed, 0);
+    assert_eq!(config.site.scheduler.seed, 0);
 }
 
 #[test]
--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -134,7 +134,7 @@
     shared: Arc<Shared>,
 ) {
     let mut progress = Progress::default();
-    let mut backoff = Backoff::new(shared.config.site.settings.seed);
+    let mut backoff = Backoff::new(shared.config.site.scheduler.seed);
     loop {
         if wanted.wait_for(|w| w.watch || w.fetches > progress.fetched).await.is_err() {
             return;
--- a/crates/gaparch-platform-router/src/owner.rs
+++ b/crates/gaparch-platform-router/src/owner.rs
@@ -187,7 +187,7 @@
     /// Names what is held for longer than the settings allow: nobody is known to have fetched it.
     fn log_held_too_long(&mut self) {
         let now = self.shared.clock.now();
-        let most = self.shared.config.site.settings.kv_release_within;
+        let most = self.shared.config.site.scheduler.kv_release_within;
         let (mut logged, mut oldest) = (Vec::new(), self.held_logged_to);
         for state in self.core.held_states() {
             let overdue = now.saturating_sub(state.since) > most && state.since > self.held_logged_to;
@@ -394,7 +394,7 @@
             before.task
         });
         let forward = Arc::clone(&open.forward);
-        let settings = &self.shared.config.site.settings;
+        let settings = &self.shared.config.site.scheduler;
         let job = Job {
             id,
             no,
@@ -419,7 +419,7 @@
         // One that is drained or gone may hold it still.
         targets.extend(self.target(at).filter(|target| !targets.contains(target)));
         let Some(open) = self.open.get_mut(&id) else { return };
-        let within = release_try(&self.shared.config.site.settings);
+        let within = release_try(&self.shared.config.site.scheduler);
         let release = Release { txn: open.forward.txn.clone(), targets, within };
         let (over, released) = oneshot::channel();
         open.releasing = Some(released);
--- a/crates/gaparch-platform-router/src/run.rs
+++ b/crates/gaparch-platform-router/src/run.rs
@@ -99,7 +99,7 @@
     let config = load(&file)?;
     let no_listener = |address| move |source| NodeError::Listen { address, source };
     let listener = listen(config.listen).await.map_err(no_listener(config.listen))?;
-    let peer_socket = match config.peers.clone().filter(|_| config.site.settings.can_gossip) {
+    let peer_socket = match config.peers.clone().filter(|_| config.site.scheduler.can_gossip) {
         Some(peers) => {
             let address = peers.listen;
             Some(PeerSocket::bind(peers).await.map_err(no_listener(address))?)
@@ -116,7 +116,7 @@
         "starting"
     );
     config.odd.iter().for_each(|line| tracing::warn!("{line}"));
-    let connect_within = connect_within(&config.site.settings);
+    let connect_within = connect_within(&config.site.scheduler);
     let pool = Arc::new(Pool::new(Arc::clone(&budget.workers), connect_within, config.idle_close_ns));
     let (owner, messages) = mpsc::unbounded_channel();
     let core = core_config(&config);
@@ -202,7 +202,7 @@
 
     fn take(&self, new: NodeConfig) {
         tracing::info!(discovery = %new.discovery, "a new configuration");
-        if new.site.settings != self.shared.config.site.settings {
+        if new.site.scheduler != self.shared.config.site.scheduler {
             tracing::warn!("the settings have changed: they are taken at the next start");
             new.odd.iter().for_each(|line| tracing::warn!("{line}"));
         }
--- a/crates/gaparch-platform-router/src/settings.rs
+++ b/crates/gaparch-platform-router/src/settings.rs
@@ -40,7 +40,7 @@
     Config {
         router: node.name.clone(),
         listeners: Vec::new(),
-        module: site.settings.clone(),
+        module: site.scheduler.clone(),
         names: Names {
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
@@ -55,7 +55,7 @@
         links: Links::Exchanges,
         attempts: Attempts {
             // The settings state no time for probes: one gets as long as a connection.
-            probe_timeout: connect_within(&site.settings).as_nanos() as Nanos,
+            probe_timeout: connect_within(&site.scheduler).as_nanos() as Nanos,
             reconnect_after: 0,
             reconnect_most: 0,
         },
--- a/crates/gaparch-platform-settings/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -1,5 +1,6 @@
 //! The platform's settings object with every key, and what a build before the code's names changed read from it.
 
+use gaparch_platform_settings::{diagnose, PlatformSettings, SettingsDiagnostic};
 use gaparch_scheduler::api::{
     DeduplicationScope, Idempotency, Role, ServerKind, Settings, Tenant, TrafficClass, ZoneId,
 };
@@ -35,7 +36,7 @@
 
 #[test]
 fn every_key_has_its_field() {
-    let site = gaparch_platform_settings::read(&every_key(), 99);
+    let settings = PlatformSettings::read(&every_key(), 99);
     let chat = TrafficClass {
         idempotency: Idempotency::Idempotent,
         deduplication_scope: DeduplicationScope::All,
@@ -66,7 +67,7 @@
         token_latency_objective: 0,
         ..tool.clone()
     };
-    let settings = Settings {
+    let expected = Settings {
         seed: 99,
         router_index: 2,
         router_count: 5,
@@ -107,19 +108,21 @@
         probe_cost: 0.001,
         gossip_cost: 0.002,
     };
-    assert_eq!(site.settings, settings);
-    assert_eq!(site.classes, ["chat", "tool", "pay"]);
-    assert_eq!(site.tenants, ["t0", "t1"]);
-    assert_eq!(site.zones, ["a", "b"]);
-    assert_eq!(site.kinds, ["prefill-small", "decode-small", "mixed", "encode"]);
-    assert_eq!(site.report, ["inflight", "queue"]);
+    assert_eq!(settings.scheduler, expected);
+    assert_eq!(settings.classes, ["chat", "tool", "pay"]);
+    assert_eq!(settings.tenants, ["t0", "t1"]);
+    assert_eq!(settings.zones, ["a", "b"]);
+    assert_eq!(settings.kinds, ["prefill-small", "decode-small", "mixed", "encode"]);
+    assert_eq!(settings.load_report_fields, ["inflight", "queue"]);
 }
 
 #[test]
 fn an_absent_key_is_the_modules_own_default() {
-    let site = gaparch_platform_settings::read(&json!({}), 0);
-    assert_eq!(site.settings, Settings::default());
-    assert!(site.classes.is_empty() && site.kinds.is_empty() && site.report.is_empty());
+    let settings = PlatformSettings::read(&json!({}), 0);
+    assert_eq!(settings.scheduler, Settings::default());
+    assert!(
+        settings.classes.is_empty() && settings.kinds.is_empty() && settings.load_report_fields.is_empty()
+    );
 }
 
 /// A field of the wrong type counts as absent, and so does a number that is negative.
@@ -130,7 +133,7 @@
     env["rules"]["rampTimeNs"] = json!(-1);
     env["caps"]["cancel"] = json!("yes");
     env["zone"] = json!("c");
-    let settings = gaparch_platform_settings::read(&env, 0).settings;
+    let settings = PlatformSettings::read(&env, 0).scheduler;
     let defaults = Settings::default();
     assert_eq!(settings.slow_start_speed, defaults.slow_start_speed);
     assert_eq!(
@@ -143,8 +146,9 @@
 #[test]
 fn diagnostics_name_these_fields_in_this_order() {
     let fields = |env: &Value| -> Vec<String> {
-        let lines = gaparch_platform_settings::oddities(env, &gaparch_platform_settings::read(env, 0));
-        let field = |line: &String| {
+        let lines = diagnose(env, &PlatformSettings::read(env, 0));
+        let field = |diagnostic: &SettingsDiagnostic| {
+            let line = diagnostic.to_string();
             let named = line.strip_prefix("'settings.").expect("a field first");
             named.split('\'').next().expect("its end").to_owned()
         };
--- a/crates/gaparch-simulator-adapter/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Keeps the instances apart and hands each its events in order.
 
 use crate::wire::{self, need, Batch, Parsed, RawEntry};
-use gaparch_platform_settings::{whole, Site};
+use gaparch_platform_settings::{whole_number, PlatformSettings};
 use gaparch_scheduler::api::{EndpointUpdate, Event};
 use gaparch_scheduler::policy::Policy;
 use serde_json::Value;
@@ -15,7 +15,7 @@
 }
 
 struct Instance {
-    site: Site,
+    site: PlatformSettings,
     policy: Policy,
 }
 
@@ -35,14 +35,13 @@
     fn event(&mut self, now: u64, event: &Value, actions: &mut Vec<Value>) -> Parsed<()> {
         let kind = need(event, "t", Value::as_str)?;
         if kind == "pool" {
-            self.tables.insert(need(event, "table", whole)?, wire::pool(event)?);
+            self.tables.insert(need(event, "table", whole_number)?, wire::pool(event)?);
             return Ok(());
         }
-        let who = need(event, "who", whole)?;
+        let who = need(event, "who", whole_number)?;
         if kind == "init" {
-            let site =
-                gaparch_platform_settings::read(need(event, "env", object)?, need(event, "entropy", seed)?);
-            let policy = Policy::new(site.settings.clone());
+            let site = PlatformSettings::read(need(event, "env", object)?, need(event, "entropy", seed)?);
+            let policy = Policy::new(site.scheduler.clone());
             self.instances.insert(who, Instance { site, policy });
             return Ok(());
         }
@@ -62,12 +61,12 @@
     }
 }
 
-fn members(event: &Value, site: &Site, tables: &BTreeMap<u64, Vec<RawEntry>>) -> Parsed<Event> {
+fn members(event: &Value, site: &PlatformSettings, tables: &BTreeMap<u64, Vec<RawEntry>>) -> Parsed<Event> {
     let kind = wire::list_kind(event)?;
     if kind == EndpointUpdate::Failed {
         return Ok(Event::EndpointsChanged { update: kind, endpoints: Arc::from([]) });
     }
-    let table = need(event, "table", whole)?;
+    let table = need(event, "table", whole_number)?;
     let entries = tables.get(&table).ok_or_else(|| format!("rosterChange: list {table} was never given"))?;
     Ok(Event::EndpointsChanged {
         update: kind,
@@ -80,5 +79,5 @@
 }
 
 fn seed(value: &Value) -> Option<u64> {
-    whole(value).or_else(|| value.as_i64().map(|n| n as u64))
+    whole_number(value).or_else(|| value.as_i64().map(|n| n as u64))
 }
--- a/crates/gaparch-simulator-adapter/src/wire.rs
+++ b/crates/gaparch-simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The words of the wire: events in, actions out.
 
-use gaparch_platform_settings::{index, number, whole, Site};
+use gaparch_platform_settings::{index_of, non_negative_number, whole_number, PlatformSettings};
 use gaparch_scheduler::api::{
     Action, AffinityKey, AttemptNumber, AttemptOutcome, AttemptStatus, CellId, ClassId, Endpoint,
     EndpointUpdate, Event, KindId, LoadReport, Nanos, OutcomeNote, Request, RequestId, ServerId, ServerState,
@@ -49,22 +49,22 @@
         server: need(entry, "worker", server)?,
         zone: entry["az"].clone(),
         kind: entry["kind"].clone(),
-        cell: whole(&entry["cohort"]).map(CellId),
+        cell: whole_number(&entry["cohort"]).map(CellId),
         state: match entry["status"].as_str() {
             Some("up") => ServerState::Ready,
             Some("removed") => ServerState::Removed,
             _ => ServerState::Draining,
         },
-        weight: number(&entry["scale"]),
-        ready_at: whole(&entry["launchedNs"]),
+        weight: non_negative_number(&entry["scale"]),
+        ready_at: whole_number(&entry["launchedNs"]),
     })
 }
 
-pub fn entry(raw: &RawEntry, site: &Site) -> Endpoint {
+pub fn entry(raw: &RawEntry, site: &PlatformSettings) -> Endpoint {
     Endpoint {
         server: raw.server,
-        zone: index(&site.zones, &raw.zone).map(ZoneId),
-        kind: index(&site.kinds, &raw.kind).map(KindId),
+        zone: index_of(&site.zones, &raw.zone).map(ZoneId),
+        kind: index_of(&site.kinds, &raw.kind).map(KindId),
         cell: raw.cell,
         state: raw.state,
         weight: raw.weight,
@@ -83,21 +83,21 @@
 }
 
 /// An event of one instance, but for `init`, `teardown` and `rosterChange`. None: a kind not known here.
-pub fn event(value: &Value, site: &Site) -> Parsed<Option<Event>> {
+pub fn event(value: &Value, site: &PlatformSettings) -> Parsed<Option<Event>> {
     Ok(Some(match name(value) {
         "submit" => Event::RequestArrived(Request {
             id: need(value, "msgId", request)?,
             // A class that the settings lack is the module's to answer.
             class: need(value, "priority", |v| {
-                v.as_str().map(|_| ClassId(index(&site.classes, v).unwrap_or(usize::MAX)))
+                v.as_str().map(|_| ClassId(index_of(&site.classes, v).unwrap_or(usize::MAX)))
             })?,
-            tenant: index(&site.tenants, &value["clientGroup"]).map(TenantId),
+            tenant: index_of(&site.tenants, &value["clientGroup"]).map(TenantId),
             session: value["session"].as_str().map(AffinityKey::from_text),
             prefix: value["prefixId"].as_str().map(AffinityKey::from_text),
-            prompt_tokens: number(&value["inputLen"]).unwrap_or(0.0),
-            prefix_tokens: number(&value["nPrefix"]).unwrap_or(0.0),
-            max_output_tokens: number(&value["nMax"]).unwrap_or(0.0),
-            expected_duration: whole(&value["workHintNs"]).filter(|h| *h > 0),
+            prompt_tokens: non_negative_number(&value["inputLen"]).unwrap_or(0.0),
+            prefix_tokens: non_negative_number(&value["nPrefix"]).unwrap_or(0.0),
+            max_output_tokens: non_negative_number(&value["nMax"]).unwrap_or(0.0),
+            expected_duration: whole_number(&value["workHintNs"]).filter(|h| *h > 0),
             deadline_at: need(value, "giveUpAtNs", whole_or_past)?,
             client_retry: value["isRetry"].as_bool().unwrap_or(false),
             client_reconnect: value["again"].as_bool().unwrap_or(false),
@@ -108,26 +108,26 @@
             Err(_) => return Ok(None),
         },
         "datagram" => Event::GossipReceived {
-            from: need(value, "neighbour", whole)? as u32,
+            from: need(value, "neighbour", whole_number)? as u32,
             data: need(value, "content", |v| unhex(v.as_str()?))?,
         },
         "begun" => Event::FirstToken {
             id: need(value, "msgId", request)?,
             attempt: need(value, "sendNo", attempt)?,
             server: need(value, "worker", server)?,
-            latency: whole(&value["durationNs"]).unwrap_or(0),
+            latency: whole_number(&value["durationNs"]).unwrap_or(0),
         },
         "reserved" => Event::ReservationAnswered {
             id: need(value, "msgId", request)?,
             attempt: need(value, "sendNo", attempt)?,
             server: need(value, "worker", server)?,
-            reserved: need(value, "sort", whole)? == 1,
+            reserved: need(value, "sort", whole_number)? == 1,
         },
         "withdrawn" => Event::ClientDisconnected(need(value, "msgId", request)?),
         "health" => Event::ProbeFinished {
             server: need(value, "worker", server)?,
-            status: status(need(value, "outcome", whole)?),
-            latency: whole(&value["durationNs"]).unwrap_or(0),
+            status: status(need(value, "outcome", whole_number)?),
+            latency: whole_number(&value["durationNs"]).unwrap_or(0),
             report: report(&value["stats"], site),
         },
         "closedAttempt" => Event::AttemptFinished(outcome(value, site)?),
@@ -135,15 +135,15 @@
     }))
 }
 
-fn outcome(value: &Value, site: &Site) -> Parsed<AttemptOutcome> {
-    let status = status(need(value, "outcome", whole)?);
-    let note = OutcomeNote(whole(&value["info"]).unwrap_or(0));
+fn outcome(value: &Value, site: &PlatformSettings) -> Parsed<AttemptOutcome> {
+    let status = status(need(value, "outcome", whole_number)?);
+    let note = OutcomeNote(whole_number(&value["info"]).unwrap_or(0));
     Ok(AttemptOutcome {
         id: need(value, "msgId", request)?,
         attempt: need(value, "sendNo", attempt)?,
         server: need(value, "worker", server)?,
         status,
-        latency: whole(&value["durationNs"]).unwrap_or(0),
+        latency: whole_number(&value["durationNs"]).unwrap_or(0),
         request_finished: value["ended"].as_bool().unwrap_or(false),
         cached_prompt_tokens: note.cached_prompt_tokens(status),
         kv_cache_missing: note.kv_cache_missing(status),
@@ -152,20 +152,20 @@
 }
 
 fn request(value: &Value) -> Option<RequestId> {
-    whole(value).map(RequestId)
+    whole_number(value).map(RequestId)
 }
 
 fn server(value: &Value) -> Option<ServerId> {
-    u32::try_from(whole(value)?).ok().map(ServerId)
+    u32::try_from(whole_number(value)?).ok().map(ServerId)
 }
 
 fn attempt(value: &Value) -> Option<AttemptNumber> {
-    u32::try_from(whole(value)?).ok().map(AttemptNumber)
+    u32::try_from(whole_number(value)?).ok().map(AttemptNumber)
 }
 
 /// A time; one before the clock's zero is long past.
 fn whole_or_past(value: &Value) -> Option<Nanos> {
-    whole(value).or_else(|| value.as_f64().map(|_| 0))
+    whole_number(value).or_else(|| value.as_f64().map(|_| 0))
 }
 
 fn status(code: u64) -> AttemptStatus {
@@ -183,10 +183,10 @@
     }
 }
 
-fn report(value: &Value, site: &Site) -> Option<LoadReport> {
+fn report(value: &Value, site: &PlatformSettings) -> Option<LoadReport> {
     let values = value.as_array()?;
     let mut report = LoadReport::default();
-    for (field, value) in site.report.iter().zip(values) {
+    for (field, value) in site.load_report_fields.iter().zip(values) {
         let slot = match field.as_str() {
             "concurrent" => &mut report.in_flight,
             "depth" => &mut report.queued,
@@ -195,7 +195,7 @@
             "x1" => &mut report.pending_prefill_kilotokens,
             _ => continue,
         };
-        *slot = number(value);
+        *slot = non_negative_number(value);
     }
     Some(report)
 }
--- a/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
+++ b/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
@@ -1,6 +1,6 @@
 //! Every event and action of the simulator's wire, as the lines that it is written in.
 
-use gaparch_platform_settings::Site;
+use gaparch_platform_settings::PlatformSettings;
 use gaparch_scheduler::api::{
     Action, AffinityKey, AttemptNumber, AttemptOutcome, AttemptStatus, CellId, ClassId, Endpoint,
     EndpointUpdate, Event, GiveUpCause, GiveUpReason, KindId, LoadReport, QueueingReason, Request, RequestId,
@@ -11,13 +11,13 @@
 #[path = "../src/wire.rs"]
 mod wire;
 
-fn site() -> Site {
+fn site() -> PlatformSettings {
     let env = json!({
         "flavors": ["prefill", "decode"], "zones": ["a", "b"], "tenants": [{"name": "t"}],
         "services": [{"aimNs": 1000000000, "deadlineNs": 5000000000u64, "idempotency": "free", "name": "ask"}],
         "report": {"fields": ["concurrent", "depth", "load_share", "x0", "x1", "unheard_of"], "source": "piggyback"}
     });
-    gaparch_platform_settings::read(&env, 7)
+    PlatformSettings::read(&env, 7)
 }
 
 fn parsed(line: &str) -> Event {
--- a/crates/gaparch-testbed/src/scale/hollow/entries.rs
+++ b/crates/gaparch-testbed/src/scale/hollow/entries.rs
@@ -1,6 +1,7 @@
 //! The list and the settings of a hollow fleet.
 
 use super::super::{layout, settings as platform_settings, target};
+use gaparch_platform_settings::PlatformSettings;
 use gaparch_scheduler::api::{CellId, Endpoint, KindId, ServerId, ServerState, Settings, ZoneId};
 
 /// Size and seed of a hollow fleet.
@@ -53,6 +54,5 @@
 /// The settings of one router of the fleet, as a router in service reads them.
 pub fn settings(shape: &Shape, me: usize) -> Settings {
     let seed = shape.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ me as u64;
-    gaparch_platform_settings::read(&platform_settings::of_router(me, shape.routers, shape.zones), seed)
-        .settings
+    PlatformSettings::read(&platform_settings::of_router(me, shape.routers, shape.zones), seed).scheduler
 }
