--- a/crates/gaparch-cli/src/commands/node.rs
+++ b/crates/gaparch-cli/src/commands/node.rs
@@ -2,7 +2,7 @@
 
 use crate::Outcome;
 use clap::Args;
-use gaparch_platform_router::NodeError;
+use gaparch_platform_router::RouterError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -19,7 +19,7 @@
 pub async fn run(options: Options) -> Outcome {
     match gaparch_platform_router::run(options.config).await {
         Ok(()) => Ok(ExitCode::SUCCESS),
-        Err(error @ (NodeError::Read { .. } | NodeError::Config { .. })) => {
+        Err(error @ (RouterError::Read { .. } | RouterError::Config { .. })) => {
             crate::complain(format_args!("{error}"));
             Ok(ExitCode::from(UNUSABLE))
         }
--- a/crates/gaparch-platform-protocol/src/body.rs
+++ b/crates/gaparch-platform-protocol/src/body.rs
@@ -1,187 +1,228 @@
-//! Bodies of HTTP/1.1 messages as their heads frame them.
+//! Bodies of HTTP/1.1 messages: how a head frames one, its decoder, and the encoder of chunks.
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Bytes of a body that the protocol states.
-pub const MOST_BODY: usize = 256 * 1024;
-/// A chunk's size with its extensions, or a line of a trailer.
-const MOST_LINE: usize = 256;
-/// Bytes of a trailer.
-const MOST_TRAILER: usize = 4 * 1024;
+/// Longest body of a request that the protocol allows, in bytes.
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
+/// Longest line of a chunk's size with its extensions, or of a trailer, in bytes.
+const MAX_LINE_BYTES: usize = 256;
+/// Longest trailer in bytes.
+const MAX_TRAILER_BYTES: usize = 4 * 1024;
+/// The end of a line.
+const CRLF: &[u8] = b"\r\n";
 
-/// How the end of a body is told.
+/// How the end of a body is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// The body has this many bytes.
     Length(u64),
+    /// The body is sent in chunks, and a last one of length 0 ends it.
     Chunked,
+    /// The end of the connection ends the body.
     UntilClose,
 }
 
-/// Why the rest of a body can't be read.
+/// Why the rest of a body can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
+    /// The size of a chunk is malformed.
     #[error("a chunk whose size can't be read")]
-    Size,
+    ChunkSize,
+    /// A chunk is longer than the decoder allows.
     #[error("a chunk of more bytes than a body may have")]
-    TooLarge,
+    ChunkTooLong,
+    /// The end of a line does not follow a chunk.
     #[error("a chunk that does not end where its size says")]
-    End,
+    ChunkEnd,
+    /// The trailer is malformed or too long.
     #[error("a trailer without end")]
     Trailer,
 }
 
-/// What the front of the bytes at hand holds of a body.
+/// What the front of a buffer holds of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum BodyPart {
+    /// Some bytes of the body.
     Data(Bytes),
-    /// More bytes are wanted.
-    Wait,
-    /// It is whole; what follows in the buffer belongs to another message.
+    /// More bytes are needed.
+    Incomplete,
+    /// The body is complete; what follows in the buffer belongs to another message.
     End,
 }
 
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Left(u64),
-    Size,
+    /// This many bytes of a body of stated length.
+    Remaining(u64),
+    ChunkSize,
+    /// This many bytes of a chunk.
     Chunk(u64),
     ChunkEnd,
+    /// A line of the trailer, of which this many bytes have been read.
     Trailer(usize),
     UntilClose,
-    Done,
+    Complete,
 }
 
-/// Takes a body apart as its bytes come. It holds no bytes itself.
+/// Decodes a body as its bytes arrive. It holds none of them itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
-    /// Bytes of one chunk at most.
-    most_chunk: u64,
+    /// Longest chunk in bytes.
+    max_chunk: u64,
 }
 
-impl Body {
-    /// A body of the protocol's length.
-    pub fn new(framing: Framing) -> Body {
-        Body::within(framing, MOST_BODY)
+impl BodyDecoder {
+    /// Creates a decoder whose chunks have at most [`MAX_BODY_BYTES`].
+    pub fn new(framing: Framing) -> BodyDecoder {
+        BodyDecoder::with_max_chunk(framing, MAX_BODY_BYTES)
     }
 
-    /// A body whose chunks have at most so many bytes.
-    pub fn within(framing: Framing, most_chunk: usize) -> Body {
+    /// Creates a decoder whose chunks have at most `max_chunk` bytes.
+    pub fn with_max_chunk(framing: Framing, max_chunk: usize) -> BodyDecoder {
         let state = match framing {
-            Framing::Length(0) => State::Done,
-            Framing::Length(length) => State::Left(length),
-            Framing::Chunked => State::Size,
+            Framing::Length(0) => State::Complete,
+            Framing::Length(length) => State::Remaining(length),
+            Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         };
-        Body { state, most_chunk: most_chunk as u64 }
-    }
-
-    pub fn is_whole(&self) -> bool {
-        self.state == State::Done
+        BodyDecoder { state, max_chunk: max_chunk as u64 }
     }
 
-    /// The end of the connection ends it in good order.
+    /// Whether the body is complete where the connection ends now.
     pub fn ends_with_connection(&self) -> bool {
-        matches!(self.state, State::UntilClose | State::Done)
+        matches!(self.state, State::UntilClose | State::Complete)
     }
 
-    /// Takes the next part off the front of `bytes`.
+    /// Takes the next part of the body off the front of `buffer`.
     ///
     /// # Errors
-    /// When the framing makes no sense. Nothing after that can be read.
-    pub fn next(&mut self, bytes: &mut BytesMut) -> Result<Part, BodyError> {
+    /// When the framing is malformed. Nothing after that can be decoded.
+    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<BodyPart, BodyError> {
         loop {
             match self.state {
-                State::Done => return Ok(Part::End),
-                _ if bytes.is_empty() => return Ok(Part::Wait),
-                State::UntilClose => return Ok(Part::Data(bytes.split().freeze())),
-                State::Left(left) => {
-                    let (data, left) = take(bytes, left);
-                    self.state = if left == 0 { State::Done } else { State::Left(left) };
-                    return Ok(Part::Data(data));
-                }
-                State::Chunk(left) => {
-                    let (data, left) = take(bytes, left);
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
-                    return Ok(Part::Data(data));
-                }
+                State::Complete => return Ok(BodyPart::End),
+                _ if buffer.is_empty() => return Ok(BodyPart::Incomplete),
+                State::UntilClose => return Ok(BodyPart::Data(buffer.split().freeze())),
+                State::Remaining(remaining) => return Ok(self.decode_length(buffer, remaining)),
+                State::Chunk(remaining) => return Ok(self.decode_chunk(buffer, remaining)),
                 State::ChunkEnd => {
-                    if bytes.len() < 2 && bytes[0] == b'\r' {
-                        return Ok(Part::Wait);
+                    if !self.decode_chunk_end(buffer)? {
+                        return Ok(BodyPart::Incomplete);
                     }
-                    if !bytes.starts_with(b"\r\n") {
-                        return Err(BodyError::End);
-                    }
-                    bytes.advance(2);
-                    self.state = State::Size;
                 }
-                State::Size => {
-                    let Some(line) = line(bytes).map_err(|()| BodyError::Size)? else {
-                        return Ok(Part::Wait);
-                    };
-                    self.state = match size(&line, self.most_chunk)? {
-                        0 => State::Trailer(0),
-                        size => State::Chunk(size),
-                    };
+                State::ChunkSize => {
+                    if !self.decode_chunk_size(buffer)? {
+                        return Ok(BodyPart::Incomplete);
+                    }
                 }
-                State::Trailer(seen) => {
-                    let Some(line) = line(bytes).map_err(|()| BodyError::Trailer)? else {
-                        return Ok(Part::Wait);
-                    };
-                    let seen = seen + line.len();
-                    if seen > MOST_TRAILER {
-                        return Err(BodyError::Trailer);
+                State::Trailer(length) => {
+                    if !self.decode_trailer_line(buffer, length)? {
+                        return Ok(BodyPart::Incomplete);
                     }
-                    self.state = if line.is_empty() { State::Done } else { State::Trailer(seen + 2) };
                 }
             }
         }
     }
+
+    fn decode_length(&mut self, buffer: &mut BytesMut, remaining: u64) -> BodyPart {
+        let (data, remaining) = split_up_to(buffer, remaining);
+        self.state = if remaining == 0 { State::Complete } else { State::Remaining(remaining) };
+        BodyPart::Data(data)
+    }
+
+    fn decode_chunk(&mut self, buffer: &mut BytesMut, remaining: u64) -> BodyPart {
+        let (data, remaining) = split_up_to(buffer, remaining);
+        self.state = if remaining == 0 { State::ChunkEnd } else { State::Chunk(remaining) };
+        BodyPart::Data(data)
+    }
+
+    /// Decodes the end of a chunk; `false` where more bytes are needed.
+    fn decode_chunk_end(&mut self, buffer: &mut BytesMut) -> Result<bool, BodyError> {
+        if buffer.len() < CRLF.len() && buffer[0] == b'\r' {
+            return Ok(false);
+        }
+        if !buffer.starts_with(CRLF) {
+            return Err(BodyError::ChunkEnd);
+        }
+        buffer.advance(CRLF.len());
+        self.state = State::ChunkSize;
+        Ok(true)
+    }
+
+    /// Decodes the size of a chunk; `false` where more bytes are needed.
+    fn decode_chunk_size(&mut self, buffer: &mut BytesMut) -> Result<bool, BodyError> {
+        let line = split_line(buffer).map_err(|MalformedLine| BodyError::ChunkSize)?;
+        let Some(line) = line else { return Ok(false) };
+        self.state = match parse_chunk_size(&line, self.max_chunk)? {
+            0 => State::Trailer(0),
+            size => State::Chunk(size),
+        };
+        Ok(true)
+    }
+
+    /// Decodes a line of the trailer; `false` where more bytes are needed.
+    fn decode_trailer_line(&mut self, buffer: &mut BytesMut, length: usize) -> Result<bool, BodyError> {
+        let line = split_line(buffer).map_err(|MalformedLine| BodyError::Trailer)?;
+        let Some(line) = line else { return Ok(false) };
+        let length = length + line.len();
+        if length > MAX_TRAILER_BYTES {
+            return Err(BodyError::Trailer);
+        }
+        self.state = if line.is_empty() { State::Complete } else { State::Trailer(length + CRLF.len()) };
+        Ok(true)
+    }
 }
 
-fn take(bytes: &mut BytesMut, left: u64) -> (Bytes, u64) {
-    let n = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-    (bytes.split_to(n).freeze(), left - n as u64)
+/// Splits at most `limit` bytes off the front of the buffer; with them, how many of the limit are left.
+fn split_up_to(buffer: &mut BytesMut, limit: u64) -> (Bytes, u64) {
+    let length = usize::try_from(limit).unwrap_or(usize::MAX).min(buffer.len());
+    (buffer.split_to(length).freeze(), limit - length as u64)
 }
 
-/// A line without its end; `None` while it is not whole.
-fn line(bytes: &mut BytesMut) -> Result<Option<Bytes>, ()> {
-    match bytes.iter().take(MOST_LINE).position(|b| *b == b'\n') {
-        Some(at) if at > 0 && bytes[at - 1] == b'\r' => {
-            let line = bytes.split_to(at - 1).freeze();
-            bytes.advance(2);
+/// A line that is too long, or does not end with CR LF.
+struct MalformedLine;
+
+/// Splits a line off the front of the buffer and returns it without its end; `None` while it is incomplete.
+fn split_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, MalformedLine> {
+    let newline = buffer.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n');
+    match newline {
+        Some(at) if at > 0 && buffer[at - 1] == b'\r' => {
+            let line = buffer.split_to(at - 1).freeze();
+            buffer.advance(CRLF.len());
             Ok(Some(line))
         }
-        Some(_) => Err(()),
-        None if bytes.len() >= MOST_LINE => Err(()),
+        Some(_) => Err(MalformedLine),
+        None if buffer.len() >= MAX_LINE_BYTES => Err(MalformedLine),
         None => Ok(None),
     }
 }
 
-/// A chunk's size; extensions are skipped.
-fn size(line: &[u8], most: u64) -> Result<u64, BodyError> {
-    let digits = line.split(|b| *b == b';').next().unwrap_or_default();
-    let digits = std::str::from_utf8(digits).map_err(|_| BodyError::Size)?.trim_end();
-    if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(BodyError::Size);
+/// Parses the size of a chunk; its extensions are skipped.
+fn parse_chunk_size(line: &[u8], max: u64) -> Result<u64, BodyError> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
+    let digits = std::str::from_utf8(digits).map_err(|_| BodyError::ChunkSize)?.trim_end();
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(BodyError::ChunkSize);
     }
-    // So many digits that they overflow are a size, but none that any body has.
-    let size = u64::from_str_radix(digits, 16).map_err(|_| BodyError::TooLarge)?;
-    if size > most {
-        return Err(BodyError::TooLarge);
+    // The digits are sound, so the only failure left is an overflow.
+    let size = u64::from_str_radix(digits, 16).map_err(|_| BodyError::ChunkTooLong)?;
+    if size > max {
+        return Err(BodyError::ChunkTooLong);
     }
     Ok(size)
 }
 
-/// Puts one chunk.
-pub fn put_chunk(out: &mut BytesMut, data: &[u8]) {
+/// Appends one chunk to `out`; nothing where `data` is empty, since an empty chunk would end the body.
+pub fn encode_chunk(out: &mut BytesMut, data: &[u8]) {
     if !data.is_empty() {
         out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
         out.extend_from_slice(data);
-        out.extend_from_slice(b"\r\n");
+        out.extend_from_slice(CRLF);
     }
 }
 
-/// The last chunk: the body is whole.
+/// The last chunk with an empty trailer, which ends a body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/gaparch-platform-protocol/src/config.rs
+++ b/crates/gaparch-platform-protocol/src/config.rs
@@ -1,142 +1,191 @@
-//! The configuration that the platform gives a router at its start, and again at each SIGHUP.
+//! The configuration file that the platform gives a router, read at its start and again at each SIGHUP.
 
-use crate::catalogue::{ListLimits, Members};
+use crate::endpoint_list::{EndpointList, ListLimits};
 use gaparch_platform_settings::{diagnose, PlatformSettings, SettingsDiagnostic};
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Descriptors a router can't do without: listeners, catalogue, signals, a few clients and workers.
-const LEAST_SOCKETS: u64 = 32;
-/// Where no limit is told.
-const SOCKETS: u64 = 256;
-/// Mebibytes of memory where no limit is told.
-const MEMORY_MB: f64 = 64.0;
-const MEBIBYTE: f64 = 1_048_576.0;
+/// Fewest sockets that a router works with: listeners, discovery, signals, a few clients and workers.
+const MIN_SOCKETS: u64 = 32;
+/// Sockets of a router where the file states no limit.
+const DEFAULT_SOCKETS: u64 = 256;
+/// Memory of a router in mebibytes where the file states no limit.
+const DEFAULT_MEMORY_MB: f64 = 64.0;
+const BYTES_PER_MB: f64 = 1_048_576.0;
+/// What an address has to be, for an error's text.
+const ADDRESS: &str = "an address with its port";
 
-/// What is wrong with a configuration, by field.
+/// The first field of a configuration that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
+    /// The file is no JSON object.
     #[error("not JSON: {0}")]
     Json(String),
+    /// A field is missing.
     #[error("'{0}' is missing")]
     Missing(&'static str),
-    #[error("'{field}' must be {wanted}")]
-    Wrong { field: &'static str, wanted: &'static str },
+    /// A field is malformed.
+    #[error("'{field}' must be {expected}")]
+    Invalid {
+        /// Path of the field.
+        field: &'static str,
+        /// What it has to be.
+        expected: &'static str,
+    },
 }
 
-/// All that a router is told.
+/// The configuration of a router in service.
 #[derive(Clone, Debug)]
-pub struct NodeConfig {
+pub struct RouterConfig {
+    /// Name of the router, for the log.
     pub name: String,
+    /// Address that clients connect to.
     pub listen: SocketAddr,
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
+    /// Most sockets that the router may use.
     pub sockets: usize,
-    /// What a list may hold, by the memory limit.
+    /// Bounds of an endpoint list, by the memory limit.
     pub list_limits: ListLimits,
-    pub peers: Option<Peers>,
-    /// The list as this router last held it.
-    pub known: Option<Members>,
-    pub site: PlatformSettings,
-    /// What of the settings is missing or makes no sense, it stops nothing.
-    pub odd: Vec<SettingsDiagnostic>,
-    /// How long an idle connection to a worker lives, at its side.
+    /// Addresses for gossip; `None` where there is none.
+    pub gossip: Option<GossipAddresses>,
+    /// The endpoint list as this router last knew it.
+    pub last_known_list: Option<EndpointList>,
+    /// The platform's settings object.
+    pub settings: PlatformSettings,
+    /// What of the settings object is missing or malformed.
+    pub diagnostics: Vec<SettingsDiagnostic>,
+    /// After how long a worker closes an idle connection, in nanoseconds; `None` where it is not stated.
     pub idle_close_ns: Option<u64>,
 }
 
-/// Where routers hear one another.
+/// Addresses at which routers receive gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peers {
+pub struct GossipAddresses {
+    /// Address of this router.
     pub listen: SocketAddr,
-    /// By the routers' numbers.
-    pub each: Vec<SocketAddr>,
-    pub all: Option<SocketAddr>,
+    /// Address of each router, by its index.
+    pub routers: Vec<SocketAddr>,
+    /// Address that reaches all routers, if there is one.
+    pub broadcast: Option<SocketAddr>,
 }
 
-impl NodeConfig {
-    /// Reads the file's text. `fallback` is asked for what it lacks, by the name of the field.
+impl RouterConfig {
+    /// Reads the text of the file. `fallback` is asked by the name of the field for `name`, `listen` and `discovery`
+    /// where the file lacks them.
     ///
     /// # Errors
-    /// The first field that is missing or makes no sense.
-    pub fn read(text: &[u8], fallback: impl Fn(&str) -> Option<String>) -> Result<NodeConfig, ConfigError> {
-        let all: Value = serde_json::from_slice(text).map_err(|e| ConfigError::Json(e.to_string()))?;
-        if !all.is_object() {
+    /// The first field that is missing or malformed.
+    pub fn from_json(
+        json: &[u8],
+        fallback: impl Fn(&str) -> Option<String>,
+    ) -> Result<RouterConfig, ConfigError> {
+        let file: Value =
+            serde_json::from_slice(json).map_err(|error| ConfigError::Json(error.to_string()))?;
+        if !file.is_object() {
             return Err(ConfigError::Json("an object is wanted".to_owned()));
         }
-        let text = |field: &'static str| match &all[field] {
-            Value::String(text) => Ok(text.clone()),
-            Value::Null => fallback(field).ok_or(ConfigError::Missing(field)),
-            _ => Err(ConfigError::Wrong { field, wanted: "a text" }),
-        };
-        let address = |field: &'static str| {
-            text(field)?.parse().map_err(|_| ConfigError::Wrong { field, wanted: "an address with its port" })
-        };
-        let settings = &all["settings"];
-        if !settings.is_object() {
-            return Err(ConfigError::Missing("settings"));
-        }
-        let site = PlatformSettings::read(settings, seed(&all["seed"])?);
-        if site.classes.is_empty() {
-            return Err(ConfigError::Missing("settings.services"));
-        }
-        if site.kinds.is_empty() {
-            return Err(ConfigError::Missing("settings.flavors"));
-        }
-        let sockets = match &all["limits"]["sockets"] {
-            Value::Null => SOCKETS,
-            value => value
-                .as_u64()
-                .filter(|n| *n >= LEAST_SOCKETS)
-                .ok_or(ConfigError::Wrong { field: "limits.sockets", wanted: "a whole number from 32" })?,
-        };
-        let memory_mb = match &all["limits"]["memory_mb"] {
-            Value::Null => MEMORY_MB,
-            value => value
-                .as_f64()
-                .filter(|mb| *mb > 0.0)
-                .ok_or(ConfigError::Wrong { field: "limits.memory_mb", wanted: "a number above 0" })?,
-        };
-        Ok(NodeConfig {
-            name: text("name")?,
-            listen: address("listen")?,
-            discovery: address("discovery")?,
-            sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
-            list_limits: ListLimits::within_memory((memory_mb * MEBIBYTE) as usize),
-            peers: peers(&all)?,
-            // An old list that can't be read is none: the catalogue tells.
-            known: Members::from_value(&all["known"]).ok(),
-            idle_close_ns: settings["caps"]["idleCloseNs"].as_u64().filter(|ns| *ns > 0),
-            odd: diagnose(settings, &site),
-            site,
+        let settings = read_settings(&file)?;
+        let sockets = read_sockets(&file["limits"]["sockets"])?;
+        let memory_bytes = read_memory_bytes(&file["limits"]["memory_mb"])?;
+        Ok(RouterConfig {
+            name: required_text(&file, "name", &fallback)?,
+            listen: required_address(&file, "listen", &fallback)?,
+            discovery: required_address(&file, "discovery", &fallback)?,
+            sockets,
+            list_limits: ListLimits::for_memory(memory_bytes),
+            gossip: read_gossip(&file)?,
+            // The discovery service states the list: one that can't be read here is no loss.
+            last_known_list: EndpointList::from_value(&file["known"]).ok(),
+            idle_close_ns: file["settings"]["caps"]["idleCloseNs"].as_u64().filter(|ns| *ns > 0),
+            diagnostics: diagnose(&file["settings"], &settings),
+            settings,
         })
     }
 }
 
-fn seed(value: &Value) -> Result<u64, ConfigError> {
-    let wrong = ConfigError::Wrong { field: "seed", wanted: "16 hexadecimal digits" };
+fn read_settings(file: &Value) -> Result<PlatformSettings, ConfigError> {
+    let object = &file["settings"];
+    if !object.is_object() {
+        return Err(ConfigError::Missing("settings"));
+    }
+    let settings = PlatformSettings::read(object, read_seed(&file["seed"])?);
+    if settings.classes.is_empty() {
+        return Err(ConfigError::Missing("settings.services"));
+    }
+    if settings.kinds.is_empty() {
+        return Err(ConfigError::Missing("settings.flavors"));
+    }
+    Ok(settings)
+}
+
+fn read_seed(value: &Value) -> Result<u64, ConfigError> {
+    let error = ConfigError::Invalid { field: "seed", expected: "16 hexadecimal digits" };
     match value {
         Value::Null => Ok(0),
-        Value::String(text) => u64::from_str_radix(text, 16).map_err(|_| wrong),
-        value => value.as_u64().ok_or(wrong),
+        Value::String(text) => u64::from_str_radix(text, 16).map_err(|_| error),
+        value => value.as_u64().ok_or(error),
     }
 }
 
-fn peers(all: &Value) -> Result<Option<Peers>, ConfigError> {
-    let wanted = "an address with its port";
-    let address = |field, value: &Value| match value.as_str().map(str::parse) {
-        Some(Ok(address)) => Ok(address),
-        _ => Err(ConfigError::Wrong { field, wanted }),
+fn read_sockets(value: &Value) -> Result<usize, ConfigError> {
+    let error = ConfigError::Invalid { field: "limits.sockets", expected: "a whole number from 32" };
+    let sockets = match value {
+        Value::Null => DEFAULT_SOCKETS,
+        value => value.as_u64().filter(|sockets| *sockets >= MIN_SOCKETS).ok_or(error)?,
+    };
+    Ok(usize::try_from(sockets).unwrap_or(usize::MAX))
+}
+
+fn read_memory_bytes(value: &Value) -> Result<usize, ConfigError> {
+    let error = ConfigError::Invalid { field: "limits.memory_mb", expected: "a number above 0" };
+    let megabytes = match value {
+        Value::Null => DEFAULT_MEMORY_MB,
+        value => value.as_f64().filter(|megabytes| *megabytes > 0.0).ok_or(error)?,
     };
-    if all["peer_listen"].is_null() {
+    Ok((megabytes * BYTES_PER_MB) as usize)
+}
+
+fn required_text(
+    file: &Value,
+    field: &'static str,
+    fallback: impl Fn(&str) -> Option<String>,
+) -> Result<String, ConfigError> {
+    match &file[field] {
+        Value::String(text) => Ok(text.clone()),
+        Value::Null => fallback(field).ok_or(ConfigError::Missing(field)),
+        _ => Err(ConfigError::Invalid { field, expected: "a text" }),
+    }
+}
+
+fn required_address(
+    file: &Value,
+    field: &'static str,
+    fallback: impl Fn(&str) -> Option<String>,
+) -> Result<SocketAddr, ConfigError> {
+    let text = required_text(file, field, fallback)?;
+    text.parse().map_err(|_| ConfigError::Invalid { field, expected: ADDRESS })
+}
+
+fn read_gossip(file: &Value) -> Result<Option<GossipAddresses>, ConfigError> {
+    if file["peer_listen"].is_null() {
         return Ok(None);
     }
-    let each = all["peers"].as_array().map_or(&[][..], Vec::as_slice);
-    Ok(Some(Peers {
-        listen: address("peer_listen", &all["peer_listen"])?,
-        each: each.iter().map(|peer| address("peers", peer)).collect::<Result<_, _>>()?,
-        all: match &all["peers_all"] {
+    let listen = read_address("peer_listen", &file["peer_listen"])?;
+    let routers = file["peers"].as_array().map_or(&[][..], Vec::as_slice);
+    let routers = routers.iter().map(|router| read_address("peers", router));
+    Ok(Some(GossipAddresses {
+        listen,
+        routers: routers.collect::<Result<_, _>>()?,
+        broadcast: match &file["peers_all"] {
             Value::Null => None,
-            value => Some(address("peers_all", value)?),
+            value => Some(read_address("peers_all", value)?),
         },
     }))
 }
+
+fn read_address(field: &'static str, value: &Value) -> Result<SocketAddr, ConfigError> {
+    let address = value.as_str().and_then(|text| text.parse().ok());
+    address.ok_or(ConfigError::Invalid { field, expected: ADDRESS })
+}
--- a/crates/gaparch-platform-protocol/src/head.rs
+++ b/crates/gaparch-platform-protocol/src/head.rs
@@ -4,212 +4,253 @@
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Bytes of a head: the platform's own take a few hundred.
-pub const MOST_HEAD: usize = 8 * 1024;
-/// Lines of a head.
-const MOST_HEADERS: usize = 64;
+/// Longest head in bytes; those of the platform take a few hundred.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Most header lines of a head.
+const MAX_HEADERS: usize = 64;
 
-/// Why a head can't be used. Whoever sent it is cut off: where its message ends is not known.
+/// Why a head can't be decoded. Where its message ends is not known, so the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
+    /// The bytes are no head of HTTP/1.1.
     #[error("no HTTP/1.1 head")]
-    Unreadable,
-    #[error("a head of more than {MOST_HEAD} bytes")]
+    Malformed,
+    /// The head has too many bytes or lines.
+    #[error("a head of more than {MAX_HEAD_BYTES} bytes")]
     TooLong,
+    /// The framing of the body is missing, repeated, malformed or stated in two ways.
     #[error("a length that can't be told")]
-    Length,
+    Framing,
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
+    /// The method as sent.
     pub method: String,
-    /// Path and query, as sent.
+    /// Path and query as sent.
     pub target: String,
+    /// How the end of the body is recognized.
     pub framing: Framing,
-    /// The sender closes after this message.
+    /// Whether the sender closes the connection after this message.
     pub close: bool,
     headers: Headers,
 }
 
-/// An answer's head.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
+    /// How the end of the body is recognized.
     pub framing: Framing,
+    /// Whether the sender closes the connection after this message.
     pub close: bool,
     headers: Headers,
 }
 
-/// Header lines, in their order.
+/// A header line.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Header {
+    name: String,
+    value: String,
+}
+
+/// Header lines in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Headers(Vec<(String, String)>);
+struct Headers(Vec<Header>);
 
-/// The one value of a header, if there is just one.
+/// The value of a header that may be there once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum One<'h> {
-    None,
-    One(&'h str),
-    Many,
+pub enum HeaderValue<'h> {
+    /// The header is not there.
+    Absent,
+    /// The header is there once, with this value.
+    Single(&'h str),
+    /// The header is there more than once.
+    Repeated,
 }
 
 impl Headers {
-    fn take(lines: &[httparse::Header<'_>]) -> Result<Headers, HeadError> {
-        let text = |h: &httparse::Header<'_>| {
-            // Bytes beyond text are nobody's header value here.
-            let value = std::str::from_utf8(h.value).map_err(|_| HeadError::Unreadable)?;
-            Ok((h.name.to_owned(), value.trim().to_owned()))
+    /// Takes the headers of a request, of which each must be text.
+    fn strict(lines: &[httparse::Header<'_>]) -> Result<Headers, HeadError> {
+        let mut headers = Vec::with_capacity(lines.len());
+        for line in lines {
+            let value = std::str::from_utf8(line.value).map_err(|_| HeadError::Malformed)?;
+            headers.push(Header { name: line.name.to_owned(), value: value.trim().to_owned() });
+        }
+        Ok(Headers(headers))
+    }
+
+    /// Takes the headers of a response; what is no text in a value is replaced.
+    fn lenient(lines: &[httparse::Header<'_>]) -> Headers {
+        let header = |line: &httparse::Header<'_>| Header {
+            name: line.name.to_owned(),
+            value: String::from_utf8_lossy(line.value).trim().to_owned(),
         };
-        lines.iter().map(text).collect::<Result<Vec<_>, _>>().map(Headers)
+        Headers(lines.iter().map(header).collect())
     }
 
-    fn all<'h>(&'h self, name: &'h str) -> impl Iterator<Item = &'h str> {
-        self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+    fn values<'h>(&'h self, name: &'h str) -> impl Iterator<Item = &'h str> {
+        let named = self.0.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
+        named.map(|header| header.value.as_str())
     }
 
-    fn one<'h>(&'h self, name: &'h str) -> One<'h> {
-        let mut all = self.all(name);
-        match (all.next(), all.next()) {
-            (None, _) => One::None,
-            (Some(value), None) => One::One(value),
-            _ => One::Many,
+    fn value<'h>(&'h self, name: &'h str) -> HeaderValue<'h> {
+        let mut values = self.values(name);
+        match (values.next(), values.next()) {
+            (None, _) => HeaderValue::Absent,
+            (Some(value), None) => HeaderValue::Single(value),
+            (Some(_), Some(_)) => HeaderValue::Repeated,
         }
     }
 
-    fn closes(&self) -> bool {
-        let words = self.all("connection").flat_map(|value| value.split(','));
-        words.map(str::trim).any(|word| word.eq_ignore_ascii_case("close"))
+    fn closes_connection(&self) -> bool {
+        let options = self.values("connection").flat_map(|value| value.split(','));
+        options.map(str::trim).any(|option| option.eq_ignore_ascii_case("close"))
     }
 
-    /// How the body ends, if the head says so. Both ways at once may hide a second message in the first.
+    /// Returns how the body ends, if the headers state it. Both ways at once may hide a second message in the first.
     fn framing(&self) -> Result<Option<Framing>, HeadError> {
-        match (self.one("content-length"), self.one("transfer-encoding")) {
-            (One::None, One::None) => Ok(None),
-            (One::One(digits), One::None) => {
-                let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-                let length = digits.parse().ok().filter(|_| plain).ok_or(HeadError::Length)?;
+        match (self.value("content-length"), self.value("transfer-encoding")) {
+            (HeaderValue::Absent, HeaderValue::Absent) => Ok(None),
+            (HeaderValue::Single(digits), HeaderValue::Absent) => {
+                let length = parse_content_length(digits)?;
                 Ok(Some(Framing::Length(length)))
             }
-            (One::None, One::One(coding)) if coding.eq_ignore_ascii_case("chunked") => {
+            (HeaderValue::Absent, HeaderValue::Single(coding)) if coding.eq_ignore_ascii_case("chunked") => {
                 Ok(Some(Framing::Chunked))
             }
-            _ => Err(HeadError::Length),
+            _ => Err(HeadError::Framing),
         }
     }
 }
 
+fn parse_content_length(digits: &str) -> Result<u64, HeadError> {
+    // `parse` would take a sign, too.
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(HeadError::Framing);
+    }
+    digits.parse().map_err(|_| HeadError::Framing)
+}
+
 impl RequestHead {
-    pub fn one<'h>(&'h self, name: &'h str) -> One<'h> {
-        self.headers.one(name)
+    /// Returns the value of a header that may be there once. Case does not matter in `name`.
+    pub fn header<'h>(&'h self, name: &'h str) -> HeaderValue<'h> {
+        self.headers.value(name)
     }
 }
 
-impl AnswerHead {
-    /// Another head follows for the same request.
+impl ResponseHead {
+    /// Whether this is an interim response (1xx): another head follows for the same request.
     pub fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
 
-    /// The first value of a header.
-    pub fn first<'h>(&'h self, name: &'h str) -> Option<&'h str> {
-        self.headers.all(name).next()
+    /// Returns the first value of a header. Case does not matter in `name`.
+    pub fn first_value<'h>(&'h self, name: &'h str) -> Option<&'h str> {
+        self.headers.values(name).next()
     }
 }
 
-/// Length of a head, by what was seen of it; `None` while it is not whole.
+/// Returns the length of a head by the parser's result; `None` while the head is incomplete.
 fn head_length(
-    seen: httparse::Result<usize>,
-    there: usize,
+    parsed: httparse::Result<usize>,
+    available: usize,
     version: Option<u8>,
 ) -> Result<Option<usize>, HeadError> {
-    match seen {
+    match parsed {
         Ok(httparse::Status::Complete(length)) if version == Some(1) => Ok(Some(length)),
-        Ok(httparse::Status::Partial) if there < MOST_HEAD => Ok(None),
+        Ok(httparse::Status::Partial) if available < MAX_HEAD_BYTES => Ok(None),
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => Err(HeadError::TooLong),
-        Ok(httparse::Status::Complete(_)) | Err(_) => Err(HeadError::Unreadable),
+        Ok(httparse::Status::Complete(_)) | Err(_) => Err(HeadError::Malformed),
     }
 }
 
-/// Takes a request's head off the front of what has come; `None` while it is not whole.
+/// Takes the head of a request off the front of `buffer`; `None` while it is incomplete.
 ///
 /// # Errors
 /// When no more bytes can make it a head that is understood.
-pub fn take_request(bytes: &mut BytesMut) -> Result<Option<RequestHead>, HeadError> {
-    skip_blank_lines(bytes);
-    let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut parsed = httparse::Request::new(&mut lines);
-    let seen = parsed.parse(&bytes[..bytes.len().min(MOST_HEAD)]);
-    let Some(length) = head_length(seen, bytes.len(), parsed.version)? else { return Ok(None) };
-    let headers = Headers::take(parsed.headers)?;
+pub fn decode_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, HeadError> {
+    skip_blank_lines(buffer);
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut lines);
+    let parsed = request.parse(&buffer[..buffer.len().min(MAX_HEAD_BYTES)]);
+    let Some(length) = head_length(parsed, buffer.len(), request.version)? else { return Ok(None) };
+    let headers = Headers::strict(request.headers)?;
     let head = RequestHead {
-        method: parsed.method.unwrap_or_default().to_owned(),
-        target: parsed.path.unwrap_or_default().to_owned(),
+        method: request.method.unwrap_or_default().to_owned(),
+        target: request.path.unwrap_or_default().to_owned(),
         framing: headers.framing()?.unwrap_or(Framing::Length(0)),
-        close: headers.closes(),
+        close: headers.closes_connection(),
         headers,
     };
-    bytes.advance(length);
+    buffer.advance(length);
     Ok(Some(head))
 }
 
-/// Takes an answer's head off the front of what has come; `None` while it is not whole.
+/// Takes the head of a response off the front of `buffer`; `None` while it is incomplete.
 ///
 /// # Errors
-/// As for [`take_request`].
-pub fn take_answer(bytes: &mut BytesMut) -> Result<Option<AnswerHead>, HeadError> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut parsed = httparse::Response::new(&mut lines);
-    // A load report that can't be read says nothing; the answer that it came with stands.
-    let mut lenient = httparse::ParserConfig::default();
-    lenient.ignore_invalid_headers_in_responses(true);
-    let seen = lenient.parse_response(&mut parsed, &bytes[..bytes.len().min(MOST_HEAD)]);
-    let Some(length) = head_length(seen, bytes.len(), parsed.version)? else { return Ok(None) };
-    let status = parsed.code.unwrap_or_default();
-    let text =
-        |h: &httparse::Header<'_>| (h.name.to_owned(), String::from_utf8_lossy(h.value).trim().to_owned());
-    let headers = Headers(parsed.headers.iter().map(text).collect());
-    let bodiless = status < 200 || status == 204 || status == 304;
-    let framing = match headers.framing()? {
-        _ if bodiless => Framing::Length(0),
+/// As for [`decode_request`].
+pub fn decode_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, HeadError> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut lines);
+    // A load report that is malformed states nothing; the response that it came with stands.
+    let mut parser = httparse::ParserConfig::default();
+    parser.ignore_invalid_headers_in_responses(true);
+    let parsed = parser.parse_response(&mut response, &buffer[..buffer.len().min(MAX_HEAD_BYTES)]);
+    let Some(length) = head_length(parsed, buffer.len(), response.version)? else { return Ok(None) };
+    let status = response.code.unwrap_or_default();
+    let headers = Headers::lenient(response.headers);
+    let stated_framing = headers.framing()?;
+    let framing = match stated_framing {
+        _ if has_no_body(status) => Framing::Length(0),
         Some(framing) => framing,
         None => Framing::UntilClose,
     };
-    let close = headers.closes() || framing == Framing::UntilClose;
-    bytes.advance(length);
-    Ok(Some(AnswerHead { status, framing, close, headers }))
+    let close = headers.closes_connection() || framing == Framing::UntilClose;
+    buffer.advance(length);
+    Ok(Some(ResponseHead { status, framing, close, headers }))
+}
+
+/// Whether responses of this status never have a body, whatever their heads state.
+fn has_no_body(status: u16) -> bool {
+    status < 200 || status == 204 || status == 304
 }
 
-/// Some clients end a body with a line too many.
-fn skip_blank_lines(bytes: &mut BytesMut) {
-    while bytes.starts_with(b"\r\n") {
-        bytes.advance(2);
+/// Skips blank lines before a request: some clients end a body with a line too many.
+fn skip_blank_lines(buffer: &mut BytesMut) {
+    while buffer.starts_with(b"\r\n") {
+        buffer.advance(2);
     }
 }
 
-/// A whole answer with a short text.
-pub fn answer(status: u16, extra: &[(&str, String)], text: &str, close: bool) -> Bytes {
+/// Encodes a complete response with a short text as its body, and with `headers` beside those that frame it.
+pub fn encode_response(status: u16, headers: &[(&str, String)], text: &str, close: bool) -> Bytes {
     let mut out = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n",
-        reason(status),
+        reason_phrase(status),
         text.len()
     );
-    extra.iter().for_each(|(name, value)| out.push_str(&format!("{name}: {value}\r\n")));
+    for (name, value) in headers {
+        out.push_str(&format!("{name}: {value}\r\n"));
+    }
     out.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
     out.push_str(text);
     Bytes::from(out)
 }
 
-/// The head of a stream of events in chunks.
-pub fn stream_head(close: bool) -> &'static [u8] {
-    match close {
-        false => b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-        true => {
-            b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
-        }
+/// Returns the head of a response that streams events in chunks.
+pub fn event_stream_head(close: bool) -> &'static [u8] {
+    if close {
+        b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
+    } else {
+        b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         204 => "No Content",
--- a/crates/gaparch-platform-protocol/src/worker.rs
+++ b/crates/gaparch-platform-protocol/src/worker.rs
@@ -1,69 +1,110 @@
-//! What is asked of workers, and what their answers mean.
+//! Messages to workers, and the meaning of their responses.
 
-use crate::ask::Txn;
-use crate::head::AnswerHead;
+use crate::client_request::TransactionId;
+use crate::head::ResponseHead;
 use bytes::Bytes;
 use gaparch_scheduler::api::AttemptStatus;
+use serde::Deserialize;
 
-/// Interim answers (1xx) that may come ahead of one.
-pub const MOST_INTERIM: usize = 8;
+/// Most interim responses (1xx) that may precede a response.
+pub const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// One request as it goes to a worker.
-pub fn job_head(target: &str, txn: &Txn, host: &str, wait_ms: u32, length: usize) -> Bytes {
+/// What a worker does for a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Stage {
+    /// It computes the KV cache of the prompt.
+    Prefill,
+    /// It generates tokens.
+    Decode,
+}
+
+impl Stage {
+    /// Returns the name that the log states.
+    pub fn name(self) -> &'static str {
+        match self {
+            Stage::Prefill => "prefill",
+            Stage::Decode => "decode",
+        }
+    }
+}
+
+/// Encodes the head of a request to a worker. `remaining_ms` is what is left to the client, `body_length` is in bytes.
+pub fn encode_request_head(
+    target: &str,
+    transaction: &TransactionId,
+    host: &str,
+    remaining_ms: u32,
+    body_length: usize,
+) -> Bytes {
     Bytes::from(format!(
-        "POST {target} HTTP/1.1\r\nHost: {host}\r\nX-Txn: {}\r\nX-Remaining-Ms: {wait_ms}\r\n\
-         Content-Type: application/json\r\nContent-Length: {length}\r\n\r\n",
-        txn.as_str()
+        "POST {target} HTTP/1.1\r\nHost: {host}\r\nX-Txn: {}\r\nX-Remaining-Ms: {remaining_ms}\r\n\
+         Content-Type: application/json\r\nContent-Length: {body_length}\r\n\r\n",
+        transaction.as_str()
     ))
 }
 
-/// Asks for a place to be held.
-pub fn reserve_head(txn: &Txn, host: &str) -> Bytes {
-    call("POST", &format!("/internal/reservations/{}", txn.as_str()), host)
+/// Encodes a call that reserves capacity for a request.
+pub fn encode_reserve(transaction: &TransactionId, host: &str) -> Bytes {
+    encode_call("POST", &reservation_path(transaction), host)
+}
+
+/// Encodes a call that releases all that is reserved or cached for a request, at whichever worker.
+pub fn encode_release(transaction: &TransactionId, host: &str) -> Bytes {
+    encode_call("DELETE", &reservation_path(transaction), host)
 }
 
-/// Lets go of all that is held for a request.
-pub fn release_head(txn: &Txn, host: &str) -> Bytes {
-    call("DELETE", &format!("/internal/reservations/{}", txn.as_str()), host)
+/// Encodes a health check.
+pub fn encode_probe(host: &str) -> Bytes {
+    encode_call("GET", "/ping", host)
 }
 
-pub fn probe_head(host: &str) -> Bytes {
-    call("GET", "/ping", host)
+fn reservation_path(transaction: &TransactionId) -> String {
+    format!("/internal/reservations/{}", transaction.as_str())
 }
 
-fn call(method: &str, path: &str, host: &str) -> Bytes {
+fn encode_call(method: &str, path: &str, host: &str) -> Bytes {
     let length = if method == "POST" { "Content-Length: 0\r\n" } else { "" };
     Bytes::from(format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n{length}\r\n"))
 }
 
-/// What the head of a worker's answer means.
+/// What the head of a worker's response means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
-    /// The prompt is read; the body tells how much of it was kept.
-    Read,
+pub enum ResponseMeaning {
+    /// The prompt is prefilled; the body states how much of it was cached.
+    Prefilled,
     /// Events follow.
-    Stream,
-    /// It has ended so, with this note.
-    Ended(AttemptStatus, u64),
+    EventStream,
+    /// The attempt has ended.
+    Ended {
+        /// How it has ended.
+        status: AttemptStatus,
+        /// Whether the KV cache that it was to decode from is not there.
+        kv_cache_missing: bool,
+    },
 }
 
-/// The answer to a read or to a write.
-pub fn meaning(head: &AnswerHead, reads: bool) -> Meaning {
-    let turned_away = head.first("x-turned-away") == Some("1");
+impl ResponseMeaning {
+    fn ended(status: AttemptStatus) -> ResponseMeaning {
+        ResponseMeaning::Ended { status, kv_cache_missing: false }
+    }
+}
+
+/// Interprets the response to a request at this stage.
+pub fn interpret_response(head: &ResponseHead, stage: Stage) -> ResponseMeaning {
+    let rejected = head.first_value("x-turned-away") == Some("1");
     match head.status {
-        202 if reads => Meaning::Read,
-        200 if !reads => Meaning::Stream,
-        // The state to be written from is gone.
-        410 if turned_away => Meaning::Ended(AttemptStatus::Rejected, 1),
-        503 | 504 if turned_away => Meaning::Ended(AttemptStatus::Rejected, 0),
-        500 => Meaning::Ended(AttemptStatus::Error, 0),
-        // Whatever else it says, the request may have run.
-        _ => Meaning::Ended(AttemptStatus::Unknown, 0),
+        202 if stage == Stage::Prefill => ResponseMeaning::Prefilled,
+        200 if stage == Stage::Decode => ResponseMeaning::EventStream,
+        410 if rejected => ResponseMeaning::Ended { status: AttemptStatus::Rejected, kv_cache_missing: true },
+        503 | 504 if rejected => ResponseMeaning::ended(AttemptStatus::Rejected),
+        500 => ResponseMeaning::ended(AttemptStatus::Error),
+        // Whatever else it states, the request may have run.
+        _ => ResponseMeaning::ended(AttemptStatus::Unknown),
     }
 }
 
-/// The answer to a probe.
-pub fn probe_meaning(status: u16) -> AttemptStatus {
+/// Interprets the response to a health check.
+pub fn interpret_probe(status: u16) -> AttemptStatus {
     match status {
         200 => AttemptStatus::Ok,
         503 => AttemptStatus::Rejected,
@@ -71,24 +112,43 @@
     }
 }
 
-/// Whether a place is held, by the answer to a reservation. `None`: not known.
-pub fn reserved(status: u16) -> Option<bool> {
+/// What is known of a reservation after its response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reservation {
+    /// The capacity is reserved.
+    Reserved,
+    /// The capacity may be reserved.
+    Unknown,
+    /// The capacity is not reserved.
+    Rejected,
+}
+
+impl Reservation {
+    /// Whether the capacity has to be treated as reserved.
+    pub fn may_be_reserved(self) -> bool {
+        self != Reservation::Rejected
+    }
+}
+
+/// Interprets the response to a reservation.
+pub fn interpret_reservation(status: u16) -> Reservation {
     match status {
-        200 => Some(true),
-        204 => None,
-        _ => Some(false),
+        200 => Reservation::Reserved,
+        204 => Reservation::Unknown,
+        _ => Reservation::Rejected,
     }
 }
 
-/// Tokens of a read's prompt that were found kept; 0 where its body does not say.
-pub fn kept(body: &[u8]) -> u32 {
-    #[derive(serde::Deserialize)]
-    struct Read {
+/// Reads how many tokens of a prompt were cached from the body of a prefill's response; 0 where it does not state that.
+pub fn cached_prompt_tokens(body: &[u8]) -> u32 {
+    #[derive(Deserialize)]
+    struct PrefillResponse {
         cached_tokens: f64,
     }
-    let told = serde_json::from_slice::<Read>(body).map_or(0.0, |read| read.cached_tokens);
-    if told.is_finite() {
-        told.clamp(0.0, f64::from(u32::MAX)) as u32
+    let response = serde_json::from_slice::<PrefillResponse>(body);
+    let tokens = response.map_or(0.0, |response| response.cached_tokens);
+    if tokens.is_finite() {
+        tokens.clamp(0.0, f64::from(u32::MAX)) as u32
     } else {
         0
     }
--- a/crates/gaparch-platform-protocol/tests/codec.rs
+++ b/crates/gaparch-platform-protocol/tests/codec.rs
@@ -1,9 +1,13 @@
 //! The codec takes the same from the same bytes however they are cut, and never holds more than its bounds.
 
 use bytes::{Bytes, BytesMut};
-use gaparch_platform_protocol::body::{put_chunk, Body, BodyError, Framing, Part, LAST_CHUNK, MOST_BODY};
-use gaparch_platform_protocol::events::{EventError, Events};
-use gaparch_platform_protocol::head::{take_answer, take_request, HeadError, RequestHead, MOST_HEAD};
+use gaparch_platform_protocol::body::{
+    encode_chunk, BodyDecoder, BodyError, BodyPart, Framing, LAST_CHUNK, MAX_BODY_BYTES,
+};
+use gaparch_platform_protocol::event_stream::{EventStream, EventStreamError};
+use gaparch_platform_protocol::head::{
+    decode_request, decode_response, HeadError, RequestHead, MAX_HEAD_BYTES,
+};
 use proptest::prelude::*;
 
 type Taken = Result<(RequestHead, Vec<u8>), String>;
@@ -11,7 +15,7 @@
 /// What a message is, fed in pieces that end at these places.
 fn request(bytes: &[u8], cuts: &[usize]) -> Option<Taken> {
     let mut buf = BytesMut::new();
-    let mut head: Option<(RequestHead, Body)> = None;
+    let mut head: Option<(RequestHead, BodyDecoder)> = None;
     let mut whole = Vec::new();
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).chain([bytes.len()]).collect();
     ends.sort_unstable();
@@ -20,18 +24,18 @@
         buf.extend_from_slice(&bytes[from..end]);
         from = end;
         if head.is_none() {
-            match take_request(&mut buf) {
-                Ok(Some(taken)) => head = Some((taken.clone(), Body::new(taken.framing))),
+            match decode_request(&mut buf) {
+                Ok(Some(taken)) => head = Some((taken.clone(), BodyDecoder::new(taken.framing))),
                 Ok(None) => continue,
                 Err(error) => return Some(Err(error.to_string())),
             }
         }
         let Some((taken, body)) = head.as_mut() else { continue };
         loop {
-            match body.next(&mut buf) {
-                Ok(Part::Data(data)) => whole.extend_from_slice(&data),
-                Ok(Part::Wait) => break,
-                Ok(Part::End) => return Some(Ok((taken.clone(), whole))),
+            match body.decode(&mut buf) {
+                Ok(BodyPart::Data(data)) => whole.extend_from_slice(&data),
+                Ok(BodyPart::Incomplete) => break,
+                Ok(BodyPart::End) => return Some(Ok((taken.clone(), whole))),
                 Err(error) => return Some(Err(error.to_string())),
             }
         }
@@ -41,26 +45,26 @@
 
 fn chunked(pieces: &[Vec<u8>]) -> Vec<u8> {
     let mut out = BytesMut::from(&b"POST /x HTTP/1.1\r\nX-Txn: 1\r\nTransfer-Encoding: chunked\r\n\r\n"[..]);
-    pieces.iter().for_each(|piece| put_chunk(&mut out, piece));
+    pieces.iter().for_each(|piece| encode_chunk(&mut out, piece));
     out.extend_from_slice(LAST_CHUNK);
     out.to_vec()
 }
 
 /// What a stream of events is, cut so; whether it was whole.
-fn events(bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, Result<bool, EventError>) {
-    let mut events = Events::default();
+fn events(bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, Result<bool, EventStreamError>) {
+    let mut events = EventStream::default();
     let mut passed = Vec::new();
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).chain([bytes.len()]).collect();
     ends.sort_unstable();
     let mut from = 0;
     for end in ends {
-        match events.take(&bytes[from..end]) {
+        match events.push(&bytes[from..end]) {
             Ok(run) => passed.extend_from_slice(&run.unwrap_or_default()),
             Err(error) => return (passed, Err(error)),
         }
         from = end;
     }
-    (passed, Ok(events.is_whole()))
+    (passed, Ok(events.is_complete()))
 }
 
 proptest! {
@@ -92,7 +96,7 @@
             prop_assert_eq!(once, cut);
         }
         prop_assert_eq!(once.as_ref().map(Result::is_ok), cut.as_ref().map(Result::is_ok));
-        let _ = take_answer(&mut BytesMut::from(&bytes[..]));
+        let _ = decode_response(&mut BytesMut::from(&bytes[..]));
     }
 
     #[test]
@@ -112,7 +116,7 @@
 fn lengths_that_may_hide_a_message_are_none() {
     let head = |lines: &str| {
         let bytes = format!("POST / HTTP/1.1\r\n{lines}\r\n\r\n");
-        take_request(&mut BytesMut::from(bytes.as_bytes()))
+        decode_request(&mut BytesMut::from(bytes.as_bytes()))
     };
     for lines in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
@@ -127,55 +131,58 @@
         "Transfer-Encoding: identity",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ] {
-        assert_eq!(head(lines), Err(HeadError::Length), "{lines}");
+        assert_eq!(head(lines), Err(HeadError::Framing), "{lines}");
     }
     assert_eq!(head("Content-Length: 3").map(|h| h.map(|h| h.framing)), Ok(Some(Framing::Length(3))));
-    assert_eq!(head("Content-Length : 3"), Err(HeadError::Unreadable));
+    assert_eq!(head("Content-Length : 3"), Err(HeadError::Malformed));
 }
 
 #[test]
 fn a_head_without_end_is_told_at_its_bound() {
     let mut bytes = BytesMut::from(&b"GET / HTTP/1.1\r\nX: "[..]);
-    bytes.extend_from_slice(&vec![b'x'; MOST_HEAD]);
-    assert_eq!(take_request(&mut bytes), Err(HeadError::TooLong));
+    bytes.extend_from_slice(&vec![b'x'; MAX_HEAD_BYTES]);
+    assert_eq!(decode_request(&mut bytes), Err(HeadError::TooLong));
     let mut bytes = BytesMut::from(&b"HTTP/1.1 200 OK\r\nX: "[..]);
-    bytes.extend_from_slice(&vec![b'x'; MOST_HEAD]);
-    assert_eq!(take_answer(&mut bytes), Err(HeadError::TooLong));
+    bytes.extend_from_slice(&vec![b'x'; MAX_HEAD_BYTES]);
+    assert_eq!(decode_response(&mut bytes), Err(HeadError::TooLong));
 }
 
 #[test]
 fn chunks_that_make_no_sense_are_told_and_take_no_memory() {
     let first = |bytes: &str| {
-        let mut body = Body::new(Framing::Chunked);
+        let mut body = BodyDecoder::new(Framing::Chunked);
         let mut bytes = BytesMut::from(bytes.as_bytes());
         loop {
-            match body.next(&mut bytes) {
-                Ok(Part::Data(_)) => {}
+            match body.decode(&mut bytes) {
+                Ok(BodyPart::Data(_)) => {}
                 other => return other,
             }
         }
     };
-    assert_eq!(first("zz\r\n"), Err(BodyError::Size));
-    assert_eq!(first("-1\r\n"), Err(BodyError::Size));
-    assert_eq!(first("\r\n"), Err(BodyError::Size));
-    assert_eq!(first(&format!("{:x}\r\n", MOST_BODY + 1)), Err(BodyError::TooLarge));
-    assert_eq!(first("ffffffffffffffffff\r\n"), Err(BodyError::TooLarge));
-    assert_eq!(first("3\r\nabcd"), Err(BodyError::End));
-    assert_eq!(first(&"1".repeat(300)), Err(BodyError::Size));
-    assert_eq!(first("2;name=value\r\nab\r\n0\r\nX: y\r\n\r\n"), Ok(Part::End));
+    assert_eq!(first("zz\r\n"), Err(BodyError::ChunkSize));
+    assert_eq!(first("-1\r\n"), Err(BodyError::ChunkSize));
+    assert_eq!(first("\r\n"), Err(BodyError::ChunkSize));
+    assert_eq!(first(&format!("{:x}\r\n", MAX_BODY_BYTES + 1)), Err(BodyError::ChunkTooLong));
+    assert_eq!(first("ffffffffffffffffff\r\n"), Err(BodyError::ChunkTooLong));
+    assert_eq!(first("3\r\nabcd"), Err(BodyError::ChunkEnd));
+    assert_eq!(first(&"1".repeat(300)), Err(BodyError::ChunkSize));
+    assert_eq!(first("2;name=value\r\nab\r\n0\r\nX: y\r\n\r\n"), Ok(BodyPart::End));
     assert_eq!(first(&format!("0\r\n{}", "X: y\r\n".repeat(2000))), Err(BodyError::Trailer));
     // Another message right behind is left alone.
-    let mut body = Body::new(Framing::Length(2));
+    let mut body = BodyDecoder::new(Framing::Length(2));
     let mut bytes = BytesMut::from(&b"abGET / HTTP/1.1"[..]);
-    assert_eq!(body.next(&mut bytes), Ok(Part::Data(Bytes::from_static(b"ab"))));
-    assert_eq!(body.next(&mut bytes), Ok(Part::End));
+    assert_eq!(body.decode(&mut bytes), Ok(BodyPart::Data(Bytes::from_static(b"ab"))));
+    assert_eq!(body.decode(&mut bytes), Ok(BodyPart::End));
     assert_eq!(&bytes[..], b"GET / HTTP/1.1");
 }
 
 #[test]
 fn what_is_no_event_is_told_before_it_is_passed_on() {
-    assert_eq!(events(b"noise", &[]).1, Err(EventError::NoEvent));
-    assert_eq!(events(b"data: a\n\nnoise", &[]).1, Err(EventError::NoEvent));
-    assert_eq!(events(b"data: [DONE]\n\ndata: b\n\n", &[]).1, Err(EventError::AfterLast));
-    assert_eq!(events(format!("data: {}", "x".repeat(70_000)).as_bytes(), &[]).1, Err(EventError::TooLong));
+    assert_eq!(events(b"noise", &[]).1, Err(EventStreamError::NotAnEvent));
+    assert_eq!(events(b"data: a\n\nnoise", &[]).1, Err(EventStreamError::NotAnEvent));
+    assert_eq!(events(b"data: [DONE]\n\ndata: b\n\n", &[]).1, Err(EventStreamError::AfterDone));
+    assert_eq!(
+        events(format!("data: {}", "x".repeat(70_000)).as_bytes(), &[]).1,
+        Err(EventStreamError::TooLong)
+    );
 }
--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -2,58 +2,75 @@
 //! read them.
 
 use bytes::BytesMut;
-use gaparch_platform_protocol::catalogue::{list_call, watch_call, ListLimits, Members};
-use gaparch_platform_protocol::config::{ConfigError, NodeConfig, Peers};
-use gaparch_platform_protocol::head::{take_answer, AnswerHead};
-use gaparch_platform_protocol::worker::{kept, meaning, probe_meaning, reserved, Meaning};
+use gaparch_platform_protocol::config::{ConfigError, GossipAddresses, RouterConfig};
+use gaparch_platform_protocol::endpoint_list::{
+    encode_list_request, encode_watch_request, EndpointList, ListLimits,
+};
+use gaparch_platform_protocol::head::{decode_response, ResponseHead};
+use gaparch_platform_protocol::worker::{
+    cached_prompt_tokens, interpret_probe, interpret_reservation, interpret_response, Reservation,
+    ResponseMeaning, Stage,
+};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{AttemptStatus, ServerState};
 
 const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 100 };
 
-fn head(status: u16, turned_away: bool) -> AnswerHead {
+fn head(status: u16, turned_away: bool) -> ResponseHead {
     let header = if turned_away { "X-Turned-Away: 1\r\n" } else { "" };
     let text = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 0\r\n\r\n");
-    take_answer(&mut BytesMut::from(text.as_bytes())).expect("sound").expect("complete")
+    decode_response(&mut BytesMut::from(text.as_bytes())).expect("sound").expect("complete")
+}
+
+fn ended(status: AttemptStatus, kv_cache_missing: bool) -> ResponseMeaning {
+    ResponseMeaning::Ended { status, kv_cache_missing }
 }
 
 #[test]
 fn answers_of_workers() {
-    const PREFILL: bool = true;
-    const DECODE: bool = false;
-    assert_eq!(meaning(&head(202, false), PREFILL), Meaning::Read);
-    assert_eq!(meaning(&head(202, false), DECODE), Meaning::Ended(AttemptStatus::Unknown, 0));
-    assert_eq!(meaning(&head(200, false), DECODE), Meaning::Stream);
-    assert_eq!(meaning(&head(200, false), PREFILL), Meaning::Ended(AttemptStatus::Unknown, 0));
-    for prefills in [PREFILL, DECODE] {
-        assert_eq!(meaning(&head(410, true), prefills), Meaning::Ended(AttemptStatus::Rejected, 1));
-        assert_eq!(meaning(&head(410, false), prefills), Meaning::Ended(AttemptStatus::Unknown, 0));
-        assert_eq!(meaning(&head(503, true), prefills), Meaning::Ended(AttemptStatus::Rejected, 0));
-        assert_eq!(meaning(&head(504, true), prefills), Meaning::Ended(AttemptStatus::Rejected, 0));
-        assert_eq!(meaning(&head(503, false), prefills), Meaning::Ended(AttemptStatus::Unknown, 0));
-        assert_eq!(meaning(&head(500, true), prefills), Meaning::Ended(AttemptStatus::Error, 0));
-        assert_eq!(meaning(&head(500, false), prefills), Meaning::Ended(AttemptStatus::Error, 0));
+    assert_eq!(interpret_response(&head(202, false), Stage::Prefill), ResponseMeaning::Prefilled);
+    assert_eq!(interpret_response(&head(202, false), Stage::Decode), ended(AttemptStatus::Unknown, false));
+    assert_eq!(interpret_response(&head(200, false), Stage::Decode), ResponseMeaning::EventStream);
+    assert_eq!(interpret_response(&head(200, false), Stage::Prefill), ended(AttemptStatus::Unknown, false));
+    for stage in [Stage::Prefill, Stage::Decode] {
+        assert_eq!(interpret_response(&head(410, true), stage), ended(AttemptStatus::Rejected, true));
+        assert_eq!(interpret_response(&head(410, false), stage), ended(AttemptStatus::Unknown, false));
+        assert_eq!(interpret_response(&head(503, true), stage), ended(AttemptStatus::Rejected, false));
+        assert_eq!(interpret_response(&head(504, true), stage), ended(AttemptStatus::Rejected, false));
+        assert_eq!(interpret_response(&head(503, false), stage), ended(AttemptStatus::Unknown, false));
+        assert_eq!(interpret_response(&head(500, true), stage), ended(AttemptStatus::Error, false));
+        assert_eq!(interpret_response(&head(500, false), stage), ended(AttemptStatus::Error, false));
     }
 }
 
 #[test]
 fn answers_of_workers_to_calls() {
-    let probes = [200, 503, 404, 500].map(probe_meaning);
+    let probes = [200, 503, 404, 500].map(interpret_probe);
     assert_eq!(
         probes,
         [AttemptStatus::Ok, AttemptStatus::Rejected, AttemptStatus::Unknown, AttemptStatus::Unknown]
     );
-    assert_eq!([200, 204, 503].map(reserved), [Some(true), None, Some(false)]);
-    assert_eq!(kept(br#"{"cached_tokens":37.9,"x":1}"#), 37);
-    assert_eq!([kept(b"{}"), kept(b"noise"), kept(br#"{"cached_tokens":-1}"#)], [0; 3]);
-    assert_eq!(kept(br#"{"cached_tokens":1e30}"#), u32::MAX);
+    assert_eq!(
+        [200, 204, 503].map(interpret_reservation),
+        [Reservation::Reserved, Reservation::Unknown, Reservation::Rejected]
+    );
+    assert_eq!(cached_prompt_tokens(br#"{"cached_tokens":37.9,"x":1}"#), 37);
+    assert_eq!(
+        [
+            cached_prompt_tokens(b"{}"),
+            cached_prompt_tokens(b"noise"),
+            cached_prompt_tokens(br#"{"cached_tokens":-1}"#)
+        ],
+        [0; 3]
+    );
+    assert_eq!(cached_prompt_tokens(br#"{"cached_tokens":1e30}"#), u32::MAX);
 }
 
 #[test]
 fn calls_of_the_catalogue() {
-    assert_eq!(list_call("a:1"), "GET /catalog/members HTTP/1.1\r\nHost: a:1\r\n\r\n");
+    assert_eq!(encode_list_request("a:1"), "GET /catalog/members HTTP/1.1\r\nHost: a:1\r\n\r\n");
     let watch = "GET /catalog/members?after=41&wait_ms=1000 HTTP/1.1\r\nHost: a:1\r\n\r\n";
-    assert_eq!(watch_call("a:1", 41, 1000), watch);
+    assert_eq!(encode_watch_request("a:1", 41, 1000), watch);
 }
 
 fn entry(engine: &str, state: ServerState) -> ListEntry {
@@ -89,11 +106,14 @@
     let named_rack = ListEntry { rack: "rack-b".to_owned(), ..entry("w-2", ServerState::Draining) };
     let entries =
         vec![complete, named_rack, entry("w-3", ServerState::Removed), entry("w-4", ServerState::Draining)];
-    let expected = Members { generation: 42, scope: Scope::Full, entries, dropped: 1 };
-    assert_eq!(Members::read(json, LIMITS).expect("a list"), expected);
+    let expected = EndpointList { generation: 42, scope: Scope::Full, entries, rejected_entries: 1 };
+    assert_eq!(EndpointList::from_json(json, LIMITS).expect("a list"), expected);
 
-    let change = Members::read(br#"{"generation":43,"instances":[]}"#, LIMITS).expect("a change");
-    assert_eq!(change, Members { generation: 43, scope: Scope::Delta, entries: Vec::new(), dropped: 0 });
+    let change = EndpointList::from_json(br#"{"generation":43,"instances":[]}"#, LIMITS).expect("a change");
+    assert_eq!(
+        change,
+        EndpointList { generation: 43, scope: Scope::Delta, entries: Vec::new(), rejected_entries: 0 }
+    );
 }
 
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:8080","discovery":"127.0.0.1:9090","seed":"00000000000000ff",
@@ -104,23 +124,26 @@
 
 #[test]
 fn configuration_with_every_field() {
-    let config = NodeConfig::read(CONFIG.as_bytes(), |_| None).expect("sound");
+    let config = RouterConfig::from_json(CONFIG.as_bytes(), |_| None).expect("sound");
     assert_eq!((config.name.as_str(), config.sockets), ("n0", 400));
     assert_eq!(config.listen.to_string(), "127.0.0.1:8080");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:9090");
-    assert_eq!(config.site.scheduler.seed, 255);
+    assert_eq!(config.settings.scheduler.seed, 255);
     assert_eq!(config.list_limits, ListLimits { bytes: 8320 * 512, entries: 8320 });
     let address = |text: &str| text.parse().expect("an address");
-    let peers = Peers {
+    let gossip = GossipAddresses {
         listen: address("127.0.0.1:7000"),
-        each: vec![address("127.0.0.1:7001"), address("127.0.0.1:7002")],
-        all: Some(address("127.0.0.1:7999")),
+        routers: vec![address("127.0.0.1:7001"), address("127.0.0.1:7002")],
+        broadcast: Some(address("127.0.0.1:7999")),
     };
-    assert_eq!(config.peers, Some(peers));
+    assert_eq!(config.gossip, Some(gossip));
     let entries = vec![entry("w-1", ServerState::Ready)];
-    assert_eq!(config.known, Some(Members { generation: 3, scope: Scope::Full, entries, dropped: 0 }));
+    assert_eq!(
+        config.last_known_list,
+        Some(EndpointList { generation: 3, scope: Scope::Full, entries, rejected_entries: 0 })
+    );
     assert_eq!(config.idle_close_ns, Some(7_000_000_000));
-    assert!(!config.odd.is_empty());
+    assert!(!config.diagnostics.is_empty());
 }
 
 #[test]
@@ -132,18 +155,18 @@
         _ => None,
     };
     let text = br#"{"settings":{"services":[{"name":"chat"}],"flavors":["m"]}}"#;
-    let config = NodeConfig::read(text, fallback).expect("sound");
+    let config = RouterConfig::from_json(text, fallback).expect("sound");
     assert_eq!((config.name.as_str(), config.sockets), ("from-environment", 256));
     assert_eq!((config.listen.port(), config.discovery.port()), (1, 2));
     assert_eq!(config.list_limits, ListLimits { bytes: 16384 * 512, entries: 16384 });
-    assert_eq!((config.peers, config.known, config.idle_close_ns), (None, None, None));
-    assert_eq!(config.site.scheduler.seed, 0);
+    assert_eq!((config.gossip, config.last_known_list, config.idle_close_ns), (None, None, None));
+    assert_eq!(config.settings.scheduler.seed, 0);
 }
 
 #[test]
 fn configuration_with_a_field_that_makes_no_sense() {
     let without_settings = br#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}"#;
-    let error = NodeConfig::read(without_settings, |_| None).expect_err("no settings");
+    let error = RouterConfig::from_json(without_settings, |_| None).expect_err("no settings");
     assert_eq!(error, ConfigError::Missing("settings"));
     let cases = [
         ("\"n0\"", "7", "'name' must be"),
@@ -161,7 +184,8 @@
         (r#"{"name":"n0","#, "{{", "not JSON: "),
     ];
     for (from, to, said) in cases {
-        let error = NodeConfig::read(CONFIG.replacen(from, to, 1).as_bytes(), |_| None).expect_err(from);
+        let error =
+            RouterConfig::from_json(CONFIG.replacen(from, to, 1).as_bytes(), |_| None).expect_err(from);
         assert!(error.to_string().starts_with(said), "{from}: {error}");
     }
 }
--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -1,372 +1,297 @@
-//! One client's connection: a request at a time, each with exactly one answer.
+//! One connection of a client: a request at a time, each with exactly one response.
 
-use super::closes::CloseReason;
-use super::idle::{Idle, Resting};
-use super::{Piece, AHEAD};
-use crate::link::{Link, NoBody};
-use crate::shared::{Answer, Forward, Message, Phase, Shared};
-use crate::transient::write_all;
+use super::idle_connections::{IdleConnections, IdleGuard};
+use super::MAX_BYTES_AHEAD;
+use crate::buffered_socket::{BodyReadError, BufferedSocket};
+use crate::close_reason::CloseReason;
+use crate::shared_state::{Phase, SharedState};
+use crate::transient_errors::write_all;
 use bytes::BytesMut;
-use gaparch_platform_protocol::ask::{Ask, AskError, READY_PATH};
-use gaparch_platform_protocol::body::{put_chunk, Framing, LAST_CHUNK, MOST_BODY};
-use gaparch_platform_protocol::head::{self, HeadError, RequestHead};
-use gaparch_scheduler::api::{Nanos, RequestId};
+use gaparch_platform_protocol::client_request::ClientRequestError;
+use gaparch_platform_protocol::head::{decode_request, encode_response, HeadError, RequestHead};
 use gaparch_scheduler::policy::intake::Carried;
+use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::{sleep_until, timeout, timeout_at, Instant};
+use tokio::time::{sleep_until, timeout, Instant};
 
-/// For a request from its first byte, and for that byte of a first request from the connection's beginning.
-const REQUEST_TIME: Duration = Duration::from_secs(2);
-/// For a whole first request from the connection's beginning: who has not said what it wants is owed an error or a close
-/// within 3 s.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(2700);
-/// A client that takes none of its stream for so long is gone.
-const STALLED: Duration = Duration::from_secs(20);
-/// After our last byte: closing over unread bytes resets the connection, and what is on its way to the client goes with
-/// it. Less than the time in which a place has to come free ([`super::PLACE`]).
-const LINGER: Duration = Duration::from_millis(150);
-const LINGER_BYTES: usize = 256 * 1024;
-/// A client that sends so much beyond what is kept for it, before its answer, takes none of them: it counts as gone.
-const FLOOD: usize = 4 * 1024 * 1024;
-/// Runs of events put into one write, in bytes.
-const COALESCE: usize = 16 * 1024;
+/// Time-out of a request from its first byte, and of the first byte of a first request from the start of the connection.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time-out of a complete first request from the start of the connection: the platform wants an error or a close within
+/// 3 s.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2700);
+/// A client that reads none of its response for so long counts as disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long bytes are still read after the last response: closing over unread bytes resets the connection, and the response
+/// that is on its way is lost with it. Less than the time in which a permit has to come free ([`super::PERMIT_TIMEOUT`]).
+const LINGER_TIMEOUT: Duration = Duration::from_millis(150);
+/// Most bytes that are read meanwhile.
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// A client that sends so many bytes beyond those kept, ahead of its response, counts as disconnected: it reads nothing.
+const MAX_DROPPED_BYTES: usize = 4 * 1024 * 1024;
 
+/// A connection of a client, served by the task that owns this.
 pub(super) struct Connection {
-    link: Link,
-    shared: Arc<Shared>,
-    idle: Arc<Idle>,
-    since: Instant,
-    /// Bytes ahead of an answer that were not kept: where the next message begins is not known any more.
-    flood: usize,
-    /// What a close by the client is, as things stand.
-    left_with: CloseReason,
-    /// What a close behind the last answer is.
-    answered_with: CloseReason,
+    pub(super) socket: BufferedSocket,
+    pub(super) shared: Arc<SharedState>,
+    idle: Arc<IdleConnections>,
+    connected_at: Instant,
+    /// Bytes ahead of a response that were not kept: where the next message begins is not known any more.
+    dropped_bytes: usize,
+    /// What a close by the client counts as at the moment.
+    pub(super) reason_if_client_closes: CloseReason,
+    /// What the close after the last response counts as.
+    pub(super) reason_after_response: CloseReason,
 }
 
-/// A client's message that can't be taken.
-struct Bad {
-    status: u16,
-    text: String,
+/// The head of a request that has arrived.
+pub(super) struct ArrivedHead {
+    pub head: RequestHead,
+    /// When its first byte arrived.
+    pub arrived_at: Instant,
+    /// When the request has to be complete.
+    pub due: Instant,
 }
 
-impl From<HeadError> for Bad {
-    fn from(error: HeadError) -> Bad {
-        let status = if error == HeadError::TooLong { 431 } else { 400 };
-        Bad { status, text: error.to_string() }
-    }
+/// What follows a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AfterResponse {
+    KeepAlive,
+    Close,
 }
 
-impl From<NoBody> for Bad {
-    fn from(error: NoBody) -> Bad {
-        let status = if error == NoBody::TooLong { 413 } else { 400 };
-        Bad { status, text: error.to_string() }
+impl AfterResponse {
+    pub fn new(close: bool) -> AfterResponse {
+        if close {
+            AfterResponse::Close
+        } else {
+            AfterResponse::KeepAlive
+        }
     }
 }
 
-impl From<AskError> for Bad {
-    fn from(error: AskError) -> Bad {
-        Bad { status: error.status(), text: error.to_string() }
+/// Why a connection ends without a response of the owner.
+pub(super) enum Stop {
+    /// The client has closed it, or reads nothing any more.
+    ClientClosed,
+    /// It was asked to close.
+    CloseRequested,
+    /// A message of the client is rejected.
+    Rejected(Rejection),
+}
+
+impl From<Rejection> for Stop {
+    fn from(rejection: Rejection) -> Stop {
+        Stop::Rejected(rejection)
     }
 }
 
-/// Why no request has come.
-enum Nothing {
-    /// The client has closed, or takes nothing any more.
-    Gone,
-    /// It is asked to go.
-    Close,
-    Bad(Bad),
+/// The response to a message that is rejected.
+pub(super) struct Rejection {
+    pub status: u16,
+    pub text: String,
 }
 
-impl From<Bad> for Nothing {
-    fn from(bad: Bad) -> Nothing {
-        Nothing::Bad(bad)
+impl Rejection {
+    /// The rejection of a request that is not complete in time.
+    pub fn request_timeout() -> Rejection {
+        Rejection { status: 408, text: "the request did not come in time".to_owned() }
     }
 }
 
-/// A request that is open with the owner. Dropped before its answer is over, its client has left.
-struct Ticket {
-    id: RequestId,
-    forward: Arc<Forward>,
-    shared: Arc<Shared>,
-    over: bool,
+impl From<HeadError> for Rejection {
+    fn from(error: HeadError) -> Rejection {
+        let status = if error == HeadError::TooLong { 431 } else { 400 };
+        Rejection { status, text: error.to_string() }
+    }
 }
 
-impl Drop for Ticket {
-    fn drop(&mut self) {
-        if !self.over {
-            // An attempt that is just coming up sees it here, however long the owner's queue is.
-            self.forward.leave();
-            self.shared.tell(Message::Gone(self.id));
-        }
+impl From<BodyReadError> for Rejection {
+    fn from(error: BodyReadError) -> Rejection {
+        let status = if error == BodyReadError::TooLong { 413 } else { 400 };
+        Rejection { status, text: error.to_string() }
+    }
+}
+
+impl From<ClientRequestError> for Rejection {
+    fn from(error: ClientRequestError) -> Rejection {
+        Rejection { status: error.status(), text: error.to_string() }
     }
 }
 
 impl Connection {
-    pub fn new(socket: TcpStream, shared: Arc<Shared>, idle: Arc<Idle>) -> Connection {
+    pub fn new(socket: TcpStream, shared: Arc<SharedState>, idle: Arc<IdleConnections>) -> Connection {
         Connection {
-            link: Link::new(socket),
+            socket: BufferedSocket::new(socket),
             shared,
             idle,
-            since: Instant::now(),
-            flood: 0,
-            left_with: CloseReason::ClientIdle,
-            answered_with: CloseReason::Answered,
+            connected_at: Instant::now(),
+            dropped_bytes: 0,
+            reason_if_client_closes: CloseReason::ClientIdle,
+            reason_after_response: CloseReason::ResponseComplete,
         }
     }
 
+    /// Serves requests until the connection ends.
     pub async fn serve(mut self) {
-        let mut first = true;
-        loop {
-            self.left_with = CloseReason::ClientIdle;
-            let served = match self.head(first).await {
-                Ok((head, began)) => {
-                    let due = self.due(first, began);
-                    self.request(head, began, due).await
-                }
-                Err(nothing) => Err(nothing),
-            };
-            let carried_nothing = std::mem::replace(&mut first, false);
-            let shared = Arc::clone(&self.shared);
-            match served {
-                Ok(true) if self.flood == 0 => self.link.trim(),
+        let mut is_first = true;
+        let stop = loop {
+            self.reason_if_client_closes = CloseReason::ClientIdle;
+            match self.serve_next(is_first).await {
+                Ok(AfterResponse::KeepAlive) if self.dropped_bytes == 0 => self.socket.shrink_buffer(),
                 Ok(_) => {
-                    shared.closes.count(self.answered_with);
+                    self.shared.closes.count(self.reason_after_response);
                     return self.close().await;
                 }
-                Err(Nothing::Close) => {
-                    shared.closes.count(CloseReason::Rested);
-                    // No answer is on its way on one that carried nothing: its place is wanted now.
-                    if carried_nothing {
-                        return;
-                    }
-                    return self.close().await;
-                }
-                Err(Nothing::Gone) => return shared.closes.count(self.left_with),
-                Err(Nothing::Bad(bad)) => {
-                    shared.closes.count(CloseReason::BadMessage);
-                    return self.reject(&bad).await;
+                Err(stop) => break stop,
+            }
+            is_first = false;
+        };
+        match stop {
+            Stop::ClientClosed => self.shared.closes.count(self.reason_if_client_closes),
+            Stop::CloseRequested => {
+                self.shared.closes.count(CloseReason::IdleClosed);
+                // On a connection without a request no response is on its way: its permit is needed now.
+                if !is_first {
+                    self.close().await;
                 }
             }
+            Stop::Rejected(rejection) => {
+                self.shared.closes.count(CloseReason::BadMessage);
+                self.reject(&rejection).await;
+            }
         }
     }
 
-    /// Waits for a head; with it, when its first byte came.
-    async fn head(&mut self, first: bool) -> Result<(RequestHead, Instant), Nothing> {
-        let mut began = (!self.link.buf.is_empty()).then(Instant::now);
-        let carried = if first { Carried::Nothing } else { Carried::Requests };
-        let mut resting = began.is_none().then(|| self.idle.enter(carried));
+    async fn serve_next(&mut self, is_first: bool) -> Result<AfterResponse, Stop> {
+        let arrived = self.read_head(is_first).await?;
+        self.serve_request(arrived).await
+    }
+
+    /// Waits for the head of a request. The connection counts as idle until its first byte.
+    async fn read_head(&mut self, is_first: bool) -> Result<ArrivedHead, Stop> {
+        let mut arrived_at = (!self.socket.buffer.is_empty()).then(Instant::now);
+        let carried = if is_first { Carried::Nothing } else { Carried::Requests };
+        let mut idle_guard = arrived_at.is_none().then(|| self.idle.enter(carried));
         let mut phase = self.shared.phase.subscribe();
         loop {
-            if let Some(head) = head::take_request(&mut self.link.buf).map_err(Bad::from)? {
-                return Ok((head, began.unwrap_or_else(Instant::now)));
+            if let Some(head) = decode_request(&mut self.socket.buffer).map_err(Rejection::from)? {
+                let arrived_at = arrived_at.unwrap_or_else(Instant::now);
+                return Ok(ArrivedHead { head, arrived_at, due: self.request_due(is_first, arrived_at) });
             }
-            let until = match began {
-                Some(began) => Some(self.due(first, began)),
-                None => first.then(|| self.since + REQUEST_TIME),
+            let is_idle = arrived_at.is_none();
+            let timeout_at = match arrived_at {
+                Some(arrived_at) => Some(self.request_due(is_first, arrived_at)),
+                None => is_first.then(|| self.connected_at + REQUEST_TIMEOUT),
             };
-            let quiet = began.is_none();
-            let come = tokio::select! {
+            let read = tokio::select! {
                 biased;
-                read = self.link.read() => Some(read),
-                () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => {
-                    match quiet {
-                        true => None,
-                        false => return Err(Nothing::Bad(too_late())),
+                read = self.socket.read() => Some(read),
+                () = sleep_until_some(timeout_at) => {
+                    if !is_idle {
+                        return Err(Rejection::request_timeout().into());
                     }
+                    None
                 }
-                () = asked_to_close(resting.as_ref()), if quiet => None,
-                _ = phase.wait_for(|phase| *phase == Phase::Closing), if quiet => None,
+                () = close_requested(idle_guard.as_ref()), if is_idle => None,
+                _ = phase.wait_for(|phase| *phase == Phase::Closing), if is_idle => None,
             };
-            let come = match come {
+            let read = match read {
                 Some(read) => read,
-                // A request may have come in this very moment.
-                None => self.link.at_hand().await.ok_or(Nothing::Close)?,
+                // A request may have arrived in this very moment.
+                None => self.socket.read_available().await.ok_or(Stop::CloseRequested)?,
             };
-            match come {
-                Ok(0) | Err(_) => return Err(Nothing::Gone),
+            match read {
+                Ok(0) | Err(_) => return Err(Stop::ClientClosed),
                 Ok(_) => {
-                    began = began.or_else(|| Some(Instant::now()));
-                    resting = None;
+                    arrived_at = arrived_at.or_else(|| Some(Instant::now()));
+                    idle_guard = None;
                 }
             }
         }
     }
 
-    /// When a request that began then has to be there.
-    fn due(&self, first: bool, began: Instant) -> Instant {
-        let due = began + REQUEST_TIME;
-        if first {
-            due.min(self.since + FIRST_REQUEST_TIME)
+    /// Returns when a request whose first byte arrived then has to be complete.
+    fn request_due(&self, is_first: bool, arrived_at: Instant) -> Instant {
+        let due = arrived_at + REQUEST_TIMEOUT;
+        if is_first {
+            due.min(self.connected_at + FIRST_REQUEST_TIMEOUT)
         } else {
             due
         }
     }
 
-    /// Serves one request; whether another may follow.
-    async fn request(&mut self, head: RequestHead, began: Instant, due: Instant) -> Result<bool, Nothing> {
-        if head.target == READY_PATH && head.method == "GET" && head.framing == Framing::Length(0) {
-            let ready = self.shared.phase() == Phase::Serving;
-            let close = head.close || !ready;
-            let answer = head::answer(if ready { 200 } else { 503 }, &[], "", close);
-            return self.put(&answer, close).await;
-        }
-        let ask = Ask::read(&head, &self.shared.config.site).map_err(Bad::from)?;
-        let body = match timeout_at(due, self.link.body(head.framing, MOST_BODY)).await {
-            Ok(Ok(body)) => body,
-            Ok(Err(NoBody::Ended)) => return Err(Nothing::Gone),
-            Ok(Err(error)) => return Err(Bad::from(error).into()),
-            Err(_) => return Err(too_late().into()),
-        };
-        if body.is_empty() {
-            return Err(Bad::from(AskError::NoBody).into());
-        }
-        let ask = ask.with_body(body.len());
-        let asks = Arc::clone(&self.shared.asks);
-        let Ok(place) = self.watched(asks.acquire_owned()).await? else { return Err(Nothing::Close) };
-        if !self.shared.take(&ask.txn) {
-            let text = "a request of this id is open".to_owned();
-            return Err(Bad { status: 409, text }.into());
-        }
-        let (answer, answered) = oneshot::channel();
-        let id = self.shared.next_id();
-        let forward = Arc::new(Forward::new(head.target.clone(), ask.txn.clone(), body));
-        let mut ticket =
-            Ticket { id, forward: Arc::clone(&forward), shared: Arc::clone(&self.shared), over: false };
-        self.left_with = CloseReason::ClientLeft;
-        let began = self.shared.clock.at(began.into_std());
-        self.shared.tell(Message::Ask { id, ask: Box::new(ask), forward, began, answer, place });
-        let answer = self.watched(answered).await?;
-        let close = head.close || self.shared.phase() >= Phase::Leaving;
-        let (status, extra) = match answer {
-            Ok(Answer::Stream(pieces)) => return self.stream(pieces, &mut ticket, close).await,
-            Ok(Answer::Refused { over_share, retry_after }) => {
-                (if over_share { 429 } else { 503 }, come_back(retry_after))
-            }
-            // The owner has ended: nothing is known of the request.
-            Ok(Answer::Failed) | Err(_) => (500, Vec::new()),
-        };
-        ticket.over = true;
-        let text =
-            if status == 500 { "not answered; it may have run" } else { "not done; a retry is harmless" };
-        self.put(&head::answer(status, &extra, text, close), close).await
-    }
-
-    /// Waits for something of the request while the client stays. What it sends meanwhile is read also where there is no
-    /// room for it, or its leaving would stand behind it unseen.
-    async fn watched<T>(&mut self, what: impl std::future::Future<Output = T>) -> Result<T, Nothing> {
-        tokio::pin!(what);
+    /// Waits for something while the client stays connected. What it sends meanwhile is read even where there is no space for
+    /// it: otherwise the end of the connection would not be noticed behind it.
+    pub(super) async fn while_connected<T>(&mut self, future: impl Future<Output = T>) -> Result<T, Stop> {
+        tokio::pin!(future);
         loop {
             tokio::select! {
                 biased;
-                done = &mut what => return Ok(done),
-                stays = self.link.more() => if !stays || self.flood > FLOOD { return Err(Nothing::Gone) },
-            }
-            self.flood += self.link.buf.len().saturating_sub(AHEAD);
-            self.link.buf.truncate(AHEAD);
-        }
-    }
-
-    /// Passes a stream on; whether another request may follow.
-    async fn stream(
-        &mut self,
-        mut pieces: mpsc::Receiver<Piece>,
-        ticket: &mut Ticket,
-        close: bool,
-    ) -> Result<bool, Nothing> {
-        let mut out = BytesMut::from(head::stream_head(close));
-        let mut whole = false;
-        while !whole {
-            let piece = self.watched(pieces.recv()).await?;
-            let mut next = piece;
-            loop {
-                match next {
-                    Some(Piece::Events(events)) => put_chunk(&mut out, &events),
-                    Some(Piece::Whole) => {
-                        out.extend_from_slice(LAST_CHUNK);
-                        whole = true;
-                        break;
-                    }
-                    // It broke: the connection ends without the last chunk, which says so.
-                    None => {
-                        ticket.over = true;
-                        self.answered_with = CloseReason::StreamBroke;
-                        return self.put(&out, true).await;
+                output = &mut future => return Ok(output),
+                has_more = self.socket.read_more() => {
+                    if !has_more || self.dropped_bytes > MAX_DROPPED_BYTES {
+                        return Err(Stop::ClientClosed);
                     }
                 }
-                if out.len() >= COALESCE {
-                    break;
-                }
-                next = match pieces.try_recv() {
-                    Ok(piece) => Some(piece),
-                    Err(mpsc::error::TryRecvError::Empty) => break,
-                    Err(mpsc::error::TryRecvError::Disconnected) => None,
-                };
             }
-            self.put(&out, close).await?;
-            out.clear();
+            self.dropped_bytes += self.socket.buffer.len().saturating_sub(MAX_BYTES_AHEAD);
+            self.socket.buffer.truncate(MAX_BYTES_AHEAD);
         }
-        ticket.over = true;
-        Ok(!close)
     }
 
-    async fn put(&mut self, answer: &[u8], close: bool) -> Result<bool, Nothing> {
-        match timeout(STALLED, write_all(&self.link.stream, &mut &answer[..])).await {
-            Ok(Ok(())) => Ok(!close),
-            _ => Err(Nothing::Gone),
+    /// Writes a response or a part of one. `close` says what follows its end.
+    pub(super) async fn write(&mut self, bytes: &[u8], close: bool) -> Result<AfterResponse, Stop> {
+        match timeout(WRITE_TIMEOUT, write_all(&self.socket.stream, &mut &bytes[..])).await {
+            Ok(Ok(())) => Ok(AfterResponse::new(close)),
+            Ok(Err(_)) | Err(_) => Err(Stop::ClientClosed),
         }
     }
 
-    /// Answers what can't be taken, and closes: where the next message would begin is not known.
-    async fn reject(mut self, bad: &Bad) {
-        tracing::debug!(status = bad.status, why = %bad.text, "a client's message was not taken");
-        let answer = head::answer(bad.status, &[], &bad.text, true);
-        if self.put(&answer, true).await.is_ok() {
+    /// Responds to a message that is rejected, and closes: where the next message would begin is not known.
+    async fn reject(mut self, rejection: &Rejection) {
+        tracing::debug!(status = rejection.status, reason = %rejection.text, "client message rejected");
+        let response = encode_response(rejection.status, &[], &rejection.text, true);
+        if self.write(&response, true).await.is_ok() {
             self.close().await;
         }
     }
 
-    /// Ends the sending and takes what still comes, for a while: nothing of that is answered, and the client has the end
-    /// before it could think otherwise.
+    /// Closes the sending side and reads what still comes, for a while, so that the client gets the last response and its
+    /// end instead of a reset.
     async fn close(mut self) {
-        if self.link.stream.shutdown().await.is_err() {
+        if self.socket.stream.shutdown().await.is_err() {
             return;
         }
-        self.link.buf = BytesMut::new();
-        let mut seen = 0;
+        self.socket.buffer = BytesMut::new();
+        let mut drained = 0;
         let drain = async {
-            while seen < LINGER_BYTES {
-                match self.link.read().await {
-                    Ok(n) if n > 0 => seen += n,
-                    _ => return,
+            while drained < MAX_LINGER_BYTES {
+                match self.socket.read().await {
+                    Ok(length) if length > 0 => drained += length,
+                    Ok(_) | Err(_) => return,
                 }
-                self.link.buf.clear();
+                self.socket.buffer.clear();
             }
         };
-        let _ = timeout(LINGER, drain).await;
+        let _ = timeout(LINGER_TIMEOUT, drain).await;
     }
 }
 
-async fn asked_to_close(resting: Option<&Resting>) {
-    match resting {
-        Some(resting) => resting.asked_to_close().await,
+async fn sleep_until_some(at: Option<Instant>) {
+    match at {
+        Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
     }
 }
 
-fn too_late() -> Bad {
-    Bad { status: 408, text: "the request did not come in time".to_owned() }
-}
-
-/// Seconds until a client may come back, where one is told.
-fn come_back(retry_after: Nanos) -> Vec<(&'static str, String)> {
-    let seconds = retry_after as f64 / 1e9;
-    (retry_after > 0).then(|| ("Retry-After", format!("{seconds:.3}"))).into_iter().collect()
+async fn close_requested(guard: Option<&IdleGuard>) {
+    match guard {
+        Some(guard) => guard.close_requested().await,
+        None => std::future::pending().await,
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/gaparch-platform-router/src/client/idle_connections.rs
@@ -0,0 +1,89 @@
+//! Connections of clients without an open request, in the order in which they are closed for others.
+
+use crate::sync::lock;
+use gaparch_scheduler::policy::intake::Carried;
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::sync::Notify;
+
+/// The idle connections. Bounded, since connections are.
+#[derive(Debug, Default)]
+pub(super) struct IdleConnections {
+    table: Mutex<IdleTable>,
+}
+
+#[derive(Debug, Default)]
+struct IdleTable {
+    next_number: u64,
+    by_closing_order: BTreeMap<ClosingOrder, IdleEntry>,
+}
+
+/// What has carried nothing goes first, and among equals the one idle for longest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ClosingOrder {
+    carried: Carried,
+    number: u64,
+}
+
+#[derive(Debug)]
+struct IdleEntry {
+    since: Instant,
+    close: Arc<Notify>,
+}
+
+/// Keeps a connection in the table: it is idle until this is dropped.
+#[derive(Debug)]
+pub(super) struct IdleGuard {
+    connections: Arc<IdleConnections>,
+    order: ClosingOrder,
+    close: Arc<Notify>,
+}
+
+impl IdleConnections {
+    /// Enters a connection that is idle from now on.
+    pub fn enter(self: &Arc<IdleConnections>, carried: Carried) -> IdleGuard {
+        let close = Arc::new(Notify::new());
+        let mut table = lock(&self.table);
+        table.next_number += 1;
+        let order = ClosingOrder { carried, number: table.next_number };
+        let entry = IdleEntry { since: Instant::now(), close: Arc::clone(&close) };
+        table.by_closing_order.insert(order, entry);
+        IdleGuard { connections: Arc::clone(self), order, close }
+    }
+
+    /// Asks the first connection in order to close.
+    pub fn close_next(&self) {
+        if let Some((_, entry)) = lock(&self.table).by_closing_order.pop_first() {
+            entry.close.notify_one();
+        }
+    }
+
+    /// Asks all connections to close that have been idle for at least `age`.
+    pub fn close_older_than(&self, age: Duration) {
+        lock(&self.table).by_closing_order.retain(|_, entry| {
+            let stays = entry.since.elapsed() < age;
+            if !stays {
+                entry.close.notify_one();
+            }
+            stays
+        });
+    }
+}
+
+impl IdleGuard {
+    /// Waits until the connection is asked to close.
+    pub async fn close_requested(&self) {
+        self.close.notified().await;
+    }
+}
+
+impl Drop for IdleGuard {
+    fn drop(&mut self) {
+        lock(&self.connections.table).by_closing_order.remove(&self.order);
+    }
+}
+
+#[cfg(test)]
+#[path = "idle_connections_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/gaparch-platform-router/src/client/request.rs
@@ -0,0 +1,144 @@
+//! One request of a client, from its head to the response of the owner.
+
+use super::connection::{AfterResponse, ArrivedHead, Connection, Rejection, Stop};
+use crate::buffered_socket::BodyReadError;
+use crate::close_reason::CloseReason;
+use crate::forwarded_request::ForwardedRequest;
+use crate::messages::{ArrivedRequest, ClientResponse, OwnerMessage};
+use crate::shared_state::{Phase, SharedState};
+use bytes::Bytes;
+use gaparch_platform_protocol::body::{Framing, MAX_BODY_BYTES};
+use gaparch_platform_protocol::client_request::{ClientRequest, ClientRequestError, HEALTH_PATH};
+use gaparch_platform_protocol::head::{encode_response, RequestHead};
+use gaparch_scheduler::api::{Nanos, RequestId};
+use std::sync::Arc;
+use tokio::sync::{oneshot, OwnedSemaphorePermit};
+use tokio::time::{timeout_at, Instant};
+
+/// Body of the response to a request that was rejected by the owner.
+const REJECTED_TEXT: &str = "not done; a retry is harmless";
+/// Body of the response to a request that has failed.
+const FAILED_TEXT: &str = "not answered; it may have run";
+/// Body of the response to a request whose id is that of an open one.
+const CONFLICT_TEXT: &str = "a request of this id is open";
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// A request that is open with the owner. Dropped before its response is complete, its client counts as disconnected.
+pub(super) struct RequestGuard {
+    id: RequestId,
+    forwarded: Arc<ForwardedRequest>,
+    shared: Arc<SharedState>,
+    is_complete: bool,
+}
+
+impl RequestGuard {
+    /// Notes that the response is complete, as far as the owner has to know.
+    pub fn complete(&mut self) {
+        self.is_complete = true;
+    }
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        if !self.is_complete {
+            // An attempt that is about to be sent sees this, however long the owner's queue is.
+            self.forwarded.set_client_disconnected();
+            self.shared.notify_owner(OwnerMessage::ClientDisconnected(self.id));
+        }
+    }
+}
+
+impl Connection {
+    /// Serves one request.
+    pub(super) async fn serve_request(&mut self, arrived: ArrivedHead) -> Result<AfterResponse, Stop> {
+        let ArrivedHead { head, arrived_at, due } = arrived;
+        if is_health_check(&head) {
+            return self.respond_to_health_check(&head).await;
+        }
+        let settings = &self.shared.config.settings;
+        let request = ClientRequest::from_head(&head, settings).map_err(Rejection::from)?;
+        let body = self.read_request_body(head.framing, due).await?;
+        let request = request.with_body_length(body.len());
+        let request_queue = Arc::clone(&self.shared.request_queue);
+        let permit = self.while_connected(request_queue.acquire_owned()).await?;
+        let Ok(queue_permit) = permit else { return Err(Stop::CloseRequested) };
+        if !self.shared.register_transaction(&request.transaction) {
+            return Err(Rejection { status: 409, text: CONFLICT_TEXT.to_owned() }.into());
+        }
+        let transaction = request.transaction.clone();
+        let forwarded = Arc::new(ForwardedRequest::new(head.target.clone(), transaction, body));
+        let (mut open, response) = self.open_request(request, forwarded, arrived_at, queue_permit);
+        let response = self.while_connected(response).await?;
+        let close = head.close || self.shared.phase() >= Phase::Draining;
+        match response {
+            Ok(ClientResponse::Stream(parts)) => self.write_stream(parts, &mut open, close).await,
+            Ok(ClientResponse::Rejected { over_quota, retry_after }) => {
+                open.complete();
+                let status = if over_quota { 429 } else { 503 };
+                let headers = retry_after_header(retry_after);
+                self.write(&encode_response(status, &headers, REJECTED_TEXT, close), close).await
+            }
+            // An error says that the owner has ended: nothing is known of the request.
+            Ok(ClientResponse::Failed) | Err(_) => {
+                open.complete();
+                self.write(&encode_response(500, &[], FAILED_TEXT, close), close).await
+            }
+        }
+    }
+
+    async fn respond_to_health_check(&mut self, head: &RequestHead) -> Result<AfterResponse, Stop> {
+        let is_ready = self.shared.phase() == Phase::Serving;
+        let status = if is_ready { 200 } else { 503 };
+        let close = head.close || !is_ready;
+        self.write(&encode_response(status, &[], "", close), close).await
+    }
+
+    async fn read_request_body(&mut self, framing: Framing, due: Instant) -> Result<Bytes, Stop> {
+        let body = match timeout_at(due, self.socket.read_body(framing, MAX_BODY_BYTES)).await {
+            Ok(Ok(body)) => body,
+            Ok(Err(BodyReadError::ConnectionEnded)) => return Err(Stop::ClientClosed),
+            Ok(Err(error)) => return Err(Rejection::from(error).into()),
+            Err(_) => return Err(Rejection::request_timeout().into()),
+        };
+        if body.is_empty() {
+            return Err(Rejection::from(ClientRequestError::NoBody).into());
+        }
+        Ok(body)
+    }
+
+    /// Hands a request to the owner.
+    fn open_request(
+        &mut self,
+        request: ClientRequest,
+        forwarded: Arc<ForwardedRequest>,
+        arrived_at: Instant,
+        queue_permit: OwnedSemaphorePermit,
+    ) -> (RequestGuard, oneshot::Receiver<ClientResponse>) {
+        let id = self.shared.next_request_id();
+        let open = RequestGuard {
+            id,
+            forwarded: Arc::clone(&forwarded),
+            shared: Arc::clone(&self.shared),
+            is_complete: false,
+        };
+        self.reason_if_client_closes = CloseReason::ClientDisconnected;
+        let arrived_at = self.shared.clock.at(arrived_at.into_std());
+        let (response, receiver) = oneshot::channel();
+        let arrived = ArrivedRequest { id, request, forwarded, arrived_at, response, queue_permit };
+        self.shared.notify_owner(OwnerMessage::RequestArrived(Box::new(arrived)));
+        (open, receiver)
+    }
+}
+
+fn is_health_check(head: &RequestHead) -> bool {
+    head.target == HEALTH_PATH && head.method == "GET" && head.framing == Framing::Length(0)
+}
+
+/// Returns the header that states when the client may retry, in seconds; none for 0.
+fn retry_after_header(retry_after: Nanos) -> Vec<(&'static str, String)> {
+    if retry_after == 0 {
+        return Vec::new();
+    }
+    let seconds = retry_after as f64 / NANOS_PER_SECOND;
+    vec![("Retry-After", format!("{seconds:.3}"))]
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/client/response.rs
@@ -0,0 +1,81 @@
+//! The stream of a worker as a response to its client.
+
+use super::connection::{AfterResponse, Connection, Stop};
+use super::request::RequestGuard;
+use crate::close_reason::CloseReason;
+use crate::messages::StreamPart;
+use bytes::BytesMut;
+use gaparch_platform_protocol::body::{encode_chunk, LAST_CHUNK};
+use gaparch_platform_protocol::head::event_stream_head;
+use tokio::sync::mpsc::{self, error::TryRecvError};
+
+/// Parts of a stream are joined into one write until it has so many bytes.
+const WRITE_SIZE: usize = 16 * 1024;
+
+/// A stream after the parts that were encoded last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StreamState {
+    Continues,
+    Complete,
+    /// Its worker has broken it.
+    Broken,
+}
+
+impl Connection {
+    /// Writes a stream as it comes.
+    pub(super) async fn write_stream(
+        &mut self,
+        mut parts: mpsc::Receiver<StreamPart>,
+        open: &mut RequestGuard,
+        close: bool,
+    ) -> Result<AfterResponse, Stop> {
+        let mut out = BytesMut::from(event_stream_head(close));
+        loop {
+            let part = self.while_connected(parts.recv()).await?;
+            match encode_available(part, &mut parts, &mut out) {
+                StreamState::Continues => {
+                    self.write(&out, close).await?;
+                    out.clear();
+                }
+                StreamState::Complete => {
+                    let after = self.write(&out, close).await?;
+                    open.complete();
+                    return Ok(after);
+                }
+                StreamState::Broken => {
+                    // The connection ends without the last chunk, which tells the client.
+                    open.complete();
+                    self.reason_after_response = CloseReason::StreamBroken;
+                    return self.write(&out, true).await;
+                }
+            }
+        }
+    }
+}
+
+/// Encodes a part and those that wait behind it, up to [`WRITE_SIZE`]. `None` is the end of a stream that broke.
+fn encode_available(
+    first: Option<StreamPart>,
+    parts: &mut mpsc::Receiver<StreamPart>,
+    out: &mut BytesMut,
+) -> StreamState {
+    let mut part = first;
+    loop {
+        match part {
+            Some(StreamPart::Events(events)) => encode_chunk(out, &events),
+            Some(StreamPart::End) => {
+                out.extend_from_slice(LAST_CHUNK);
+                return StreamState::Complete;
+            }
+            None => return StreamState::Broken,
+        }
+        if out.len() >= WRITE_SIZE {
+            return StreamState::Continues;
+        }
+        part = match parts.try_recv() {
+            Ok(part) => Some(part),
+            Err(TryRecvError::Empty) => return StreamState::Continues,
+            Err(TryRecvError::Disconnected) => None,
+        };
+    }
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/close_reason.rs
@@ -0,0 +1,70 @@
+//! Why connections of clients have ended, for the log.
+
+use gaparch_scheduler::counts::write_counts;
+use std::fmt;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Why a connection of a client has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CloseReason {
+    /// The client closed it, or reads nothing any more, with no request open.
+    ClientIdle,
+    /// The client closed it, or reads nothing any more, with a request open.
+    ClientDisconnected,
+    /// It was idle, and its descriptor was needed or the router shuts down.
+    IdleClosed,
+    /// Its last response announced the close.
+    ResponseComplete,
+    /// A stream broke, which the end of the connection without the last chunk tells the client.
+    StreamBroken,
+    /// A message of the client was rejected.
+    BadMessage,
+}
+
+impl CloseReason {
+    const ALL: [CloseReason; 6] = [
+        CloseReason::ClientIdle,
+        CloseReason::ClientDisconnected,
+        CloseReason::IdleClosed,
+        CloseReason::ResponseComplete,
+        CloseReason::StreamBroken,
+        CloseReason::BadMessage,
+    ];
+
+    /// Returns the name that the summary states.
+    pub fn name(self) -> &'static str {
+        match self {
+            CloseReason::ClientIdle => "client_idle",
+            CloseReason::ClientDisconnected => "client_disconnected",
+            CloseReason::IdleClosed => "idle_closed",
+            CloseReason::ResponseComplete => "response_complete",
+            CloseReason::StreamBroken => "stream_broken",
+            CloseReason::BadMessage => "bad_message",
+        }
+    }
+}
+
+/// How many connections of clients have ended, by reason.
+#[derive(Debug, Default)]
+pub(crate) struct CloseCounts {
+    counts: [AtomicU64; CloseReason::ALL.len()],
+}
+
+impl CloseCounts {
+    /// Counts and logs one connection.
+    pub fn count(&self, reason: CloseReason) {
+        tracing::debug!(target: "gaparch_platform_router::client", ?reason, "connection closed");
+        self.counts[reason as usize].fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+impl fmt::Display for CloseCounts {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let count = |reason| self.counts[reason as usize].load(Ordering::Relaxed);
+        write_counts(f, CloseReason::ALL.into_iter().map(|reason| (reason.name(), count(reason))))
+    }
+}
+
+#[cfg(test)]
+#[path = "close_reason_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/gaparch-platform-router/src/close_reason_tests.rs
@@ -0,0 +1,13 @@
+//! How the reasons of closed connections are counted and written.
+
+use super::{CloseCounts, CloseReason};
+
+#[test]
+fn reasons_that_occurred_are_written_with_their_counts() {
+    let closes = CloseCounts::default();
+    assert_eq!(closes.to_string(), "");
+    closes.count(CloseReason::StreamBroken);
+    closes.count(CloseReason::ClientDisconnected);
+    closes.count(CloseReason::ClientDisconnected);
+    assert_eq!(closes.to_string(), "client_disconnected=2,stream_broken=1");
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/core_config.rs
@@ -0,0 +1,40 @@
+//! The platform's configuration as the router's core takes it.
+
+use crate::timeouts::connect_timeout;
+use gaparch_config::{Attempts, ClassTimes, Config, Limits, Links, ListConfig, Names};
+use gaparch_platform_protocol::config::RouterConfig;
+use gaparch_scheduler::api::Nanos;
+
+/// Returns the configuration of the core.
+pub(crate) fn core_config(config: &RouterConfig) -> Config {
+    let settings = &config.settings;
+    // Streams are watched where they are read: the core sets them no bounds.
+    let unbounded = ClassTimes { stream: Nanos::MAX, silence: Nanos::MAX };
+    Config {
+        router: config.name.clone(),
+        listeners: Vec::new(),
+        module: settings.scheduler.clone(),
+        names: Names {
+            classes: settings.classes.clone(),
+            tenants: settings.tenants.clone(),
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
+        },
+        class_times: vec![unbounded; settings.classes.len()],
+        default_class: None,
+        keys: Default::default(),
+        engines: Vec::new(),
+        list: Some(ListConfig { address: config.discovery }),
+        links: Links::Exchanges,
+        attempts: Attempts {
+            // The settings state no time-out for health checks: they get that of connecting.
+            probe_timeout: connect_timeout(&settings.scheduler).as_nanos() as Nanos,
+            reconnect_after: 0,
+            reconnect_most: 0,
+        },
+        limits: Limits::default(),
+        operations: None,
+        // Routers of the platform exchange gossip only.
+        fleet: None,
+    }
+}
--- a/crates/gaparch-platform-router/src/discovery/backoff.rs
+++ b/crates/gaparch-platform-router/src/discovery/backoff.rs
@@ -1,36 +1,37 @@
-//! How long to wait before the whole list is asked for again after one that could not be taken.
+//! Backoff between requests for the full list after one that was rejected.
 
-use super::{AGAIN, ANSWER, WAIT};
+use super::{ANSWER_TIMEOUT, RETRY_DELAY, WATCH_WAIT};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// The longest wait. A change that is missed meanwhile is still told in time: this wait takes the place of a watch's.
-pub(super) const MOST_BACKOFF: Duration = Duration::from_millis(800);
-const _: () = assert!(MOST_BACKOFF.as_millis() <= WAIT.as_millis() + ANSWER.as_millis());
+/// Longest delay. A change that is missed meanwhile is still known in time, since this delay takes the place of a watch.
+pub(super) const MAX_DELAY: Duration = Duration::from_millis(800);
+const _: () = assert!(MAX_DELAY.as_millis() <= WATCH_WAIT.as_millis() + ANSWER_TIMEOUT.as_millis());
 
-/// Doubles from [`AGAIN`] up to [`MOST_BACKOFF`] while lists are refused, with jitter, so that many routers that refuse
-/// the same list don't ask for it together.
+/// Exponential backoff from [`RETRY_DELAY`] to [`MAX_DELAY`] with jitter, so that many routers that reject the same list do
+/// not request it together.
 #[derive(Debug)]
 pub(super) struct Backoff {
-    next: Duration,
+    step: Duration,
     jitter: ChaCha8Rng,
 }
 
 impl Backoff {
+    /// Creates a backoff whose jitter follows from the seed.
     pub fn new(seed: u64) -> Backoff {
-        Backoff { next: AGAIN, jitter: ChaCha8Rng::seed_from_u64(seed) }
+        Backoff { step: RETRY_DELAY, jitter: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// A list was taken.
+    /// Starts again from the shortest delay.
     pub fn reset(&mut self) {
-        self.next = AGAIN;
+        self.step = RETRY_DELAY;
     }
 
-    /// How long to wait now: between half of the present step and all of it.
-    pub fn wait(&mut self) -> Duration {
-        let step = self.next;
-        self.next = (step * 2).min(MOST_BACKOFF);
+    /// Returns the next delay: between half of the present step and all of it.
+    pub fn next_delay(&mut self) -> Duration {
+        let step = self.step;
+        self.step = (step * 2).min(MAX_DELAY);
         step.mul_f64(self.jitter.random_range(0.5..=1.0))
     }
 }
--- a/crates/gaparch-platform-router/src/discovery/backoff_tests.rs
+++ b/crates/gaparch-platform-router/src/discovery/backoff_tests.rs
@@ -1,26 +1,26 @@
-//! The waits between two tries for a list that is refused.
+//! The delays between two requests for a list that is rejected.
 
 use super::*;
 
 #[test]
-fn waits_grow_to_the_longest_and_start_anew_after_a_list() {
+fn delays_grow_to_the_longest_and_start_anew_after_a_list() {
     let mut backoff = Backoff::new(1);
-    let waits: Vec<Duration> = (0..20).map(|_| backoff.wait()).collect();
-    for (number, wait) in waits.iter().enumerate() {
-        let step = (AGAIN * 2u32.pow(number.min(8) as u32)).min(MOST_BACKOFF);
-        assert!((step / 2..=step).contains(wait), "{number}: {wait:?}");
+    let delays: Vec<Duration> = (0..20).map(|_| backoff.next_delay()).collect();
+    for (number, delay) in delays.iter().enumerate() {
+        let step = (RETRY_DELAY * 2u32.pow(number.min(8) as u32)).min(MAX_DELAY);
+        assert!((step / 2..=step).contains(delay), "{number}: {delay:?}");
     }
     backoff.reset();
-    assert!(backoff.wait() <= AGAIN);
+    assert!(backoff.next_delay() <= RETRY_DELAY);
 }
 
 #[test]
-fn routers_do_not_ask_together() {
-    let waits = |seed| {
+fn routers_do_not_retry_together() {
+    let delays = |seed| {
         let mut backoff = Backoff::new(seed);
-        (0..8).map(|_| backoff.wait()).sum::<Duration>()
+        (0..8).map(|_| backoff.next_delay()).sum::<Duration>()
     };
-    let mut sums: Vec<Duration> = (0..100).map(waits).collect();
+    let mut sums: Vec<Duration> = (0..100).map(delays).collect();
     sums.sort();
     sums.dedup();
     assert_eq!(sums.len(), 100);
--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -1,275 +1,206 @@
-//! The catalogue: the whole list, then one watch after the other on one connection. This task waits for nobody, so
-//! that a watch never lapses.
+//! Follows the endpoint list: the full list first, then one watch after the other on one connection. This task waits for no
+//! other, so that a watch never lapses.
 
 mod backoff;
+mod connection;
+mod error;
 
-use crate::link::{Link, NoAnswer};
-use crate::shared::{Message, Phase, Shared};
-use crate::transient::write_all;
+use crate::messages::OwnerMessage;
+use crate::shared_state::{Phase, SharedState};
 use backoff::Backoff;
-use gaparch_platform_protocol::body::{Body, BodyError, Part};
-use gaparch_platform_protocol::catalogue::{
-    list_call, watch_call, CatalogueError, ListLimits, Members, MembersReader,
-};
-use gaparch_platform_protocol::head::AnswerHead;
+use connection::DiscoveryConnection;
+use error::DiscoveryError;
+use gaparch_platform_protocol::endpoint_list::{encode_list_request, encode_watch_request, EndpointList};
 use gaparch_protocol::list::Scope;
 use gaparch_router::core::ListUpdate;
-use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use thiserror::Error;
-use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long one watch may wait. What there is to tell counts as told 2 s after that at the latest: a short wait
-/// notices a silent agent early.
-const WAIT: Duration = Duration::from_millis(1000);
-/// For the answer, beyond the wait: the agent answers immediately.
-const ANSWER: Duration = Duration::from_millis(800);
-/// For a connection to the agent.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Between two tries.
-const AGAIN: Duration = Duration::from_millis(100);
-/// What there is to tell counts as told so long after the agent had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-/// One connection after a fault, up to the answer of its first call, which does not wait.
-const ONE_TRY: Duration =
-    Duration::from_millis((AGAIN.as_millis() + CONNECT.as_millis() + ANSWER.as_millis()) as u64);
-/// The longest that a change can be missed: a watch falls silent as it begins, the next connection is taken and stays
-/// silent, too, and the one after it answers at the very end of its time. No wait here grows with the number of tries,
-/// or this would not be all.
-const MISSED: Duration =
-    Duration::from_millis((WAIT.as_millis() + ANSWER.as_millis() + 2 * ONE_TRY.as_millis()) as u64);
-/// For a process that gets so little of its core that it comes late to what has arrived.
-const STARVED: Duration = Duration::from_secs(1);
-const _: () = assert!(MISSED.as_millis() + STARVED.as_millis() < TOLD.as_millis());
-
-/// Between two log lines on a catalogue that stays out of reach or refuses.
-const LOG_EVERY: Duration = Duration::from_secs(10);
-/// Bytes of a list that are parsed before other tasks get a turn.
-const YIELD_AFTER: usize = 64 * 1024;
-
-/// What the module wants of the list.
+/// How long the service may wait for a change before it answers a watch. A short wait notices a silent service early.
+const WATCH_WAIT: Duration = Duration::from_millis(1000);
+/// Time-out of an answer beyond that wait: the service answers immediately.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time-out of connecting to the service.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// A change counts as known to the router so long after the service had it and could be reached, by the platform's rules.
+const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
+/// Longest time of one attempt after a fault, up to the answer of its first request, which does not wait.
+const ATTEMPT_TIME: Duration = Duration::from_millis(
+    (RETRY_DELAY.as_millis() + CONNECT_TIMEOUT.as_millis() + ANSWER_TIMEOUT.as_millis()) as u64,
+);
+/// Longest time for which a change can be missed: a watch falls silent as it begins, the next connection is accepted and stays
+/// silent, too, and the one after it answers at the very end of its time. No delay here grows with the number of attempts, or
+/// this would not be all.
+const MAX_MISSED_TIME: Duration = Duration::from_millis(
+    (WATCH_WAIT.as_millis() + ANSWER_TIMEOUT.as_millis() + 2 * ATTEMPT_TIME.as_millis()) as u64,
+);
+/// Margin for a process that gets so little processor time that it handles late what has arrived.
+const STARVATION_MARGIN: Duration = Duration::from_secs(1);
+const _: () =
+    assert!(MAX_MISSED_TIME.as_millis() + STARVATION_MARGIN.as_millis() < CHANGE_DEADLINE.as_millis());
+
+/// Interval between two log lines on a service that stays unreachable or whose lists are rejected.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// What the scheduler wants of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Wanted {
+pub(crate) struct Subscription {
+    /// Whether changes are wanted.
     pub watch: bool,
-    /// Grows with each whole list that is asked for.
-    pub fetches: u64,
-}
-
-/// Why a connection to the agent is given up.
-#[derive(Debug, Error)]
-enum Fault {
-    #[error("can't connect: {0}")]
-    Connect(io::Error),
-    #[error("no connection in time")]
-    ConnectTimeout,
-    #[error("no answer in time")]
-    Silent,
-    #[error("the connection broke: {0}")]
-    Broken(io::Error),
-    #[error(transparent)]
-    Answer(#[from] NoAnswer),
-    #[error("its body can't be read: {0}")]
-    Body(#[from] BodyError),
-    #[error("the connection ended within the list")]
-    ListCutOff,
-    #[error("it answers {0}")]
-    Status(u16),
-    #[error(transparent)]
-    List(#[from] CatalogueError),
-    #[error("changes where the whole list was asked for")]
-    NotWhole,
-}
-
-impl Fault {
-    /// Whether the agent was reached and may have told something that was lost: only the whole list makes up for it.
-    fn loses_generation(&self) -> bool {
-        !matches!(self, Fault::Connect(_) | Fault::ConnectTimeout | Fault::Silent)
-    }
-
-    /// Whether the agent has answered with what can't be taken: it would do so again at once.
-    fn refuses_list(&self) -> bool {
-        matches!(self, Fault::Body(_) | Fault::Status(_) | Fault::List(_) | Fault::NotWhole)
-    }
+    /// How many full lists have been requested so far.
+    pub full_lists: u64,
 }
 
 /// How far the list is known, across connections.
 #[derive(Debug, Default)]
 struct Progress {
-    /// The agent that `generation` is of.
-    agent: Option<SocketAddr>,
+    /// The service that `generation` is of.
+    service: Option<SocketAddr>,
+    /// `None` where only the full list brings the router up to date.
     generation: Option<u64>,
-    fetched: u64,
-    down: bool,
+    /// How many requests for full lists have been answered.
+    full_lists: u64,
+    is_down: bool,
     /// When a fault was last logged.
-    logged: Option<Instant>,
+    logged_at: Option<Instant>,
 }
 
 impl Progress {
-    /// Generations are one agent's: another one has to tell its whole list.
-    fn turn_to(&mut self, agent: SocketAddr) {
-        if self.agent.replace(agent) != Some(agent) {
+    /// Turns to a service. Generations are those of one service: another one has to send its full list.
+    fn turn_to(&mut self, service: SocketAddr) {
+        if self.service.replace(service) != Some(service) {
             self.generation = None;
         }
     }
 
-    /// Whether a fault is to be logged now, which is so at the first one and then once in [`LOG_EVERY`].
-    fn may_log(&mut self) -> bool {
+    /// Whether a fault is to be logged now: the first one is, and then one in each [`LOG_INTERVAL`].
+    fn take_log_permit(&mut self) -> bool {
         let now = Instant::now();
-        let may = self.logged.is_none_or(|at| now >= at + LOG_EVERY);
-        if may {
-            self.logged = Some(now);
+        let is_due = self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL);
+        if is_due {
+            self.logged_at = Some(now);
         }
-        may
+        is_due
     }
 }
 
-/// Follows the list for as long as the router runs.
+/// Follows the endpoint list for as long as the router runs.
 pub(crate) async fn follow(
     mut address: watch::Receiver<SocketAddr>,
-    mut wanted: watch::Receiver<Wanted>,
-    shared: Arc<Shared>,
+    mut subscription: watch::Receiver<Subscription>,
+    shared: Arc<SharedState>,
 ) {
     let mut progress = Progress::default();
-    let mut backoff = Backoff::new(shared.config.site.scheduler.seed);
+    let mut backoff = Backoff::new(shared.config.settings.scheduler.seed);
     loop {
-        if wanted.wait_for(|w| w.watch || w.fetches > progress.fetched).await.is_err() {
+        let is_wanted = |wanted: &Subscription| wanted.watch || wanted.full_lists > progress.full_lists;
+        if subscription.wait_for(is_wanted).await.is_err() {
             return;
         }
-        let agent = *address.borrow_and_update();
-        // Also an address that changed while nothing was asked, between two tries.
-        progress.turn_to(agent);
-        let ended = tokio::select! {
-            ended = talk(agent, &wanted, &mut progress, &shared) => ended,
+        let service = *address.borrow_and_update();
+        // The address may also have changed between two attempts, while nothing was requested.
+        progress.turn_to(service);
+        let result = tokio::select! {
+            result = follow_service(service, &subscription, &mut progress, &shared) => result,
             changed = address.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                tracing::info!(address = %*address.borrow(), "the catalogue has moved");
-                // Also the same address again: what an answer was lost with is not known.
+                tracing::info!(address = %*address.borrow(), "discovery address changed");
+                // This holds for the same address, too: it is not known what was lost with an unfinished answer.
                 progress.generation = None;
                 continue;
             }
         };
-        let Err(fault) = ended else { continue };
-        if fault.loses_generation() {
-            progress.generation = None;
-        }
-        let first = !std::mem::replace(&mut progress.down, true);
-        if progress.may_log() {
-            let waiting = shared.phase() == Phase::Starting;
-            let consequence =
-                if waiting { "waiting for a first list" } else { "the last list stays in force" };
-            tracing::warn!(%agent, %fault, "the catalogue's list is not to be had: {consequence}");
-        }
-        if first {
-            shared.tell(Message::ListDown);
-            // At the start the list as last held serves, once the catalogue is known not to answer.
-            shared.serve_known_list();
-        }
-        if fault.refuses_list() {
-            sleep(backoff.wait()).await;
+        let Err(error) = result else { continue };
+        handle_error(service, &error, &mut progress, &shared);
+        if error.rejects_list() {
+            sleep(backoff.next_delay()).await;
         } else {
             backoff.reset();
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Talks to an agent until something is wrong, or nothing more is wanted of it.
-async fn talk(
-    agent: SocketAddr,
-    wanted: &watch::Receiver<Wanted>,
+fn handle_error(service: SocketAddr, error: &DiscoveryError, progress: &mut Progress, shared: &SharedState) {
+    if error.loses_generation() {
+        progress.generation = None;
+    }
+    let is_first = !std::mem::replace(&mut progress.is_down, true);
+    if progress.take_log_permit() {
+        let is_waiting = shared.phase() == Phase::Starting;
+        let consequence =
+            if is_waiting { "waiting for a first list" } else { "the last list stays in force" };
+        tracing::warn!(%service, %error, "endpoint list unavailable: {consequence}");
+    }
+    if is_first {
+        shared.notify_owner(OwnerMessage::DiscoveryDown);
+        // At the start the last known list serves once the discovery service is known not to answer.
+        shared.start_serving_last_known_list();
+    }
+}
+
+/// Follows the list of one service until something is wrong, or nothing more is wanted of it.
+async fn follow_service(
+    service: SocketAddr,
+    subscription: &watch::Receiver<Subscription>,
     progress: &mut Progress,
-    shared: &Shared,
-) -> Result<(), Fault> {
-    let connecting = timeout(CONNECT, TcpStream::connect(agent)).await;
-    let stream = connecting.map_err(|_| Fault::ConnectTimeout)?.map_err(Fault::Connect)?;
-    let mut link = Link::new(stream);
-    let host = agent.to_string();
-    // The first call on a connection is answered at once: a silent one is noticed that much sooner.
+    shared: &SharedState,
+) -> Result<(), DiscoveryError> {
+    let mut connection = DiscoveryConnection::open(service).await?;
+    let host = service.to_string();
+    // The first request on a connection is answered at once, so that a silent service is noticed early.
     let mut wait = Duration::ZERO;
     loop {
-        let Wanted { watch, fetches } = *wanted.borrow();
-        let after = progress.generation.filter(|_| fetches <= progress.fetched);
-        let call = match after {
-            Some(after) if watch => watch_call(&host, after, wait.as_millis() as u64),
+        let Subscription { watch, full_lists } = *subscription.borrow();
+        let after = progress.generation.filter(|_| full_lists <= progress.full_lists);
+        let request = match after {
+            Some(after) if watch => encode_watch_request(&host, after, wait.as_millis() as u64),
             Some(_) => return Ok(()),
-            None => list_call(&host),
+            None => encode_list_request(&host),
         };
-        let within = if after.is_some() { wait + ANSWER } else { ANSWER };
-        let asked = Instant::now();
+        let answer_timeout = if after.is_some() { wait + ANSWER_TIMEOUT } else { ANSWER_TIMEOUT };
+        let requested_at = Instant::now();
         let limits = shared.config.list_limits;
-        let members = timeout(within, ask(&mut link, &call, limits)).await.map_err(|_| Fault::Silent)??;
+        let requesting = connection.request(&request, limits);
+        let list = timeout(answer_timeout, requesting).await.map_err(|_| DiscoveryError::AnswerTimeout)??;
         if after.is_none() {
-            progress.fetched = fetches;
-            if members.scope != Scope::Full {
-                return Err(Fault::NotWhole);
+            progress.full_lists = full_lists;
+            if list.scope != Scope::Full {
+                return Err(DiscoveryError::NotFull);
             }
         }
-        if std::mem::take(&mut progress.down) {
-            tracing::info!("the catalogue answers");
+        if std::mem::take(&mut progress.is_down) {
+            tracing::info!("discovery service answers again");
         }
-        let news = after != Some(members.generation) || !members.entries.is_empty();
-        progress.generation = Some(members.generation);
-        if news {
-            tell(members, after, shared);
-        } else if !wait.is_zero() && asked.elapsed() < AGAIN {
-            // An agent that does not wait must not be asked without end; the next call still continues the watch.
-            sleep(AGAIN).await;
+        let is_update = after != Some(list.generation) || !list.entries.is_empty();
+        progress.generation = Some(list.generation);
+        if is_update {
+            publish(list, after, shared);
+        } else if !wait.is_zero() && requested_at.elapsed() < RETRY_DELAY {
+            // A service that does not wait must not be polled without a pause; the next request continues the watch.
+            sleep(RETRY_DELAY).await;
         }
-        wait = WAIT;
+        wait = WATCH_WAIT;
     }
 }
 
-/// Hands on what the agent has told, first to those who are about to send.
-fn tell(members: Members, after: Option<u64>, shared: &Shared) {
-    if members.dropped > 0 {
-        tracing::warn!(entries = members.dropped, "entries of the catalogue make no sense");
+/// Passes a list on: first to the attempts that are about to be sent, then to the owner.
+fn publish(list: EndpointList, after: Option<u64>, shared: &SharedState) {
+    if list.rejected_entries > 0 {
+        tracing::warn!(entries = list.rejected_entries, "endpoint list entries rejected");
     }
-    shared.ready_workers.update(members.scope, &members.entries);
-    shared.tell(Message::List(ListUpdate {
-        scope: members.scope,
-        version: members.generation,
+    shared.ready_workers.update(list.scope, &list.entries);
+    shared.notify_owner(OwnerMessage::EndpointsChanged(ListUpdate {
+        scope: list.scope,
+        version: list.generation,
         after: after.unwrap_or(0),
-        entries: members.entries,
+        entries: list.entries,
     }));
 }
-
-async fn ask(link: &mut Link, call: &str, limits: ListLimits) -> Result<Members, Fault> {
-    write_all(&link.stream, &mut call.as_bytes()).await.map_err(Fault::Broken)?;
-    let head = link.answer().await?;
-    if head.status != 200 {
-        return Err(Fault::Status(head.status));
-    }
-    read_members(link, head, limits).await
-}
-
-/// Reads a list as it comes: no copy of it is kept.
-async fn read_members(link: &mut Link, head: AnswerHead, limits: ListLimits) -> Result<Members, Fault> {
-    let mut body = Body::within(head.framing, limits.bytes);
-    let mut members = MembersReader::new(limits);
-    let mut unyielded = 0;
-    loop {
-        match body.next(&mut link.buf)? {
-            Part::Data(data) => {
-                members.push(&data)?;
-                unyielded += data.len();
-            }
-            Part::End => break,
-            Part::Wait if link.more().await => {}
-            Part::Wait if body.ends_with_connection() => break,
-            Part::Wait => return Err(Fault::ListCutOff),
-        }
-        if unyielded >= YIELD_AFTER {
-            // Streams must not wait for a long list.
-            unyielded = 0;
-            tokio::task::yield_now().await;
-        }
-    }
-    link.trim();
-    Ok(members.finish()?)
-}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/owner/attempts.rs
@@ -0,0 +1,179 @@
+//! Attempts and calls at workers, as the core orders them.
+
+use super::open_request::RunningAttempt;
+use super::Owner;
+use crate::messages::{AttemptEvent, AttemptUpdate, OwnerMessage};
+use crate::timeouts::{connect_timeout, release_attempt_timeout};
+use crate::worker::{self, Attempt, Release, ReservationRequest, WorkerProcess};
+use gaparch_platform_protocol::worker::Stage;
+use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job};
+use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, RequestId, ServerId};
+use gaparch_scheduler::policy::connecting::Carries;
+use std::sync::Arc;
+use tokio::sync::{oneshot, watch};
+
+const NANOS_PER_MICRO: u64 = 1000;
+
+impl Owner {
+    /// Carries out what the core has ordered of a worker.
+    pub(super) fn dispatch(&mut self, server: ServerId, frame: EngineFrame) {
+        match frame {
+            EngineFrame::Read(job) => self.send(server, &job, Stage::Prefill, Carries::NothingHeld),
+            EngineFrame::Write { job, state } => {
+                let carries = if state.is_some() { Carries::HeldState } else { Carries::NothingHeld };
+                self.send(server, &job, Stage::Decode, carries);
+            }
+            EngineFrame::Cancel(key) => self.cancel(key),
+            EngineFrame::Reserve { job, .. } => self.reserve(server, job.key),
+            EngineFrame::Release { request } => self.release(RequestId(request), server),
+            EngineFrame::Probe { nonce } => self.probe(server, nonce),
+            // A router sends no other frames.
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, server: ServerId, job: &Job, stage: Stage, carries: Carries) {
+        let id = RequestId(job.key.request);
+        let number = AttemptNumber(job.key.attempt);
+        if !self.open.contains_key(&id) {
+            return;
+        }
+        let Some(process) = self.process(server) else {
+            return self.notify_unknown_worker(server, id, number);
+        };
+        self.log_send(server, job, stage);
+        let (written, written_receiver) = watch::channel(false);
+        let settings = &self.shared.config.settings.scheduler;
+        let Some(open) = self.open.get_mut(&id) else { return };
+        let previous = open.last_attempt.take().map(|attempt| {
+            attempt.task.abort();
+            attempt.task
+        });
+        let attempt = Attempt {
+            request: id,
+            number,
+            process,
+            stage,
+            carries,
+            deadline_at: self.core.give_up_at(id),
+            forwarded: Arc::clone(&open.forwarded),
+            previous,
+            releasing: open.releasing.take(),
+            write_timeout: connect_timeout(settings),
+            write_by: self.core.write_by(id),
+            release_timeout: release_attempt_timeout(settings),
+            written,
+        };
+        let exchange = worker::exchange(attempt, Arc::clone(&self.pool), Arc::clone(&self.shared));
+        let task = tokio::spawn(exchange);
+        open.last_attempt = Some(RunningAttempt { number, task, written: written_receiver });
+    }
+
+    fn log_send(&self, server: ServerId, job: &Job, stage: Stage) {
+        let id = RequestId(job.key.request);
+        let waited = self.shared.clock.now().saturating_sub(self.core.asked_at(id));
+        tracing::debug!(
+            target: "gaparch_platform_router::wire",
+            request = id.0,
+            attempt = job.key.attempt,
+            worker = server.0,
+            stage = stage.name(),
+            class = job.class,
+            prompt_tokens = job.prompt_len,
+            prefix_tokens = job.prefix_len,
+            prefix = job.prefix,
+            session = job.session,
+            waited_us = waited / NANOS_PER_MICRO,
+            previous_status = ?self.core.last_status(id),
+            "attempt sent"
+        );
+    }
+
+    /// Ends an attempt at a worker that the core does not know any more.
+    fn notify_unknown_worker(&self, server: ServerId, request: RequestId, attempt: AttemptNumber) {
+        self.shared.notify_owner(OwnerMessage::Attempt(AttemptUpdate {
+            server,
+            request,
+            attempt,
+            at: self.shared.clock.now(),
+            event: AttemptEvent::Ended(AttemptStatus::ConnectFailed.into()),
+        }));
+    }
+
+    fn cancel(&mut self, key: AttemptKey) {
+        let id = RequestId(key.request);
+        // This may be the last that happens to the request: its client has disconnected, or its time is up.
+        self.touched.push(id);
+        tracing::debug!(
+            target: "gaparch_platform_router::wire",
+            request = key.request,
+            attempt = key.attempt,
+            "attempt cancelled"
+        );
+        let last_attempt = self.open.get(&id).and_then(|open| open.last_attempt.as_ref());
+        if let Some(attempt) = last_attempt.filter(|attempt| attempt.number.0 == key.attempt) {
+            attempt.task.abort();
+        }
+    }
+
+    fn reserve(&mut self, server: ServerId, key: AttemptKey) {
+        let request = RequestId(key.request);
+        let Some(open) = self.open.get(&request) else { return };
+        let Some(last_attempt) = &open.last_attempt else { return };
+        let Some(process) = self.process(server) else { return };
+        let reservation = ReservationRequest {
+            request,
+            attempt: AttemptNumber(key.attempt),
+            transaction: open.forwarded.transaction.clone(),
+            process,
+            prefill_written: last_attempt.written.clone(),
+        };
+        self.calls.spawn(worker::reserve(reservation, Arc::clone(&self.pool), Arc::clone(&self.shared)));
+    }
+
+    /// Releases what is held for a request. `prefill_worker` may hold it even if it is draining or removed.
+    fn release(&mut self, id: RequestId, prefill_worker: ServerId) {
+        self.touched.push(id);
+        tracing::debug!(
+            target: "gaparch_platform_router::wire",
+            request = id.0,
+            prefill_worker = prefill_worker.0,
+            "KV cache released"
+        );
+        let listed = self.core.listed().filter_map(|server| self.process(server));
+        let mut processes: Vec<WorkerProcess> = listed.collect();
+        let holder = self.process(prefill_worker);
+        processes.extend(holder.filter(|process| !processes.contains(process)));
+        let Some(open) = self.open.get_mut(&id) else { return };
+        let release = Release {
+            transaction: open.forwarded.transaction.clone(),
+            processes,
+            attempt_timeout: release_attempt_timeout(&self.shared.config.settings.scheduler),
+        };
+        let (finished, releasing) = oneshot::channel();
+        open.releasing = Some(releasing);
+        let pool = Arc::clone(&self.pool);
+        let clock = self.shared.clock;
+        self.releases.spawn(async move {
+            worker::release(release, pool, clock).await;
+            drop(finished);
+        });
+    }
+
+    fn probe(&mut self, server: ServerId, nonce: u64) {
+        let shared = Arc::clone(&self.shared);
+        let Some(process) = self.process(server) else {
+            let at = shared.clock.now();
+            let status = AttemptStatus::ConnectFailed;
+            return shared.notify_owner(OwnerMessage::ProbeFinished { server, nonce, at, status });
+        };
+        let probe = worker::probe(process, nonce, self.probe_timeout, Arc::clone(&self.pool), shared);
+        self.calls.spawn(probe);
+    }
+
+    /// Returns the process that the core knows of a worker.
+    fn process(&self, server: ServerId) -> Option<WorkerProcess> {
+        let (address, started_at) = self.core.process(server)?;
+        Some(WorkerProcess { server, address, started_at })
+    }
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -0,0 +1,289 @@
+//! The one task that owns the router's core, and the scheduler in it. It feeds the core with messages, gossip and timers, and
+//! carries out what the core orders.
+
+mod attempts;
+mod open_request;
+mod responses;
+mod round;
+mod summary;
+
+use crate::discovery::Subscription;
+use crate::gossip::{GossipMessage, GossipSocket};
+use crate::messages::{ArrivedRequest, AttemptEvent, AttemptUpdate, OwnerMessage, StreamPart};
+use crate::shared_state::{SharedState, IDLE_TABLE_CAPACITY};
+use crate::worker::ConnectionPool;
+use gaparch_config::Config;
+use gaparch_ops::book::Book;
+use gaparch_platform_protocol::client_request::ClientRequest;
+use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
+use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output};
+use gaparch_scheduler::api::{Nanos, RequestId};
+use open_request::OpenRequest;
+use round::Round;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::JoinSet;
+use tokio::time::{interval, Instant, MissedTickBehavior};
+
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
+/// Note that a worker's rejection carries for the core where the KV cache is not there.
+const NOTE_KV_CACHE_MISSING: u64 = 1;
+
+/// Where the stream that begins in this step is sent from.
+struct StreamStart {
+    request: RequestId,
+    /// Sends the exchange the queue of the client. Dropped, it says that no client waits.
+    reply: oneshot::Sender<mpsc::Sender<StreamPart>>,
+}
+
+/// The owner of the core, and what the shell keeps beside it.
+pub(crate) struct Owner {
+    core: Core,
+    shared: Arc<SharedState>,
+    pool: Arc<ConnectionPool>,
+    gossip: Option<Arc<GossipSocket>>,
+    subscription: watch::Sender<Subscription>,
+    probe_timeout: Duration,
+    /// The requests that the core knows.
+    open: HashMap<RequestId, OpenRequest>,
+    /// Requests that may have left the core in this round.
+    touched: Vec<RequestId>,
+    stream_start: Option<StreamStart>,
+    releases: JoinSet<()>,
+    /// Probes and reservations.
+    calls: JoinSet<()>,
+    /// How late the timers were at most since the last summary.
+    max_timer_lag: Duration,
+    /// KV caches that are held since then or longer were logged as not fetched.
+    unfetched_logged_to: Nanos,
+}
+
+impl Owner {
+    /// Creates the owner. Where there is a last known endpoint list the core starts with it, so that nothing waits for a
+    /// silent discovery service.
+    pub fn new(
+        config: Config,
+        shared: Arc<SharedState>,
+        pool: Arc<ConnectionPool>,
+        gossip: Option<Arc<GossipSocket>>,
+        subscription: watch::Sender<Subscription>,
+    ) -> Owner {
+        let now = shared.clock.now();
+        let polls_endpoints = config.module.poll_endpoints;
+        let probe_timeout = Duration::from_nanos(config.attempts.probe_timeout);
+        let mut out = Vec::new();
+        let mut core = Core::new(config, Book::default(), RouterRun(now), now, &mut out);
+        if let Some(list) = &shared.config.last_known_list {
+            let update = ListUpdate {
+                scope: list.scope,
+                version: list.generation,
+                after: 0,
+                entries: list.entries.clone(),
+            };
+            core.handle(now, Input::List(update), &mut out);
+        }
+        if !polls_endpoints {
+            core.handle(now, Input::ListUp, &mut out);
+        }
+        let mut owner = Owner {
+            core,
+            shared,
+            pool,
+            gossip,
+            subscription,
+            probe_timeout,
+            open: HashMap::new(),
+            touched: Vec::new(),
+            stream_start: None,
+            releases: JoinSet::new(),
+            calls: JoinSet::new(),
+            max_timer_lag: Duration::ZERO,
+            unfetched_logged_to: 0,
+        };
+        owner.carry_out(&mut out);
+        owner
+    }
+
+    /// Runs until nobody is left who could send a message.
+    pub async fn run(
+        mut self,
+        mut messages: mpsc::UnboundedReceiver<OwnerMessage>,
+        mut gossip: mpsc::Receiver<GossipMessage>,
+    ) {
+        let mut round = Round::default();
+        let mut out = Vec::new();
+        let mut maintenance = interval(MAINTENANCE_INTERVAL);
+        let mut summary = interval(SUMMARY_INTERVAL);
+        maintenance.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        summary.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            let next_timer = self.core.next_at().map(|at| Instant::from_std(self.shared.clock.instant(at)));
+            tokio::select! {
+                biased;
+                has_senders = round.wait(next_timer, &mut messages, &mut gossip) => {
+                    if !has_senders {
+                        return;
+                    }
+                }
+                _ = maintenance.tick() => self.maintain(),
+                _ = summary.tick() => self.log_summary(),
+            }
+            let timer_lag = next_timer.map_or(Duration::ZERO, |at| at.elapsed());
+            self.max_timer_lag = self.max_timer_lag.max(timer_lag);
+            self.handle_round(&mut round, &mut out);
+            let now = self.shared.clock.now();
+            if !messages.is_empty() || self.core.next_at().is_some_and(|at| at <= now) {
+                // Other tasks have their turn between two rounds, however many rounds there are.
+                tokio::task::yield_now().await;
+            }
+        }
+    }
+
+    fn handle_round(&mut self, round: &mut Round, out: &mut Vec<Output>) {
+        for message in round.messages.drain(..) {
+            self.handle_message(message, out);
+            self.carry_out(out);
+        }
+        for GossipMessage { from, data } in round.gossip.drain(..) {
+            self.core.handle(self.shared.clock.now(), Input::Peer { from, data }, out);
+        }
+        self.core.on_time(self.shared.clock.now(), out);
+        self.carry_out(out);
+        self.remove_finished();
+    }
+
+    /// Does what has to be done now and then.
+    fn maintain(&mut self) {
+        self.pool.remove_expired();
+        self.log_unfetched_kv_caches();
+        while self.releases.try_join_next().is_some() {}
+        while self.calls.try_join_next().is_some() {}
+    }
+
+    fn handle_message(&mut self, message: OwnerMessage, out: &mut Vec<Output>) {
+        let now = self.shared.clock.now();
+        match message {
+            OwnerMessage::RequestArrived(arrived) => self.handle_arrived(now, *arrived, out),
+            OwnerMessage::ClientDisconnected(id) => {
+                self.touched.push(id);
+                self.core.handle(now, Input::ClientGone(id), out);
+            }
+            OwnerMessage::Attempt(update) => self.handle_attempt(update, out),
+            OwnerMessage::ProbeFinished { server, nonce, at, status } => {
+                self.core.handle(at, Input::Probed { engine: server, nonce, status }, out);
+            }
+            OwnerMessage::EndpointsChanged(update) => {
+                tracing::debug!(entries = update.entries.len(), "endpoint list changed");
+                self.core.handle(now, Input::List(update), out);
+                self.shared.start_serving();
+            }
+            OwnerMessage::DiscoveryDown => self.core.handle(now, Input::ListDown, out),
+            OwnerMessage::CountOpen(reply) => {
+                while self.releases.try_join_next().is_some() {}
+                let _ = reply.send(self.open.len() + self.releases.len());
+            }
+            OwnerMessage::StopAt(at) => self.core.handle(now, Input::StopAt(at), out),
+            OwnerMessage::StopNow => self.core.handle(now, Input::StopNow, out),
+        }
+    }
+
+    fn handle_arrived(&mut self, now: Nanos, arrived: ArrivedRequest, out: &mut Vec<Output>) {
+        let ArrivedRequest { id, request, forwarded, arrived_at, response, queue_permit } = arrived;
+        drop(queue_permit);
+        self.touched.push(id);
+        self.open.insert(id, OpenRequest::new(forwarded, response));
+        self.core.handle(now, Input::Ask { id, ask: accepted(&request, arrived_at) }, out);
+    }
+
+    fn handle_attempt(&mut self, update: AttemptUpdate, out: &mut Vec<Output>) {
+        let AttemptUpdate { server, request, attempt, at, event } = update;
+        self.touched.push(request);
+        let key = AttemptKey { request: request.0, attempt: attempt.0 };
+        let frame = match event {
+            AttemptEvent::FirstToken(reply) => {
+                self.stream_start = Some(StreamStart { request, reply });
+                EngineFrame::Tokens { key, from: 0, count: 0, text: String::new() }
+            }
+            AttemptEvent::Prefilled { cached_prompt_tokens } => {
+                EngineFrame::ReadDone { key, kept: cached_prompt_tokens, prompt_len: 0, report: None }
+            }
+            AttemptEvent::Ended(end) => {
+                let note = if end.kv_cache_missing { NOTE_KV_CACHE_MISSING } else { 0 };
+                EngineFrame::Outcome { key, status: end.status, note, produced: 0, report: None }
+            }
+            AttemptEvent::ReservationAnswered { reserved } => EngineFrame::Reserved { key, held: reserved },
+        };
+        let conn = ConnNo::EXCHANGES;
+        self.core.handle(at, Input::EngineFrame { engine: server, conn, frame }, out);
+    }
+
+    /// Carries out what the core has ordered.
+    fn carry_out(&mut self, out: &mut Vec<Output>) {
+        for output in out.drain(..) {
+            match output {
+                Output::Client { id, event } => self.respond(id, event),
+                Output::Engine { engine, frame } => self.dispatch(engine, frame),
+                Output::Watch(watch) => self.set_watch(watch),
+                Output::Fetch => self.subscription.send_modify(|wanted| wanted.full_lists += 1),
+                Output::Tell { peer, data } => {
+                    if let Some(gossip) = &self.gossip {
+                        gossip.send(peer, &data);
+                    }
+                }
+                Output::CloseIdle(server) => self.pool.close_idle(server),
+                Output::Log(text) => tracing::info!(%text, "scheduler"),
+                // A worker has no connection of its own here, and the outcomes of requests are not stored.
+                Output::Connect { .. } | Output::Disconnect { .. } | Output::Ended(_) => {}
+            }
+        }
+        // A stream that no client waits for any more: its exchange notices by this.
+        self.stream_start = None;
+    }
+
+    fn set_watch(&self, watch: bool) {
+        self.subscription.send_if_modified(|wanted| {
+            let changed = wanted.watch != watch;
+            wanted.watch = watch;
+            changed
+        });
+    }
+
+    /// Removes requests that the core does not know any more.
+    fn remove_finished(&mut self) {
+        for id in self.touched.drain(..) {
+            if self.core.phase(id).is_some() {
+                continue;
+            }
+            // Its attempts have ended: only now may another request have its id.
+            if let Some(open) = self.open.remove(&id) {
+                self.shared.unregister_transaction(&open.forwarded.transaction);
+            }
+        }
+        if self.open.is_empty() {
+            self.open.shrink_to(IDLE_TABLE_CAPACITY);
+        }
+    }
+}
+
+/// Returns a client's request as the core takes it.
+fn accepted(request: &ClientRequest, arrived_at: Nanos) -> Accepted {
+    Accepted {
+        class: request.class,
+        tenant: request.tenant,
+        session: request.session,
+        prefix: request.prefix,
+        prompt_len: request.prompt_tokens,
+        prefix_len: request.prefix_tokens,
+        max_out: request.max_output_tokens,
+        hint: None,
+        repeat: request.client_retry,
+        again: request.client_reconnect,
+        give_up_at: Some(arrived_at.saturating_add(request.remaining)),
+        // The body goes from the client to the worker beside the core.
+        prompt: String::new(),
+        fingerprint: 0,
+    }
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/owner/responses.rs
@@ -0,0 +1,56 @@
+//! Responses to clients, as the core orders them.
+
+use super::Owner;
+use crate::client::STREAM_QUEUE_LENGTH;
+use crate::messages::ClientResponse;
+use gaparch_protocol::ops::ending::WaitedFor;
+use gaparch_router::core::ToClient;
+use gaparch_scheduler::api::RequestId;
+use tokio::sync::mpsc;
+
+impl Owner {
+    /// Sends a client the response to its request.
+    pub(super) fn respond(&mut self, id: RequestId, event: ToClient) {
+        self.touched.push(id);
+        let Some(open) = self.open.get_mut(&id) else { return };
+        let txn = open.forwarded.transaction.as_str();
+        let response = match event {
+            ToClient::Opened { .. } => {
+                let (parts, stream) = mpsc::channel(STREAM_QUEUE_LENGTH);
+                if let Some(start) = self.stream_start.take_if(|start| start.request == id) {
+                    let _ = start.reply.send(parts);
+                }
+                ClientResponse::Stream(stream)
+            }
+            ToClient::Refused { retry_after, waited_for, cause } => {
+                tracing::debug!(
+                    target: "gaparch_platform_router::wire",
+                    request = id.0,
+                    txn,
+                    ?cause,
+                    ?waited_for,
+                    "request rejected"
+                );
+                let over_quota = waited_for == Some(WaitedFor::OverShare);
+                ClientResponse::Rejected { over_quota, retry_after }
+            }
+            ToClient::Failed { why, cause } => {
+                tracing::debug!(
+                    target: "gaparch_platform_router::wire",
+                    request = id.0,
+                    txn,
+                    ?cause,
+                    why,
+                    "request failed"
+                );
+                ClientResponse::Failed
+            }
+            // The events of a stream pass from its worker to its client beside the owner.
+            ToClient::Part { .. } | ToClient::Finished { .. } => return,
+        };
+        // Once a stream has begun, its end says what became of it.
+        if let Some(client) = open.response.take() {
+            let _ = client.send(response);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/owner/round.rs
@@ -0,0 +1,53 @@
+//! What the owner takes in one round of its loop.
+
+use crate::gossip::GossipMessage;
+use crate::messages::OwnerMessage;
+use tokio::sync::mpsc;
+use tokio::time::{sleep_until, Instant};
+
+/// Most messages of each kind in one round, so that timers are checked in between.
+pub(super) const MAX_BATCH: usize = 64;
+
+/// Messages that were taken and not handled yet.
+#[derive(Default)]
+pub(super) struct Round {
+    pub messages: Vec<OwnerMessage>,
+    pub gossip: Vec<GossipMessage>,
+}
+
+impl Round {
+    /// Waits for a message, gossip or the next timer, and takes what there is of all three. Where a round takes longer than the
+    /// time to the next timer, one is always due: nothing else would ever be taken.
+    ///
+    /// Returns `false` once nobody is left who could send a message. Nothing is lost where the future is dropped.
+    pub async fn wait(
+        &mut self,
+        next_timer: Option<Instant>,
+        messages: &mut mpsc::UnboundedReceiver<OwnerMessage>,
+        gossip: &mut mpsc::Receiver<GossipMessage>,
+    ) -> bool {
+        tokio::select! {
+            biased;
+            () = sleep_until(next_timer.unwrap_or_else(Instant::now)), if next_timer.is_some() => {}
+            Some(message) = gossip.recv() => self.gossip.push(message),
+            count = messages.recv_many(&mut self.messages, MAX_BATCH) => {
+                if count == 0 {
+                    return false;
+                }
+            }
+        }
+        while self.messages.len() < MAX_BATCH {
+            let Ok(message) = messages.try_recv() else { break };
+            self.messages.push(message);
+        }
+        while self.gossip.len() < MAX_BATCH {
+            let Ok(message) = gossip.try_recv() else { break };
+            self.gossip.push(message);
+        }
+        true
+    }
+}
+
+#[cfg(test)]
+#[path = "round_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/gaparch-platform-router/src/owner/summary.rs
@@ -0,0 +1,104 @@
+//! The owner's regular log lines: the summary, and KV caches that no decode worker has fetched.
+
+use super::Owner;
+use gaparch_scheduler::api::Nanos;
+use std::time::Duration;
+
+/// Most KV caches that are named in the log at a time.
+const MAX_UNFETCHED_LINES: usize = 4;
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// The KV caches that are held for requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct HeldKvCaches {
+    count: usize,
+    /// How long the oldest one is held.
+    longest: Nanos,
+}
+
+impl Owner {
+    fn held_kv_caches(&self) -> HeldKvCaches {
+        let now = self.shared.clock.now();
+        let mut held = HeldKvCaches::default();
+        for state in self.core.held_states() {
+            held.count += 1;
+            held.longest = held.longest.max(now.saturating_sub(state.since));
+        }
+        held
+    }
+
+    /// Logs KV caches that are held for longer than the settings allow: no decode worker is known to have fetched them. Each
+    /// is logged once.
+    pub(super) fn log_unfetched_kv_caches(&mut self) {
+        let now = self.shared.clock.now();
+        let max_held = self.shared.config.settings.scheduler.kv_release_within;
+        let mut logged_to = self.unfetched_logged_to;
+        let mut overdue = Vec::new();
+        for state in self.core.held_states() {
+            let is_overdue = now.saturating_sub(state.since) > max_held;
+            let is_logged = state.since <= self.unfetched_logged_to;
+            if is_overdue && !is_logged && overdue.len() < MAX_UNFETCHED_LINES {
+                logged_to = logged_to.max(state.since);
+                overdue.push(state);
+            }
+        }
+        for state in overdue {
+            let txn = self.open.get(&state.request).map(|open| open.forwarded.transaction.as_str());
+            tracing::info!(
+                request = state.request.0,
+                txn,
+                prefill_worker = state.reader.0,
+                unanswered_at = state.unanswered_at.map(|server| server.0),
+                held_ms = now.saturating_sub(state.since) / NANOS_PER_MS,
+                "KV cache not fetched by any decode worker"
+            );
+        }
+        self.unfetched_logged_to = logged_to;
+    }
+
+    pub(super) fn log_summary(&mut self) {
+        let counts = self.core.counts();
+        let reasons = self.core.reasons();
+        let pool = self.pool.size();
+        let kv_caches = self.held_kv_caches();
+        tracing::info!(
+            open = self.core.open(),
+            known = self.open.len(),
+            releases = self.releases.len(),
+            requests = counts.requests,
+            served = counts.served,
+            rejected = counts.refused,
+            failed = counts.failed,
+            disconnected = counts.left,
+            overdue = counts.overdue,
+            late_frames = counts.late_frames,
+            expired = counts.moot,
+            denied = %counts.denials,
+            stopped = %self.shared.denials(),
+            second_answers = counts.second_answers,
+            rejections = %reasons.refused,
+            failures = %reasons.failed,
+            attempts = %reasons.attempts,
+            retries = %reasons.retries,
+            kv_caches = kv_caches.count,
+            kv_cache_longest_ms = kv_caches.longest / NANOS_PER_MS,
+            closed = %self.shared.closes,
+            rejected_entries = counts.dropped_entries,
+            gossip_dropped = self.gossip.as_ref().map_or(0, |gossip| gossip.dropped()),
+            workers = pool.workers,
+            idle = pool.idle_connections,
+            memory_kb = resident_memory_kb(),
+            lag_us = self.max_timer_lag.as_micros() as u64,
+            "summary"
+        );
+        self.max_timer_lag = Duration::ZERO;
+    }
+}
+
+/// Returns the resident memory of this process in KiB; 0 where the kernel does not state it.
+fn resident_memory_kb() -> u64 {
+    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+    let number = resident.and_then(|text| text.split_whitespace().next());
+    number.and_then(|digits| digits.parse().ok()).unwrap_or(0)
+}
--- a/crates/gaparch-platform-router/src/ready_workers.rs
+++ b/crates/gaparch-platform-router/src/ready_workers.rs
@@ -1,22 +1,22 @@
-//! Which workers the catalogue lists as ready, as the discovery task last read it. That task is ahead of the owner,
-//! whose queue may be deep, so an attempt asks here just before its first byte.
+//! Which workers are listed as ready, as the discovery task last read it. That task is ahead of the owner, whose queue may be
+//! deep, so an attempt checks here just before its first byte.
 
-use crate::shared::lock;
+use crate::sync::lock;
 use gaparch_config::server_id;
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{ServerId, ServerState};
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-/// The ready workers by id, with the name that the id was made of. Bounded by the size of a list.
+/// The ready workers by id, each with the name that the id was made of. Bounded by the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyWorkers {
-    /// `None` until the first list: what is sent before that goes by the list as last held.
+    /// `None` until the first endpoint list: what is sent before goes by the last known one.
     names: Mutex<Option<HashMap<ServerId, String>>>,
 }
 
 impl ReadyWorkers {
-    /// Takes a list or a change of it.
+    /// Takes an endpoint list or a change of it.
     pub fn update(&self, scope: Scope, entries: &[ListEntry]) {
         let mut names = lock(&self.names);
         if scope == Scope::Full {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether nothing forbids a new request to that worker.
-    pub fn may_be_sent_to(&self, server: ServerId) -> bool {
+    /// Whether a request may be sent to that worker, as far as the endpoint list says.
+    pub fn may_receive_requests(&self, server: ServerId) -> bool {
         lock(&self.names).as_ref().is_none_or(|names| names.contains_key(&server))
     }
 }
--- a/crates/gaparch-platform-router/src/ready_workers_tests.rs
+++ b/crates/gaparch-platform-router/src/ready_workers_tests.rs
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn drained_gone_and_unlisted_workers_are_not_sent_to_and_all_are_before_the_first_list() {
+fn draining_removed_and_unlisted_workers_are_not_sent_to_and_all_are_before_the_first_list() {
     let ready = ReadyWorkers::default();
-    let may = |name: &str| ready.may_be_sent_to(server_id(name));
+    let may = |name: &str| ready.may_receive_requests(server_id(name));
     // A change without a list to change says nothing.
     ready.update(Scope::Delta, &[entry("a", ServerState::Draining)]);
     assert!(may("a") && may("b"));
--- /dev/null
+++ b/crates/gaparch-platform-router/src/shared_state.rs
@@ -0,0 +1,135 @@
+//! State that the tasks of a router share.
+
+use crate::close_reason::CloseCounts;
+use crate::messages::OwnerMessage;
+use crate::ready_workers::ReadyWorkers;
+use crate::sync::lock;
+use gaparch_net::Clock;
+use gaparch_platform_protocol::client_request::TransactionId;
+use gaparch_platform_protocol::config::RouterConfig;
+use gaparch_scheduler::api::RequestId;
+use gaparch_scheduler::policy::permits::{Denial, Denials};
+use std::collections::HashSet;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use tokio::sync::{mpsc, watch, Semaphore};
+
+/// Capacity that an empty table keeps.
+pub(crate) const IDLE_TABLE_CAPACITY: usize = 64;
+
+/// A router's way from its start to its shutdown, in order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Phase {
+    /// There is no endpoint list yet.
+    Starting,
+    /// Requests are accepted.
+    Serving,
+    /// The shutdown has begun, but new connections may still arrive.
+    Draining,
+    /// Nothing new is accepted; open requests are finished.
+    Closing,
+}
+
+/// State that the tasks of a router share. Its tables are bounded by the connections of clients and the endpoint list.
+#[derive(Debug)]
+pub(crate) struct SharedState {
+    pub config: RouterConfig,
+    pub clock: Clock,
+    pub phase: watch::Sender<Phase>,
+    pub ready_workers: ReadyWorkers,
+    /// Places of requests in the owner's queue: without them, clients that come and go faster than the owner takes them
+    /// would fill the memory.
+    pub request_queue: Arc<Semaphore>,
+    /// How connections of clients have ended.
+    pub closes: CloseCounts,
+    owner: mpsc::UnboundedSender<OwnerMessage>,
+    next_request_id: AtomicU64,
+    /// Ids of the requests that are open.
+    open_transactions: Mutex<HashSet<TransactionId>>,
+    /// Attempts that were stopped just before their first byte.
+    denials: Mutex<Denials>,
+}
+
+impl SharedState {
+    /// Creates the state of a router in which at most `max_queued_requests` wait for the owner.
+    pub fn new(
+        config: RouterConfig,
+        clock: Clock,
+        owner: mpsc::UnboundedSender<OwnerMessage>,
+        max_queued_requests: usize,
+    ) -> SharedState {
+        SharedState {
+            config,
+            clock,
+            phase: watch::Sender::new(Phase::Starting),
+            ready_workers: ReadyWorkers::default(),
+            request_queue: Arc::new(Semaphore::new(max_queued_requests)),
+            closes: CloseCounts::default(),
+            owner,
+            next_request_id: AtomicU64::new(1),
+            open_transactions: Mutex::default(),
+            denials: Mutex::default(),
+        }
+    }
+
+    pub fn phase(&self) -> Phase {
+        *self.phase.borrow()
+    }
+
+    /// Accepts requests from now on, since there is an endpoint list. A shutdown that has begun is not undone.
+    pub fn start_serving(&self) {
+        self.phase.send_if_modified(|phase| {
+            let is_first_list = *phase == Phase::Starting;
+            if is_first_list {
+                *phase = Phase::Serving;
+            }
+            is_first_list
+        });
+    }
+
+    /// Accepts requests by the last known endpoint list, if there is one, since the discovery service does not answer.
+    pub fn start_serving_last_known_list(&self) {
+        if self.config.last_known_list.is_some() {
+            self.start_serving();
+        }
+    }
+
+    pub fn next_request_id(&self) -> RequestId {
+        RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed))
+    }
+
+    /// Sends a message to the owner. One that has ended does not need it.
+    pub fn notify_owner(&self, message: OwnerMessage) {
+        let _ = self.owner.send(message);
+    }
+
+    /// Counts an attempt that was stopped just before its first byte.
+    pub fn count_denial(&self, id: RequestId, denial: Denial) {
+        tracing::debug!(
+            target: "gaparch_platform_router::wire",
+            request = id.0,
+            ?denial,
+            "attempt not sent"
+        );
+        lock(&self.denials).count(denial);
+    }
+
+    /// Returns how many attempts were stopped just before their first byte, by reason.
+    pub fn denials(&self) -> Denials {
+        *lock(&self.denials)
+    }
+
+    /// Registers the id of a request until the owner unregisters it; `false` where a request of this id is open.
+    pub fn register_transaction(&self, transaction: &TransactionId) -> bool {
+        lock(&self.open_transactions).insert(transaction.clone())
+    }
+
+    /// Frees the id of a request, none of whose attempts runs any more.
+    pub fn unregister_transaction(&self, transaction: &TransactionId) {
+        let mut open = lock(&self.open_transactions);
+        open.remove(transaction);
+        if open.is_empty() {
+            open.shrink_to(IDLE_TABLE_CAPACITY);
+        }
+    }
+}
--- a/crates/gaparch-platform-router/src/test_support.rs
+++ b/crates/gaparch-platform-router/src/test_support.rs
@@ -1,18 +1,21 @@
 //! What the tests inside this crate share: the state of a router whose owner is the test itself.
 
-use crate::shared::{Message, Shared};
+use crate::messages::OwnerMessage;
+use crate::shared_state::SharedState;
 use gaparch_net::Clock;
-use gaparch_platform_protocol::config::NodeConfig;
+use gaparch_platform_protocol::config::RouterConfig;
 use gaparch_testbed::platform::settings;
 use serde_json::json;
 use std::sync::Arc;
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
-/// The shared state of a router with a queue for so many requests, and that queue.
-pub(crate) fn shared(asks: usize) -> (Arc<Shared>, UnboundedReceiver<Message>) {
+/// The shared state of a router with a queue for so many requests, and the owner's end of that queue.
+pub(crate) fn shared_state(
+    max_queued_requests: usize,
+) -> (Arc<SharedState>, UnboundedReceiver<OwnerMessage>) {
     let config =
         json!({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()});
-    let config = NodeConfig::read(config.to_string().as_bytes(), |_| None).expect("sound");
+    let config = RouterConfig::from_json(config.to_string().as_bytes(), |_| None).expect("sound");
     let (owner, messages) = mpsc::unbounded_channel();
-    (Arc::new(Shared::new(config, Clock::default(), owner, asks)), messages)
+    (Arc::new(SharedState::new(config, Clock::default(), owner, max_queued_requests)), messages)
 }
--- a/crates/gaparch-platform-router/src/transient.rs
+++ b/crates/gaparch-platform-router/src/transient_errors.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, as Linux documents them, and what is done about it.
+//! System calls that fail for a moment, as Linux documents them, and writes that survive such failures.
 
 use bytes::Buf;
 use gaparch_scheduler::policy::connecting::ConnectFailure;
@@ -8,28 +8,28 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Between two tries of a call for which the system had no memory.
-pub(crate) const PAUSE: Duration = Duration::from_millis(5);
+/// Delay before a call for which the system had no memory is retried.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Parts of a message that go out in one call.
-const PIECES: usize = 4;
+/// Most parts of a message that one call writes.
+const MAX_SLICES: usize = 4;
 
-/// Nothing can be done now: the next event says when.
+/// Whether the call can do nothing now; the poller says when it can.
 pub(crate) fn would_block(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock
 }
 
-/// A signal came in between: nothing was done, and nothing is wrong.
+/// Whether a signal interrupted the call: nothing was done, and nothing is wrong.
 pub(crate) fn is_interrupted(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
 }
 
-/// The system had no memory or buffer for it now. The connection is as it was.
+/// Whether the system had no memory or buffer for the call. The connection is as it was.
 pub(crate) fn lacks_memory(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether a connection was missed here or at the other side.
+/// Classifies why a connection could not be made: for a reason on this machine, on the way, or at the other side.
 pub(crate) fn connect_failure(error: &io::Error) -> ConnectFailure {
     match Errno::from_io_error(error) {
         Some(
@@ -46,14 +46,14 @@
     }
 }
 
-/// A socket that is written to until it would block. A call that takes less than it was given says nothing of whether there
-/// is room for the rest.
+/// A socket that is written to until it would block. A call that writes less than it was given does not say whether there is
+/// space for the rest.
 pub(crate) trait WriteSocket {
-    /// Waits until a write may do something.
+    /// Waits until a write may succeed.
     async fn writable(&self) -> io::Result<()>;
 
-    /// Writes what is taken at once.
-    fn try_write_vectored(&self, pieces: &[IoSlice<'_>]) -> io::Result<usize>;
+    /// Writes what the system takes at once.
+    fn try_write_vectored(&self, slices: &[IoSlice<'_>]) -> io::Result<usize>;
 }
 
 impl WriteSocket for TcpStream {
@@ -61,26 +61,26 @@
         TcpStream::writable(self).await
     }
 
-    fn try_write_vectored(&self, pieces: &[IoSlice<'_>]) -> io::Result<usize> {
-        TcpStream::try_write_vectored(self, pieces)
+    fn try_write_vectored(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
+        TcpStream::try_write_vectored(self, slices)
     }
 }
 
-/// Writes all that is there, whatever pieces the system takes and however often it is interrupted.
+/// Writes all bytes, however many the system takes at a time and however often it is interrupted.
 ///
 /// # Errors
 /// When the connection is broken.
-pub(crate) async fn write_all(to: &impl WriteSocket, bytes: &mut impl Buf) -> io::Result<()> {
+pub(crate) async fn write_all(socket: &impl WriteSocket, bytes: &mut impl Buf) -> io::Result<()> {
     while bytes.has_remaining() {
-        to.writable().await?;
-        let mut pieces = [IoSlice::new(&[]); PIECES];
-        let count = bytes.chunks_vectored(&mut pieces);
-        match to.try_write_vectored(&pieces[..count]) {
+        socket.writable().await?;
+        let mut slices = [IoSlice::new(&[]); MAX_SLICES];
+        let count = bytes.chunks_vectored(&mut slices);
+        match socket.try_write_vectored(&slices[..count]) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(n) => bytes.advance(n),
+            Ok(length) => bytes.advance(length),
             Err(error) if would_block(&error) => {}
             Err(error) if is_interrupted(&error) => tokio::task::yield_now().await,
-            Err(error) if lacks_memory(&error) => sleep(PAUSE).await,
+            Err(error) if lacks_memory(&error) => sleep(RETRY_DELAY).await,
             Err(error) => return Err(error),
         }
     }
@@ -88,5 +88,5 @@
 }
 
 #[cfg(test)]
-#[path = "transient_tests.rs"]
+#[path = "transient_errors_tests.rs"]
 mod tests;
--- a/crates/gaparch-platform-router/src/transient_tests.rs
+++ b/crates/gaparch-platform-router/src/transient_errors_tests.rs
@@ -7,14 +7,14 @@
 
 /// Takes one byte at a time, and fails in between as often as it has errors.
 #[derive(Default)]
-struct Grudging {
+struct StubbornSocket {
     taken: Mutex<Vec<u8>>,
     errors: Mutex<Vec<Errno>>,
 }
 
-impl Grudging {
-    fn with(errors: Vec<Errno>) -> Grudging {
-        Grudging { taken: Mutex::default(), errors: Mutex::new(errors) }
+impl StubbornSocket {
+    fn with(errors: Vec<Errno>) -> StubbornSocket {
+        StubbornSocket { taken: Mutex::default(), errors: Mutex::new(errors) }
     }
 
     fn taken(&self) -> Vec<u8> {
@@ -22,16 +22,16 @@
     }
 }
 
-impl WriteSocket for Grudging {
+impl WriteSocket for StubbornSocket {
     async fn writable(&self) -> io::Result<()> {
         Ok(())
     }
 
-    fn try_write_vectored(&self, pieces: &[IoSlice<'_>]) -> io::Result<usize> {
+    fn try_write_vectored(&self, slices: &[IoSlice<'_>]) -> io::Result<usize> {
         if let Some(errno) = self.errors.lock().expect("whole").pop() {
             return Err(errno.into());
         }
-        let first = pieces.iter().find(|piece| !piece.is_empty()).expect("something to write");
+        let first = slices.iter().find(|slice| !slice.is_empty()).expect("something to write");
         self.taken.lock().expect("whole").push(first[0]);
         Ok(1)
     }
@@ -39,7 +39,7 @@
 
 #[tokio::test]
 async fn what_is_interrupted_or_short_of_buffers_is_written_whole() {
-    let to = Grudging::with(vec![Errno::INTR, Errno::NOBUFS, Errno::AGAIN, Errno::INTR, Errno::NOMEM]);
+    let to = StubbornSocket::with(vec![Errno::INTR, Errno::NOBUFS, Errno::AGAIN, Errno::INTR, Errno::NOMEM]);
     write_all(&to, &mut &b"answer"[..]).await.expect("written");
     assert_eq!(to.taken(), b"answer");
 }
@@ -47,7 +47,7 @@
 #[tokio::test]
 async fn a_broken_connection_is_no_moment() {
     for errno in [Errno::CONNRESET, Errno::PIPE, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
-        let to = Grudging::with(vec![errno]);
+        let to = StubbornSocket::with(vec![errno]);
         let error = write_all(&to, &mut &b"answer"[..]).await.expect_err("broken");
         assert_eq!(Errno::from_io_error(&error), Some(errno));
         assert!(to.taken().is_empty());
--- /dev/null
+++ b/crates/gaparch-platform-router/src/worker/exchange/stream.rs
@@ -0,0 +1,153 @@
+//! Forwards the stream of a worker to its client.
+
+use super::{Attempt, ExchangeEnd, FinishedConnection};
+use crate::messages::{AttemptEvent, StreamPart};
+use crate::shared_state::SharedState;
+use crate::worker::pool::WorkerConnection;
+use bytes::BytesMut;
+use gaparch_platform_protocol::body::{BodyDecoder, BodyPart};
+use gaparch_platform_protocol::event_stream::EventStream;
+use gaparch_platform_protocol::head::ResponseHead;
+use gaparch_scheduler::api::AttemptStatus;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+
+/// A worker that is silent for so long within a stream is ended: the platform lets a client wait for 5 s after an event.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(4000);
+
+/// Why a stream ends before its body does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StreamError {
+    /// The request was given up: no client waits for the stream.
+    Abandoned,
+    /// The attempt has failed with this status.
+    Failed(AttemptStatus),
+}
+
+impl From<StreamError> for ExchangeEnd {
+    fn from(error: StreamError) -> ExchangeEnd {
+        match error {
+            StreamError::Abandoned => ExchangeEnd::ABANDONED,
+            StreamError::Failed(status) => ExchangeEnd::failed(status),
+        }
+    }
+}
+
+/// A stream on its way.
+struct StreamForwarder<'a> {
+    attempt: &'a Attempt,
+    shared: &'a SharedState,
+    events: EventStream,
+    /// Events that have come and were not forwarded yet. All that is buffered is checked first, so that a stream that is
+    /// malformed at once counts as not begun.
+    pending: BytesMut,
+    /// Where the events go, once the first was forwarded.
+    client: Option<mpsc::Sender<StreamPart>>,
+}
+
+/// Forwards events as they come. Until the first valid one was forwarded, anything malformed is a failed attempt.
+pub(super) async fn forward_stream(
+    attempt: &Attempt,
+    shared: &SharedState,
+    mut connection: WorkerConnection,
+    response: ResponseHead,
+) -> ExchangeEnd {
+    let mut forwarder = StreamForwarder {
+        attempt,
+        shared,
+        events: EventStream::default(),
+        pending: BytesMut::new(),
+        client: None,
+    };
+    match forwarder.forward_body(&mut connection, &response).await {
+        Ok(()) => forwarder.finish(connection, response).await,
+        Err(error) => error.into(),
+    }
+}
+
+impl StreamForwarder<'_> {
+    /// Forwards all events of the body, up to its end.
+    async fn forward_body(
+        &mut self,
+        connection: &mut WorkerConnection,
+        response: &ResponseHead,
+    ) -> Result<(), StreamError> {
+        // A malformed stream is no broken connection, after which the worker would count as a new process: it is there and
+        // has run the request.
+        const MALFORMED: StreamError = StreamError::Failed(AttemptStatus::Unknown);
+        let mut decoder = BodyDecoder::new(response.framing);
+        loop {
+            let part = decoder.decode(&mut connection.socket.buffer).map_err(|_| MALFORMED)?;
+            match part {
+                BodyPart::Data(data) => {
+                    let events = self.events.push(&data).map_err(|_| MALFORMED)?;
+                    self.pending.extend_from_slice(&events.unwrap_or_default());
+                }
+                BodyPart::End => {
+                    self.forward_pending().await?;
+                    return Ok(());
+                }
+                BodyPart::Incomplete => {
+                    self.forward_pending().await?;
+                    let is_at_end = self.read_more(connection, &decoder).await?;
+                    if is_at_end {
+                        return Ok(());
+                    }
+                }
+            }
+        }
+    }
+
+    /// Reads more of the body, and returns whether it ends with the connection instead.
+    async fn read_more(
+        &self,
+        connection: &mut WorkerConnection,
+        decoder: &BodyDecoder,
+    ) -> Result<bool, StreamError> {
+        // Before the first event the time-out of the attempt holds.
+        let read_timeout = if self.client.is_some() { SILENCE_TIMEOUT } else { Duration::MAX };
+        match timeout(read_timeout, connection.socket.read()).await {
+            Ok(Ok(length)) if length > 0 => Ok(false),
+            Ok(Ok(_)) if decoder.ends_with_connection() => Ok(true),
+            Ok(_) => Err(StreamError::Failed(AttemptStatus::Reset)),
+            Err(_) => Err(StreamError::Failed(AttemptStatus::Timeout)),
+        }
+    }
+
+    /// Forwards the pending events. A full queue of the client stops the reading here, and so the worker: nothing is lost.
+    async fn forward_pending(&mut self) -> Result<(), StreamError> {
+        if self.pending.is_empty() {
+            return Ok(());
+        }
+        if self.client.is_none() {
+            self.client = Some(self.request_client().await?);
+        }
+        let Some(client) = &self.client else { return Err(StreamError::Abandoned) };
+        let events = self.pending.split().freeze();
+        client.send(StreamPart::Events(events)).await.map_err(|_| StreamError::Abandoned)
+    }
+
+    /// Asks the owner where the stream goes.
+    async fn request_client(&self) -> Result<mpsc::Sender<StreamPart>, StreamError> {
+        let (reply, client) = oneshot::channel();
+        let at = self.shared.clock.now();
+        self.shared.notify_owner(self.attempt.update(at, AttemptEvent::FirstToken(reply)));
+        client.await.map_err(|_| StreamError::Abandoned)
+    }
+
+    /// Ends the stream after its body: it is complete if its last event was there.
+    async fn finish(self, connection: WorkerConnection, response: ResponseHead) -> ExchangeEnd {
+        let is_complete = self.events.is_complete();
+        let Some(client) = self.client.filter(|_| is_complete) else {
+            return ExchangeEnd::failed(AttemptStatus::Unknown);
+        };
+        if client.send(StreamPart::End).await.is_err() {
+            return ExchangeEnd::ABANDONED;
+        }
+        ExchangeEnd {
+            event: Some(AttemptEvent::Ended(AttemptStatus::Ok.into())),
+            finished: Some(FinishedConnection { connection, response }),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/worker/exchange/trace.rs
@@ -0,0 +1,110 @@
+//! The log line of an exchange: its times on the socket, to be compared with what the scheduler believes.
+
+use super::Attempt;
+use crate::forwarded_request::ForwardedRequest;
+use crate::messages::AttemptEvent;
+use crate::worker::pool::WorkerProcess;
+use gaparch_net::Clock;
+use gaparch_platform_protocol::worker::Stage;
+use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId};
+use std::fmt;
+use std::sync::Arc;
+use std::time::Duration;
+
+const NANOS_PER_MICRO: Nanos = 1000;
+
+/// How an exchange has ended of which the owner is not notified.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WithoutOutcome {
+    /// The request was given up when its stream began, or its client disconnected within it.
+    Abandoned,
+    /// The attempt was cancelled.
+    Cancelled,
+}
+
+/// The times of an exchange. Where it is dropped before its end, the line says `Cancelled` and how far it had come.
+pub(super) struct Trace {
+    request: RequestId,
+    attempt: AttemptNumber,
+    process: WorkerProcess,
+    stage: Stage,
+    forwarded: Arc<ForwardedRequest>,
+    clock: Clock,
+    is_logged: bool,
+    started_at: Nanos,
+    /// How long its connection was idle before, if it is not new.
+    idle_time: Option<Duration>,
+    /// 0 until it is connected, as are the following before their moments.
+    connected_at: Nanos,
+    written_at: Nanos,
+    first_byte_at: Nanos,
+}
+
+impl Trace {
+    pub fn new(attempt: &Attempt, clock: Clock) -> Trace {
+        Trace {
+            request: attempt.request,
+            attempt: attempt.number,
+            process: attempt.process,
+            stage: attempt.stage,
+            forwarded: Arc::clone(&attempt.forwarded),
+            clock,
+            is_logged: false,
+            started_at: clock.now(),
+            idle_time: None,
+            connected_at: 0,
+            written_at: 0,
+            first_byte_at: 0,
+        }
+    }
+
+    pub fn record_connected(&mut self, idle_time: Option<Duration>) {
+        self.idle_time = idle_time;
+        self.connected_at = self.clock.now();
+    }
+
+    pub fn record_written(&mut self) {
+        self.written_at = self.clock.now();
+    }
+
+    pub fn record_first_byte(&mut self) {
+        self.first_byte_at = self.clock.now();
+    }
+
+    /// Logs the end of the exchange; `None` where the request was given up meanwhile.
+    pub fn log_end(&mut self, event: Option<&AttemptEvent>) {
+        match event {
+            Some(event) => self.log(event),
+            None => self.log(&WithoutOutcome::Abandoned),
+        }
+    }
+
+    fn log(&mut self, end: &dyn fmt::Debug) {
+        if std::mem::replace(&mut self.is_logged, true) {
+            return;
+        }
+        let micros = |at: Nanos| at.saturating_sub(self.started_at) / NANOS_PER_MICRO;
+        tracing::debug!(
+            target: "gaparch_platform_router::wire",
+            request = self.request.0,
+            txn = self.forwarded.transaction.as_str(),
+            attempt = self.attempt.0,
+            worker = self.process.server.0,
+            address = %self.process.address,
+            stage = self.stage.name(),
+            idle_ms = self.idle_time.map(|idle| idle.as_millis() as u64),
+            connected_us = micros(self.connected_at),
+            written_us = micros(self.written_at),
+            first_us = micros(self.first_byte_at),
+            ended_us = micros(self.clock.now()),
+            ?end,
+            "exchange ended"
+        );
+    }
+}
+
+impl Drop for Trace {
+    fn drop(&mut self) {
+        self.log(&WithoutOutcome::Cancelled);
+    }
+}
--- a/crates/gaparch-platform-router/src/worker/mod.rs
+++ b/crates/gaparch-platform-router/src/worker/mod.rs
@@ -1,9 +1,14 @@
-//! Workers: one exchange for each attempt, on connections that carry one request at a time.
+//! Workers: one exchange for each attempt and calls beside them, on connections that carry one request at a time.
 
-mod calls;
+mod call;
 mod exchange;
 mod pool;
+mod probe;
+mod release;
+mod reserve;
 
-pub(crate) use calls::{probe, release, reserve, Release};
-pub(crate) use exchange::{exchange, Job};
-pub(crate) use pool::{Pool, Target};
+pub(crate) use exchange::{exchange, Attempt};
+pub(crate) use pool::{ConnectionPool, WorkerProcess};
+pub(crate) use probe::probe;
+pub(crate) use release::{release, Release};
+pub(crate) use reserve::{reserve, ReservationRequest};
--- a/crates/gaparch-platform-router/src/worker/pool_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/pool_tests.rs
@@ -1,8 +1,8 @@
-//! Kept connections on which something comes in the moment of their use.
+//! Idle connections on which something comes in the moment of their use.
 
-use super::{AnswerHead, LastExchange, Pool, Target, SETTLE};
+use super::{ConnectionPool, LastExchange, ResponseHead, WorkerProcess, SETTLE_TIME};
 use bytes::BytesMut;
-use gaparch_platform_protocol::head::take_answer;
+use gaparch_platform_protocol::head::decode_response;
 use gaparch_scheduler::api::ServerId;
 use gaparch_scheduler::policy::connecting::{Carries, ConnectFailure};
 use gaparch_testbed::platform::Stuck;
@@ -12,50 +12,50 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-fn answer_head() -> AnswerHead {
+fn response_head() -> ResponseHead {
     let mut bytes = BytesMut::from(&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..]);
-    take_answer(&mut bytes).expect("sound").expect("whole")
+    decode_response(&mut bytes).expect("sound").expect("complete")
 }
 
-/// A pool that keeps one connection to a worker, and that worker's end of it.
-async fn kept() -> (Pool, Target, TcpListener, TcpStream) {
+/// A pool with one idle connection to a worker, and that worker's end of it.
+async fn pool_with_idle() -> (ConnectionPool, WorkerProcess, TcpListener, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
-    let target = Target { server: ServerId(1), address, started: 0 };
-    let pool = Pool::new(Arc::new(Semaphore::new(8)), Duration::from_secs(5), None);
-    let conn = pool.fresh(target).await.expect("it listens");
+    let process = WorkerProcess { server: ServerId(1), address, started_at: 0 };
+    let pool = ConnectionPool::new(Arc::new(Semaphore::new(8)), Duration::from_secs(5), None);
+    let connection = pool.connect(process).await.expect("it listens");
     let (socket, _) = listener.accept().expect("accepted");
-    pool.heard(target);
-    pool.put(conn, &answer_head(), LastExchange::Attempt(Carries::NothingHeld));
-    tokio::time::sleep(SETTLE * 2).await;
-    (pool, target, listener, socket)
+    pool.record_response(process);
+    pool.put(connection, &response_head(), LastExchange::Attempt(Carries::NothingHeld));
+    tokio::time::sleep(SETTLE_TIME * 2).await;
+    (pool, process, listener, socket)
 }
 
 #[tokio::test]
-async fn a_kept_connection_is_used_again_once_it_has_settled() {
-    let (pool, target, _listener, _socket) = kept().await;
-    let conn = pool.get(target).await.expect("it is kept");
-    assert!(conn.idle.is_some());
-    pool.put(conn, &answer_head(), LastExchange::Attempt(Carries::NothingHeld));
-    // Bytes that belong to nobody may still be on their way.
-    assert!(pool.idle(target).is_none());
-    // Behind a probe none are, and the read that was probed for follows at once.
-    let conn = pool.fresh(target).await.expect("it listens");
-    pool.put(conn, &answer_head(), LastExchange::Call);
-    assert!(pool.idle(target).is_some());
+async fn an_idle_connection_is_reused_once_it_has_settled() {
+    let (pool, process, _listener, _socket) = pool_with_idle().await;
+    let connection = pool.get(process).await.expect("it is idle");
+    assert!(connection.idle_time.is_some());
+    pool.put(connection, &response_head(), LastExchange::Attempt(Carries::NothingHeld));
+    // Bytes that belong to no message may still be on their way.
+    assert!(pool.take_idle(process).is_none());
+    // Behind a probe there are none, and the prefill that was probed for follows at once.
+    let connection = pool.connect(process).await.expect("it listens");
+    pool.put(connection, &response_head(), LastExchange::Call);
+    assert!(pool.take_idle(process).is_some());
 }
 
 /// Nothing is awaited between the worker's write or close and the use: the poller does not know of it yet.
 #[tokio::test]
-async fn what_comes_in_the_moment_of_its_use_takes_a_kept_connection_with_it() {
+async fn what_comes_in_the_moment_of_its_use_closes_an_idle_connection() {
     for close in [false, true] {
-        let (pool, target, _listener, mut socket) = kept().await;
+        let (pool, process, _listener, mut socket) = pool_with_idle().await;
         match close {
             true => drop(socket),
             false => socket.write_all(b"HTTP/1.1 200 OK\r\n").expect("written"),
         }
-        let conn = pool.get(target).await.expect("it listens");
-        assert!(conn.idle.is_none(), "used again, close: {close}");
+        let connection = pool.get(process).await.expect("it listens");
+        assert!(connection.idle_time.is_none(), "reused, close: {close}");
     }
 }
 
@@ -64,28 +64,28 @@
 async fn a_connection_that_does_not_come_up_has_a_second_one_tried_beside_it() {
     let stuck = Stuck::start();
     // The first one's next try of its own comes a second after its first.
-    let pool = Pool::new(Arc::new(Semaphore::new(8)), Duration::from_millis(900), None);
-    let target = Target { server: ServerId(1), address: stuck.address, started: 0 };
-    let (conn, _) = tokio::join!(pool.fresh(target), async {
+    let pool = ConnectionPool::new(Arc::new(Semaphore::new(8)), Duration::from_millis(900), None);
+    let process = WorkerProcess { server: ServerId(1), address: stuck.address, started_at: 0 };
+    let (connection, _) = tokio::join!(pool.connect(process), async {
         tokio::time::sleep(Duration::from_millis(100)).await;
         stuck.make_room();
     });
-    assert!(conn.is_ok(), "one lost packet counts as a worker that can't be reached");
+    assert!(connection.is_ok(), "one lost packet counts as a worker that can't be reached");
 }
 
-/// Without a place in the own budget nothing is known of the worker; with one in time it is reached.
+/// Without a permit of the router's own budget nothing is known of the worker; with one in time it is reached.
 #[tokio::test]
-async fn a_place_of_the_own_budget_is_waited_for_and_its_lack_blames_no_worker() {
+async fn a_permit_of_the_own_budget_is_waited_for_and_its_lack_blames_no_worker() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let target =
-        Target { server: ServerId(1), address: listener.local_addr().expect("its address"), started: 0 };
-    let places = Arc::new(Semaphore::new(1));
-    let pool = Pool::new(Arc::clone(&places), Duration::from_millis(200), None);
-    let taken = places.acquire_owned().await.expect("it is open");
-    assert_eq!(pool.fresh(target).await.err(), Some(ConnectFailure::Local));
-    let (conn, ()) = tokio::join!(pool.fresh(target), async {
+    let address = listener.local_addr().expect("its address");
+    let process = WorkerProcess { server: ServerId(1), address, started_at: 0 };
+    let permits = Arc::new(Semaphore::new(1));
+    let pool = ConnectionPool::new(Arc::clone(&permits), Duration::from_millis(200), None);
+    let taken = permits.acquire_owned().await.expect("it is open");
+    assert_eq!(pool.connect(process).await.err(), Some(ConnectFailure::Local));
+    let (connection, ()) = tokio::join!(pool.connect(process), async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         drop(taken);
     });
-    assert!(conn.is_ok());
+    assert!(connection.is_ok());
 }
