--- /dev/null
+++ b/crates/gaparch-platform-router/src/worker/release_tests.rs
@@ -0,0 +1,51 @@
+//! Releases beside workers that do not answer.
+
+use super::{release, Clock, ConnectionPool, Release};
+use crate::worker::WorkerProcess;
+use gaparch_platform_protocol::client_request::TransactionId;
+use gaparch_scheduler::api::ServerId;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::Semaphore;
+
+/// Long, so that a round that waits for the one before it is told apart from one that does not on a busy machine.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
+
+fn worker(number: u32) -> (WorkerProcess, TcpListener) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("its address");
+    (WorkerProcess { server: ServerId(number), address, started_at: 0 }, listener)
+}
+
+fn answer(mut socket: TcpStream) {
+    let _ = socket.read(&mut [0; 1024]);
+    let _ = socket.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n");
+}
+
+/// The three workers that responded last are cut off. The KV cache has some tenths of a second in all: a worker that runs is
+/// called long before the first of them would have to have answered.
+#[tokio::test]
+async fn a_release_does_not_wait_for_workers_that_are_cut_off() {
+    let (silent, listeners): (Vec<WorkerProcess>, Vec<TcpListener>) = (1..=3).map(worker).unzip();
+    let (running, listener) = worker(4);
+    let (called, calls) = mpsc::channel();
+    std::thread::spawn(move || {
+        for socket in listener.incoming().flatten() {
+            let _ = called.send(Instant::now());
+            std::thread::spawn(move || answer(socket));
+        }
+    });
+    let pool = Arc::new(ConnectionPool::new(Arc::new(Semaphore::new(64)), ATTEMPT_TIMEOUT, None));
+    silent.iter().for_each(|process| pool.record_response(*process));
+    let processes = [vec![running], silent].concat();
+    let transaction = TransactionId::new("txn").expect("an id");
+    let started = Instant::now();
+    let one = Release { transaction, processes, attempt_timeout: ATTEMPT_TIMEOUT };
+    release(one, pool, Clock::default()).await;
+    let called = calls.try_recv().expect("it was called") - started;
+    assert!(called < ATTEMPT_TIMEOUT, "called after {called:?}");
+    drop(listeners);
+}
--- /dev/null
+++ b/crates/gaparch-platform-router/src/worker/reserve.rs
@@ -0,0 +1,64 @@
+//! Reservations of capacity at a decode worker beside a prefill.
+
+use super::call::call;
+use super::pool::{ConnectionPool, WorkerProcess};
+use crate::messages::{AttemptEvent, AttemptUpdate, OwnerMessage};
+use crate::shared_state::SharedState;
+use gaparch_platform_protocol::client_request::TransactionId;
+use gaparch_platform_protocol::worker::{encode_reserve, interpret_reservation, Reservation};
+use gaparch_scheduler::api::{AttemptNumber, RequestId};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+/// Time-out of a reservation. A worker answers within 0.3 s; the prefill before it may take longer to be written.
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A reservation beside an attempt.
+pub(crate) struct ReservationRequest {
+    pub request: RequestId,
+    pub attempt: AttemptNumber,
+    pub transaction: TransactionId,
+    /// Where capacity is reserved.
+    pub process: WorkerProcess,
+    /// Becomes `true` with the last byte of the attempt's prefill.
+    pub prefill_written: watch::Receiver<bool>,
+}
+
+/// Reserves capacity directly after the last byte of the prefill, and notifies the owner of the result.
+pub(crate) async fn reserve(
+    mut reservation: ReservationRequest,
+    pool: Arc<ConnectionPool>,
+    shared: Arc<SharedState>,
+) {
+    let result = timeout(RESERVATION_TIMEOUT, send(&mut reservation, &pool)).await;
+    let reserved = match result {
+        Ok(SendResult::NotSent) => false,
+        Ok(SendResult::Sent(outcome)) => outcome.may_be_reserved(),
+        Err(_) => true,
+    };
+    shared.notify_owner(OwnerMessage::Attempt(AttemptUpdate {
+        server: reservation.process.server,
+        request: reservation.request,
+        attempt: reservation.attempt,
+        at: shared.clock.now(),
+        event: AttemptEvent::ReservationAnswered { reserved },
+    }));
+}
+
+enum SendResult {
+    NotSent,
+    Sent(Reservation),
+}
+
+async fn send(reservation: &mut ReservationRequest, pool: &ConnectionPool) -> SendResult {
+    let process = reservation.process;
+    let head = encode_reserve(&reservation.transaction, &process.address.to_string());
+    if reservation.prefill_written.wait_for(|written| *written).await.is_err() {
+        return SendResult::NotSent;
+    }
+    let Ok(connection) = pool.get(process).await else { return SendResult::NotSent };
+    let status = call(connection, &head, pool).await;
+    SendResult::Sent(status.map_or(Reservation::Unknown, interpret_reservation))
+}
--- a/crates/gaparch-platform-router/tests/common/mod.rs
+++ b/crates/gaparch-platform-router/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A router's shell on a thread of its own, on the scripted platform. Each test file uses a part of it.
 #![allow(dead_code)]
 
-use gaparch_platform_router::{serve, NodeError, Order};
+use gaparch_platform_router::{serve, Order, RouterError};
 use gaparch_testbed::platform::{head_and_body, until, Platform, Step, LONG};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -14,7 +14,7 @@
 pub struct Site {
     platform: Platform,
     orders: mpsc::Sender<Order>,
-    router: JoinHandle<Result<(), NodeError>>,
+    router: JoinHandle<Result<(), RouterError>>,
 }
 
 impl Deref for Site {
--- a/crates/gaparch-platform-router/tests/crossings.rs
+++ b/crates/gaparch-platform-router/tests/crossings.rs
@@ -302,7 +302,7 @@
         .collect();
     std::thread::sleep(ms(300));
     let from = Instant::now();
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     site.ended();
     let took = from.elapsed();
     OVER.store(true, Ordering::Relaxed);
@@ -323,7 +323,7 @@
     let mut streaming = TcpStream::connect(site.listen).expect("it listens");
     streaming.write_all(&head_and_body("streaming", "{}")).expect("written");
     until("it is being written", || site.writes("streaming") == 1);
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     std::thread::sleep(ms(300));
     let mut late = TcpStream::connect(site.listen).expect("connections still arrive");
     let whole = head_and_body("late", "{}");
--- a/crates/gaparch-platform-router/tests/guards.rs
+++ b/crates/gaparch-platform-router/tests/guards.rs
@@ -167,7 +167,7 @@
             client
         })
         .collect();
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     let from = Instant::now();
     let asking = clients.into_iter().enumerate().map(|(number, mut client)| {
         std::thread::spawn(move || {
@@ -244,7 +244,7 @@
 #[test]
 fn an_answer_before_the_end_of_its_connection_outlives_what_comes_behind_the_request() {
     let site = Site::with(|_| {});
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     until("it is on its way out", || site.health() != 200);
     let mut client = TcpStream::connect(site.listen).expect("new connections still arrive");
     client.write_all(&head_and_body("last", "{}")).expect("written");
@@ -278,7 +278,7 @@
                 rustix::net::sockopt::set_socket_recv_buffer_size(&client, 64 * 1024).expect("set");
                 client.write_all(&head_and_body("long", "{}")).expect("written");
                 until("it is written", || site.writes("long") == 1);
-                site.order(Order::End);
+                site.order(Order::Shutdown);
                 // It takes nothing for a while.
                 std::thread::sleep(ms(900));
                 let bytes = end(&mut client).unwrap_or_else(|e| panic!("{length}: {e}"));
--- a/crates/gaparch-platform-router/tests/hanging_writers.rs
+++ b/crates/gaparch-platform-router/tests/hanging_writers.rs
@@ -151,7 +151,7 @@
     ending.relays[0].hang();
     let asked = ending.asks("ends");
     ending.read_at("ends");
-    ending.site.order(gaparch_platform_router::Order::End);
+    ending.site.order(gaparch_platform_router::Order::Shutdown);
     ending.is_not_pinned("ends");
     assert_ne!(asked.join().expect("no panic").status, 0);
     ending.site.ended();
--- a/crates/gaparch-platform-router/tests/moments.rs
+++ b/crates/gaparch-platform-router/tests/moments.rs
@@ -211,7 +211,7 @@
 #[test]
 fn an_end_ordered_at_any_moment() {
     stays(true, |site, _| {
-        site.order(Order::End);
+        site.order(Order::Shutdown);
         until("it is on its way out", || site.health() != 200);
         site.catalogue.set(Platform::list(&site.readers, &site.writers));
     });
--- a/crates/gaparch-platform-router/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-router/tests/pinned_bytes.rs
@@ -266,7 +266,7 @@
 #[test]
 fn health_of_a_router_that_shuts_down() {
     let site = Site::with(|_| {});
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     until("it says so", || site.health() == 503);
     let expected = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 0\r\n\
         Connection: close\r\n\r\n";
--- a/crates/gaparch-platform-router/tests/shutdown.rs
+++ b/crates/gaparch-platform-router/tests/shutdown.rs
@@ -42,7 +42,7 @@
     site.next_write(&slow_stream(ms(850)));
     let mut client = begun(&site, "early");
     let told = Instant::now();
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     let crowd = crowd(&site, told + ms(350), ms(500));
     // Its answer did not say that the connection would close: the client goes on with it.
     assert!(read(&mut client, LONG).whole, "its answer is cut off");
@@ -67,7 +67,7 @@
         })
         .collect();
     let told = Instant::now();
-    site.order(Order::End);
+    site.order(Order::Shutdown);
     let mut came_late = 0;
     for (number, mut client) in clients.into_iter().enumerate() {
         assert!(read(&mut client, LONG).whole, "early-{number} is cut off");
