--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -200,7 +200,7 @@
     shared.notify_owner(OwnerMessage::EndpointsChanged(ListUpdate {
         scope: list.scope,
         version: list.generation,
-        after: after.unwrap_or(0),
+        base_version: after.unwrap_or(0),
         entries: list.entries,
     }));
 }
--- a/crates/gaparch-platform-router/src/owner/attempts.rs
+++ b/crates/gaparch-platform-router/src/owner/attempts.rs
@@ -55,12 +55,12 @@
             process,
             stage,
             carries,
-            deadline_at: self.core.give_up_at(id),
+            deadline_at: self.core.deadline_at(id),
             forwarded: Arc::clone(&open.forwarded),
             previous,
             releasing: open.releasing.take(),
             write_timeout: connect_timeout(settings),
-            write_by: self.core.write_by(id),
+            write_by: self.core.send_by(id),
             release_timeout: release_attempt_timeout(settings),
             written,
         };
@@ -71,7 +71,7 @@
 
     fn log_send(&self, server: ServerId, job: &Job, stage: Stage) {
         let id = RequestId(job.key.request);
-        let waited = self.shared.clock.now().saturating_sub(self.core.asked_at(id));
+        let waited = self.shared.clock.now().saturating_sub(self.core.arrived_at(id));
         tracing::debug!(
             target: "gaparch_platform_router::wire",
             request = id.0,
@@ -140,7 +140,7 @@
             prefill_worker = prefill_worker.0,
             "KV cache released"
         );
-        let listed = self.core.listed().filter_map(|server| self.process(server));
+        let listed = self.core.listed_engines().filter_map(|server| self.process(server));
         let mut processes: Vec<WorkerProcess> = listed.collect();
         let holder = self.process(prefill_worker);
         processes.extend(holder.filter(|process| !processes.contains(process)));
@@ -173,7 +173,7 @@
 
     /// Returns the process that the core knows of a worker.
     fn process(&self, server: ServerId) -> Option<WorkerProcess> {
-        let (address, started_at) = self.core.process(server)?;
+        let (address, started_at) = self.core.endpoint_process(server)?;
         Some(WorkerProcess { server, address, started_at })
     }
 }
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -16,7 +16,7 @@
 use gaparch_ops::book::Book;
 use gaparch_platform_protocol::client_request::ClientRequest;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
-use gaparch_router::core::{Accepted, ConnNo, Core, Input, ListUpdate, Output};
+use gaparch_router::core::{AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output};
 use gaparch_scheduler::api::{Nanos, RequestId};
 use open_request::OpenRequest;
 use round::Round;
@@ -80,13 +80,13 @@
             let update = ListUpdate {
                 scope: list.scope,
                 version: list.generation,
-                after: 0,
+                base_version: 0,
                 entries: list.entries.clone(),
             };
-            core.handle(now, Input::List(update), &mut out);
+            core.handle(now, Input::ListUpdated(update), &mut out);
         }
         if !polls_endpoints {
-            core.handle(now, Input::ListUp, &mut out);
+            core.handle(now, Input::ListServiceUp, &mut out);
         }
         let mut owner = Owner {
             core,
@@ -120,7 +120,8 @@
         maintenance.set_missed_tick_behavior(MissedTickBehavior::Delay);
         summary.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let next_timer = self.core.next_at().map(|at| Instant::from_std(self.shared.clock.instant(at)));
+            let next_timer =
+                self.core.next_timer_at().map(|at| Instant::from_std(self.shared.clock.instant(at)));
             tokio::select! {
                 biased;
                 has_senders = round.wait(next_timer, &mut messages, &mut gossip) => {
@@ -135,7 +136,7 @@
             self.max_timer_lag = self.max_timer_lag.max(timer_lag);
             self.handle_round(&mut round, &mut out);
             let now = self.shared.clock.now();
-            if !messages.is_empty() || self.core.next_at().is_some_and(|at| at <= now) {
+            if !messages.is_empty() || self.core.next_timer_at().is_some_and(|at| at <= now) {
                 // Other tasks have their turn between two rounds, however many rounds there are.
                 tokio::task::yield_now().await;
             }
@@ -148,9 +149,9 @@
             self.carry_out(out);
         }
         for GossipMessage { from, data } in round.gossip.drain(..) {
-            self.core.handle(self.shared.clock.now(), Input::Peer { from, data }, out);
+            self.core.handle(self.shared.clock.now(), Input::GossipReceived { from, data }, out);
         }
-        self.core.on_time(self.shared.clock.now(), out);
+        self.core.on_timers_due(self.shared.clock.now(), out);
         self.carry_out(out);
         self.remove_finished();
     }
@@ -169,18 +170,18 @@
             OwnerMessage::RequestArrived(arrived) => self.handle_arrived(now, *arrived, out),
             OwnerMessage::ClientDisconnected(id) => {
                 self.touched.push(id);
-                self.core.handle(now, Input::ClientGone(id), out);
+                self.core.handle(now, Input::ClientDisconnected(id), out);
             }
             OwnerMessage::Attempt(update) => self.handle_attempt(update, out),
             OwnerMessage::ProbeFinished { server, nonce, at, status } => {
-                self.core.handle(at, Input::Probed { engine: server, nonce, status }, out);
+                self.core.handle(at, Input::ProbeFinished { engine: server, nonce, status }, out);
             }
             OwnerMessage::EndpointsChanged(update) => {
                 tracing::debug!(entries = update.entries.len(), "endpoint list changed");
-                self.core.handle(now, Input::List(update), out);
+                self.core.handle(now, Input::ListUpdated(update), out);
                 self.shared.start_serving();
             }
-            OwnerMessage::DiscoveryDown => self.core.handle(now, Input::ListDown, out),
+            OwnerMessage::DiscoveryDown => self.core.handle(now, Input::ListServiceDown, out),
             OwnerMessage::CountOpen(reply) => {
                 while self.releases.try_join_next().is_some() {}
                 let _ = reply.send(self.open.len() + self.releases.len());
@@ -195,7 +196,7 @@
         drop(queue_permit);
         self.touched.push(id);
         self.open.insert(id, OpenRequest::new(forwarded, response));
-        self.core.handle(now, Input::Ask { id, ask: accepted(&request, arrived_at) }, out);
+        self.core.handle(now, Input::RequestArrived { id, request: accepted(&request, arrived_at) }, out);
     }
 
     fn handle_attempt(&mut self, update: AttemptUpdate, out: &mut Vec<Output>) {
@@ -216,7 +217,7 @@
             }
             AttemptEvent::ReservationAnswered { reserved } => EngineFrame::Reserved { key, held: reserved },
         };
-        let conn = ConnNo::EXCHANGES;
+        let conn = ConnectionNumber::EXCHANGES;
         self.core.handle(at, Input::EngineFrame { engine: server, conn, frame }, out);
     }
 
@@ -226,17 +227,17 @@
             match output {
                 Output::Client { id, event } => self.respond(id, event),
                 Output::Engine { engine, frame } => self.dispatch(engine, frame),
-                Output::Watch(watch) => self.set_watch(watch),
-                Output::Fetch => self.subscription.send_modify(|wanted| wanted.full_lists += 1),
-                Output::Tell { peer, data } => {
+                Output::WatchEndpoints(watch) => self.set_watch(watch),
+                Output::FetchEndpoints => self.subscription.send_modify(|wanted| wanted.full_lists += 1),
+                Output::SendGossip { peer, data } => {
                     if let Some(gossip) = &self.gossip {
                         gossip.send(peer, &data);
                     }
                 }
-                Output::CloseIdle(server) => self.pool.close_idle(server),
+                Output::CloseIdleConnections(server) => self.pool.close_idle(server),
                 Output::Log(text) => tracing::info!(%text, "scheduler"),
                 // A worker has no connection of its own here, and the outcomes of requests are not stored.
-                Output::Connect { .. } | Output::Disconnect { .. } | Output::Ended(_) => {}
+                Output::Connect { .. } | Output::Disconnect { .. } | Output::RequestEnded(_) => {}
             }
         }
         // A stream that no client waits for any more: its exchange notices by this.
@@ -269,19 +270,19 @@
 }
 
 /// Returns a client's request as the core takes it.
-fn accepted(request: &ClientRequest, arrived_at: Nanos) -> Accepted {
-    Accepted {
+fn accepted(request: &ClientRequest, arrived_at: Nanos) -> AcceptedRequest {
+    AcceptedRequest {
         class: request.class,
         tenant: request.tenant,
         session: request.session,
         prefix: request.prefix,
-        prompt_len: request.prompt_tokens,
-        prefix_len: request.prefix_tokens,
-        max_out: request.max_output_tokens,
-        hint: None,
-        repeat: request.client_retry,
-        again: request.client_reconnect,
-        give_up_at: Some(arrived_at.saturating_add(request.remaining)),
+        prompt_tokens: request.prompt_tokens,
+        prefix_tokens: request.prefix_tokens,
+        max_output_tokens: request.max_output_tokens,
+        expected_output_tokens: None,
+        client_retry: request.client_retry,
+        client_reconnect: request.client_reconnect,
+        deadline_at: Some(arrived_at.saturating_add(request.remaining)),
         // The body goes from the client to the worker beside the core.
         prompt: String::new(),
         fingerprint: 0,
--- a/crates/gaparch-platform-router/src/owner/responses.rs
+++ b/crates/gaparch-platform-router/src/owner/responses.rs
@@ -4,25 +4,25 @@
 use crate::client::STREAM_QUEUE_LENGTH;
 use crate::messages::ClientResponse;
 use gaparch_protocol::ops::ending::WaitedFor;
-use gaparch_router::core::ToClient;
+use gaparch_router::core::ResponseEvent;
 use gaparch_scheduler::api::RequestId;
 use tokio::sync::mpsc;
 
 impl Owner {
     /// Sends a client the response to its request.
-    pub(super) fn respond(&mut self, id: RequestId, event: ToClient) {
+    pub(super) fn respond(&mut self, id: RequestId, event: ResponseEvent) {
         self.touched.push(id);
         let Some(open) = self.open.get_mut(&id) else { return };
         let txn = open.forwarded.transaction.as_str();
         let response = match event {
-            ToClient::Opened { .. } => {
+            ResponseEvent::Started { .. } => {
                 let (parts, stream) = mpsc::channel(STREAM_QUEUE_LENGTH);
                 if let Some(start) = self.stream_start.take_if(|start| start.request == id) {
                     let _ = start.reply.send(parts);
                 }
                 ClientResponse::Stream(stream)
             }
-            ToClient::Refused { retry_after, waited_for, cause } => {
+            ResponseEvent::Rejected { retry_after, waited_for, cause } => {
                 tracing::debug!(
                     target: "gaparch_platform_router::wire",
                     request = id.0,
@@ -34,19 +34,19 @@
                 let over_quota = waited_for == Some(WaitedFor::OverShare);
                 ClientResponse::Rejected { over_quota, retry_after }
             }
-            ToClient::Failed { why, cause } => {
+            ResponseEvent::Failed { message, cause } => {
                 tracing::debug!(
                     target: "gaparch_platform_router::wire",
                     request = id.0,
                     txn,
                     ?cause,
-                    why,
+                    message,
                     "request failed"
                 );
                 ClientResponse::Failed
             }
             // The events of a stream pass from its worker to its client beside the owner.
-            ToClient::Part { .. } | ToClient::Finished { .. } => return,
+            ResponseEvent::Text { .. } | ResponseEvent::Finished { .. } => return,
         };
         // Once a stream has begun, its end says what became of it.
         if let Some(client) = open.response.take() {
--- a/crates/gaparch-platform-router/src/owner/summary.rs
+++ b/crates/gaparch-platform-router/src/owner/summary.rs
@@ -17,12 +17,12 @@
 }
 
 impl Owner {
-    fn held_kv_caches(&self) -> HeldKvCaches {
+    fn measure_held_kv_caches(&self) -> HeldKvCaches {
         let now = self.shared.clock.now();
         let mut held = HeldKvCaches::default();
-        for state in self.core.held_states() {
+        for cache in self.core.held_kv_caches() {
             held.count += 1;
-            held.longest = held.longest.max(now.saturating_sub(state.since));
+            held.longest = held.longest.max(now.saturating_sub(cache.since));
         }
         held
     }
@@ -34,22 +34,22 @@
         let max_held = self.shared.config.settings.scheduler.kv_release_within;
         let mut logged_to = self.unfetched_logged_to;
         let mut overdue = Vec::new();
-        for state in self.core.held_states() {
-            let is_overdue = now.saturating_sub(state.since) > max_held;
-            let is_logged = state.since <= self.unfetched_logged_to;
+        for cache in self.core.held_kv_caches() {
+            let is_overdue = now.saturating_sub(cache.since) > max_held;
+            let is_logged = cache.since <= self.unfetched_logged_to;
             if is_overdue && !is_logged && overdue.len() < MAX_UNFETCHED_LINES {
-                logged_to = logged_to.max(state.since);
-                overdue.push(state);
+                logged_to = logged_to.max(cache.since);
+                overdue.push(cache);
             }
         }
-        for state in overdue {
-            let txn = self.open.get(&state.request).map(|open| open.forwarded.transaction.as_str());
+        for cache in overdue {
+            let txn = self.open.get(&cache.request).map(|open| open.forwarded.transaction.as_str());
             tracing::info!(
-                request = state.request.0,
+                request = cache.request.0,
                 txn,
-                prefill_worker = state.reader.0,
-                unanswered_at = state.unanswered_at.map(|server| server.0),
-                held_ms = now.saturating_sub(state.since) / NANOS_PER_MS,
+                prefill_worker = cache.prefill_worker.0,
+                unanswered_at = cache.unanswered_at.map(|server| server.0),
+                held_ms = now.saturating_sub(cache.since) / NANOS_PER_MS,
                 "KV cache not fetched by any decode worker"
             );
         }
@@ -57,33 +57,33 @@
     }
 
     pub(super) fn log_summary(&mut self) {
-        let counts = self.core.counts();
-        let reasons = self.core.reasons();
+        let counts = self.core.counters();
+        let reasons = self.core.reasons_by_kind();
         let pool = self.pool.size();
-        let kv_caches = self.held_kv_caches();
+        let kv_caches = self.measure_held_kv_caches();
         tracing::info!(
-            open = self.core.open(),
+            open = self.core.open_requests(),
             known = self.open.len(),
             releases = self.releases.len(),
             requests = counts.requests,
             served = counts.served,
-            rejected = counts.refused,
+            rejected = counts.rejected,
             failed = counts.failed,
-            disconnected = counts.left,
+            disconnected = counts.client_disconnected,
             overdue = counts.overdue,
             late_frames = counts.late_frames,
-            expired = counts.moot,
+            unsent = counts.unsent_attempts,
             denied = %counts.denials,
             stopped = %self.shared.denials(),
-            second_answers = counts.second_answers,
-            rejections = %reasons.refused,
+            second_answers = counts.duplicate_answers,
+            rejections = %reasons.rejected,
             failures = %reasons.failed,
             attempts = %reasons.attempts,
             retries = %reasons.retries,
             kv_caches = kv_caches.count,
             kv_cache_longest_ms = kv_caches.longest / NANOS_PER_MS,
             closed = %self.shared.closes,
-            rejected_entries = counts.dropped_entries,
+            rejected_entries = counts.ignored_entries,
             gossip_dropped = self.gossip.as_ref().map_or(0, |gossip| gossip.dropped()),
             workers = pool.workers,
             idle = pool.idle_connections,
