--- a/crates/gaparch-audit/src/list/active.rs
+++ b/crates/gaparch-audit/src/endpoint_list/active.rs
@@ -14,21 +14,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ListRejection {
     /// A later version is in use already.
-    #[error("version {} is older than {}, which is in use", .offered.version, .held.version)]
+    #[error("version {} is older than {}, which is in use", .offered.version, .in_use.version)]
     Older {
         /// The version in use.
-        held: ListVersion,
+        in_use: ListVersion,
         /// The version that was offered.
         offered: ListVersion,
     },
     /// It is of an epoch of the service that another one has followed.
     #[error(
         "it is of epoch {}, which epoch {} has followed: a service that went back, or a second one",
-        .offered.rank, .held.rank
+        .offered.rank, .in_use.rank
     )]
     ReplacedEpoch {
         /// The version in use.
-        held: ListVersion,
+        in_use: ListVersion,
         /// The version that was offered.
         offered: ListVersion,
     },
@@ -97,8 +97,8 @@
             return known.rank;
         }
         let last = self.epochs.iter().map(|known| known.rank).max().unwrap_or(0);
-        let held = self.version.map_or(0, |version| version.rank);
-        let rank = last.max(held).saturating_add(1);
+        let in_use = self.version.map_or(0, |version| version.rank);
+        let rank = last.max(in_use).saturating_add(1);
         self.remember_epoch(RankedEpoch { epoch, rank });
         rank
     }
@@ -120,8 +120,8 @@
         if !is_ranked {
             self.remember_epoch(RankedEpoch::of(&version));
         }
-        if let Some(held) = self.version.as_mut().filter(|held| held.epoch == version.epoch) {
-            held.rank = held.rank.max(version.rank);
+        if let Some(in_use) = self.version.as_mut().filter(|in_use| in_use.epoch == version.epoch) {
+            in_use.rank = in_use.rank.max(version.rank);
         }
     }
 
@@ -138,13 +138,13 @@
         let rank = self.rank_of(epoch);
         let previous = self.version;
         let mut offered = ListVersion { rank, epoch, version };
-        if let Some(held) = previous.filter(|held| held.is_later_than(&offered)) {
+        if let Some(in_use) = previous.filter(|in_use| in_use.is_later_than(&offered)) {
             let is_full = scope == Scope::Full;
-            if epoch == 0 && held.epoch == 0 && is_first && is_full {
-                offered.rank = held.rank.saturating_add(1);
+            if epoch == 0 && in_use.epoch == 0 && is_first && is_full {
+                offered.rank = in_use.rank.saturating_add(1);
                 self.remember_epoch(RankedEpoch::of(&offered));
             } else if !(is_full && self.may_go_back_to(&offered)) {
-                return ListOutcome::Rejected(outdated(held, offered));
+                return ListOutcome::Rejected(outdated(in_use, offered));
             }
         }
         let rejected = match scope {
@@ -156,7 +156,7 @@
         }
         self.version = Some(offered);
         self.is_from_peer = false;
-        let new_epoch = previous.is_some_and(|held| RankedEpoch::of(&held) != RankedEpoch::of(&offered));
+        let new_epoch = previous.is_some_and(|in_use| RankedEpoch::of(&in_use) != RankedEpoch::of(&offered));
         ListOutcome::Adopted { new_epoch }
     }
 
@@ -170,7 +170,7 @@
     fn replace_entries(&mut self, offered: ListVersion, entries: &[ListEntry]) -> Option<ListOutcome> {
         let entries = by_name(entries);
         let offered_digest = digest(entries.values());
-        if self.version.is_some_and(|held| held.is_same_list(&offered)) {
+        if self.version.is_some_and(|in_use| in_use.is_same_list(&offered)) {
             // The same version with other entries is a defect of the service: the first statement holds.
             self.is_from_peer = false;
             let is_same = offered_digest == self.digest;
@@ -186,12 +186,12 @@
 
     /// Applies the changes of a delta; returns what became of it if it is not adopted.
     fn change_entries(&mut self, offered: ListVersion, entries: &[ListEntry]) -> Option<ListOutcome> {
-        let held = self.version.unwrap_or_default();
-        let is_same_epoch = self.version.is_some() && RankedEpoch::of(&held) == RankedEpoch::of(&offered);
-        if is_same_epoch && offered.version <= held.version {
+        let in_use = self.version.unwrap_or_default();
+        let is_same_epoch = self.version.is_some() && RankedEpoch::of(&in_use) == RankedEpoch::of(&offered);
+        if is_same_epoch && offered.version <= in_use.version {
             return Some(ListOutcome::Unchanged);
         }
-        if !is_same_epoch || held.version.saturating_add(1) != offered.version {
+        if !is_same_epoch || in_use.version.saturating_add(1) != offered.version {
             return Some(ListOutcome::Incomplete);
         }
         for entry in entries {
@@ -212,20 +212,20 @@
 
     /// Takes a list that another router has handed on, as if the service had sent it.
     pub fn apply_peer_list(&mut self, list: &ListSnapshot) -> ListOutcome {
-        let held = self.version.unwrap_or_default();
-        if self.version.is_some() && !list.version.is_later_than(&held) {
-            if list.version.is_same_list(&held) {
+        let in_use = self.version.unwrap_or_default();
+        if self.version.is_some() && !list.version.is_later_than(&in_use) {
+            if list.version.is_same_list(&in_use) {
                 return ListOutcome::Unchanged;
             }
-            return ListOutcome::Rejected(ListRejection::Older { held, offered: list.version });
+            return ListOutcome::Rejected(ListRejection::Older { in_use, offered: list.version });
         }
         if digest(&list.entries) != list.digest {
             return ListOutcome::Rejected(ListRejection::DigestMismatch);
         }
-        let new_epoch = self.version.is_some() && held.epoch != list.version.epoch;
+        let new_epoch = self.version.is_some() && in_use.epoch != list.version.epoch;
         let mut version = list.version;
-        if version.epoch == held.epoch {
-            version.rank = version.rank.max(held.rank);
+        if version.epoch == in_use.epoch {
+            version.rank = version.rank.max(in_use.rank);
         }
         self.remember_epoch(RankedEpoch::of(&version));
         self.entries = by_name(&list.entries);
@@ -240,9 +240,9 @@
     entries.iter().map(|entry| (entry.engine.clone(), entry.clone())).collect()
 }
 
-fn outdated(held: ListVersion, offered: ListVersion) -> ListRejection {
-    match offered.epoch == held.epoch {
-        true => ListRejection::Older { held, offered },
-        false => ListRejection::ReplacedEpoch { held, offered },
+fn outdated(in_use: ListVersion, offered: ListVersion) -> ListRejection {
+    match offered.epoch == in_use.epoch {
+        true => ListRejection::Older { in_use, offered },
+        false => ListRejection::ReplacedEpoch { in_use, offered },
     }
 }
--- a/crates/gaparch-audit/src/list/claims.rs
+++ b/crates/gaparch-audit/src/endpoint_list/claims.rs
@@ -38,8 +38,8 @@
         self.version.is_same_list(&other.version) && self.digest == other.digest
     }
 
-    fn is_current(&self, since: Nanos, held: Option<ListVersion>) -> bool {
-        self.confirmed_at >= since && is_plausible(self.version, held)
+    fn is_current(&self, since: Nanos, in_use: Option<ListVersion>) -> bool {
+        self.confirmed_at >= since && is_plausible(self.version, in_use)
     }
 }
 
@@ -95,11 +95,11 @@
     passed_on: BTreeMap<PassedOnKey, ClaimedList>,
 }
 
-fn is_plausible(version: ListVersion, held: Option<ListVersion>) -> bool {
-    let Some(held) = held else { return true };
-    let versions_ahead = version.version.saturating_sub(held.version);
-    let epochs_ahead = version.rank.saturating_sub(held.rank);
-    let is_other_epoch = version.epoch != held.epoch;
+fn is_plausible(version: ListVersion, in_use: Option<ListVersion>) -> bool {
+    let Some(in_use) = in_use else { return true };
+    let versions_ahead = version.version.saturating_sub(in_use.version);
+    let epochs_ahead = version.rank.saturating_sub(in_use.rank);
+    let is_other_epoch = version.epoch != in_use.epoch;
     (is_other_epoch || versions_ahead <= MAX_VERSIONS_AHEAD) && epochs_ahead <= MAX_EPOCHS_AHEAD
 }
 
@@ -127,27 +127,33 @@
     }
 
     /// The latest claims that claimants themselves have stated, to be passed on to `receiver`.
-    pub fn latest(&self, limit: usize, receiver: &str, held: Option<ListVersion>, now: Nanos) -> Vec<Claim> {
+    pub fn latest(
+        &self,
+        limit: usize,
+        receiver: &str,
+        in_use: Option<ListVersion>,
+        now: Nanos,
+    ) -> Vec<Claim> {
         let mut claims: Vec<(&String, &ClaimedList)> = self
             .direct
             .iter()
-            .filter(|(router, claimed)| *router != receiver && is_plausible(claimed.version, held))
+            .filter(|(router, claimed)| *router != receiver && is_plausible(claimed.version, in_use))
             .collect();
         claims.sort_by_key(|(_, claimed)| Reverse((claimed.version, claimed.confirmed_at)));
         claims.truncate(limit);
         claims.into_iter().map(|(router, claimed)| passed_on_claim(router, claimed, now)).collect()
     }
 
-    /// The list that is believed, by claims that were confirmed at `since` or later. `held` is the version in use here.
-    pub fn believed(&self, since: Nanos, held: Option<ListVersion>) -> Option<BelievedList> {
-        let mut testimonies = self.testimonies(since, held);
-        rank_epochs_alike(&mut testimonies, held);
+    /// The list that is believed, by claims that were confirmed at `since` or later. `in_use` is the version in use here.
+    pub fn believed(&self, since: Nanos, in_use: Option<ListVersion>) -> Option<BelievedList> {
+        let mut testimonies = self.testimonies(since, in_use);
+        rank_epochs_alike(&mut testimonies, in_use);
         testimonies.sort_by_key(|testimony| Reverse((testimony.version, testimony.digest)));
         testimonies.truncate(MAX_COMPARED);
-        corroborated(&testimonies).or_else(|| self.uncorroborated(since, held))
+        corroborated(&testimonies).or_else(|| self.uncorroborated(since, in_use))
     }
 
-    fn testimonies(&self, since: Nanos, held: Option<ListVersion>) -> Vec<Testimony<'_>> {
+    fn testimonies(&self, since: Nanos, in_use: Option<ListVersion>) -> Vec<Testimony<'_>> {
         let direct =
             self.direct.iter().map(|(claimant, claimed)| (claimant.as_str(), claimant.as_str(), claimed));
         let passed_on = self
@@ -156,7 +162,7 @@
             .map(|(key, claimed)| (key.claimant.as_str(), key.passed_on_by.as_str(), claimed));
         direct
             .chain(passed_on)
-            .filter(|(_, _, claimed)| claimed.is_current(since, held))
+            .filter(|(_, _, claimed)| claimed.is_current(since, in_use))
             .map(|(claimant, passed_on_by, claimed)| Testimony {
                 version: claimed.version,
                 digest: claimed.digest,
@@ -167,10 +173,10 @@
     }
 
     /// Where nothing is corroborated: the claim of the only claimant, and of several that do not agree the oldest.
-    fn uncorroborated(&self, since: Nanos, held: Option<ListVersion>) -> Option<BelievedList> {
+    fn uncorroborated(&self, since: Nanos, in_use: Option<ListVersion>) -> Option<BelievedList> {
         let claimants = self.claimants(since).into_iter();
         let claimed: Vec<ClaimedList> =
-            claimants.filter_map(|claimant| self.claimed_by(claimant, since, held)).collect();
+            claimants.filter_map(|claimant| self.claimed_by(claimant, since, in_use)).collect();
         let oldest = claimed.iter().min_by_key(|claimed| claimed.version)?;
         let is_disputed = claimed
             .iter()
@@ -193,12 +199,12 @@
 
     /// What one claimant has, as far as is known: by its own claim, or by that which two others passed on alike, whichever
     /// is the fresher. A router that passes on what nobody said is alone with it.
-    fn claimed_by(&self, claimant: &str, since: Nanos, held: Option<ListVersion>) -> Option<ClaimedList> {
-        let own = self.direct.get(claimant).filter(|claimed| claimed.is_current(since, held)).copied();
+    fn claimed_by(&self, claimant: &str, since: Nanos, in_use: Option<ListVersion>) -> Option<ClaimedList> {
+        let own = self.direct.get(claimant).filter(|claimed| claimed.is_current(since, in_use)).copied();
         let passed_on: Vec<ClaimedList> = self
             .passed_on
             .iter()
-            .filter(|(key, claimed)| key.claimant == claimant && claimed.is_current(since, held))
+            .filter(|(key, claimed)| key.claimant == claimant && claimed.is_current(since, in_use))
             .map(|(_, claimed)| *claimed)
             .collect();
         let is_stated_twice =
@@ -231,8 +237,8 @@
 }
 
 /// Gives each epoch the highest rank that anybody counts it by.
-fn rank_epochs_alike(testimonies: &mut [Testimony<'_>], held: Option<ListVersion>) {
-    let mut ranks: BTreeMap<u64, u32> = held.iter().map(|held| (held.epoch, held.rank)).collect();
+fn rank_epochs_alike(testimonies: &mut [Testimony<'_>], in_use: Option<ListVersion>) {
+    let mut ranks: BTreeMap<u64, u32> = in_use.iter().map(|in_use| (in_use.epoch, in_use.rank)).collect();
     for testimony in testimonies.iter() {
         let rank = ranks.entry(testimony.version.epoch).or_default();
         *rank = (*rank).max(testimony.version.rank);
--- a/crates/gaparch-audit/src/list/event.rs
+++ b/crates/gaparch-audit/src/endpoint_list/event.rs
@@ -17,7 +17,7 @@
     /// Others have a later version.
     Behind {
         /// The version in use here.
-        held: ListVersion,
+        in_use: ListVersion,
         /// The version that others have.
         believed: ListVersion,
         /// For how long, in nanoseconds.
@@ -42,14 +42,14 @@
     /// The list service answers versions that others have left behind.
     SourceOutdated {
         /// The version in use here.
-        held: ListVersion,
+        in_use: ListVersion,
         /// The version that others have.
         believed: ListVersion,
     },
     /// The list service is of another epoch than that of others: there are two, or one has begun anew unseen.
     SourcesDiffer {
         /// The version in use here.
-        held: ListVersion,
+        in_use: ListVersion,
         /// The version that others have.
         believed: ListVersion,
     },
@@ -91,10 +91,10 @@
                 write!(f, "the list service has confirmed nothing for {:.1} s", seconds(*silent_for))
             }
             ListEvent::Confirmed => f.write_str("the list service confirms the list in use"),
-            ListEvent::Behind { held, believed, lag } => write!(
+            ListEvent::Behind { in_use, believed, lag } => write!(
                 f,
                 "the list in use here is {}, others have had {} for {:.1} s",
-                ShortVersion(held),
+                ShortVersion(in_use),
                 ShortVersion(believed),
                 seconds(*lag)
             ),
@@ -110,16 +110,16 @@
                 ShortVersion(version),
                 seconds(*after)
             ),
-            ListEvent::SourceOutdated { held, believed } => write!(
+            ListEvent::SourceOutdated { in_use, believed } => write!(
                 f,
                 "the list service answers {}, though others have {} from it: it is not believed",
-                ShortVersion(held),
+                ShortVersion(in_use),
                 ShortVersion(believed)
             ),
-            ListEvent::SourcesDiffer { held, believed } => write!(
+            ListEvent::SourcesDiffer { in_use, believed } => write!(
                 f,
                 "the list service here is of epoch {}, that of others of {}: there are two, and each router follows its own",
-                held.rank, believed.rank
+                in_use.rank, believed.rank
             ),
             ListEvent::Outlier { router, stated, believed } => write!(
                 f,
--- a/crates/gaparch-audit/src/list/fetch.rs
+++ b/crates/gaparch-audit/src/endpoint_list/fetch.rs
@@ -28,7 +28,7 @@
 /// A list that is being fetched.
 #[derive(Clone, Debug)]
 pub(super) struct Fetch {
-    pub wanted: BelievedList,
+    pub requested: BelievedList,
     /// The router that was asked last.
     pub source: String,
     requested_at: Nanos,
@@ -50,8 +50,8 @@
 }
 
 impl Fetch {
-    pub fn new(wanted: BelievedList, source: String, now: Nanos) -> Fetch {
-        Fetch { wanted, source, requested_at: now, entries: BTreeMap::new(), total: None }
+    pub fn new(requested: BelievedList, source: String, now: Nanos) -> Fetch {
+        Fetch { requested, source, requested_at: now, entries: BTreeMap::new(), total: None }
     }
 
     /// When another router is asked if no page comes before.
@@ -65,7 +65,7 @@
     }
 
     pub fn request(&self) -> ReplicationMessage {
-        ReplicationMessage::ListRequest { version: self.wanted.version, first: self.first_missing() }
+        ReplicationMessage::ListRequest { version: self.requested.version, first: self.first_missing() }
     }
 
     /// Continues with another router. What came stays, for the digest is checked at the end.
@@ -75,11 +75,11 @@
     }
 
     pub fn on_page(&mut self, page: Page, now: Nanos) -> FetchProgress {
-        if !page.version.is_same_list(&self.wanted.version) {
+        if !page.version.is_same_list(&self.requested.version) {
             return FetchProgress::Unrelated;
         }
         let contradicts = self.total.is_some_and(|total| total != page.total);
-        if page.digest != self.wanted.digest || page.total > MAX_ENTRIES || contradicts {
+        if page.digest != self.requested.digest || page.total > MAX_ENTRIES || contradicts {
             return FetchProgress::DigestMismatch;
         }
         self.total = Some(page.total);
@@ -97,11 +97,15 @@
         let entries: Vec<ListEntry> = std::mem::take(&mut self.entries).into_values().collect();
         self.total = None;
         let is_sorted = entries.windows(2).all(|pair| pair[0].engine < pair[1].engine);
-        if !is_sorted || digest(&entries) != self.wanted.digest {
+        if !is_sorted || digest(&entries) != self.requested.digest {
             return FetchProgress::DigestMismatch;
         }
-        let wanted = &self.wanted;
-        FetchProgress::Complete(ListSnapshot { version: wanted.version, digest: wanted.digest, entries })
+        let requested = &self.requested;
+        FetchProgress::Complete(ListSnapshot {
+            version: requested.version,
+            digest: requested.digest,
+            entries,
+        })
     }
 }
 
--- a/crates/gaparch-audit/src/list/follower/evaluate.rs
+++ b/crates/gaparch-audit/src/endpoint_list/follower/evaluate.rs
@@ -1,8 +1,8 @@
 //! Which list is believed, how it compares with the one in use, and what operators are told of it.
 
 use super::{FollowerOutput, ListFollower, Outlier};
-use crate::list::claims::BelievedList;
-use crate::list::event::ListEvent;
+use crate::endpoint_list::claims::BelievedList;
+use crate::endpoint_list::event::ListEvent;
 use crate::{Nanos, MILLISECOND};
 use gaparch_protocol::versions::ListVersion;
 
@@ -88,13 +88,13 @@
     /// Others have a later list from the service.
     fn on_behind(&mut self, believed: BelievedList, out: &mut Vec<FollowerOutput>) {
         let since = *self.behind_since.get_or_insert(self.now);
-        let held = self.version().unwrap_or_default();
+        let in_use = self.version().unwrap_or_default();
         let has_lasted = self.now >= since + self.settings.confirm_within;
-        if self.is_confirmed() && held.epoch != believed.version.epoch {
+        if self.is_confirmed() && in_use.epoch != believed.version.epoch {
             // Both services confirm their own list; which one is right only people know.
             if has_lasted && !std::mem::replace(&mut self.reported.sources_differ, true) {
                 let believed = believed.version;
-                out.push(FollowerOutput::Event(ListEvent::SourcesDiffer { held, believed }));
+                out.push(FollowerOutput::Event(ListEvent::SourcesDiffer { in_use, believed }));
             }
             return;
         }
@@ -102,7 +102,7 @@
             // The service will send it here, too; if not, it is a replica that hears of no change.
             return;
         }
-        self.report_behind(held, believed.version, since, has_lasted, out);
+        self.report_behind(in_use, believed.version, since, has_lasted, out);
         if self.fetch.is_none() {
             self.start_fetch(believed, out);
         }
@@ -114,7 +114,7 @@
 
     fn report_behind(
         &mut self,
-        held: ListVersion,
+        in_use: ListVersion,
         believed: ListVersion,
         since: Nanos,
         has_lasted: bool,
@@ -129,8 +129,8 @@
             return;
         }
         out.push(FollowerOutput::Event(match is_source_outdated {
-            true => ListEvent::SourceOutdated { held, believed },
-            false => ListEvent::Behind { held, believed, lag: self.now - since },
+            true => ListEvent::SourceOutdated { in_use, believed },
+            false => ListEvent::Behind { in_use, believed, lag: self.now - since },
         }));
     }
 
--- a/crates/gaparch-audit/src/list/follower/mod.rs
+++ b/crates/gaparch-audit/src/endpoint_list/follower/mod.rs
@@ -2,11 +2,11 @@
 
 mod evaluate;
 
-use crate::list::claims::{BelievedList, Claims};
-use crate::list::event::ListEvent;
-use crate::list::fetch::{pages, Fetch, FetchProgress, Page};
-use crate::list::snapshot::ListSnapshot;
-use crate::list::view::{ListView, PeerListStatus};
+use crate::endpoint_list::claims::{BelievedList, Claims};
+use crate::endpoint_list::event::ListEvent;
+use crate::endpoint_list::fetch::{pages, Fetch, FetchProgress, Page};
+use crate::endpoint_list::snapshot::ListSnapshot;
+use crate::endpoint_list::view::{ListView, PeerListStatus};
 use crate::{Nanos, MILLISECOND};
 use gaparch_protocol::versions::{Claim, ListVersion, ReplicationMessage, MAX_CLAIMS};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -194,7 +194,7 @@
         let list = self.current.as_deref().cloned().unwrap_or_default();
         let confirmed_at = self.confirmed_at.filter(|_| self.is_confirmed());
         let message = ReplicationMessage::ListStatus {
-            held: list.version,
+            version: list.version,
             digest: list.digest,
             entries: list.entries.len() as u32,
             confirmed_ms_ago: confirmed_at.map(|at| (self.now - at).div_ceil(MILLISECOND) as u32),
@@ -213,9 +213,9 @@
     ) {
         self.advance(now);
         match message {
-            ReplicationMessage::ListStatus { held, digest, entries: _, confirmed_ms_ago, claims } => {
-                self.record_claims(from, held, digest, confirmed_ms_ago, &claims);
-                self.record_status(from, held, digest, confirmed_ms_ago);
+            ReplicationMessage::ListStatus { version, digest, entries: _, confirmed_ms_ago, claims } => {
+                self.record_claims(from, version, digest, confirmed_ms_ago, &claims);
+                self.record_status(from, version, digest, confirmed_ms_ago);
                 self.evaluate(out);
             }
             ReplicationMessage::ListRequest { version, first } => {
@@ -248,13 +248,19 @@
         }
     }
 
-    fn record_status(&mut self, from: &str, held: ListVersion, digest: u64, confirmed_ms_ago: Option<u32>) {
+    fn record_status(
+        &mut self,
+        from: &str,
+        version: ListVersion,
+        digest: u64,
+        confirmed_ms_ago: Option<u32>,
+    ) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(from) {
             return;
         }
         let status = PeerListStatus {
             router: from.to_owned(),
-            held,
+            version,
             digest,
             confirmed_ago: confirmed_ms_ago.map(|age_ms| u64::from(age_ms) * MILLISECOND),
             reported_at: self.now,
@@ -312,13 +318,14 @@
         out.push(FollowerOutput::Event(ListEvent::DigestMismatch { by, version }));
     }
 
-    /// A router that has the wanted list, or at least a later one of its epoch, drawn by lot.
-    fn choose_source(&mut self, wanted: &BelievedList, excluded: Option<&str>) -> Option<String> {
+    /// A router that has the requested list, or at least a later one of its epoch, drawn by lot.
+    fn choose_source(&mut self, requested: &BelievedList, excluded: Option<&str>) -> Option<String> {
         let has_version = |status: &&PeerListStatus| {
-            status.held.epoch == wanted.version.epoch && status.held.version >= wanted.version.version
+            status.version.epoch == requested.version.epoch
+                && status.version.version >= requested.version.version
         };
         let has_exactly = |status: &&PeerListStatus| {
-            status.held.is_same_list(&wanted.version) && status.digest == wanted.digest
+            status.version.is_same_list(&requested.version) && status.digest == requested.digest
         };
         let is_eligible = |status: &&PeerListStatus| {
             self.present.contains(&status.router) && Some(status.router.as_str()) != excluded
@@ -330,9 +337,9 @@
         candidates.choose(&mut self.rng).map(|status| status.router.clone())
     }
 
-    fn start_fetch(&mut self, wanted: BelievedList, out: &mut Vec<FollowerOutput>) {
-        let Some(source) = self.choose_source(&wanted, None) else { return };
-        let fetch = Fetch::new(wanted, source.clone(), self.now);
+    fn start_fetch(&mut self, requested: BelievedList, out: &mut Vec<FollowerOutput>) {
+        let Some(source) = self.choose_source(&requested, None) else { return };
+        let fetch = Fetch::new(requested, source.clone(), self.now);
         out.push(FollowerOutput::Send { to: source, message: fetch.request() });
         self.fetch = Some(fetch);
     }
@@ -342,11 +349,11 @@
         let now = self.now;
         let Some(mut fetch) = self.fetch.take_if(|fetch| now >= fetch.times_out_at()) else { return };
         let superseded =
-            self.believed.filter(|believed| !believed.version.is_same_list(&fetch.wanted.version));
+            self.believed.filter(|believed| !believed.version.is_same_list(&fetch.requested.version));
         if let Some(believed) = superseded {
             return self.start_fetch(believed, out);
         }
-        let source = self.choose_source(&fetch.wanted, Some(&fetch.source));
+        let source = self.choose_source(&fetch.requested, Some(&fetch.source));
         fetch.switch_source(source.unwrap_or_else(|| fetch.source.clone()), now);
         out.push(FollowerOutput::Send { to: fetch.source.clone(), message: fetch.request() });
         self.fetch = Some(fetch);
@@ -356,7 +363,7 @@
     pub fn view(&self) -> ListView {
         let confirmed_at = self.confirmed_at.filter(|_| self.is_confirmed());
         ListView {
-            held: self.version().unwrap_or_default(),
+            in_use: self.version().unwrap_or_default(),
             entries: self.current.as_ref().map_or(0, |list| list.entries.len() as u32),
             confirmed_ago: confirmed_at.map(|at| self.now - at),
             believed: self.believed.map(|believed| believed.version),
--- a/crates/gaparch-audit/src/list/view.rs
+++ b/crates/gaparch-audit/src/endpoint_list/view.rs
@@ -9,7 +9,7 @@
     /// The name of the router.
     pub router: String,
     /// The version that it uses.
-    pub held: ListVersion,
+    pub version: ListVersion,
     /// The digest of that list.
     pub digest: u64,
     /// How long before the report the list service confirmed it, in nanoseconds; `None` if another router handed it on,
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListView {
     /// The version in use here.
-    pub held: ListVersion,
+    pub in_use: ListVersion,
     /// The number of its entries.
     pub entries: u32,
     /// Nanoseconds since the list service confirmed it; `None` if it did not do so in time.
--- a/crates/gaparch-audit/src/lib.rs
+++ b/crates/gaparch-audit/src/lib.rs
@@ -13,15 +13,15 @@
 
 #![warn(missing_docs)]
 
-mod list;
+mod endpoint_list;
 mod log;
 mod orders;
 
-pub use gaparch_protocol::versions::FleetOrder;
-pub use list::{
+pub use endpoint_list::{
     digest, ActiveList, FollowerOutput, FollowerSettings, ListEvent, ListFollower, ListOutcome,
     ListRejection, ListSnapshot, ListView, PeerListStatus,
 };
+pub use gaparch_protocol::versions::FleetOrder;
 pub use log::{
     answer_pages, AuditAnswer, AuditLog, AuditQuery, ChainVerifier, LogGap, SendBatch, SendKind, SendTally,
 };
--- a/crates/gaparch-audit/src/orders/replication.rs
+++ b/crates/gaparch-audit/src/orders/replication.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PeerSummary {
     /// The digest of the orders that are in force and on disk there.
-    stored: u64,
+    complete_digest: u64,
     reported_at: Nanos,
 }
 
@@ -55,7 +55,7 @@
     /// The number of orders that may still come.
     remaining: usize,
     /// Whether any of them was new.
-    has_news: bool,
+    has_new_orders: bool,
 }
 
 /// Replicates operators' orders to all routers of a site.
@@ -141,7 +141,7 @@
     pub fn issue(&mut self, now: Nanos, change: &Change, note: &Note, out: &mut Vec<OrderOutput>) {
         self.advance(now);
         let Some(subject) = subject(change) else { return };
-        if !self.table.has_room_for(&subject) {
+        if !self.table.has_capacity_for(&subject) {
             return out.push(OrderOutput::Event(OrderEvent::TableFull));
         }
         let order = self.new_order(&subject, change, note);
@@ -216,11 +216,11 @@
         }
     }
 
-    fn send_summary(&self, to: &str, wants_answer: bool, out: &mut Vec<OrderOutput>) {
+    fn send_summary(&self, to: &str, answer_requested: bool, out: &mut Vec<OrderOutput>) {
         let message = ReplicationMessage::OrderSummary {
-            held: self.table.digest(),
-            stored: self.table.complete_digest(),
-            wants_answer,
+            digest: self.table.digest(),
+            complete_digest: self.table.complete_digest(),
+            answer_requested,
         };
         out.push(OrderOutput::Send { to: to.to_owned(), message });
     }
@@ -235,12 +235,12 @@
     ) {
         self.advance(now);
         match message {
-            ReplicationMessage::OrderSummary { held, stored, wants_answer } => {
-                self.on_summary(from, *held, *stored, *wants_answer, out);
+            ReplicationMessage::OrderSummary { digest, complete_digest, answer_requested } => {
+                self.on_summary(from, *digest, *complete_digest, *answer_requested, out);
             }
             ReplicationMessage::Order { order } => {
-                let is_news = self.on_order(from, order, out);
-                self.continue_page(from, is_news, out);
+                let is_new = self.on_order(from, order, out);
+                self.continue_page(from, is_new, out);
             }
             ReplicationMessage::OrderRequest { after } => {
                 // From the beginning again once there is nothing more.
@@ -255,21 +255,21 @@
     fn on_summary(
         &mut self,
         from: &str,
-        held: u64,
-        stored: u64,
-        wants_answer: bool,
+        digest: u64,
+        complete_digest: u64,
+        answer_requested: bool,
         out: &mut Vec<OrderOutput>,
     ) {
         if self.summaries.len() < MAX_PEERS || self.summaries.contains_key(from) {
-            let summary = PeerSummary { stored, reported_at: self.now };
+            let summary = PeerSummary { complete_digest, reported_at: self.now };
             self.summaries.insert(from.to_owned(), summary);
         }
-        if wants_answer {
+        if answer_requested {
             self.send_summary(from, false, out);
         }
         let pending = self.pending_page.as_ref();
         let may_request = pending.is_none_or(|page| self.now >= page.requested_at + QUERY_INTERVAL);
-        if held != self.table.digest() && may_request {
+        if digest != self.table.digest() && may_request {
             self.request_page(from, out);
         }
     }
@@ -279,23 +279,23 @@
             peer: peer.to_owned(),
             requested_at: self.now,
             remaining: PAGE_LENGTH,
-            has_news: false,
+            has_new_orders: false,
         });
         let message = ReplicationMessage::OrderRequest { after: self.cursor.clone() };
         out.push(OrderOutput::Send { to: peer.to_owned(), message });
     }
 
     /// Requests the next page at once after one that brought news: where much is missing, more follows.
-    fn continue_page(&mut self, from: &str, is_news: bool, out: &mut Vec<OrderOutput>) {
+    fn continue_page(&mut self, from: &str, is_new: bool, out: &mut Vec<OrderOutput>) {
         let Some(page) = self.pending_page.as_mut().filter(|page| page.peer == from) else { return };
-        page.has_news |= is_news;
+        page.has_new_orders |= is_new;
         page.remaining = page.remaining.saturating_sub(1);
-        if page.remaining == 0 && std::mem::take(&mut page.has_news) {
+        if page.remaining == 0 && std::mem::take(&mut page.has_new_orders) {
             self.request_page(from, out);
         }
     }
 
-    /// Takes an order of another router; returns whether it is news.
+    /// Takes an order of another router; returns whether it is new here.
     fn on_order(&mut self, from: &str, order: &FleetOrder, out: &mut Vec<OrderOutput>) -> bool {
         let Some(subject) = subject(&order.change) else { return false };
         self.cursor.clone_from(&subject);
@@ -305,24 +305,24 @@
             return false;
         }
         self.last_number = self.last_number.max(order.id.number);
-        let Some(held) = self.table.get(&subject).cloned() else {
-            if !self.table.has_room_for(&subject) {
+        let Some(current) = self.table.get(&subject).cloned() else {
+            if !self.table.has_capacity_for(&subject) {
                 out.push(OrderOutput::Event(OrderEvent::TableFull));
                 return false;
             }
             self.adopt(subject, order, from, out);
             return true;
         };
-        if held.id == order.id {
+        if current.id == order.id {
             return false;
         }
-        if held.id > order.id {
+        if current.id > order.id {
             // The sender has not heard of the later one.
-            out.push(send_order(from.to_owned(), &held));
-            self.report_if_superseded(order, &held, out);
+            out.push(send_order(from.to_owned(), &current));
+            self.report_if_superseded(order, &current, out);
             return false;
         }
-        self.report_if_superseded(&held, order, out);
+        self.report_if_superseded(&current, order, out);
         self.adopt(subject, order, from, out);
         true
     }
@@ -390,10 +390,10 @@
 
     /// Whether a router has all orders whose digest this is.
     fn is_acknowledged_by(&self, router: &str, digest: u64) -> bool {
-        self.summaries.get(router).is_some_and(|summary| summary.stored == digest)
+        self.summaries.get(router).is_some_and(|summary| summary.complete_digest == digest)
     }
 
-    /// Whether each of these routers has acknowledged all orders that are held here, this one first. Those that have not
+    /// Whether each of these routers has acknowledged all orders that are known here, this one first. Those that have not
     /// are asked, for somebody waits for it.
     pub fn acknowledgements(&mut self, routers: &[String]) -> Vec<OrderAck> {
         self.waits_until = self.waits_until.max(self.now + WAIT_AFTER_QUERY);
--- a/crates/gaparch-audit/src/orders/table.rs
+++ b/crates/gaparch-audit/src/orders/table.rs
@@ -43,8 +43,8 @@
         self.entries.insert(subject, Entry { order, digest, is_in_force, is_stored: false });
     }
 
-    /// Whether there is room for an order on this subject.
-    pub fn has_room_for(&self, subject: &str) -> bool {
+    /// Whether the table can take an order on this subject.
+    pub fn has_capacity_for(&self, subject: &str) -> bool {
         self.entries.len() < MAX_SUBJECTS || self.entries.contains_key(subject)
     }
 
--- a/crates/gaparch-audit/tests/fleet.rs
+++ b/crates/gaparch-audit/tests/fleet.rs
@@ -201,7 +201,7 @@
 fn lie_by(message: ReplicationMessage, by: u64) -> ReplicationMessage {
     let far = |v: ListVersion| ListVersion { version: v.version + by, ..v };
     match message {
-        ReplicationMessage::ListStatus { held, digest, entries, claims, .. } => {
+        ReplicationMessage::ListStatus { version: held, digest, entries, claims, .. } => {
             let mut claims: Vec<Claim> =
                 claims.into_iter().map(|c| Claim { version: far(c.version), ..c }).collect();
             // And somebody who is not there bears it out.
@@ -209,7 +209,7 @@
                 Claim { router: "router-77".to_owned(), version: far(held), digest: digest ^ 1, age_ms: 0 };
             claims.insert(0, made_up);
             ReplicationMessage::ListStatus {
-                held: far(held),
+                version: far(held),
                 digest: digest ^ 1,
                 entries,
                 confirmed_ms_ago: Some(0),
--- a/crates/gaparch-audit/tests/pinned_bytes.rs
+++ b/crates/gaparch-audit/tests/pinned_bytes.rs
@@ -93,7 +93,7 @@
     assert_eq!(lengths, [393, 348, 364, 363]);
     let mut out = Vec::new();
     orders.on_stored(0, &kept, &mut out);
-    let question = ReplicationMessage::OrderSummary { held: 0, stored: 0, wants_answer: true };
+    let question = ReplicationMessage::OrderSummary { digest: 0, complete_digest: 0, answer_requested: true };
     orders.on_message(0, "router-2", &question, &mut out);
     let answers: Vec<String> = out
         .iter()
--- a/crates/gaparch-membership/src/duplicate.rs
+++ b/crates/gaparch-membership/src/duplicate.rs
@@ -21,7 +21,7 @@
     /// Its heartbeat when it was first heard.
     pub first_heartbeat: u64,
     /// When it last gave a new heartbeat.
-    pub last_heard_at: Nanos,
+    pub last_received_at: Nanos,
     /// Whether it goes on while the first process does: two processes have one name.
     pub is_confirmed: bool,
 }
@@ -44,7 +44,7 @@
             first_heartbeat: info.heartbeat,
             info,
             replay_window: ReplayWindow::default(),
-            last_heard_at: now,
+            last_received_at: now,
             is_confirmed: false,
         }
     }
@@ -67,7 +67,7 @@
         }
         if from.heartbeat > duplicate.info.heartbeat {
             duplicate.info = from.clone();
-            duplicate.last_heard_at = now;
+            duplicate.last_received_at = now;
         }
         let original_runs = now.saturating_sub(original_alive_at) < RECENT;
         let least = duplicate.first_heartbeat + MIN_HEARTBEAT_PROGRESS_MS;
@@ -80,6 +80,6 @@
 
     /// Whether the process has not been heard for so long that it no longer counts.
     pub fn is_outdated(&self, now: Nanos) -> bool {
-        now >= self.last_heard_at.saturating_add(FORGET_AFTER)
+        now >= self.last_received_at.saturating_add(FORGET_AFTER)
     }
 }
--- a/crates/gaparch-membership/src/local_health.rs
+++ b/crates/gaparch-membership/src/local_health.rs
@@ -18,7 +18,7 @@
     /// while another member is being probed.
     recovering_after: Option<u64>,
     /// When any member was last heard.
-    last_heard_at: Nanos,
+    last_received_at: Nanos,
     /// When any member last answered a ping.
     last_answered_at: Nanos,
     is_isolated: bool,
@@ -37,7 +37,7 @@
         LocalHealth {
             score: 0,
             recovering_after: None,
-            last_heard_at: now,
+            last_received_at: now,
             last_answered_at: now,
             is_isolated: false,
             is_unanswered: false,
@@ -78,8 +78,8 @@
     }
 
     /// A message has come from any member.
-    pub fn on_heard(&mut self, now: Nanos) {
-        self.last_heard_at = now;
+    pub fn on_received(&mut self, now: Nanos) {
+        self.last_received_at = now;
     }
 
     /// The ping with this nonce was answered.
@@ -94,7 +94,7 @@
     pub fn on_resumed(&mut self, last_nonce: u64, now: Nanos) {
         self.recovering_after = Some(last_nonce);
         self.degrade(1);
-        self.last_heard_at = now;
+        self.last_received_at = now;
         self.last_answered_at = now;
     }
 
@@ -106,7 +106,7 @@
         last_nonce: u64,
         now: Nanos,
     ) -> ConnectivityChange {
-        let isolated_at = self.last_heard_at.saturating_add(settings.isolation_timeout());
+        let isolated_at = self.last_received_at.saturating_add(settings.isolation_timeout());
         let unanswered_timeout = settings.probe_interval * UNANSWERED_INTERVALS;
         let unanswered_at = self.last_answered_at.saturating_add(unanswered_timeout);
         let is_isolated = others > 0 && now >= isolated_at;
--- a/crates/gaparch-membership/src/member.rs
+++ b/crates/gaparch-membership/src/member.rs
@@ -21,7 +21,7 @@
     /// travelled for long looks no newer than it is.
     clock_offset_ms: i64,
     /// When this router itself last received a message of it.
-    pub last_heard_at: Option<Nanos>,
+    pub last_received_at: Option<Nanos>,
     pub suspicion: Option<Suspicion>,
     /// Of a dead member: the last heartbeat that was known to whoever declared it dead.
     pub reported_heartbeat: u64,
@@ -31,7 +31,7 @@
     /// Another process of the same name.
     pub duplicate: Option<DuplicateProcess>,
     /// The number of members that it says it hears.
-    pub heard_members: u16,
+    pub direct_peers: u16,
     /// How often this router has pinged it without an answer though others hear it; `None` if it has no such doubt.
     pub unanswered_pings: Option<u32>,
     /// Whether this router has announced that it does not hear the member.
@@ -74,13 +74,13 @@
             state: MemberState::Alive,
             state_since: now,
             last_alive_at: now,
-            last_heard_at: None,
+            last_received_at: None,
             suspicion: None,
             reported_heartbeat: 0,
             reported_by: String::new(),
             replay_window: ReplayWindow::default(),
             duplicate: None,
-            heard_members: 0,
+            direct_peers: 0,
             unanswered_pings: None,
             link_failed: false,
             hold_expired: false,
@@ -238,7 +238,7 @@
         duplicate.is_confirmed = is_confirmed;
         self.duplicate = Some(duplicate);
         self.unanswered_pings = None;
-        self.last_heard_at = None;
+        self.last_received_at = None;
     }
 
     /// Judges a claim of suspicion or death by its age: the transition if it is outdated, `None` if it counts.
--- a/crates/gaparch-membership/src/membership/connectivity.rs
+++ b/crates/gaparch-membership/src/membership/connectivity.rs
@@ -13,7 +13,7 @@
 
 impl Membership {
     pub(super) fn check_connectivity(&mut self, out: &mut Vec<Output>) {
-        self.count_heard_members();
+        self.count_direct_peers();
         let others = self.present().count();
         let change = self.health.check(others, &self.settings, self.nonce, self.now);
         if change.isolation {
@@ -31,11 +31,11 @@
         }
     }
 
-    fn count_heard_members(&mut self) {
+    fn count_direct_peers(&mut self) {
         let heard_since = self.now.saturating_sub(RECENT);
-        let is_heard = |member: &&Member| member.last_heard_at.is_some_and(|at| at >= heard_since);
+        let is_heard = |member: &&Member| member.last_received_at.is_some_and(|at| at >= heard_since);
         let heard = self.members.values().filter(is_heard).count();
-        self.heard_members = u16::try_from(heard).unwrap_or(u16::MAX);
+        self.direct_peers = u16::try_from(heard).unwrap_or(u16::MAX);
     }
 
     fn on_isolation_changed(&mut self, out: &mut Vec<Output>) {
--- a/crates/gaparch-membership/src/membership/mod.rs
+++ b/crates/gaparch-membership/src/membership/mod.rs
@@ -58,7 +58,7 @@
     /// The number of routers by which this one divides the site's limits, as last announced.
     divisor: u32,
     /// The number of members heard directly of late, as of the last tick.
-    heard_members: u16,
+    direct_peers: u16,
     /// The sequence number of the last message.
     seq: u64,
     /// The nonce of the last ping.
@@ -91,7 +91,7 @@
             budget: SendBudget::new(now),
             counters: Counters::default(),
             divisor: 0,
-            heard_members: 0,
+            direct_peers: 0,
             seq: 0,
             nonce: 0,
             probe_rounds: 0,
@@ -264,9 +264,9 @@
         state: member.state,
         state_since: member.state_since,
         last_alive_at: member.last_alive_at,
-        last_heard_at: member.last_heard_at,
+        last_received_at: member.last_received_at,
         accused_by,
         duplicate_address: duplicate.map(|duplicate| duplicate.info.address.clone()),
-        is_isolated: member.state == MemberState::Alive && member.heard_members == 0,
+        is_isolated: member.state == MemberState::Alive && member.direct_peers == 0,
     }
 }
--- a/crates/gaparch-membership/src/membership/probing.rs
+++ b/crates/gaparch-membership/src/membership/probing.rs
@@ -24,7 +24,7 @@
     pub(super) fn check_probe(&mut self, out: &mut Vec<Output>) {
         let Some(mut probe) = self.probes.current.take() else { return };
         let target = self.members.get(&probe.target);
-        let is_answered = target.is_none_or(|member| member.last_heard_at >= Some(probe.sent_at));
+        let is_answered = target.is_none_or(|member| member.last_received_at >= Some(probe.sent_at));
         if is_answered {
             self.health.improve();
             return;
--- a/crates/gaparch-membership/src/membership/receive.rs
+++ b/crates/gaparch-membership/src/membership/receive.rs
@@ -18,7 +18,7 @@
             return;
         }
         self.counters.received += 1;
-        let Message { from, to, seq, heard_members, body, updates } = message;
+        let Message { from, to, seq, direct_peers, body, updates } = message;
         if !to.is_empty() && to != self.settings.name {
             self.counters.misdirected += 1;
             return;
@@ -29,7 +29,7 @@
         if !self.admit(&from, seq, out) {
             return;
         }
-        self.on_heard(&from, heard_members, out);
+        self.on_received(&from, direct_peers, out);
         for update in updates {
             self.on_update(update, out);
         }
@@ -98,11 +98,11 @@
         true
     }
 
-    fn on_heard(&mut self, from: &MemberInfo, heard_members: u16, out: &mut Vec<Output>) {
-        self.health.on_heard(self.now);
+    fn on_received(&mut self, from: &MemberInfo, direct_peers: u16, out: &mut Vec<Output>) {
+        self.health.on_received(self.now);
         let Some(member) = self.members.get_mut(&from.name) else { return };
-        member.last_heard_at = Some(self.now);
-        member.heard_members = heard_members;
+        member.last_received_at = Some(self.now);
+        member.direct_peers = direct_peers;
         member.unanswered_pings = None;
         let had_failed_link = std::mem::replace(&mut member.link_failed, false);
         let transition = member.observe_alive(from, self.now);
--- a/crates/gaparch-membership/src/membership/send.rs
+++ b/crates/gaparch-membership/src/membership/send.rs
@@ -129,7 +129,7 @@
     }
 
     fn message(&self, to: String, seq: u64, body: MessageBody, updates: Vec<Update>) -> Message {
-        Message { from: self.local_info(), to, seq, heard_members: self.heard_members, body, updates }
+        Message { from: self.local_info(), to, seq, direct_peers: self.direct_peers, body, updates }
     }
 
     /// Sends a message with exactly these updates, if the send budget allows it.
--- a/crates/gaparch-membership/src/membership/suspicions.rs
+++ b/crates/gaparch-membership/src/membership/suspicions.rs
@@ -71,7 +71,7 @@
     fn is_confirmed_here(&self, member: &Member, suspicion: &Suspicion) -> bool {
         let Some(since) = suspicion.probed_since else { return false };
         let timeout: Nanos = self.probe_timeout();
-        self.now >= since + timeout && member.last_heard_at < Some(since)
+        self.now >= since + timeout && member.last_received_at < Some(since)
     }
 
     fn has_timed_out(&self, suspicion: &Suspicion, members: usize) -> bool {
--- a/crates/gaparch-membership/src/view.rs
+++ b/crates/gaparch-membership/src/view.rs
@@ -16,7 +16,7 @@
     /// When its last new heartbeat became known, from any member.
     pub last_alive_at: Nanos,
     /// When this router itself last received a message of it.
-    pub last_heard_at: Option<Nanos>,
+    pub last_received_at: Option<Nanos>,
     /// Who suspects it, or has declared it dead.
     pub accused_by: Vec<String>,
     /// The address of another process under the same name.
--- a/crates/gaparch-membership/tests/pinned_bytes.rs
+++ b/crates/gaparch-membership/tests/pinned_bytes.rs
@@ -38,7 +38,7 @@
     };
     let body = MessageBody::Ping { nonce: 5 };
     let message =
-        Message { from, to: "router-2".to_owned(), seq: 17, heard_members: 2, body, updates: Vec::new() };
+        Message { from, to: "router-2".to_owned(), seq: 17, direct_peers: 2, body, updates: Vec::new() };
     let pinned = "6746010008726f757465722d3100056e6f7274680003322e31000e3132372e302e302e313a373430300000000000000007000000000000000300000000000023280008726f757465722d320000000000000011000201000000000000000500000000c2db2a0b640760641c02bb11131b48c7";
     assert_eq!(site_key().seal(&message).as_deref().map(hex).as_deref(), Some(pinned));
     assert_eq!(site_key().open(&unhex(pinned)), Ok(message));
--- a/crates/gaparch-membership/tests/quorum.rs
+++ b/crates/gaparch-membership/tests/quorum.rs
@@ -49,7 +49,7 @@
         from,
         to: "router-1".to_owned(),
         seq: 1,
-        heard_members: 2,
+        direct_peers: 2,
         body,
         updates: (0..updates).map(one).collect(),
     }
@@ -96,8 +96,8 @@
     }
 
     #[test]
-    fn a_message_is_read_as_it_was_written(seq in any::<u64>(), heard_members in any::<u16>(), updates in 0usize..8) {
-        let message = Message { seq, heard_members, ..message(updates) };
+    fn a_message_is_read_as_it_was_written(seq in any::<u64>(), direct_peers in any::<u16>(), updates in 0usize..8) {
+        let message = Message { seq, direct_peers, ..message(updates) };
         prop_assert_eq!(Message::from_bytes(&message.to_bytes()), Ok(message));
     }
 }
--- a/crates/gaparch-protocol/src/fleet.rs
+++ b/crates/gaparch-protocol/src/fleet.rs
@@ -153,7 +153,7 @@
         pub seq: u64,
         /// The number of members that the sender has heard directly of late.
         #[serde(rename = "hears")]
-        pub heard_members: u16,
+        pub direct_peers: u16,
         /// What the message is for.
         #[serde(rename = "word")]
         pub body: MessageBody,
--- a/crates/gaparch-protocol/src/versions.rs
+++ b/crates/gaparch-protocol/src/versions.rs
@@ -223,7 +223,8 @@
         #[serde(rename = "stamp")]
         1 => ListStatus {
             /// The version of that list.
-            held: ListVersion,
+            #[serde(rename = "held")]
+            version: ListVersion,
             /// The digest of that list.
             digest: u64,
             /// The number of its entries.
@@ -263,13 +264,14 @@
         #[serde(rename = "orders")]
         4 => OrderSummary {
             /// The digest of the orders that it holds.
-            held: u64,
+            #[serde(rename = "held")]
+            digest: u64,
             /// The digest of those that are in force and on disk there.
             #[serde(rename = "kept")]
-            stored: u64,
+            complete_digest: u64,
             /// Whether it wants the receiver's summary back.
             #[serde(rename = "answer")]
-            wants_answer: bool,
+            answer_requested: bool,
         },
         /// One order.
         5 => Order {
--- a/crates/gaparch-protocol/tests/pinned_fleet.rs
+++ b/crates/gaparch-protocol/tests/pinned_fleet.rs
@@ -126,7 +126,7 @@
 }
 
 fn message(body: MessageBody, updates: Vec<Update>) -> Message {
-    Message { from: member_info(), to: "router-2".to_owned(), seq: 17, heard_members: 2, body, updates }
+    Message { from: member_info(), to: "router-2".to_owned(), seq: 17, direct_peers: 2, body, updates }
 }
 
 #[test]
@@ -201,12 +201,12 @@
 fn each_kind_of_audit_message() {
     let (held, claims) = (version(), vec![claim()]);
     assert_pinned!(
-        ReplicationMessage::ListStatus { held, digest: 0xabcd, entries: 110, confirmed_ms_ago: Some(40), claims },
+        ReplicationMessage::ListStatus { version: held, digest: 0xabcd, entries: 110, confirmed_ms_ago: Some(40), claims },
         "0100000002000000000000004d0000000000000fa1000000000000abcd0000006e0100000028000000010008726f757465722d3200000002000000000000004d0000000000000fa100000000feedbeef000000fa"
     );
     assert_pinned!(
         ReplicationMessage::ListStatus {
-            held,
+            version: held,
             digest: 0xabcd,
             entries: 0,
             confirmed_ms_ago: None,
@@ -224,7 +224,7 @@
         "0300000002000000000000004d0000000000000fa1000000000000abcd000000400000006e000000010008656e67696e652d31000d31302e302e302e313a383030300004626f746800056e6f7274680002723701013ff80000000000000117979cfe362a0000"
     );
     assert_pinned!(
-        ReplicationMessage::OrderSummary { held: 0x11, stored: 0x22, wants_answer: true },
+        ReplicationMessage::OrderSummary { digest: 0x11, complete_digest: 0x22, answer_requested: true },
         "040000000000000011000000000000002201"
     );
     assert_pinned!(
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -583,7 +583,7 @@
             state: m.state,
             since: m.state_since,
             alive_at: m.last_alive_at,
-            heard_at: m.last_heard_at,
+            heard_at: m.last_received_at,
             accused_by: m.accused_by,
             twin_at: m.duplicate_address,
             hears_nobody: m.is_isolated,
@@ -637,13 +637,13 @@
 fn versions(view: audit::ListView) -> VersionsView {
     let row = |row: audit::PeerListStatus| VersionRow {
         router: row.router,
-        held: row.held,
+        held: row.version,
         digest: row.digest,
         sure: row.confirmed_ago,
         said_at: row.reported_at,
     };
     VersionsView {
-        held: view.held,
+        held: view.in_use,
         entries: view.entries,
         sure: view.confirmed_ago,
         believed: view.believed,
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -73,7 +73,7 @@
             }
             for (from, bytes) in talks {
                 match from_bytes::<ReplicationMessage>(&bytes) {
-                    Some(ReplicationMessage::ListStatus { held, .. }) => heard = held,
+                    Some(ReplicationMessage::ListStatus { version: held, .. }) => heard = held,
                     // Whoever believes it gets what nobody listed.
                     Some(ReplicationMessage::ListRequest { version, first: at }) => {
                         let page = ReplicationMessage::ListPage {
@@ -112,7 +112,7 @@
         let held = ListVersion { version: heard.version.saturating_add(FAR), ..heard };
         let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age_ms: 0 };
         ReplicationMessage::ListStatus {
-            held,
+            version: held,
             digest: 1,
             entries: 0,
             confirmed_ms_ago: Some(0),
