--- a/crates/gaparch-router/src/shell/versions.rs
+++ b/crates/gaparch-router/src/shell/versions.rs
@@ -177,7 +177,12 @@
             ListOutcome::Adopted { .. } => {
                 self.cell.send_replace(HeldNews { list: Some(self.held.snapshot()), sure_at: None });
                 let version = list.version.version;
-                Some(ListUpdate { scope: Scope::Full, version, after: 0, entries: list.entries.clone() })
+                Some(ListUpdate {
+                    scope: Scope::Full,
+                    version,
+                    base_version: 0,
+                    entries: list.entries.clone(),
+                })
             }
             ListOutcome::Unchanged | ListOutcome::Incomplete | ListOutcome::Rejected(_) => None,
         }
