--- a/crates/gaparch-router/src/core/counters.rs
+++ b/crates/gaparch-router/src/core/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of the router core, from its start.
 
-use gaparch_scheduler::policy::permits::Denials;
+use gaparch_scheduler::policy::send_guards::Denials;
 
 /// How often something has happened since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -588,7 +588,7 @@
             state: m.state,
             since: m.state_since,
             last_alive_at: m.last_alive_at,
-            last_received_at: m.last_heard_at,
+            last_received_at: m.last_received_at,
             suspected_by: m.accused_by,
             duplicate_at: m.duplicate_address,
             receives_nothing: m.is_isolated,
@@ -642,13 +642,13 @@
 fn versions(view: audit::ListView) -> ListVersionsView {
     let row = |row: audit::PeerListStatus| ListVersionRow {
         router: row.router,
-        version: row.held,
+        version: row.version,
         digest: row.digest,
         confirmed_ago: row.confirmed_ago,
         reported_at: row.reported_at,
     };
     ListVersionsView {
-        version: view.held,
+        version: view.in_use,
         entries: view.entries,
         confirmed_ago: view.confirmed_ago,
         latest_known: view.believed,
