--- a/crates/gaparch-membership/src/lib.rs
+++ b/crates/gaparch-membership/src/lib.rs
@@ -38,6 +38,7 @@
 
 pub use counters::Counters;
 pub use event::MembershipEvent;
+pub use local_health::Connectivity;
 pub use membership::Membership;
 pub use output::Output;
 pub use settings::{Settings, MAX_MEMBERS, MIN_PROBE_INTERVAL};
--- a/crates/gaparch-membership/src/local_health.rs
+++ b/crates/gaparch-membership/src/local_health.rs
@@ -9,6 +9,18 @@
 /// unanswered.
 const UNANSWERED_INTERVALS: u64 = 15;
 
+/// How far this router's messages get out, and those of others come in.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Connectivity {
+    /// It receives messages of others, and its pings are answered; or it knows of no other router.
+    #[default]
+    Connected,
+    /// It receives messages from no other member, though there are others.
+    Isolated,
+    /// It receives messages from others, but none of them answers its pings.
+    Unanswered,
+}
+
 /// Whether this router's messages get out, whether it receives those of others, and how far it may judge
 /// them.
 #[derive(Clone, Debug)]
@@ -23,8 +35,7 @@
     last_received_at: Nanos,
     /// When any member last answered a ping.
     last_answered_at: Nanos,
-    is_isolated: bool,
-    is_unanswered: bool,
+    connectivity: Connectivity,
 }
 
 /// Which judgements have changed.
@@ -41,8 +52,7 @@
             recovering_after: None,
             last_received_at: now,
             last_answered_at: now,
-            is_isolated: false,
-            is_unanswered: false,
+            connectivity: Connectivity::default(),
         }
     }
 
@@ -51,14 +61,13 @@
         self.score
     }
 
-    /// Whether the router receives messages from no other, though there are others.
-    pub fn is_isolated(&self) -> bool {
-        self.is_isolated
+    pub fn connectivity(&self) -> Connectivity {
+        self.connectivity
     }
 
-    /// Whether the router receives messages from others, but none of them answers its pings.
-    pub fn is_unanswered(&self) -> bool {
-        self.is_unanswered
+    /// Whether the router receives messages from no other, though there are others.
+    pub fn is_isolated(&self) -> bool {
+        self.connectivity == Connectivity::Isolated
     }
 
     /// Whether the router waits for an answer after a pause or isolation.
@@ -108,21 +117,33 @@
         last_nonce: u64,
         now: Nanos,
     ) -> ConnectivityChange {
-        let isolated_at = self.last_received_at.saturating_add(settings.isolation_timeout());
-        let unanswered_timeout = settings.probe_interval * UNANSWERED_INTERVALS;
-        let unanswered_at = self.last_answered_at.saturating_add(unanswered_timeout);
-        let is_isolated = others > 0 && now >= isolated_at;
-        // A router that receives nothing can't know whether its messages get out.
-        let is_unanswered = others > 0 && !is_isolated && now >= unanswered_at;
+        let before = self.connectivity;
+        self.connectivity = self.judge(others, settings, now);
+        let has_changed = |to: Connectivity| (before == to) != (self.connectivity == to);
         let change = ConnectivityChange {
-            isolation: is_isolated != self.is_isolated,
-            unanswered: is_unanswered != self.is_unanswered,
+            isolation: has_changed(Connectivity::Isolated),
+            unanswered: has_changed(Connectivity::Unanswered),
         };
-        if self.is_isolated && !is_isolated {
+        if change.isolation && before == Connectivity::Isolated {
             self.recovering_after = Some(last_nonce);
         }
-        self.is_isolated = is_isolated;
-        self.is_unanswered = is_unanswered;
         change
     }
+
+    fn judge(&self, others: usize, settings: &Settings, now: Nanos) -> Connectivity {
+        let isolated_at = self.last_received_at.saturating_add(settings.isolation_timeout());
+        let unanswered_timeout = settings.probe_interval * UNANSWERED_INTERVALS;
+        let unanswered_at = self.last_answered_at.saturating_add(unanswered_timeout);
+        if others == 0 {
+            return Connectivity::Connected;
+        }
+        if now >= isolated_at {
+            // A router that receives nothing can't know whether its messages get out.
+            return Connectivity::Isolated;
+        }
+        match now >= unanswered_at {
+            true => Connectivity::Unanswered,
+            false => Connectivity::Connected,
+        }
+    }
 }
--- a/crates/gaparch-membership/src/membership/connectivity.rs
+++ b/crates/gaparch-membership/src/membership/connectivity.rs
@@ -5,6 +5,7 @@
 use crate::duplicate::RECENT;
 use crate::event::MembershipEvent;
 use crate::link_failures::ReportedAt;
+use crate::local_health::Connectivity;
 use crate::member::Member;
 use crate::output::Output;
 
@@ -21,9 +22,9 @@
             self.on_isolation_changed(out);
         }
         if change.unanswered {
-            let event = match self.health.is_unanswered() {
-                true => MembershipEvent::Unanswered,
-                false => MembershipEvent::AnsweredAgain,
+            let event = match self.health.connectivity() {
+                Connectivity::Unanswered => MembershipEvent::Unanswered,
+                Connectivity::Connected | Connectivity::Isolated => MembershipEvent::AnsweredAgain,
             };
             out.push(Output::Event(event));
         }
--- a/crates/gaparch-membership/src/view.rs
+++ b/crates/gaparch-membership/src/view.rs
@@ -1,6 +1,7 @@
 //! The state of the fleet as one member shows it.
 
 use crate::counters::Counters;
+use crate::local_health::Connectivity;
 use crate::Nanos;
 use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
@@ -53,10 +54,8 @@
     pub counted: u32,
     /// The number of routers by which this one divides the site's limits.
     pub divisor: u32,
-    /// Whether this router receives messages from no other member, though there are others.
-    pub is_isolated: bool,
-    /// Whether this router receives messages from others, but none of them answers its pings.
-    pub is_unanswered: bool,
+    /// How far this router's messages get out, and those of others come in.
+    pub connectivity: Connectivity,
     /// Whether this router has resumed after a pause or isolation, and suspects nobody until a ping is
     /// answered.
     pub is_recovering: bool,
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -11,7 +11,9 @@
 use super::versions::{Adopt, HeldNews};
 use gaparch_audit::{self as audit, AuditQuery, FleetOrder, FleetOrders, ListFollower, OrderOutput};
 use gaparch_config::{Config, Fleet};
-use gaparch_membership::{Membership, MembershipEvent, OpenError, Output, Settings, SiteKey, View};
+use gaparch_membership::{
+    Connectivity, Membership, MembershipEvent, OpenError, Output, Settings, SiteKey, View,
+};
 use gaparch_net::{read_key, Clock};
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::fleet::{MemberState, MAX_DATAGRAM_BYTES};
@@ -596,8 +598,8 @@
             present: view.present,
             counted: view.counted,
             divisor: view.divisor,
-            hears_nobody: view.is_isolated,
-            unheard: view.is_unanswered,
+            hears_nobody: view.connectivity == Connectivity::Isolated,
+            unheard: view.connectivity == Connectivity::Unanswered,
             doubt: view.local_health,
             members: view.members.into_iter().map(member).collect(),
             edges: view.failed_links.into_iter().map(edge).collect(),
--- a/crates/gaparch-testbed/tests/membership.rs
+++ b/crates/gaparch-testbed/tests/membership.rs
@@ -1,6 +1,6 @@
 //! The membership core in virtual time: kills, pauses, lost messages, one-sided cuts, splits, lying disks.
 
-use gaparch_membership::MembershipEvent;
+use gaparch_membership::{Connectivity, MembershipEvent};
 use gaparch_protocol::fleet::MemberState::{Alive, Dead, Left, Suspect};
 use gaparch_testbed::fleet::world::{name, Link, Terms, World, MS, SECOND};
 
@@ -173,7 +173,7 @@
     assert_eq!(world.count(from, |h| matches!(h, MembershipEvent::Died { .. })), 0);
     assert!(world.all_think(&[4], Alive, &others));
     let deaf = world.view(4).expect("it runs");
-    assert!(deaf.is_isolated && !deaf.is_unanswered && !deaf.has_quorum);
+    assert_eq!((deaf.connectivity, deaf.has_quorum), (Connectivity::Isolated, false));
     let seen = |world: &World| {
         let view = world.view(0).expect("it runs");
         view.members.iter().find(|m| m.info.name == name(4)).is_some_and(|m| m.is_isolated)
@@ -189,7 +189,7 @@
     assert!(world.all_think(&[4], Dead, &others));
     assert_eq!(world.count(from, |h| matches!(h, MembershipEvent::Died { .. })), 8);
     let mute = world.view(4).expect("it runs");
-    assert!(mute.is_unanswered && !mute.is_isolated, "{mute:?}");
+    assert_eq!(mute.connectivity, Connectivity::Unanswered, "{mute:?}");
     assert!(world.all_think(&others, Alive, &[4]), "it hears them");
     world.heal();
     assert!(world.run_until(5 * SECOND, World::is_whole).is_some());
