--- a/crates/gaparch-protocol/src/versions.rs
+++ b/crates/gaparch-protocol/src/versions.rs
@@ -4,7 +4,7 @@
 //! `docs/protocols/fleet.md` describes them. `gaparch-audit` owns the state behind them.
 
 use crate::list::ListEntry;
-use crate::ops::intent::{Change, Note};
+use crate::ops::intent::{Change, ChangeNote};
 use crate::wire::{choice, record};
 
 /// The number of claims of other routers that one list status passes on at most.
@@ -82,7 +82,7 @@
         /// What the order changes.
         pub change: Change,
         /// Who gave the order, why and when.
-        pub note: Note,
+        pub note: ChangeNote,
     }
 }
 
--- a/crates/gaparch-router/src/core/request_lifecycle.rs
+++ b/crates/gaparch-router/src/core/request_lifecycle.rs
@@ -4,7 +4,7 @@
 use super::timers::Timer;
 use super::{Core, Output, ResponseEvent};
 use gaparch_ops::limits::OPEN_REQUESTS;
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Core {
@@ -12,14 +12,14 @@
         self.counters.requests += 1;
         if self.requests.contains_key(&id) {
             self.counters.rejected += 1;
-            return out.push(Output::Client { id, event: self.rejection(Cause::TooMuchOpen) });
+            return out.push(Output::Client { id, event: self.rejection(OutcomeCause::TooManyOpen) });
         }
         let request = ask.to_scheduler_request(id, &self.config.module, self.now);
         let most = self.orders.limit(OPEN_REQUESTS).map_or(usize::MAX, |most| most as usize);
         let closed = match () {
-            () if self.stop_at.is_some_and(|at| self.now >= at) => Some(Cause::Stopping),
-            () if self.orders.paused() => Some(Cause::Paused),
-            () if self.unanswered >= most => Some(Cause::TooMuchOpen),
+            () if self.stop_at.is_some_and(|at| self.now >= at) => Some(OutcomeCause::Stopping),
+            () if self.orders.is_paused() => Some(OutcomeCause::Paused),
+            () if self.unanswered >= most => Some(OutcomeCause::TooManyOpen),
             () => None,
         };
         self.unanswered += 1;
@@ -37,7 +37,7 @@
     }
 
     /// The refusal of what is not accepted.
-    pub(super) fn rejection(&self, cause: Cause) -> ResponseEvent {
+    pub(super) fn rejection(&self, cause: OutcomeCause) -> ResponseEvent {
         let retry_after = self.config.module.advertised_retry_after();
         ResponseEvent::Rejected { retry_after, cause, waited_for: None }
     }
@@ -70,11 +70,11 @@
             ResponseEvent::Finished { .. } => self.counters.served += 1,
             ResponseEvent::Rejected { cause, .. } => {
                 self.counters.rejected += 1;
-                self.reasons_by_kind.rejected.count(cause.word());
+                self.reasons_by_kind.rejected.count(cause.name());
             }
             ResponseEvent::Failed { cause, .. } => {
                 self.counters.failed += 1;
-                self.reasons_by_kind.failed.count(cause.word());
+                self.reasons_by_kind.failed.count(cause.name());
             }
             ResponseEvent::Started { .. } | ResponseEvent::Text { .. } => self.counters.failed += 1,
         }
@@ -100,8 +100,10 @@
             // What was never sent anywhere is harmless to repeat; of the rest nothing is promised.
             let untouched = self.requests.get(&id).is_some_and(|l| l.next_attempt == 0);
             let answer = match untouched {
-                true => self.rejection(Cause::Stopping),
-                false => ResponseEvent::Failed { message: "the router was stopped", cause: Cause::Stopping },
+                true => self.rejection(OutcomeCause::Stopping),
+                false => {
+                    ResponseEvent::Failed { message: "the router was stopped", cause: OutcomeCause::Stopping }
+                }
             };
             self.answer(id, answer, out);
             self.scheduler_events.push_back(Event::ClientDisconnected(id));
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -16,8 +16,8 @@
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::fleet::{MemberState, MAX_DATAGRAM_BYTES};
 use gaparch_protocol::ops::view::{
-    self, AuditOf, AuditView, EdgeRow, FleetView, MemberRow, Overtaken, Severity, SpreadRow, SpreadView,
-    VersionRow, VersionsView,
+    self, AuditView, FleetView, LinkFault, ListVersionRow, ListVersionsView, MemberView,
+    OrderReplicationView, ReplicationRow, RouterAuditRow, Severity, SupersededOrder,
 };
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::{AuditFilter, OrderId, ReplicationMessage};
@@ -68,10 +68,10 @@
 
 enum Ask {
     Audit(AuditFilter, oneshot::Sender<Option<AuditView>>),
-    Spread(oneshot::Sender<Option<SpreadView>>),
+    Spread(oneshot::Sender<Option<OrderReplicationView>>),
     View(oneshot::Sender<FleetView>),
     /// `None`: lists are not followed here.
-    Versions(oneshot::Sender<Option<VersionsView>>),
+    Versions(oneshot::Sender<Option<ListVersionsView>>),
     Leave(oneshot::Sender<()>),
 }
 
@@ -95,14 +95,14 @@
     }
 
     /// Which router keeps the orders of the fleet; `None` once the router has ended.
-    pub async fn spread(&self) -> Option<Option<SpreadView>> {
+    pub async fn spread(&self) -> Option<Option<OrderReplicationView>> {
         let (reply, wait) = oneshot::channel();
         self.0.send(Ask::Spread(reply)).await.ok()?;
         wait.await.ok()
     }
 
     /// Which router holds which version; `None` once the router has ended.
-    pub async fn versions(&self) -> Option<Option<VersionsView>> {
+    pub async fn versions(&self) -> Option<Option<ListVersionsView>> {
         let (reply, wait) = oneshot::channel();
         self.0.send(Ask::Versions(reply)).await.ok()?;
         wait.await.ok()
@@ -196,7 +196,7 @@
             // A missing key must not keep a router from routing.
             let file = fleet.key_file.display();
             let text = format!("this router knows of no other: the fleet's key file {file}: {why}");
-            let event = view::Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text };
+            let event = view::Event { at: clock.now(), severity: Severity::Fault, engine: None, text };
             // The hub is not there yet, and its queue is empty.
             let _ = ports.news.try_send(News::Happened(event));
             return Ok(None);
@@ -517,25 +517,30 @@
 
     /// Who keeps the orders of the fleet. Whoever did not say that it leaves may be alive: one that counts as dead may only
     /// be cut off.
-    fn spread(&mut self) -> Option<SpreadView> {
+    fn spread(&mut self) -> Option<OrderReplicationView> {
         let orders = self.orders.as_mut()?;
         let view = self.core.view();
         let members: BTreeMap<String, MemberState> =
             view.members.into_iter().map(|m| (m.info.name, m.state)).collect();
         let stay = members.iter().filter(|(_, state)| **state != MemberState::Left);
         let names: Vec<String> = stay.map(|(name, _)| name.clone()).collect();
-        let row = |acked: audit::OrderAck| SpreadRow {
+        let row = |acked: audit::OrderAck| ReplicationRow {
             state: members.get(&acked.router).copied().unwrap_or(MemberState::Alive),
             router: acked.router,
-            keeps: acked.is_complete,
-            said_at: acked.reported_at,
+            has_all: acked.is_complete,
+            reported_at: acked.reported_at,
         };
-        let rows: Vec<SpreadRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
+        let rows: Vec<ReplicationRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
         let overtaken = orders
             .superseded()
-            .map(|one| Overtaken { order: one.order.clone(), by: one.by.clone() })
+            .map(|one| SupersededOrder { order: one.order.clone(), by: one.by.clone() })
             .collect();
-        Some(SpreadView { complete: rows.iter().all(|r| r.keeps), orders: orders.all(), overtaken, rows })
+        Some(OrderReplicationView {
+            complete: rows.iter().all(|r| r.has_all),
+            orders: orders.all(),
+            superseded: overtaken,
+            rows,
+        })
     }
 
     /// Lets the one that follows lists do something, and does what it wants.
@@ -565,7 +570,7 @@
     }
 
     fn tell(&self, severity: Severity, text: String) {
-        let event = view::Happening { at: self.clock.now(), severity, engine: None, text };
+        let event = view::Event { at: self.clock.now(), severity, engine: None, text };
         // The hub counts what it lost by its own inbox; here the log has it at least.
         if let Err(error) = self.news.try_send(News::Happened(event)) {
             tracing::warn!(%error, "an event of the fleet could not be told");
@@ -574,7 +579,7 @@
 
     fn view(&self) -> FleetView {
         let view: View = self.core.view();
-        let member = |m: gaparch_membership::MemberView| MemberRow {
+        let member = |m: gaparch_membership::MemberView| MemberView {
             name: m.info.name,
             zone: m.info.zone,
             build: m.info.build,
@@ -582,13 +587,13 @@
             incarnation: m.info.incarnation,
             state: m.state,
             since: m.state_since,
-            alive_at: m.last_alive_at,
-            heard_at: m.last_received_at,
-            accused_by: m.accused_by,
-            twin_at: m.duplicate_address,
-            hears_nobody: m.is_isolated,
+            last_alive_at: m.last_alive_at,
+            last_received_at: m.last_received_at,
+            suspected_by: m.accused_by,
+            duplicate_at: m.duplicate_address,
+            receives_nothing: m.is_isolated,
         };
-        let edge = |e: gaparch_membership::LinkFailure| EdgeRow { from: e.from, to: e.to, since: e.since };
+        let edge = |e: gaparch_membership::LinkFailure| LinkFault { from: e.from, to: e.to, since: e.since };
         FleetView {
             router: view.local.name,
             incarnation: view.local.incarnation,
@@ -596,11 +601,11 @@
             present: view.present,
             counted: view.counted,
             divisor: view.divisor,
-            hears_nobody: view.is_isolated,
-            unheard: view.is_unanswered,
-            doubt: view.local_health,
+            receives_nothing: view.is_isolated,
+            is_unanswered: view.is_unanswered,
+            timeout_extension: view.local_health,
             members: view.members.into_iter().map(member).collect(),
-            edges: view.failed_links.into_iter().map(edge).collect(),
+            link_faults: view.failed_links.into_iter().map(edge).collect(),
             sent: view.counters.sent,
             sent_bytes: view.counters.sent_bytes,
             received: view.counters.received,
@@ -624,33 +629,33 @@
             Some(0) => {}
             Some(gaps) => unknown.push(format!("{} has {gaps} gaps in its record", one.router)),
         }
-        rows.extend(one.rows.into_iter().map(|row| AuditOf {
+        rows.extend(one.rows.into_iter().map(|row| RouterAuditRow {
             router: one.router.clone(),
             list: row.list,
-            sure: row.confirmed,
+            confirmed: row.confirmed,
             sends: row.counts,
         }));
     }
     AuditView { complete: unknown.is_empty(), unknown, rows }
 }
 
-fn versions(view: audit::ListView) -> VersionsView {
-    let row = |row: audit::PeerListStatus| VersionRow {
+fn versions(view: audit::ListView) -> ListVersionsView {
+    let row = |row: audit::PeerListStatus| ListVersionRow {
         router: row.router,
-        held: row.version,
+        version: row.version,
         digest: row.digest,
-        sure: row.confirmed_ago,
-        said_at: row.reported_at,
+        confirmed_ago: row.confirmed_ago,
+        reported_at: row.reported_at,
     };
-    VersionsView {
-        held: view.in_use,
+    ListVersionsView {
+        version: view.in_use,
         entries: view.entries,
-        sure: view.confirmed_ago,
-        believed: view.believed,
+        confirmed_ago: view.confirmed_ago,
+        latest_known: view.believed,
         corroborated: view.is_corroborated,
         behind_since: view.behind_since,
-        brought_up: view.fetched,
-        refused: view.rejected,
+        lists_from_peers: view.fetched,
+        rejected_claims: view.rejected,
         rows: view.peers.into_iter().map(row).collect(),
     }
 }
@@ -665,7 +670,7 @@
         | audit::ListEvent::DigestMismatch { .. } => Severity::Warning,
         audit::ListEvent::SourceOutdated { .. }
         | audit::ListEvent::SourcesDiffer { .. }
-        | audit::ListEvent::Outlier { .. } => Severity::Trouble,
+        | audit::ListEvent::Outlier { .. } => Severity::Fault,
     }
 }
 
@@ -678,7 +683,7 @@
         | MembershipEvent::IncarnationRolledBack { .. }
         | MembershipEvent::Unanswered
         | MembershipEvent::Isolated
-        | MembershipEvent::QuorumLost { .. } => Severity::Trouble,
+        | MembershipEvent::QuorumLost { .. } => Severity::Fault,
         MembershipEvent::LinkFailed { .. }
         | MembershipEvent::Resumed { .. }
         | MembershipEvent::DeclaredDead { .. }
@@ -719,7 +724,7 @@
     fn write(&mut self, incarnation: u64) -> Result<(), String> {
         let record = incarnation.to_be_bytes();
         let journal = self.journal.as_mut().ok_or_else(|| self.trouble.clone().unwrap_or_default())?;
-        let result = if journal.is_broken() || journal.records() > SLACK {
+        let result = if journal.needs_rewrite() || journal.records() > SLACK {
             journal.rewrite([record])
         } else {
             journal.append(&[record])
