--- a/crates/gaparch-audit/src/orders/event.rs
+++ b/crates/gaparch-audit/src/orders/event.rs
@@ -31,18 +31,18 @@
 impl fmt::Display for Described<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let FleetOrder { id, change, note, .. } = self.0;
-        write!(f, "'{}' of {} at {} ({})", command(change), note.who, id.router, note.why)
+        write!(f, "'{}' of {} at {} ({})", command(change), note.operator, id.router, note.reason)
     }
 }
 
 fn command(change: &Change) -> String {
     match change {
-        Change::Hold { engine, hold } => format!("{hold} {engine}"),
-        Change::Free { engine } => format!("undrain {engine}"),
+        Change::Drain { engine, mode: hold } => format!("{hold} {engine}"),
+        Change::Undrain { engine } => format!("undrain {engine}"),
         Change::Pause {} => "pause".to_owned(),
         Change::Resume {} => "resume".to_owned(),
-        Change::Limit { name, value: Some(value) } => format!("limit {name} {value}"),
-        Change::Limit { name, value: None } => format!("limit {name} default"),
+        Change::SetLimit { name, value: Some(value) } => format!("limit {name} {value}"),
+        Change::SetLimit { name, value: None } => format!("limit {name} default"),
         Change::Stop {} => "stop".to_owned(),
     }
 }
--- a/crates/gaparch-audit/src/orders/replication.rs
+++ b/crates/gaparch-audit/src/orders/replication.rs
@@ -5,7 +5,7 @@
 use super::subject::{restrictiveness, subject};
 use super::table::OrderTable;
 use crate::{Nanos, MILLISECOND};
-use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::versions::{FleetOrder, OrderId, ReplicationMessage};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -138,7 +138,7 @@
     }
 
     /// Takes an order that an operator has given here; it is in force already.
-    pub fn issue(&mut self, now: Nanos, change: &Change, note: &Note, out: &mut Vec<OrderOutput>) {
+    pub fn issue(&mut self, now: Nanos, change: &Change, note: &ChangeNote, out: &mut Vec<OrderOutput>) {
         self.advance(now);
         let Some(subject) = subject(change) else { return };
         if !self.table.has_capacity_for(&subject) {
@@ -152,7 +152,7 @@
         out.push(OrderOutput::Persist(self.all()));
     }
 
-    fn new_order(&mut self, subject: &str, change: &Change, note: &Note) -> FleetOrder {
+    fn new_order(&mut self, subject: &str, change: &Change, note: &ChangeNote) -> FleetOrder {
         self.last_number = self.last_number.saturating_add(1);
         let id = OrderId {
             number: self.last_number,
@@ -160,9 +160,9 @@
             router: self.router.clone(),
             incarnation: self.incarnation,
         };
-        let note = Note {
-            who: truncated(&note.who, MAX_WHO_CHARS),
-            why: truncated(&note.why, MAX_WHY_CHARS),
+        let note = ChangeNote {
+            operator: truncated(&note.operator, MAX_WHO_CHARS),
+            reason: truncated(&note.reason, MAX_WHY_CHARS),
             at: note.at,
         };
         let replaces = self.table.get(subject).map(|order| order.id.clone());
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -13,7 +13,7 @@
 use crate::shared_state::{SharedState, IDLE_TABLE_CAPACITY};
 use crate::worker::ConnectionPool;
 use gaparch_config::Config;
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_platform_protocol::client_request::ClientRequest;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, RouterRun};
 use gaparch_router::core::{AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output};
@@ -75,7 +75,7 @@
         let polls_endpoints = config.module.poll_endpoints;
         let probe_timeout = Duration::from_nanos(config.attempts.probe_timeout);
         let mut out = Vec::new();
-        let mut core = Core::new(config, Book::default(), RouterRun(now), now, &mut out);
+        let mut core = Core::new(config, OrderRegistry::default(), RouterRun(now), now, &mut out);
         if let Some(list) = &shared.config.last_known_list {
             let update = ListUpdate {
                 scope: list.scope,
--- a/crates/gaparch-protocol/tests/pinned_fleet.rs
+++ b/crates/gaparch-protocol/tests/pinned_fleet.rs
@@ -5,7 +5,7 @@
 
 use gaparch_protocol::fleet::{MemberInfo, MemberState, Message, MessageBody, Update};
 use gaparch_protocol::list::{ListEntry, ServerState};
-use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::{
     AuditFilter, AuditRow, AuditSegment, Claim, FleetOrder, ListVersion, OrderId, ReplicationMessage,
@@ -74,7 +74,11 @@
 }
 
 fn order(change: Change) -> FleetOrder {
-    let note = Note { who: "ada".to_owned(), why: "maintenance".to_owned(), at: 1_700_000_000_000_000_001 };
+    let note = ChangeNote {
+        operator: "ada".to_owned(),
+        reason: "maintenance".to_owned(),
+        at: 1_700_000_000_000_000_001,
+    };
     let replaced = OrderId { number: 11, restrictiveness: 0, router: "router-2".to_owned(), incarnation: 1 };
     FleetOrder { id: order_id(), replaces: Some(replaced), change, note }
 }
@@ -249,15 +253,15 @@
 fn stored_orders_of_each_change() {
     let engine = || "engine-1".to_owned();
     assert_pinned!(
-        order(Change::Hold { engine: engine(), hold: Hold::Drain }),
+        order(Change::Drain { engine: engine(), mode: DrainMode::Drain }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001010008656e67696e652d31010003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Hold { engine: engine(), hold: Hold::Aside }),
+        order(Change::Drain { engine: engine(), mode: DrainMode::Detach }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001010008656e67696e652d31020003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Free { engine: engine() }),
+        order(Change::Undrain { engine: engine() }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001020008656e67696e652d310003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
@@ -269,11 +273,11 @@
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001040003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Limit { name: "queue".to_owned(), value: Some(0.5) }),
+        order(Change::SetLimit { name: "queue".to_owned(), value: Some(0.5) }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d3200000000000000010500057175657565013fe00000000000000003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Limit { name: "queue".to_owned(), value: None }),
+        order(Change::SetLimit { name: "queue".to_owned(), value: None }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d3200000000000000010500057175657565000003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
--- a/crates/gaparch-router/src/core/engine_frames.rs
+++ b/crates/gaparch-router/src/core/engine_frames.rs
@@ -7,7 +7,7 @@
 use super::{Core, Output, ResponseEvent};
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::{AttemptKey, EngineFacts, EngineFrame};
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{
     AttemptNumber, AttemptStatus, EndpointUpdate, Event, LoadReport, Nanos, RequestId, ServerId,
 };
@@ -185,7 +185,7 @@
             EngineFrame::ReadDone { kept, report, .. } if attempt.stage == Stage::Prefill => {
                 let report = self.load_report_of(engine, report);
                 if let Some(live) = self.requests.get_mut(&id) {
-                    live.usage.kept = kept;
+                    live.usage.cached_prompt_tokens = kept;
                 }
                 self.finish_attempt(id, attempt, AttemptStatus::Prefilled, u64::from(kept), report);
             }
@@ -218,14 +218,14 @@
         out: &mut Vec<Output>,
     ) {
         let Some(live) = self.requests.get_mut(&id) else { return };
-        let have = live.usage.output;
+        let have = live.usage.output_tokens;
         if from > have {
             return self.on_protocol_violation(attempt.server, "tokens are missing", out);
         }
         if from < have {
             return self.counters.late_frames += 1;
         }
-        live.usage.output = have.saturating_add(u32::from(count));
+        live.usage.output_tokens = have.saturating_add(u32::from(count));
         self.counters.tokens += u64::from(count);
         live.last_token_at = self.now;
         if !attempt.begun {
@@ -241,7 +241,7 @@
         live.streaming_since = self.now;
         live.first_token_at = Some(self.now);
         live.last_token_at = self.now;
-        let usage = Usage { output: 0, ..live.usage };
+        let usage = Usage { output_tokens: 0, ..live.usage };
         self.timers.cancel(attempt.timer);
         let until = live.stream_deadline(&self.config.class_times);
         if until < Nanos::MAX {
@@ -285,14 +285,14 @@
         if status != AttemptStatus::Ok {
             return match attempt.begun {
                 true => {
-                    let cause = Cause::BrokeOff;
+                    let cause = OutcomeCause::StreamBroken;
                     self.answer(id, ResponseEvent::Failed { message: "the answer broke off", cause }, out);
                     self.finish_attempt(id, attempt, status, note, report);
                 }
                 false => self.finish_attempt(id, attempt, status, note, report),
             };
         }
-        if produced != live.usage.output {
+        if produced != live.usage.output_tokens {
             return self.on_protocol_violation(
                 attempt.server,
                 "an answer whose tokens did not all come",
@@ -308,7 +308,7 @@
         };
         let Some(live) = self.requests.get(&id) else { return };
         let usage = live.usage;
-        let reason = if usage.output >= live.request.max_output_tokens {
+        let reason = if usage.output_tokens >= live.request.max_output_tokens {
             StopReason::MaxTokens
         } else {
             StopReason::Finished
