--- a/crates/gaparch-membership/src/membership/connectivity.rs
+++ b/crates/gaparch-membership/src/membership/connectivity.rs
@@ -5,10 +5,12 @@
 use crate::duplicate::RECENT;
 use crate::event::MembershipEvent;
 use crate::link_failures::ReportedAt;
+use crate::local_health::Connectivity;
 use crate::member::Member;
 use crate::output::Output;
 
-/// Pings without an answer, with nothing heard, after which a link counts as failed in one direction.
+/// Pings without an answer, and without any other message, after which a link counts as failed in one
+/// direction.
 const LINK_FAILED_AFTER_PINGS: u32 = 15;
 
 impl Membership {
@@ -20,9 +22,9 @@
             self.on_isolation_changed(out);
         }
         if change.unanswered {
-            let event = match self.health.is_unanswered() {
-                true => MembershipEvent::Unanswered,
-                false => MembershipEvent::AnsweredAgain,
+            let event = match self.health.connectivity() {
+                Connectivity::Unanswered => MembershipEvent::Unanswered,
+                Connectivity::Connected | Connectivity::Isolated => MembershipEvent::AnsweredAgain,
             };
             out.push(Output::Event(event));
         }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Reports members that do not answer this router, though others hear them.
+    /// Reports members whose messages reach others, but not this router.
     fn report_failed_links(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let is_unheard = |member: &Member| {
--- a/crates/gaparch-membership/src/view.rs
+++ b/crates/gaparch-membership/src/view.rs
@@ -1,6 +1,7 @@
 //! The state of the fleet as one member shows it.
 
 use crate::counters::Counters;
+use crate::local_health::Connectivity;
 use crate::Nanos;
 use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
@@ -21,7 +22,7 @@
     pub accused_by: Vec<String>,
     /// The address of another process under the same name.
     pub duplicate_address: Option<String>,
-    /// Whether it says that it hears no other member.
+    /// Whether it reports that it receives messages from no other member.
     pub is_isolated: bool,
 }
 
@@ -53,13 +54,13 @@
     pub counted: u32,
     /// The number of routers by which this one divides the site's limits.
     pub divisor: u32,
-    /// Whether this router hears no other member, though there are others.
-    pub is_isolated: bool,
-    /// Whether this router hears others, but none of them answers its pings.
-    pub is_unanswered: bool,
-    /// Whether this router has resumed after a pause or isolation, and suspects nobody until a ping is answered.
+    /// How far this router's messages get out, and those of others come in.
+    pub connectivity: Connectivity,
+    /// Whether this router has resumed after a pause or isolation, and suspects nobody until a ping is
+    /// answered.
     pub is_recovering: bool,
-    /// Lifeguard's local health multiplier less one: 0 is healthy, and each step makes the router more patient.
+    /// Lifeguard's local health multiplier less one: 0 is healthy, and each step makes the router more
+    /// patient.
     pub local_health: u32,
     /// What the router has counted since its start.
     pub counters: Counters,
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -3,6 +3,7 @@
 use super::{load_values, state_at, Counters};
 use crate::core::operate::{listed_state, server_state};
 use gaparch_config::{server_id, Config, Links};
+use gaparch_ops::effective_state;
 use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{EngineFacts, StateAt};
 use gaparch_protocol::list::{ListEntry, Scope};
@@ -52,9 +53,9 @@
 }
 
 /// What the list and the operators say together.
-fn effective_state(listed: &ListEntry, book: &OrderRegistry) -> ServerState {
-    let ordered = book.drain(&listed.engine).map(|drain| drain.mode);
-    server_state(gaparch_ops::effective_state(ordered, listed_state(listed.state)))
+fn ordered_state(listed: &ListEntry, book: &OrderRegistry) -> ServerState {
+    let mode = book.drain(&listed.engine).map(|drain| drain.mode);
+    server_state(effective_state(mode, listed_state(listed.state)))
 }
 
 #[derive(Clone, Debug, Default)]
@@ -120,7 +121,7 @@
     /// An operator has changed his word on an engine; the entry to tell of, if the engine is known.
     pub fn apply_operator_hold(&mut self, engine: &str, book: &OrderRegistry) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|k| k.listed.engine == engine)?;
-        known.endpoint.state = effective_state(&known.listed, book);
+        known.endpoint.state = ordered_state(&known.listed, book);
         Some(known.endpoint.clone())
     }
 
@@ -200,7 +201,7 @@
             zone: config.names.zone(&listed.zone),
             kind,
             cell: config.names.cell(&listed.zone, &listed.rack),
-            state: effective_state(&listed, book),
+            state: ordered_state(&listed, book),
             weight,
             started_at: began,
         };
--- a/crates/gaparch-router/src/shell/fleet.rs
+++ b/crates/gaparch-router/src/shell/fleet.rs
@@ -11,7 +11,9 @@
 use super::versions::{Adopt, HeldNews};
 use gaparch_audit::{self as audit, AuditQuery, FleetOrder, FleetOrders, ListFollower, OrderOutput};
 use gaparch_config::{Config, Fleet};
-use gaparch_membership::{Membership, MembershipEvent, OpenError, Output, Settings, SiteKey, View};
+use gaparch_membership::{
+    Connectivity, Membership, MembershipEvent, OpenError, Output, Settings, SiteKey, View,
+};
 use gaparch_net::{read_key, Clock};
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::fleet::{MemberState, MAX_DATAGRAM_BYTES};
@@ -601,8 +603,8 @@
             present: view.present,
             counted: view.counted,
             divisor: view.divisor,
-            receives_nothing: view.is_isolated,
-            is_unanswered: view.is_unanswered,
+            receives_nothing: view.connectivity == Connectivity::Isolated,
+            is_unanswered: view.connectivity == Connectivity::Unanswered,
             timeout_extension: view.local_health,
             members: view.members.into_iter().map(member).collect(),
             link_faults: view.failed_links.into_iter().map(edge).collect(),
