--- a/crates/gaparch-engine/src/model/mod.rs
+++ b/crates/gaparch-engine/src/model/mod.rs
@@ -14,7 +14,8 @@
 use crate::spec::EngineSpec;
 use cold::Cold;
 use gaparch_protocol::engine::{
-    AttemptKey, EngineFacts, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey, VERSION,
+    AttemptKey, EngineFacts, EngineFrame, Job, KvCacheKey, KvCacheLocation, KvCacheUnavailable, Peer,
+    RouterRun, VERSION,
 };
 use gaparch_scheduler::api::{AttemptStatus, LoadReport, Nanos, Role};
 use kept::KeptTexts;
@@ -64,8 +65,8 @@
     /// Get a state from another engine.
     Fetch {
         fetch: FetchId,
-        from: StateAt,
-        state: StateKey,
+        from: KvCacheLocation,
+        state: KvCacheKey,
     },
     /// The process is gone: every connection breaks.
     Die,
@@ -96,7 +97,7 @@
 #[derive(Clone, Debug)]
 struct Transfer {
     conn: ConnId,
-    state: StateKey,
+    state: KvCacheKey,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -123,11 +124,11 @@
     conns: BTreeMap<ConnId, Option<Peer>>,
     queue: VecDeque<Work>,
     active: Vec<Work>,
-    states: BTreeMap<StateKey, State>,
-    places: BTreeMap<StateKey, Place>,
-    fetches: BTreeMap<FetchId, StateKey>,
+    states: BTreeMap<KvCacheKey, State>,
+    places: BTreeMap<KvCacheKey, Place>,
+    fetches: BTreeMap<FetchId, KvCacheKey>,
     /// Fetches by others of states that are still being read.
-    parked: BTreeMap<StateKey, ConnId>,
+    parked: BTreeMap<KvCacheKey, ConnId>,
     transfers: BTreeMap<(Nanos, u64), Transfer>,
     port_free_at: Nanos,
     kept: KeptTexts,
@@ -228,7 +229,7 @@
         };
         match (peer, frame) {
             (Peer::Router { run, .. }, frame) => self.on_router_frame(now, conn, run, frame, out),
-            (Peer::Engine(facts), EngineFrame::Fetch { state }) => {
+            (Peer::Engine(facts), EngineFrame::Fetch { kv_cache: state }) => {
                 self.on_fetch(now, conn, &facts, state, out)
             }
             (_, EngineFrame::Bye { .. }) => {}
@@ -260,14 +261,14 @@
         out: &mut Vec<Output>,
     ) {
         match frame {
-            EngineFrame::Read(job) => self.on_job(now, conn, run, job, WorkKind::Read, out),
-            EngineFrame::Write { job, state } => {
+            EngineFrame::Prefill(job) => self.on_job(now, conn, run, job, WorkKind::Read, out),
+            EngineFrame::Decode { job, kv_cache: state } => {
                 self.on_job(now, conn, run, job, WorkKind::Write { state }, out);
             }
             EngineFrame::Cancel(key) => self.on_cancel(now, conn, key, out),
             EngineFrame::Reserve { job, from } => self.on_reserve(conn, run, &job, from, out),
             EngineFrame::Release { request } => {
-                self.release(StateKey { router: run, request }, out);
+                self.release(KvCacheKey { router: run, request }, out);
                 self.admit(now, out);
             }
             EngineFrame::Probe { nonce } => {
@@ -322,7 +323,7 @@
         if class || tenant || wrong_role || draining || self.queue.len() >= self.spec.queue {
             return self.end(conn, key, AttemptStatus::Rejected, 0, 0, out);
         }
-        let place = StateKey { router: run, request: key.request };
+        let place = KvCacheKey { router: run, request: key.request };
         let no_state = matches!(kind, WorkKind::Write { state: None }) && !self.places.contains_key(&place);
         let reads_itself = self.spec.role == Role::Mixed || self.spec.self_prefill;
         if !read && no_state && !reads_itself {
@@ -347,8 +348,15 @@
         self.admit(now, out);
     }
 
-    fn on_reserve(&mut self, conn: ConnId, run: RouterRun, job: &Job, from: StateAt, out: &mut Vec<Output>) {
-        let state = StateKey { router: run, request: job.key.request };
+    fn on_reserve(
+        &mut self,
+        conn: ConnId,
+        run: RouterRun,
+        job: &Job,
+        from: KvCacheLocation,
+        out: &mut Vec<Output>,
+    ) {
+        let state = KvCacheKey { router: run, request: job.key.request };
         let tokens = prompt_tokens(job);
         let fits = self.held + u64::from(tokens) <= self.spec.memory;
         let free = self.queue.is_empty() && self.active.len() + self.places.len() < self.spec.slots;
@@ -361,7 +369,7 @@
             out.push(Output::Note(Note::PlaceHeld { run, request: state.request, held: true }));
             out.push(Output::Fetch { fetch, from, state });
         }
-        out.push(Output::Send { conn, frame: EngineFrame::Reserved { key: job.key, held } });
+        out.push(Output::Send { conn, frame: EngineFrame::Reserved { key: job.key, reserved: held } });
     }
 
     /// Another engine wants a state: it leaves through the port, one after the other.
@@ -370,7 +378,7 @@
         now: Nanos,
         conn: ConnId,
         peer: &EngineFacts,
-        key: StateKey,
+        key: KvCacheKey,
         out: &mut Vec<Output>,
     ) {
         let reading = |w: &Work| w.run == key.router && w.key().is_some_and(|k| k.request == key.request);
@@ -380,8 +388,11 @@
                 self.parked.insert(key, conn);
                 return;
             }
-            let why = if being_read { NoState::Unread } else { NoState::Unknown };
-            return out.push(Output::Send { conn, frame: EngineFrame::Absent { state: key, why } });
+            let why = if being_read { KvCacheUnavailable::NotReady } else { KvCacheUnavailable::Unknown };
+            return out.push(Output::Send {
+                conn,
+                frame: EngineFrame::KvCacheUnavailable { kv_cache: key, reason: why },
+            });
         };
         let near = peer.rack == self.spec.rack && peer.zone == self.spec.zone;
         let rate = if near { self.spec.near_rate } else { self.spec.far_rate };
@@ -427,9 +438,9 @@
             w.conn != conn
         });
         self.parked.retain(|_, c| *c != conn);
-        let states: Vec<StateKey> =
+        let states: Vec<KvCacheKey> =
             self.states.iter().filter(|(_, s)| s.conn == conn).map(|(k, _)| *k).collect();
-        let places: Vec<StateKey> =
+        let places: Vec<KvCacheKey> =
             self.places.iter().filter(|(_, p)| p.conn == conn).map(|(k, _)| *k).collect();
         states.into_iter().for_each(|key| self.drop_state(key, out));
         places.into_iter().for_each(|key| self.drop_place(key, out));
@@ -486,9 +497,9 @@
         let (conn, key) = (transfer.conn, transfer.state);
         let frame = match self.states.get(&key) {
             Some(state) => {
-                EngineFrame::State { state: key, tokens: state.tokens, prompt: state.prompt.clone() }
+                EngineFrame::KvCache { kv_cache: key, tokens: state.tokens, prompt: state.prompt.clone() }
             }
-            None => EngineFrame::Absent { state: key, why: NoState::Unknown },
+            None => EngineFrame::KvCacheUnavailable { kv_cache: key, reason: KvCacheUnavailable::Unknown },
         };
         out.push(Output::Send { conn, frame });
         self.drop_state(key, out);
@@ -533,8 +544,8 @@
     fn finish_read(&mut self, now: Nanos, at: usize, out: &mut Vec<Output>) -> bool {
         let work = self.active.remove(at);
         let Some(job) = work.job else { return true };
-        let key = StateKey { router: work.run, request: job.key.request };
-        for (text, tokens) in [(job.session, work.tokens), (job.prefix, job.prefix_len)] {
+        let key = KvCacheKey { router: work.run, request: job.key.request };
+        for (text, tokens) in [(job.session, work.tokens), (job.prefix, job.prefix_tokens)] {
             text.filter(|_| tokens > 0).into_iter().for_each(|text| self.kept.keep(text, tokens));
         }
         if self.states.len() >= MOST_STATES {
@@ -549,10 +560,10 @@
             State { conn: work.conn, tokens: work.tokens, memory: work.memory, prompt: job.prompt },
         );
         out.push(Output::Note(Note::StateHeld { run: work.run, request: key.request, held: true }));
-        let frame = EngineFrame::ReadDone {
+        let frame = EngineFrame::PrefillDone {
             key: job.key,
-            kept: work.kept,
-            prompt_len: work.tokens,
+            cached_prompt_tokens: work.kept,
+            prompt_tokens: work.tokens,
             report: self.report(now),
         };
         out.push(Output::Send { conn: work.conn, frame });
@@ -581,7 +592,10 @@
         work.memory += 1;
         self.held += 1;
         let text = answer_word(key.request, from);
-        out.push(Output::Send { conn, frame: EngineFrame::Tokens { key, from, count: 1, text } });
+        out.push(Output::Send {
+            conn,
+            frame: EngineFrame::Tokens { key, sent_before: from, count: 1, text },
+        });
         let (done, produced, kept) = (work.produced >= work.length, work.produced, work.kept);
         if done {
             let work = self.active.remove(at);
@@ -590,7 +604,7 @@
                 key,
                 status: AttemptStatus::Ok,
                 note: u64::from(kept),
-                produced,
+                produced_tokens: produced,
                 report: self.report(now),
             };
             out.push(Output::Send { conn, frame });
@@ -625,7 +639,7 @@
     fn admit(&mut self, now: Nanos, out: &mut Vec<Output>) {
         self.drop_impatient(now, out);
         while let Some(work) = self.queue.front() {
-            let place = work.key().map(|k| StateKey { router: work.run, request: k.request });
+            let place = work.key().map(|k| KvCacheKey { router: work.run, request: k.request });
             let writes = matches!(work.kind, WorkKind::Write { .. });
             let place = place.filter(|_| writes).filter(|key| self.places.contains_key(key));
             let need = if place.is_some() { 0 } else { work.need() };
@@ -640,7 +654,7 @@
         }
     }
 
-    fn take_in(&mut self, mut work: Work, place: Option<StateKey>, need: u64, out: &mut Vec<Output>) {
+    fn take_in(&mut self, mut work: Work, place: Option<KvCacheKey>, need: u64, out: &mut Vec<Output>) {
         work.memory = need;
         self.held += need;
         let key = work.key();
@@ -666,7 +680,7 @@
             }
             WorkKind::Write { state: Some(from) } if !work.begun => {
                 let request = key.map_or(0, |k| k.request);
-                let state = StateKey { router: work.run, request };
+                let state = KvCacheKey { router: work.run, request };
                 let fetch = FetchId(self.number());
                 self.fetches.insert(fetch, state);
                 work.fetch = Some(fetch);
@@ -708,22 +722,25 @@
         out: &mut Vec<Output>,
     ) {
         let report = self.reports.front().map(|(_, report)| *report);
-        out.push(Output::Send { conn, frame: EngineFrame::Outcome { key, status, note, produced, report } });
+        out.push(Output::Send {
+            conn,
+            frame: EngineFrame::Outcome { key, status, note, produced_tokens: produced, report },
+        });
     }
 
-    fn release(&mut self, key: StateKey, out: &mut Vec<Output>) {
+    fn release(&mut self, key: KvCacheKey, out: &mut Vec<Output>) {
         self.drop_state(key, out);
         self.drop_place(key, out);
     }
 
-    fn drop_state(&mut self, key: StateKey, out: &mut Vec<Output>) {
+    fn drop_state(&mut self, key: KvCacheKey, out: &mut Vec<Output>) {
         if let Some(state) = self.states.remove(&key) {
             self.held -= state.memory;
             out.push(Output::Note(Note::StateHeld { run: key.router, request: key.request, held: false }));
         }
     }
 
-    fn drop_place(&mut self, key: StateKey, out: &mut Vec<Output>) {
+    fn drop_place(&mut self, key: KvCacheKey, out: &mut Vec<Output>) {
         if let Some(place) = self.places.remove(&key) {
             self.held -= u64::from(place.tokens);
             out.push(Output::Note(Note::PlaceHeld { run: key.router, request: key.request, held: false }));
--- a/crates/gaparch-engine/src/model/work.rs
+++ b/crates/gaparch-engine/src/model/work.rs
@@ -1,13 +1,13 @@
 //! One piece of work at an engine, and what a request without an engine's tokeniser comes to.
 
 use super::{ConnId, FetchId};
-use gaparch_protocol::engine::{AttemptKey, Job, RouterRun, StateAt};
+use gaparch_protocol::engine::{AttemptKey, Job, KvCacheLocation, RouterRun};
 use gaparch_scheduler::api::Nanos;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum WorkKind {
     Read,
-    Write { state: Option<StateAt> },
+    Write { state: Option<KvCacheLocation> },
     Probe { nonce: u64 },
 }
 
@@ -48,7 +48,7 @@
         now: Nanos,
         number: u64,
     ) -> Work {
-        let patience = u64::from(job.patience_ms) * 1_000_000;
+        let patience = u64::from(job.timeout_ms) * 1_000_000;
         Work {
             conn,
             run,
@@ -99,7 +99,7 @@
 
 /// The prompt's length as told, else guessed from its bytes.
 pub(super) fn prompt_tokens(job: &Job) -> u32 {
-    match job.prompt_len {
+    match job.prompt_tokens {
         0 => u32::try_from(job.prompt.len() / 4).unwrap_or(u32::MAX).max(1),
         told => told,
     }
@@ -110,7 +110,7 @@
 pub(super) fn answer_length(job: &Job) -> u32 {
     let marked = job.prompt.split_once("[[answer ").and_then(|(_, rest)| rest.split_once("]]"));
     let marked = marked.and_then(|(n, _)| n.trim().parse::<u32>().ok());
-    let most = job.max_out.max(1);
+    let most = job.max_output_tokens.max(1);
     let part = job.prompt.bytes().fold(job.key.request, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
     let some = u64::from(most) * (25 + part % 50) / 100;
     marked.unwrap_or(u32::try_from(some).unwrap_or(most)).clamp(1, most)
--- a/crates/gaparch-engine/src/server.rs
+++ b/crates/gaparch-engine/src/server.rs
@@ -6,7 +6,7 @@
 use crate::observe::{Note, Observer, Way};
 use crate::spec::EngineSpec;
 use gaparch_net::{Clock, FrameReader, ReadError};
-use gaparch_protocol::engine::{EngineFacts, EngineFrame, Peer, StateAt, StateKey, VERSION};
+use gaparch_protocol::engine::{EngineFacts, EngineFrame, KvCacheKey, KvCacheLocation, Peer, VERSION};
 use gaparch_protocol::frame::encode;
 use gaparch_protocol::DEFAULT_MAX_FRAME;
 use gaparch_scheduler::api::Nanos;
@@ -282,7 +282,7 @@
         }
     }
 
-    fn fetch(&self, fetch: FetchId, from: StateAt, state: StateKey) {
+    fn fetch(&self, fetch: FetchId, from: KvCacheLocation, state: KvCacheKey) {
         let (inbox, link, facts) = (self.inbox.clone(), self.link.clone(), self.model.facts().clone());
         tokio::spawn(async move {
             let got = timeout(FETCH_WITHIN, fetch_state(&from, state, facts, &link)).await;
@@ -369,7 +369,12 @@
 }
 
 /// The plain fetch: a connection for each state.
-async fn fetch_state(from: &StateAt, state: StateKey, facts: EngineFacts, link: &Link) -> Option<u32> {
+async fn fetch_state(
+    from: &KvCacheLocation,
+    state: KvCacheKey,
+    facts: EngineFacts,
+    link: &Link,
+) -> Option<u32> {
     link.open().await;
     let connect = timeout(CONNECT_WITHIN, TcpStream::connect(&from.address));
     let socket = connect.await.ok()?.ok()?;
@@ -377,7 +382,7 @@
     let (read_half, mut write_half) = socket.into_split();
     let mut bytes = bytes::BytesMut::new();
     encode(&EngineFrame::Hello { version: VERSION, peer: Peer::Engine(facts) }, &mut bytes);
-    encode(&EngineFrame::Fetch { state }, &mut bytes);
+    encode(&EngineFrame::Fetch { kv_cache: state }, &mut bytes);
     write_half.write_all(&bytes).await.ok()?;
     let mut reader = FrameReader::new(read_half, DEFAULT_MAX_FRAME);
     let hello: EngineFrame = timeout(CONNECT_WITHIN, reader.read_one()).await.ok()?.ok()?;
@@ -388,8 +393,8 @@
         let frame = reader.read_one().await.ok()?;
         link.open().await;
         match frame {
-            EngineFrame::State { state: got, tokens, .. } if got == state => return Some(tokens),
-            EngineFrame::Absent { .. } | EngineFrame::Bye { .. } => return None,
+            EngineFrame::KvCache { kv_cache: got, tokens, .. } if got == state => return Some(tokens),
+            EngineFrame::KvCacheUnavailable { .. } | EngineFrame::Bye { .. } => return None,
             _ => {}
         }
     }
--- a/crates/gaparch-engine/src/spec.rs
+++ b/crates/gaparch-engine/src/spec.rs
@@ -89,7 +89,7 @@
         EngineFacts {
             name: self.name.clone(),
             role: self.role,
-            memory: self.memory as f64,
+            kv_capacity_tokens: self.memory as f64,
             zone: self.zone.clone(),
             rack: self.rack.clone(),
             started_at,
--- a/crates/gaparch-engine/tests/model.rs
+++ b/crates/gaparch-engine/tests/model.rs
@@ -4,7 +4,7 @@
 use gaparch_engine::observe::Note;
 use gaparch_engine::{ConnId, EngineSpec, Fault, Input, Model, Output};
 use gaparch_protocol::engine::{
-    AttemptKey, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey, VERSION,
+    AttemptKey, EngineFrame, Job, KvCacheKey, KvCacheLocation, KvCacheUnavailable, Peer, RouterRun, VERSION,
 };
 use gaparch_scheduler::api::{AttemptStatus, Nanos, Role};
 use proptest::prelude::*;
@@ -61,20 +61,20 @@
         tenant: Some(3),
         session: Some(request),
         prefix: None,
-        prompt_len,
-        prefix_len: 0,
-        max_out,
-        patience_ms: 5000,
+        prompt_tokens: prompt_len,
+        prefix_tokens: 0,
+        max_output_tokens: max_out,
+        timeout_ms: 5000,
         prompt: format!("[[answer {max_out}]]"),
     }
 }
 
-fn at_reader() -> StateAt {
-    StateAt { engine: "reader".to_owned(), address: "127.0.0.1:1".to_owned() }
+fn at_reader() -> KvCacheLocation {
+    KvCacheLocation { engine: "reader".to_owned(), address: "127.0.0.1:1".to_owned() }
 }
 
 fn write(job: Job) -> EngineFrame {
-    EngineFrame::Write { job, state: Some(at_reader()) }
+    EngineFrame::Decode { job, kv_cache: Some(at_reader()) }
 }
 
 fn outcomes(out: &[Output]) -> Vec<(u64, AttemptStatus, u64)> {
@@ -114,10 +114,12 @@
         let began = bench.now;
         let mut again = job(request, 10_000, 10);
         again.session = Some(5);
-        bench.frame(EngineFrame::Read(again));
+        bench.frame(EngineFrame::Prefill(again));
         let out = bench.pass(2 * S);
         let done = out.iter().find_map(|(at, o)| match o {
-            Output::Send { frame: EngineFrame::ReadDone { kept, .. }, .. } => Some((*at - began, *kept)),
+            Output::Send { frame: EngineFrame::PrefillDone { cached_prompt_tokens: kept, .. }, .. } => {
+                Some((*at - began, *kept))
+            }
             _ => None,
         });
         done.expect("read")
@@ -149,7 +151,7 @@
 #[test]
 fn a_write_without_a_state_to_fetch_is_full_with_note_one() {
     let mut bench = Bench::new(EngineSpec::writer("w", "z", "r"));
-    let out = bench.frame(EngineFrame::Write { job: job(1, 1000, 20), state: None });
+    let out = bench.frame(EngineFrame::Decode { job: job(1, 1000, 20), kv_cache: None });
     assert_eq!(outcomes(&out), vec![(1, AttemptStatus::Rejected, 1)]);
     let fetch = fetches(&bench.frame(write(job(2, 1000, 20))))[0];
     let out = bench.input(Input::Fetched { fetch, tokens: None });
@@ -202,7 +204,7 @@
         let peer = Peer::Router { run: RUN, name: "r".to_owned() };
         model.handle(100 * S, Input::Frame { conn: ROUTER, frame: hello(peer) }, &mut out);
         for i in 0..400 {
-            let frame = EngineFrame::Read(job(i, 2000, 10));
+            let frame = EngineFrame::Prefill(job(i, 2000, 10));
             model.handle(100 * S + i * gap, Input::Frame { conn: ROUTER, frame }, &mut out);
         }
         assert_eq!(out.contains(&Output::Note(Note::Fell)), !model.alive());
@@ -216,31 +218,31 @@
 fn faults_act_until_they_are_set_back() {
     let mut bench = Bench::new(EngineSpec::reader("e", "z", "r"));
     bench.input(Input::Fault(Fault::Errors(0.5)));
-    let out: Vec<Output> = (0..4).flat_map(|i| bench.frame(EngineFrame::Read(job(i, 100, 10)))).collect();
+    let out: Vec<Output> = (0..4).flat_map(|i| bench.frame(EngineFrame::Prefill(job(i, 100, 10)))).collect();
     assert_eq!(outcomes(&out).iter().filter(|o| o.1 == AttemptStatus::Error).count(), 2);
     bench.input(Input::Fault(Fault::Errors(0.0)));
     bench.input(Input::Fault(Fault::FullToTenant(Some(3))));
     assert_eq!(
-        outcomes(&bench.frame(EngineFrame::Read(job(7, 100, 10)))),
+        outcomes(&bench.frame(EngineFrame::Prefill(job(7, 100, 10)))),
         vec![(7, AttemptStatus::Rejected, 0)]
     );
     bench.input(Input::Fault(Fault::FullToTenant(None)));
     bench.input(Input::Fault(Fault::SilentToClass(Some(0))));
-    bench.frame(EngineFrame::Read(job(8, 100, 10)));
+    bench.frame(EngineFrame::Prefill(job(8, 100, 10)));
     bench.input(Input::Fault(Fault::SilentToClass(None)));
     bench.input(Input::Fault(Fault::Pause(true)));
-    bench.frame(EngineFrame::Read(job(9, 100, 10)));
+    bench.frame(EngineFrame::Prefill(job(9, 100, 10)));
     assert_eq!(bench.pass(5 * S), vec![]);
     bench.input(Input::Fault(Fault::Pause(false)));
     let done = |o: &Output| match o {
-        Output::Send { frame: EngineFrame::ReadDone { key, .. }, .. } => Some(key.request),
+        Output::Send { frame: EngineFrame::PrefillDone { key, .. }, .. } => Some(key.request),
         _ => None,
     };
     let read: Vec<u64> = plain(bench.pass(5 * S)).iter().filter_map(done).collect();
     assert!(read.contains(&9) && !read.contains(&8), "{read:?}");
     bench.input(Input::Fault(Fault::Drain(S)));
     assert_eq!(
-        outcomes(&bench.frame(EngineFrame::Read(job(10, 100, 10)))),
+        outcomes(&bench.frame(EngineFrame::Prefill(job(10, 100, 10)))),
         vec![(10, AttemptStatus::Rejected, 0)]
     );
     let out = plain(bench.pass(2 * S));
@@ -253,7 +255,7 @@
     let out = bench.frame(EngineFrame::Reserve { job: job(1, 1000, 5), from: at_reader() });
     assert!(out
         .iter()
-        .any(|o| matches!(o, Output::Send { frame: EngineFrame::Reserved { held: true, .. }, .. })));
+        .any(|o| matches!(o, Output::Send { frame: EngineFrame::Reserved { reserved: true, .. }, .. })));
     let fetch = fetches(&out)[0];
     bench.input(Input::Fetched { fetch, tokens: Some(1000) });
     assert_eq!((bench.model.pinned(), bench.model.held()), (1, 1000));
@@ -270,14 +272,14 @@
     let writer = ConnId(2);
     let facts = EngineSpec::writer("w", "z", "r").facts(1);
     bench.input(Input::Frame { conn: writer, frame: hello(Peer::Engine(facts)) });
-    bench.frame(EngineFrame::Read(job(1, 3000, 10)));
-    let state = StateKey { router: RUN, request: 1 };
-    let fetch = Input::Frame { conn: writer, frame: EngineFrame::Fetch { state } };
+    bench.frame(EngineFrame::Prefill(job(1, 3000, 10)));
+    let state = KvCacheKey { router: RUN, request: 1 };
+    let fetch = Input::Frame { conn: writer, frame: EngineFrame::Fetch { kv_cache: state } };
     bench.input(fetch.clone());
     let out = plain(bench.pass(2 * S));
-    let given = |o: &Output| matches!(o, Output::Send { conn, frame: EngineFrame::State { tokens: 3000, .. } } if *conn == writer);
+    let given = |o: &Output| matches!(o, Output::Send { conn, frame: EngineFrame::KvCache { tokens: 3000, .. } } if *conn == writer);
     assert_eq!(out.iter().filter(|o| given(o)).count(), 1);
-    let absent = EngineFrame::Absent { state, why: NoState::Unknown };
+    let absent = EngineFrame::KvCacheUnavailable { kv_cache: state, reason: KvCacheUnavailable::Unknown };
     assert_eq!(bench.input(fetch), vec![Output::Send { conn: writer, frame: absent }]);
     assert_eq!(bench.model.held(), 0);
 }
@@ -287,8 +289,8 @@
     let mut bench = Bench::new(EngineSpec::mixed("m", "z", "r"));
     assert_eq!(bench.model.spec().role, Role::Mixed);
     for request in 0..5 {
-        bench.frame(EngineFrame::Write { job: job(request, 1000, 500), state: None });
-        bench.frame(EngineFrame::Read(job(10 + request, 1000, 500)));
+        bench.frame(EngineFrame::Decode { job: job(request, 1000, 500), kv_cache: None });
+        bench.frame(EngineFrame::Prefill(job(10 + request, 1000, 500)));
     }
     bench.pass(3 * S);
     bench.input(Input::Closed { conn: ROUTER });
@@ -301,21 +303,21 @@
     let jobs = || {
         (key(), any::<u32>(), any::<u32>(), 0u32..9000).prop_map(|(key, len, max_out, patience_ms)| Job {
             key,
-            prompt_len: len % 50_000,
-            max_out: max_out % 400,
-            patience_ms,
+            prompt_tokens: len % 50_000,
+            max_output_tokens: max_out % 400,
+            timeout_ms: patience_ms,
             ..job(0, 0, 0)
         })
     };
     prop_oneof![
-        jobs().prop_map(EngineFrame::Read),
+        jobs().prop_map(EngineFrame::Prefill),
         (jobs(), any::<bool>())
-            .prop_map(|(job, some)| EngineFrame::Write { job, state: some.then(at_reader) }),
+            .prop_map(|(job, some)| EngineFrame::Decode { job, kv_cache: some.then(at_reader) }),
         key().prop_map(EngineFrame::Cancel),
         jobs().prop_map(|job| EngineFrame::Reserve { job, from: at_reader() }),
         (0u64..6).prop_map(|request| EngineFrame::Release { request }),
         any::<u64>().prop_map(|nonce| EngineFrame::Probe { nonce }),
-        (0u64..6).prop_map(|request| EngineFrame::Fetch { state: StateKey { router: RUN, request } }),
+        (0u64..6).prop_map(|request| EngineFrame::Fetch { kv_cache: KvCacheKey { router: RUN, request } }),
         Just(hello(Peer::Router { run: RUN, name: "again".to_owned() })),
     ]
 }
--- a/crates/gaparch-platform-router/src/owner/attempts.rs
+++ b/crates/gaparch-platform-router/src/owner/attempts.rs
@@ -18,8 +18,8 @@
     /// Carries out what the core has ordered of a worker.
     pub(super) fn dispatch(&mut self, server: ServerId, frame: EngineFrame) {
         match frame {
-            EngineFrame::Read(job) => self.send(server, &job, Stage::Prefill, SendRisk::TimeOnly),
-            EngineFrame::Write { job, state } => {
+            EngineFrame::Prefill(job) => self.send(server, &job, Stage::Prefill, SendRisk::TimeOnly),
+            EngineFrame::Decode { job, kv_cache: state } => {
                 let carries = if state.is_some() { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
                 self.send(server, &job, Stage::Decode, carries);
             }
@@ -79,8 +79,8 @@
             worker = server.0,
             stage = stage.name(),
             class = job.class,
-            prompt_tokens = job.prompt_len,
-            prefix_tokens = job.prefix_len,
+            prompt_tokens = job.prompt_tokens,
+            prefix_tokens = job.prefix_tokens,
             prefix = job.prefix,
             session = job.session,
             waited_us = waited / NANOS_PER_MICRO,
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -206,16 +206,16 @@
         let frame = match event {
             AttemptEvent::FirstToken(reply) => {
                 self.stream_start = Some(StreamStart { request, reply });
-                EngineFrame::Tokens { key, from: 0, count: 0, text: String::new() }
+                EngineFrame::Tokens { key, sent_before: 0, count: 0, text: String::new() }
             }
             AttemptEvent::Prefilled { cached_prompt_tokens } => {
-                EngineFrame::ReadDone { key, kept: cached_prompt_tokens, prompt_len: 0, report: None }
+                EngineFrame::PrefillDone { key, cached_prompt_tokens, prompt_tokens: 0, report: None }
             }
             AttemptEvent::Ended(end) => {
                 let note = if end.kv_cache_missing { NOTE_KV_CACHE_MISSING } else { 0 };
-                EngineFrame::Outcome { key, status: end.status, note, produced: 0, report: None }
+                EngineFrame::Outcome { key, status: end.status, note, produced_tokens: 0, report: None }
             }
-            AttemptEvent::ReservationAnswered { reserved } => EngineFrame::Reserved { key, held: reserved },
+            AttemptEvent::ReservationAnswered { reserved } => EngineFrame::Reserved { key, reserved },
         };
         let conn = ConnectionNumber::EXCHANGES;
         self.core.handle(at, Input::EngineFrame { engine: server, conn, frame }, out);
--- a/crates/gaparch-protocol/src/lib.rs
+++ b/crates/gaparch-protocol/src/lib.rs
@@ -5,6 +5,8 @@
 //! what these say of endpoint lists and orders, [`client`] the messages API with its dialects. Nothing here opens a
 //! socket or reads a clock; bytes go in, values come out, and malformed bytes are an error, never a panic.
 
+#![warn(missing_docs)]
+
 pub mod client;
 pub mod engine;
 pub mod fleet;
--- a/crates/gaparch-protocol/tests/codecs.rs
+++ b/crates/gaparch-protocol/tests/codecs.rs
@@ -6,7 +6,8 @@
     Usage,
 };
 use gaparch_protocol::engine::{
-    AttemptKey, EngineFacts, EngineFrame, Job, NoState, Peer, RouterRun, StateAt, StateKey,
+    AttemptKey, EngineFacts, EngineFrame, Job, KvCacheKey, KvCacheLocation, KvCacheUnavailable, Peer,
+    RouterRun,
 };
 use gaparch_protocol::frame::{encode, Frame};
 use gaparch_protocol::list::{ListEntry, ListFrame, Scope};
@@ -42,20 +43,20 @@
         tenant: keys.0,
         session: keys.1,
         prefix: None,
-        prompt_len: figures.0,
-        prefix_len: figures.1,
-        max_out: figures.2,
-        patience_ms: figures.3,
+        prompt_tokens: figures.0,
+        prefix_tokens: figures.1,
+        max_output_tokens: figures.2,
+        timeout_ms: figures.3,
         prompt,
     })
 }
 
-fn state_key() -> impl Strategy<Value = StateKey> {
-    (any::<u64>(), any::<u64>()).prop_map(|(run, request)| StateKey { router: RouterRun(run), request })
+fn state_key() -> impl Strategy<Value = KvCacheKey> {
+    (any::<u64>(), any::<u64>()).prop_map(|(run, request)| KvCacheKey { router: RouterRun(run), request })
 }
 
 fn engine_frame() -> impl Strategy<Value = EngineFrame> {
-    let at = || (".{0,9}", ".{0,9}").prop_map(|(engine, address)| StateAt { engine, address });
+    let at = || (".{0,9}", ".{0,9}").prop_map(|(engine, address)| KvCacheLocation { engine, address });
     let status = prop_oneof![
         Just(AttemptStatus::Ok),
         Just(AttemptStatus::Error),
@@ -66,43 +67,59 @@
         Just(AttemptStatus::Unknown)
     ];
     let facts = (".{0,9}", 0.0..1e9, ".{0,9}", any::<u64>()).prop_map(|(name, memory, zone, started_at)| {
-        EngineFacts { name, role: Role::Mixed, memory, zone, rack: "rack".to_owned(), started_at }
+        EngineFacts {
+            name,
+            role: Role::Mixed,
+            kv_capacity_tokens: memory,
+            zone,
+            rack: "rack".to_owned(),
+            started_at,
+        }
     });
     let router = (any::<u64>(), ".{0,9}").prop_map(|(run, name)| Peer::Router { run: RouterRun(run), name });
     prop_oneof![
         (any::<u16>(), prop_oneof![router, facts.prop_map(Peer::Engine)])
             .prop_map(|(version, peer)| EngineFrame::Hello { version, peer }),
-        job().prop_map(EngineFrame::Read),
-        (job(), proptest::option::of(at())).prop_map(|(job, state)| EngineFrame::Write { job, state }),
+        job().prop_map(EngineFrame::Prefill),
+        (job(), proptest::option::of(at()))
+            .prop_map(|(job, state)| EngineFrame::Decode { job, kv_cache: state }),
         key().prop_map(EngineFrame::Cancel),
         (job(), at()).prop_map(|(job, from)| EngineFrame::Reserve { job, from }),
         any::<u64>().prop_map(|request| EngineFrame::Release { request }),
         any::<u64>().prop_map(|nonce| EngineFrame::Probe { nonce }),
         (key(), any::<u32>(), any::<u32>(), proptest::option::of(report())).prop_map(
-            |(key, kept, prompt_len, report)| EngineFrame::ReadDone { key, kept, prompt_len, report }
+            |(key, kept, prompt_len, report)| EngineFrame::PrefillDone {
+                key,
+                cached_prompt_tokens: kept,
+                prompt_tokens: prompt_len,
+                report
+            }
         ),
         (key(), any::<u32>(), any::<u16>(), ".{0,80}")
-            .prop_map(|(key, from, count, text)| EngineFrame::Tokens { key, from, count, text }),
+            .prop_map(|(key, from, count, text)| EngineFrame::Tokens { key, sent_before: from, count, text }),
         (key(), status, any::<u64>(), any::<u32>(), proptest::option::of(report())).prop_map(
             |(key, status, note, produced, report)| EngineFrame::Outcome {
                 key,
                 status,
                 note,
-                produced,
+                produced_tokens: produced,
                 report
             }
         ),
-        (key(), any::<bool>()).prop_map(|(key, held)| EngineFrame::Reserved { key, held }),
+        (key(), any::<bool>()).prop_map(|(key, held)| EngineFrame::Reserved { key, reserved: held }),
         (any::<u64>(), proptest::option::of(report()))
             .prop_map(|(nonce, report)| EngineFrame::Probed { nonce, report }),
-        report().prop_map(EngineFrame::Report),
-        state_key().prop_map(|state| EngineFrame::Fetch { state }),
-        (state_key(), any::<u32>(), ".{0,80}").prop_map(|(state, tokens, prompt)| EngineFrame::State {
-            state,
+        report().prop_map(EngineFrame::LoadReport),
+        state_key().prop_map(|state| EngineFrame::Fetch { kv_cache: state }),
+        (state_key(), any::<u32>(), ".{0,80}").prop_map(|(state, tokens, prompt)| EngineFrame::KvCache {
+            kv_cache: state,
             tokens,
             prompt
         }),
-        state_key().prop_map(|state| EngineFrame::Absent { state, why: NoState::Unread }),
+        state_key().prop_map(|state| EngineFrame::KvCacheUnavailable {
+            kv_cache: state,
+            reason: KvCacheUnavailable::NotReady
+        }),
         ".{0,40}".prop_map(|reason| EngineFrame::Bye { reason }),
     ]
 }
@@ -242,7 +259,7 @@
         key: AttemptKey { request: 1, attempt: 0 },
         status,
         note: 0,
-        produced: 0,
+        produced_tokens: 0,
         report: None,
     };
     for status in [AttemptStatus::Prefilled, AttemptStatus::ConnectFailed, AttemptStatus::Expired] {
--- a/crates/gaparch-router/src/core/actions.rs
+++ b/crates/gaparch-router/src/core/actions.rs
@@ -180,8 +180,8 @@
         let job = live.request.job(id, attempt.number, live.deadline_at, self.now);
         let state = live.kv_cache_at.and_then(|server| self.endpoints.kv_source(server));
         let frame = match attempt.stage {
-            Stage::Prefill => EngineFrame::Read(job),
-            Stage::Decode => EngineFrame::Write { job, state },
+            Stage::Prefill => EngineFrame::Prefill(job),
+            Stage::Decode => EngineFrame::Decode { job, kv_cache: state },
         };
         if let Some(link) = self.connections.get_mut(&attempt.server) {
             self.pending_frames.push(Output::Engine { engine: attempt.server, frame });
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -1,11 +1,11 @@
 //! The list of engines as this router knows it, from the settings, the list service and the engines' hellos.
 
-use super::{load_values, state_at, Counters};
+use super::{kv_cache_location, load_values, Counters};
 use crate::core::operate::{listed_state, server_state};
 use gaparch_config::{server_id, Config, Links};
 use gaparch_ops::effective_state;
 use gaparch_ops::OrderRegistry;
-use gaparch_protocol::engine::{EngineFacts, StateAt};
+use gaparch_protocol::engine::{EngineFacts, KvCacheLocation};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{
     CellId, Endpoint, EndpointUpdate, Nanos, Role, ServerId, ServerState, Settings, ZoneId,
@@ -306,7 +306,7 @@
         self.known.get(&server).map(|k| (k.address, k.endpoint.started_at.unwrap_or(0)))
     }
 
-    pub fn kv_source(&self, server: ServerId) -> Option<StateAt> {
-        self.known.get(&server).map(|k| state_at(&k.listed.engine, &k.listed.address))
+    pub fn kv_source(&self, server: ServerId) -> Option<KvCacheLocation> {
+        self.known.get(&server).map(|k| kv_cache_location(&k.listed.engine, &k.listed.address))
     }
 }
--- a/crates/gaparch-router/src/core/engine_frames.rs
+++ b/crates/gaparch-router/src/core/engine_frames.rs
@@ -131,7 +131,7 @@
                     self.report_probe(engine, self.now.saturating_sub(sent), AttemptStatus::Ok, report);
                 }
             }
-            EngineFrame::Report(report) => {
+            EngineFrame::LoadReport(report) => {
                 let report = without_invalid_values(Some(report), &mut self.counters);
                 if let Some(link) = self.connections.get_mut(&engine) {
                     link.last_report = report;
@@ -162,7 +162,7 @@
         if live.is_some_and(|l| no.0 >= l.next_attempt) {
             return self.on_protocol_violation(engine, "an attempt that was never made", out);
         }
-        if let EngineFrame::Reserved { held, .. } = frame {
+        if let EngineFrame::Reserved { reserved: held, .. } = frame {
             // It comes from where the place is, not from where the read is.
             let asked = live.is_some_and(|l| l.kv_held_at.contains(&engine));
             let out = live.and_then(|l| l.attempt).is_some_and(|a| a.number == no);
@@ -182,17 +182,19 @@
             return self.counters.late_frames += 1;
         };
         match frame {
-            EngineFrame::ReadDone { kept, report, .. } if attempt.stage == Stage::Prefill => {
+            EngineFrame::PrefillDone { cached_prompt_tokens: kept, report, .. }
+                if attempt.stage == Stage::Prefill =>
+            {
                 let report = self.load_report_of(engine, report);
                 if let Some(live) = self.requests.get_mut(&id) {
                     live.usage.cached_prompt_tokens = kept;
                 }
                 self.finish_attempt(id, attempt, AttemptStatus::Prefilled, u64::from(kept), report);
             }
-            EngineFrame::Tokens { from, count, text, .. } if attempt.stage == Stage::Decode => {
+            EngineFrame::Tokens { sent_before: from, count, text, .. } if attempt.stage == Stage::Decode => {
                 self.on_tokens(id, attempt, from, count, text, out);
             }
-            EngineFrame::Outcome { status, note, produced, report, .. } => {
+            EngineFrame::Outcome { status, note, produced_tokens: produced, report, .. } => {
                 self.on_outcome(id, attempt, status, note, produced, report, out);
             }
             _ => self.on_protocol_violation(engine, "a frame out of order", out),
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -30,7 +30,7 @@
 use endpoint_table::EndpointTable;
 use gaparch_config::Config;
 use gaparch_ops::OrderRegistry;
-use gaparch_protocol::engine::{RouterRun, StateAt};
+use gaparch_protocol::engine::{KvCacheLocation, RouterRun};
 use gaparch_protocol::ops::outcome::EngineEvidence;
 use gaparch_scheduler::api::{EndpointUpdate, Event, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::Policy;
@@ -221,6 +221,6 @@
 }
 
 /// Where a state waits, as a writer has to know it.
-fn state_at(engine: &str, address: &str) -> StateAt {
-    StateAt { engine: engine.to_owned(), address: address.to_owned() }
+fn kv_cache_location(engine: &str, address: &str) -> KvCacheLocation {
+    KvCacheLocation { engine: engine.to_owned(), address: address.to_owned() }
 }
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -79,10 +79,10 @@
             tenant: self.tenant.and_then(|t| u16::try_from(t.0).ok()),
             session: self.session.map(|k| k.0),
             prefix: self.prefix.map(|k| k.0),
-            prompt_len: self.prompt_tokens,
-            prefix_len: self.prefix_tokens,
-            max_out: self.max_output_tokens,
-            patience_ms: u32::try_from(patience_ms.max(1)).unwrap_or(u32::MAX),
+            prompt_tokens: self.prompt_tokens,
+            prefix_tokens: self.prefix_tokens,
+            max_output_tokens: self.max_output_tokens,
+            timeout_ms: u32::try_from(patience_ms.max(1)).unwrap_or(u32::MAX),
             prompt: self.prompt.clone(),
         }
     }
--- a/crates/gaparch-router/src/shell/owner.rs
+++ b/crates/gaparch-router/src/shell/owner.rs
@@ -446,8 +446,8 @@
         let Some(task) = self.engines.get(&engine) else { return };
         if let Some(versions) = &mut self.versions {
             let (kind, key) = match &frame {
-                EngineFrame::Read(job) => (Some(SendKind::Prefill), job.key),
-                EngineFrame::Write { job, .. } => (Some(SendKind::Decode), job.key),
+                EngineFrame::Prefill(job) => (Some(SendKind::Prefill), job.key),
+                EngineFrame::Decode { job, .. } => (Some(SendKind::Decode), job.key),
                 EngineFrame::Probe { .. } => (Some(SendKind::Probe), NO_ATTEMPT),
                 _ => (None, NO_ATTEMPT),
             };
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -52,7 +52,8 @@
     fn up(&mut self, name: &str, role: Role, started_at: u64) {
         let engine = server_id(name);
         let (zone, rack) = ("north".to_owned(), "n1".to_owned());
-        let facts = EngineFacts { name: name.to_owned(), role, memory: 1e5, zone, rack, started_at };
+        let facts =
+            EngineFacts { name: name.to_owned(), role, kv_capacity_tokens: 1e5, zone, rack, started_at };
         let conn = self.conns[&engine];
         self.input(Input::EngineConnected { engine, conn, facts });
     }
@@ -103,7 +104,8 @@
 
     fn read(&mut self, id: u64) -> (ServerId, AttemptKey) {
         let (engine, key) = self.ask(id);
-        let done = EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None };
+        let done =
+            EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 500, report: None };
         let out = self.frame(engine, done);
         sent(&out).expect("a write")
     }
@@ -129,7 +131,7 @@
 
 fn sent(out: &[Output]) -> Option<(ServerId, AttemptKey)> {
     out.iter().find_map(|o| match o {
-        Output::Engine { engine, frame: EngineFrame::Read(job) | EngineFrame::Write { job, .. } } => {
+        Output::Engine { engine, frame: EngineFrame::Prefill(job) | EngineFrame::Decode { job, .. } } => {
             Some((*engine, job.key))
         }
         _ => None,
@@ -137,11 +139,11 @@
 }
 
 fn tokens(key: AttemptKey, from: u32) -> EngineFrame {
-    EngineFrame::Tokens { key, from, count: 1, text: "x".to_owned() }
+    EngineFrame::Tokens { key, sent_before: from, count: 1, text: "x".to_owned() }
 }
 
 fn outcome(key: AttemptKey, status: AttemptStatus, produced: u32) -> EngineFrame {
-    EngineFrame::Outcome { key, status, note: 0, produced, report: None }
+    EngineFrame::Outcome { key, status, note: 0, produced_tokens: produced, report: None }
 }
 
 fn answers(seen: &[Output], id: u64) -> Vec<ResponseEvent> {
@@ -182,7 +184,10 @@
     bench.pass(20 * S);
     assert_eq!(answers(&bench.seen, 2).len(), 1);
     assert_eq!(
-        sent(&bench.frame(reader, EngineFrame::ReadDone { key, kept: 0, prompt_len: 5, report: None })),
+        sent(&bench.frame(
+            reader,
+            EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 5, report: None }
+        )),
         None
     );
     assert_eq!(answers(&bench.seen, 2).len(), 1);
@@ -196,10 +201,10 @@
     let cases: [(&str, Wrong); 6] = [
         ("an attempt never made", |k| outcome(AttemptKey { attempt: 9, ..k }, AttemptStatus::Ok, 0)),
         ("tokens missing", |k| tokens(k, 5)),
-        ("a read's end for a write", |k| EngineFrame::ReadDone {
+        ("a read's end for a write", |k| EngineFrame::PrefillDone {
             key: k,
-            kept: 0,
-            prompt_len: 1,
+            cached_prompt_tokens: 0,
+            prompt_tokens: 1,
             report: None,
         }),
         ("an end that lost tokens", |k| outcome(k, AttemptStatus::Ok, 7)),
@@ -213,7 +218,12 @@
         assert_ne!(writer, other);
         let out = bench.frame(writer, wrong(key));
         assert_eq!((disconnects(&out), bench.core.counters().protocol_violations), (1, 1), "{name}");
-        let done = EngineFrame::ReadDone { key: other_key, kept: 0, prompt_len: 5, report: None };
+        let done = EngineFrame::PrefillDone {
+            key: other_key,
+            cached_prompt_tokens: 0,
+            prompt_tokens: 5,
+            report: None,
+        };
         assert!(sent(&bench.frame(other, done)).is_some(), "{name}: the other goes on");
         bench.pass(20 * S);
         assert_eq!(answers(&bench.seen, 1).len(), 1, "{name}");
@@ -243,7 +253,8 @@
         memory_utilization: Some(f64::INFINITY),
         pending_prefill_kilotokens: Some(1.0),
     };
-    let done = EngineFrame::ReadDone { key, kept: 0, prompt_len: 5, report: Some(report) };
+    let done =
+        EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 5, report: Some(report) };
     assert!(sent(&bench.frame(reader, done)).is_some());
     assert_eq!(bench.core.counters().ignored_values, 4);
     let entry = |engine: &str, kind: &str, weight| ListEntry {
@@ -371,7 +382,15 @@
         for id in 1..40 {
             let Some((engine, key)) = bench.ask_if_room(id) else { continue };
             if id % 3 > 0 {
-                bench.frame(engine, EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None });
+                bench.frame(
+                    engine,
+                    EngineFrame::PrefillDone {
+                        key,
+                        cached_prompt_tokens: 0,
+                        prompt_tokens: 500,
+                        report: None,
+                    },
+                );
             }
             if id % 7 == 0 {
                 bench.input(Input::ClientDisconnected(RequestId(id)));
@@ -431,7 +450,7 @@
         bench.ask_raw(version);
     }
     let reads = |bench: &Bench| {
-        let of = |o: &&Output| matches!(o, Output::Engine { engine, frame: EngineFrame::Read(_) } if *engine == server_id("read-1"));
+        let of = |o: &&Output| matches!(o, Output::Engine { engine, frame: EngineFrame::Prefill(_) } if *engine == server_id("read-1"));
         bench.seen.iter().filter(of).count()
     };
     assert_eq!(reads(&bench), 0);
@@ -453,10 +472,14 @@
     };
     let out = bench.order(Change::Drain { engine: name.clone(), mode: DrainMode::Detach });
     assert!(!left(&out), "it reads");
-    let out = bench.frame(reader, EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None });
+    let out = bench.frame(
+        reader,
+        EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 500, report: None },
+    );
     assert!(!left(&out), "its state is to be fetched");
     let (writer, key) = sent(&out).expect("a write");
-    let out = bench.frame(writer, EngineFrame::Tokens { key, from: 0, count: 1, text: "a".to_owned() });
+    let out =
+        bench.frame(writer, EngineFrame::Tokens { key, sent_before: 0, count: 1, text: "a".to_owned() });
     assert!(left(&out), "the state was taken, and nothing more is there: {out:?}");
     let out = bench.order(Change::Undrain { engine: name });
     assert!(out.iter().any(|o| matches!(o, Output::Connect { engine, .. } if *engine == reader)));
@@ -557,7 +580,10 @@
         if id % 2 == 0 {
             bench.input(Input::ClientDisconnected(RequestId(id)));
         } else if let Some((engine, key)) = sent(&asked) {
-            bench.frame(engine, EngineFrame::ReadDone { key, kept: 0, prompt_len: 500, report: None });
+            bench.frame(
+                engine,
+                EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 500, report: None },
+            );
             bench.input(Input::ClientDisconnected(RequestId(id)));
         } else {
             bench.pass(100 * MS);
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -97,7 +97,7 @@
 
 fn sent(out: &[Output]) -> Option<(ServerId, AttemptKey)> {
     out.iter().find_map(|o| match o {
-        Output::Engine { engine, frame: EngineFrame::Read(job) | EngineFrame::Write { job, .. } } => {
+        Output::Engine { engine, frame: EngineFrame::Prefill(job) | EngineFrame::Decode { job, .. } } => {
             Some((*engine, job.key))
         }
         _ => None,
@@ -119,7 +119,7 @@
     for id in 1..=20 {
         let (reader, key) = bench.ask(id);
         assert_eq!(reader, server_id("r-3"));
-        let read = EngineFrame::ReadDone { key, kept: 0, prompt_len: 0, report: None };
+        let read = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
         assert!(sent(&bench.frame(reader, read)).is_some(), "its answer is heard");
     }
 }
@@ -130,13 +130,19 @@
     assert!(!bench.out.iter().any(|o| matches!(o, Output::Connect { .. })), "there is nothing to connect");
     for id in 1..=10_000 {
         let (reader, key) = bench.ask(id);
-        let read = EngineFrame::ReadDone { key, kept: 0, prompt_len: 0, report: None };
+        let read = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
         let (writer, key) = sent(&bench.frame(reader, read)).expect("a write");
-        let begun = EngineFrame::Tokens { key, from: 0, count: 0, text: String::new() };
+        let begun = EngineFrame::Tokens { key, sent_before: 0, count: 0, text: String::new() };
         let out = bench.frame(writer, begun);
         let opened = |o: &Output| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. });
         assert_eq!(out.iter().filter(|o| opened(o)).count(), 1);
-        let ok = EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced: 0, report: None };
+        let ok = EngineFrame::Outcome {
+            key,
+            status: AttemptStatus::Ok,
+            note: 0,
+            produced_tokens: 0,
+            report: None,
+        };
         bench.frame(writer, ok);
         bench.pass(5 * MS);
         if id % 10 == 0 {
@@ -176,14 +182,14 @@
             base_version: 5,
             entries: gone,
         }));
-        let broken = EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None };
+        let broken = EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None };
         assert_eq!(releases(&bench.frame(reader, broken), 1), 1, "{status:?}");
     }
     // One that was never sent has left nothing.
     let mut bench = Bench::new();
     let (reader, key) = bench.ask(1);
     let status = AttemptStatus::ConnectFailed;
-    let broken = EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None };
+    let broken = EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None };
     assert_eq!(releases(&bench.frame(reader, broken), 1), 0);
 }
 
@@ -195,10 +201,11 @@
     let two =
         (2..100).find_map(|id| Some(bench.ask(id)).filter(|(server, _)| *server == first)).expect("one");
     let status = AttemptStatus::Reset;
-    let broken = EngineFrame::Outcome { key: one, status, note: 0, produced: 0, report: None };
+    let broken = EngineFrame::Outcome { key: one, status, note: 0, produced_tokens: 0, report: None };
     let out = bench.frame(first, broken);
     assert!(!out.iter().any(|o| matches!(o, Output::Connect { .. } | Output::Disconnect { .. })));
-    let read = EngineFrame::ReadDone { key: two.1, kept: 0, prompt_len: 0, report: None };
+    let read =
+        EngineFrame::PrefillDone { key: two.1, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
     assert!(sent(&bench.frame(first, read)).is_some());
     assert_eq!(bench.core.counters().late_frames, 0);
 }
@@ -235,20 +242,21 @@
 fn a_release_goes_out_beside_a_write_and_its_answer_is_still_taken() {
     let mut bench = Bench::new();
     let (reader, key) = bench.ask(1);
-    let frame = EngineFrame::ReadDone { key, kept: 0, prompt_len: 0, report: None };
+    let frame = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
     let out = bench.input(Input::EngineFrame { engine: reader, conn: ConnectionNumber::EXCHANGES, frame });
     let (writer, key) = sent(&out).expect("a write");
     assert_eq!(bench.core.held_kv_caches().count(), 1);
     let out = bench.pass(600 * MS);
     assert_eq!(releases(&out, 1), 1, "{out:?}");
-    let frame = EngineFrame::Tokens { key, from: 0, count: 0, text: String::new() };
+    let frame = EngineFrame::Tokens { key, sent_before: 0, count: 0, text: String::new() };
     let out = bench.input(Input::EngineFrame { engine: writer, conn: ConnectionNumber::EXCHANGES, frame });
     assert!(
         out.iter().any(|o| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. })),
         "{out:?}"
     );
     assert_eq!(bench.core.held_kv_caches().count(), 0);
-    let ended = EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced: 0, report: None };
+    let ended =
+        EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced_tokens: 0, report: None };
     bench.input(Input::EngineFrame { engine: writer, conn: ConnectionNumber::EXCHANGES, frame: ended });
     assert_eq!(bench.core.phase(RequestId(1)), None);
 }
--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -38,7 +38,7 @@
             let facts = EngineFacts {
                 name: engine.name.clone(),
                 role,
-                memory: 1e5,
+                kv_capacity_tokens: 1e5,
                 zone: engine.zone.clone(),
                 rack: engine.rack.clone(),
                 started_at: SECOND,
@@ -96,29 +96,36 @@
         for output in out {
             let Output::Engine { engine, frame } = output else { continue };
             match frame {
-                EngineFrame::Read(job) if job.key.request >= 3 => {
+                EngineFrame::Prefill(job) if job.key.request >= 3 => {
                     let failed = EngineFrame::Outcome {
                         key: job.key,
                         status: AttemptStatus::Error,
                         note: 0,
-                        produced: 0,
+                        produced_tokens: 0,
                         report: None,
                     };
                     self.frame(engine, failed);
                 }
-                EngineFrame::Read(job) => {
-                    let done =
-                        EngineFrame::ReadDone { key: job.key, kept: 100, prompt_len: 500, report: None };
+                EngineFrame::Prefill(job) => {
+                    let done = EngineFrame::PrefillDone {
+                        key: job.key,
+                        cached_prompt_tokens: 100,
+                        prompt_tokens: 500,
+                        report: None,
+                    };
                     self.frame(engine, done);
                 }
-                EngineFrame::Write { job, .. } => {
+                EngineFrame::Decode { job, .. } => {
                     let key = job.key;
-                    self.frame(engine, EngineFrame::Tokens { key, from: 0, count: 1, text: "a".to_owned() });
+                    self.frame(
+                        engine,
+                        EngineFrame::Tokens { key, sent_before: 0, count: 1, text: "a".to_owned() },
+                    );
                     if key.request == 1 {
                         let status = AttemptStatus::Ok;
                         self.frame(
                             engine,
-                            EngineFrame::Outcome { key, status, note: 0, produced: 1, report: None },
+                            EngineFrame::Outcome { key, status, note: 0, produced_tokens: 1, report: None },
                         );
                     }
                 }
--- a/crates/gaparch-testbed/src/plain_relay.rs
+++ b/crates/gaparch-testbed/src/plain_relay.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use gaparch_net::{write_frames, FrameReader};
 use gaparch_protocol::client::{parse_request, ClientEvent, Dialect, StopReason, Usage};
-use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job, Peer, RouterRun, StateAt, VERSION};
+use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job, KvCacheLocation, Peer, RouterRun, VERSION};
 use gaparch_protocol::DEFAULT_MAX_FRAME;
 use gaparch_scheduler::api::{AttemptStatus, Role};
 use http_body_util::combinators::UnsyncBoxBody;
@@ -36,7 +36,7 @@
 type Waiting = Arc<Mutex<HashMap<AttemptKey, mpsc::Sender<EngineFrame>>>>;
 
 struct Engine {
-    at: StateAt,
+    at: KvCacheLocation,
     frames: mpsc::Sender<EngineFrame>,
     waiting: Waiting,
 }
@@ -64,7 +64,7 @@
         });
         let peer = Peer::Router { run: RouterRun(1), name: "plain".to_owned() };
         let _ = frames.send(EngineFrame::Hello { version: VERSION, peer }).await;
-        let at = StateAt { engine: name.to_owned(), address: address.to_string() };
+        let at = KvCacheLocation { engine: name.to_owned(), address: address.to_string() };
         Ok(Engine { at, frames, waiting })
     }
 
@@ -154,22 +154,23 @@
         tenant: None,
         session: None,
         prefix: None,
-        prompt_len: ask.prompt_tokens,
-        prefix_len: 0,
-        max_out: ask.max_tokens,
-        patience_ms: 60_000,
+        prompt_tokens: ask.prompt_tokens,
+        prefix_tokens: 0,
+        max_output_tokens: ask.max_tokens,
+        timeout_ms: 60_000,
         prompt: ask.prompt.clone(),
     };
     let (read, write) = (job(0), job(1));
     let (read_key, key) = (read.key, write.key);
-    let mut read_done = shared.readers[reader].ask(read_key, EngineFrame::Read(read)).await;
+    let mut read_done = shared.readers[reader].ask(read_key, EngineFrame::Prefill(read)).await;
     let done = read_done.recv().await;
     shared.readers[reader].forget(read_key);
-    if !matches!(done, Some(EngineFrame::ReadDone { .. })) {
+    if !matches!(done, Some(EngineFrame::PrefillDone { .. })) {
         return Ok(refused());
     }
     let state = Some(shared.readers[reader].at.clone());
-    let mut frames = shared.writers[writer].ask(key, EngineFrame::Write { job: write, state }).await;
+    let mut frames =
+        shared.writers[writer].ask(key, EngineFrame::Decode { job: write, kv_cache: state }).await;
     let Some(first) = frames.recv().await else { return Ok(refused()) };
     let usage = Usage { prompt_tokens: ask.prompt_tokens, ..Usage::default() };
     let opened = ClientEvent::MessageStart { id: format!("msg_1_{number}"), model: ask.model, usage };
--- a/crates/gaparch-testbed/src/record.rs
+++ b/crates/gaparch-testbed/src/record.rs
@@ -173,12 +173,12 @@
             EngineFrame::Hello { peer: Peer::Router { run, name }, .. } => {
                 Seen::Hello { run: *run, router: name.clone() }
             }
-            EngineFrame::Read(job) => Seen::Read { key: job.key, class: job.class },
-            EngineFrame::Write { job, .. } => Seen::Write { key: job.key, class: job.class },
+            EngineFrame::Prefill(job) => Seen::Read { key: job.key, class: job.class },
+            EngineFrame::Decode { job, .. } => Seen::Write { key: job.key, class: job.class },
             EngineFrame::Reserve { job, .. } => Seen::Reserve { key: job.key },
             EngineFrame::Cancel(key) => Seen::Cancel { key: *key },
             EngineFrame::Release { request } => Seen::Release { request: *request },
-            EngineFrame::ReadDone { key, .. } => Seen::ReadDone { key: *key },
+            EngineFrame::PrefillDone { key, .. } => Seen::ReadDone { key: *key },
             EngineFrame::Tokens { key, count, .. } => Seen::Tokens { key: *key, count: *count },
             EngineFrame::Outcome { key, status, .. } => Seen::Outcome {
                 key: *key,
--- a/crates/gaparch-testbed/src/scripted.rs
+++ b/crates/gaparch-testbed/src/scripted.rs
@@ -60,7 +60,7 @@
     while reader.read(&mut frames).await.is_ok() {
         for frame in frames.drain(..) {
             let answers = match frame {
-                EngineFrame::Read(job) => script(&job),
+                EngineFrame::Prefill(job) => script(&job),
                 // It looks well: that is what makes it a trap.
                 EngineFrame::Probe { nonce } => vec![EngineFrame::Probed { nonce, report: None }],
                 _ => continue,
--- a/crates/gaparch-testbed/tests/hard_cases.rs
+++ b/crates/gaparch-testbed/tests/hard_cases.rs
@@ -258,11 +258,11 @@
 }
 
 fn read_done(key: AttemptKey) -> EngineFrame {
-    EngineFrame::ReadDone { key, kept: 0, prompt_len: 400, report: None }
+    EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 400, report: None }
 }
 
 fn outcome(key: AttemptKey, status: AttemptStatus) -> EngineFrame {
-    EngineFrame::Outcome { key, status, note: 0, produced: 0, report: None }
+    EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None }
 }
 
 #[tokio::test(flavor = "multi_thread")]
