--- /dev/null
+++ b/crates/gaparch-simulator-adapter/src/event.rs
@@ -0,0 +1,125 @@
+//! Events of one instance on the simulator's wire, but for those of endpoint lists.
+
+use crate::error::BatchError;
+use crate::field::{attempt_number, hex_bytes, kind, request_id, required, server_id, time_or_past};
+use gaparch_platform_settings::{index, number, whole, Site};
+use gaparch_scheduler::api::{
+    AffinityKey, AttemptOutcome, AttemptStatus, ClassId, Event, LoadReport, OutcomeNote, Request, TenantId,
+    TimerToken,
+};
+use serde_json::Value;
+
+/// Reads an event; `None`: of a kind that is not known here, or a timer that is not the module's.
+///
+/// # Errors
+/// When a field that the event needs is missing, or has a value that it can't have.
+pub fn parse(event: &Value, site: &Site) -> Result<Option<Event>, BatchError> {
+    let parsed = match kind(event) {
+        "submit" => Event::RequestArrived(parse_request(event, site)?),
+        "tickDue" => return parse_timer(event),
+        "datagram" => Event::GossipReceived {
+            from: required(event, "neighbour", whole)? as u32,
+            data: required(event, "content", hex_bytes)?,
+        },
+        "begun" => Event::FirstToken {
+            id: required(event, "msgId", request_id)?,
+            attempt: required(event, "sendNo", attempt_number)?,
+            server: required(event, "worker", server_id)?,
+            latency: whole(&event["durationNs"]).unwrap_or(0),
+        },
+        "reserved" => Event::ReservationAnswered {
+            id: required(event, "msgId", request_id)?,
+            attempt: required(event, "sendNo", attempt_number)?,
+            server: required(event, "worker", server_id)?,
+            reserved: required(event, "sort", whole)? == 1,
+        },
+        "withdrawn" => Event::ClientDisconnected(required(event, "msgId", request_id)?),
+        "health" => Event::ProbeFinished {
+            server: required(event, "worker", server_id)?,
+            status: parse_status(required(event, "outcome", whole)?),
+            latency: whole(&event["durationNs"]).unwrap_or(0),
+            report: parse_report(&event["stats"], site),
+        },
+        "closedAttempt" => Event::AttemptFinished(parse_outcome(event, site)?),
+        _ => return Ok(None),
+    };
+    Ok(Some(parsed))
+}
+
+fn parse_request(event: &Value, site: &Site) -> Result<Request, BatchError> {
+    // A class that the settings lack is the module's to answer.
+    let class_id = |class: &Value| {
+        class.as_str()?;
+        Some(ClassId(index(&site.classes, class).unwrap_or(usize::MAX)))
+    };
+    Ok(Request {
+        id: required(event, "msgId", request_id)?,
+        class: required(event, "priority", class_id)?,
+        tenant: index(&site.tenants, &event["clientGroup"]).map(TenantId),
+        session: event["session"].as_str().map(AffinityKey::from_text),
+        prefix: event["prefixId"].as_str().map(AffinityKey::from_text),
+        prompt_tokens: number(&event["inputLen"]).unwrap_or(0.0),
+        prefix_tokens: number(&event["nPrefix"]).unwrap_or(0.0),
+        max_output_tokens: number(&event["nMax"]).unwrap_or(0.0),
+        expected_duration: whole(&event["workHintNs"]).filter(|duration| *duration > 0),
+        deadline_at: required(event, "giveUpAtNs", time_or_past)?,
+        client_retry: event["isRetry"].as_bool().unwrap_or(false),
+        client_reconnect: event["again"].as_bool().unwrap_or(false),
+    })
+}
+
+/// A timer whose name is not a token of the module's can't be its own.
+fn parse_timer(event: &Value) -> Result<Option<Event>, BatchError> {
+    let name = required(event, "name", Value::as_str)?;
+    let token = name.parse().ok();
+    Ok(token.map(|token| Event::TimerFired(TimerToken(token))))
+}
+
+fn parse_outcome(event: &Value, site: &Site) -> Result<AttemptOutcome, BatchError> {
+    let status = parse_status(required(event, "outcome", whole)?);
+    let note = OutcomeNote(whole(&event["info"]).unwrap_or(0));
+    Ok(AttemptOutcome {
+        id: required(event, "msgId", request_id)?,
+        attempt: required(event, "sendNo", attempt_number)?,
+        server: required(event, "worker", server_id)?,
+        status,
+        latency: whole(&event["durationNs"]).unwrap_or(0),
+        request_finished: event["ended"].as_bool().unwrap_or(false),
+        cached_prompt_tokens: note.cached_prompt_tokens(status),
+        kv_cache_missing: note.kv_cache_missing(status),
+        report: parse_report(&event["stats"], site),
+    })
+}
+
+fn parse_status(code: u64) -> AttemptStatus {
+    match code {
+        100 => AttemptStatus::Ok,
+        102 => AttemptStatus::Prefilled,
+        301 => AttemptStatus::Error,
+        302 => AttemptStatus::Rejected,
+        303 => AttemptStatus::Timeout,
+        304 => AttemptStatus::ConnectFailed,
+        305 => AttemptStatus::Reset,
+        306 => AttemptStatus::Cancelled,
+        307 => AttemptStatus::Expired,
+        _ => AttemptStatus::Unknown,
+    }
+}
+
+/// Reads a load report, whose values come in the order in which the settings name its fields.
+fn parse_report(values: &Value, site: &Site) -> Option<LoadReport> {
+    let values = values.as_array()?;
+    let mut report = LoadReport::default();
+    for (field, value) in site.report.iter().zip(values) {
+        let target = match field.as_str() {
+            "concurrent" => &mut report.in_flight,
+            "depth" => &mut report.queued,
+            "load_share" => &mut report.slot_utilization,
+            "x0" => &mut report.memory_utilization,
+            "x1" => &mut report.pending_prefill_kilotokens,
+            _ => continue,
+        };
+        *target = number(value);
+    }
+    Some(report)
+}
--- /dev/null
+++ b/crates/gaparch-simulator-adapter/src/field.rs
@@ -0,0 +1,71 @@
+//! Fields of the simulator's events.
+
+use crate::error::BatchError;
+use gaparch_platform_settings::whole;
+use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId, ServerId};
+use serde_json::Value;
+
+/// The kind of an event; `event` where it has none.
+pub fn kind(event: &Value) -> &str {
+    event["t"].as_str().unwrap_or("event")
+}
+
+/// A field that the event needs, as `read` takes its value.
+///
+/// # Errors
+/// When the field is missing, or `read` does not take its value.
+pub fn required<'v, T>(
+    event: &'v Value,
+    field: &'static str,
+    read: impl Fn(&'v Value) -> Option<T>,
+) -> Result<T, BatchError> {
+    let Some(value) = event.get(field) else {
+        return Err(BatchError::MissingField { event: kind(event).to_owned(), field });
+    };
+    read(value).ok_or_else(|| BatchError::InvalidField {
+        event: kind(event).to_owned(),
+        field,
+        value: value.clone(),
+    })
+}
+
+/// The id of a request.
+pub fn request_id(value: &Value) -> Option<RequestId> {
+    whole(value).map(RequestId)
+}
+
+/// The id of a server.
+pub fn server_id(value: &Value) -> Option<ServerId> {
+    u32::try_from(whole(value)?).ok().map(ServerId)
+}
+
+/// The number of an attempt.
+pub fn attempt_number(value: &Value) -> Option<AttemptNumber> {
+    u32::try_from(whole(value)?).ok().map(AttemptNumber)
+}
+
+/// A time; one before the clock's zero is long past.
+pub fn time_or_past(value: &Value) -> Option<Nanos> {
+    whole(value).or_else(|| value.as_f64().map(|_| 0))
+}
+
+/// An object, as it is.
+pub fn object(value: &Value) -> Option<&Value> {
+    value.as_object().map(|_| value)
+}
+
+/// A seed, which may be negative on the wire.
+pub fn seed(value: &Value) -> Option<u64> {
+    whole(value).or_else(|| value.as_i64().map(|seed| seed as u64))
+}
+
+/// Bytes, as hexadecimal text.
+pub fn hex_bytes(value: &Value) -> Option<Vec<u8>> {
+    let text = value.as_str()?;
+    let digits = text.chars().map(|digit| digit.to_digit(16).map(|value| value as u8));
+    let digits: Vec<u8> = digits.collect::<Option<_>>()?;
+    if !digits.len().is_multiple_of(2) {
+        return None;
+    }
+    Some(digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+}
--- a/crates/gaparch-simulator-adapter/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -1,84 +1,116 @@
-//! Keeps the instances apart and hands each its events in order.
+//! The hosted instances: each gets its events in order, and they share nothing but the endpoint tables.
 
-use crate::wire::{self, need, Batch, Parsed, RawEntry};
+use crate::endpoint::{parse_table, parse_update, UnresolvedEndpoint};
+use crate::error::BatchError;
+use crate::field::{object, required, seed};
+use crate::{action, event};
 use gaparch_platform_settings::{whole, Site};
-use gaparch_scheduler::api::{EndpointUpdate, Event};
+use gaparch_scheduler::api::{Action, EndpointUpdate, Event, Nanos};
 use gaparch_scheduler::policy::Policy;
-use serde_json::Value;
+use serde::Deserialize;
+use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// A line of the wire: events that come at one time.
+#[derive(Debug, Deserialize)]
+pub struct Batch {
+    /// The time.
+    #[serde(rename = "clockNs")]
+    pub clock: Nanos,
+    /// The events, in their order.
+    pub events: Vec<Value>,
+}
+
+/// The instances by number, and the endpoint tables that updates name.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    tables: BTreeMap<u64, Vec<RawEntry>>,
+    tables: BTreeMap<u64, Vec<UnresolvedEndpoint>>,
 }
 
+/// A simulated router.
 struct Instance {
     site: Site,
     policy: Policy,
 }
 
 impl Host {
-    /// Answers one batch, a line of the wire, with one reply.
-    pub fn batch(&mut self, line: &[u8], reply: &mut String) -> Parsed<()> {
-        let batch: Batch = serde_json::from_slice(line).map_err(|e| format!("not a batch: {e}"))?;
+    /// Answers a batch with the actions that its events lead to.
+    ///
+    /// # Errors
+    /// When the line is no batch, or an event can't be read or is for an instance that is not there.
+    pub fn answer(&mut self, line: &[u8]) -> Result<String, BatchError> {
+        let batch: Batch = serde_json::from_slice(line).map_err(BatchError::InvalidBatch)?;
         let mut actions = Vec::new();
         for event in &batch.events {
-            self.event(batch.clock, event, &mut actions)?;
+            self.handle(batch.clock, event, &mut actions)?;
         }
-        let text = serde_json::to_string(&serde_json::json!({ "do": actions })).map_err(|e| e.to_string())?;
-        reply.push_str(&text);
-        Ok(())
+        serde_json::to_string(&json!({ "do": actions })).map_err(BatchError::InvalidReply)
     }
 
-    fn event(&mut self, now: u64, event: &Value, actions: &mut Vec<Value>) -> Parsed<()> {
-        let kind = need(event, "t", Value::as_str)?;
-        if kind == "pool" {
-            self.tables.insert(need(event, "table", whole)?, wire::pool(event)?);
-            return Ok(());
-        }
-        let who = need(event, "who", whole)?;
-        if kind == "init" {
-            let site =
-                gaparch_platform_settings::read(need(event, "env", object)?, need(event, "entropy", seed)?);
-            let policy = Policy::new(site.settings.clone());
-            self.instances.insert(who, Instance { site, policy });
-            return Ok(());
-        }
-        let unknown = || format!("{kind}: instance {who} was never started");
-        if kind == "teardown" {
-            return self.instances.remove(&who).map(drop).ok_or_else(unknown);
-        }
-        let Instance { site, policy } = self.instances.get_mut(&who).ok_or_else(unknown)?;
-        let event = match kind {
-            "rosterChange" => Some(members(event, site, &self.tables)?),
-            _ => wire::event(event, site)?,
-        };
-        if let Some(event) = event {
-            actions.extend(policy.handle(now, event).iter().map(|a| wire::action(a, who)));
+    fn handle(&mut self, now: Nanos, event: &Value, actions: &mut Vec<Value>) -> Result<(), BatchError> {
+        match required(event, "t", Value::as_str)? {
+            "pool" => {
+                self.tables.insert(required(event, "table", whole)?, parse_table(event)?);
+            }
+            "init" => {
+                let who = required(event, "who", whole)?;
+                self.instances.insert(who, start(event)?);
+            }
+            "teardown" => {
+                let who = required(event, "who", whole)?;
+                self.instances.remove(&who).ok_or_else(|| unknown_instance("teardown", who))?;
+            }
+            kind => {
+                let who = required(event, "who", whole)?;
+                let instance = self.instances.get_mut(&who).ok_or_else(|| unknown_instance(kind, who))?;
+                let new = instance.handle(now, kind, event, &self.tables)?;
+                actions.extend(new.iter().map(|new| action::to_json(new, who)));
+            }
         }
         Ok(())
     }
 }
 
-fn members(event: &Value, site: &Site, tables: &BTreeMap<u64, Vec<RawEntry>>) -> Parsed<Event> {
-    let kind = wire::list_kind(event)?;
-    if kind == EndpointUpdate::Failed {
-        return Ok(Event::EndpointsChanged { update: kind, endpoints: Arc::from([]) });
+impl Instance {
+    fn handle(
+        &mut self,
+        now: Nanos,
+        kind: &str,
+        event: &Value,
+        tables: &BTreeMap<u64, Vec<UnresolvedEndpoint>>,
+    ) -> Result<Vec<Action>, BatchError> {
+        let parsed = match kind {
+            "rosterChange" => Some(endpoints_changed(event, &self.site, tables)?),
+            _ => event::parse(event, &self.site)?,
+        };
+        Ok(parsed.map_or_else(Vec::new, |event| self.policy.handle(now, event)))
     }
-    let table = need(event, "table", whole)?;
-    let entries = tables.get(&table).ok_or_else(|| format!("rosterChange: list {table} was never given"))?;
-    Ok(Event::EndpointsChanged {
-        update: kind,
-        endpoints: entries.iter().map(|e| wire::entry(e, site)).collect(),
-    })
 }
 
-fn object(value: &Value) -> Option<&Value> {
-    value.as_object().map(|_| value)
+fn start(event: &Value) -> Result<Instance, BatchError> {
+    let settings = required(event, "env", object)?;
+    let site = gaparch_platform_settings::read(settings, required(event, "entropy", seed)?);
+    let policy = Policy::new(site.settings.clone());
+    Ok(Instance { site, policy })
 }
 
-fn seed(value: &Value) -> Option<u64> {
-    whole(value).or_else(|| value.as_i64().map(|n| n as u64))
+fn unknown_instance(event: &str, instance: u64) -> BatchError {
+    BatchError::UnknownInstance { event: event.to_owned(), instance }
+}
+
+fn endpoints_changed(
+    event: &Value,
+    site: &Site,
+    tables: &BTreeMap<u64, Vec<UnresolvedEndpoint>>,
+) -> Result<Event, BatchError> {
+    let update = parse_update(event)?;
+    if update == EndpointUpdate::Failed {
+        return Ok(Event::EndpointsChanged { update, endpoints: Arc::from([]) });
+    }
+    let table = required(event, "table", whole)?;
+    let endpoints = tables.get(&table).ok_or(BatchError::UnknownTable { table })?;
+    let resolved = endpoints.iter().map(|endpoint| endpoint.resolve(site));
+    Ok(Event::EndpointsChanged { update, endpoints: resolved.collect() })
 }
--- a/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
+++ b/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
@@ -6,11 +6,10 @@
     EndpointUpdate, Event, GiveUpCause, GiveUpReason, KindId, LoadReport, QueueingReason, Request, RequestId,
     ServerId, ServerState, TenantId, TimerToken, ZoneId,
 };
+use gaparch_simulator_adapter::host::Batch;
+use gaparch_simulator_adapter::{action, endpoint, event};
 use serde_json::{json, Value};
 
-#[path = "../src/wire.rs"]
-mod wire;
-
 fn site() -> Site {
     let env = json!({
         "flavors": ["prefill", "decode"], "zones": ["a", "b"], "tenants": [{"name": "t"}],
@@ -22,11 +21,11 @@
 
 fn parsed(line: &str) -> Event {
     let value: Value = serde_json::from_str(line).expect("JSON");
-    wire::event(&value, &site()).expect("an event").expect("a known event")
+    event::parse(&value, &site()).expect("an event").expect("a known event")
 }
 
 fn written(action: Action) -> String {
-    wire::action(&action, 3).to_string()
+    action::to_json(&action, 3).to_string()
 }
 
 fn why() -> GiveUpCause {
@@ -202,8 +201,11 @@
         {"worker":90,"az":"nowhere","kind":"other","status":"draining"}]}"#;
     let pool: Value = serde_json::from_str(line).expect("JSON");
     let site = site();
-    let entries: Vec<Endpoint> =
-        wire::pool(&pool).expect("a list").iter().map(|raw| wire::entry(raw, &site)).collect();
+    let entries: Vec<Endpoint> = endpoint::parse_table(&pool)
+        .expect("a list")
+        .iter()
+        .map(|unresolved| unresolved.resolve(&site))
+        .collect();
     let up = Endpoint {
         server: ServerId(51),
         zone: Some(ZoneId(0)),
@@ -241,14 +243,15 @@
         ("failed", EndpointUpdate::Failed),
     ];
     for (scope, kind) in scopes {
-        assert_eq!(wire::list_kind(&json!({"t": "rosterChange", "scope": scope})), Ok(kind));
+        let event = json!({"t": "rosterChange", "scope": scope});
+        assert_eq!(endpoint::parse_update(&event).expect("a known scope"), kind);
     }
-    assert!(wire::list_kind(&json!({"t": "rosterChange", "scope": "other"})).is_err());
+    assert!(endpoint::parse_update(&json!({"t": "rosterChange", "scope": "other"})).is_err());
 }
 
 #[test]
 fn a_batch_keeps_its_line() {
-    let batch: wire::Batch =
+    let batch: Batch =
         serde_json::from_str(r#"{"clockNs":7,"events":[{"t":"withdrawn"}]}"#).expect("a batch");
     assert_eq!(batch.clock, 7);
     assert_eq!(batch.events, [json!({"t": "withdrawn"})]);
