--- a/src/counts.rs
+++ b/src/counts.rs
@@ -1,8 +1,8 @@
-//! How counts by reason are told in the log.
+//! How counts by reason are written in logs.
 
 use std::fmt;
 
-/// Writes `reason=count` pairs with commas between, those that are 0 left out.
+/// Writes `reason=count` pairs, separated by commas; those with a count of 0 are left out.
 ///
 /// # Errors
 /// When the formatter's target fails.
@@ -10,8 +10,10 @@
     f: &mut fmt::Formatter<'_>,
     counts: impl Iterator<Item = (&'a str, u64)>,
 ) -> fmt::Result {
-    for (number, (reason, count)) in counts.filter(|(_, count)| *count > 0).enumerate() {
-        write!(f, "{}{reason}={count}", if number > 0 { "," } else { "" })?;
+    let mut separator = "";
+    for (reason, count) in counts.filter(|(_, count)| *count > 0) {
+        write!(f, "{separator}{reason}={count}")?;
+        separator = ",";
     }
     Ok(())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,10 @@
-//! gaparch decides, for one router, which reader and which writer serves each request.
+//! Decides, for one router, which prefill worker and which decode worker serves each request, without I/O and without
+//! a clock of its own.
 //!
-//! [`policy`] holds every decision, [`api`] is its interface, [`state`] keeps the books, [`view`] and
-//! [`counts`] show them.
+//! [`policy`] holds every decision, [`api`] is its interface, [`state`] the tables and statistics that it goes by,
+//! [`view`] shows what it thinks of each server.
+
+#![warn(missing_docs)]
 
 pub mod api;
 pub mod counts;
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -2,9 +2,8 @@
 
 use super::constants::{
     ATTEMPTS_FROM_KV_CACHE, ATTEMPTS_FROM_START, LATENCY_COMPARISON, PREFILL_BASE_TOKENS, PREFILL_GAINS,
-    PREFILL_LOST_SHARE, REPORT_LAG,
+    PREFILL_LOST_FRACTION, REPORT_LAG,
 };
-use super::health::is_kv_cache_missing;
 use super::Policy;
 use crate::api::{Action, AttemptOutcome, AttemptStatus, GiveUpReason, Idempotency, RequestId};
 use crate::state::{Attempt, MayHaveRun, Stage};
@@ -25,8 +24,8 @@
             server.record_report(self.now, REPORT_LAG, outcome.report, mean_tokens);
         }
         self.learn_from_prefill(outcome, &attempt);
-        self.settle_kv_cache(outcome, &attempt);
-        self.settle_attempt(outcome, &attempt);
+        self.update_kv_cache(outcome, &attempt);
+        self.follow_up_attempt(outcome, &attempt);
     }
 
     fn learn_from_prefill(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
@@ -34,7 +33,7 @@
             return;
         }
         let Some(request) = self.requests.get(outcome.id) else { return };
-        let lost_after = PREFILL_LOST_SHARE * request.time_to_objective();
+        let lost_after = PREFILL_LOST_FRACTION * request.time_to_objective();
         if attempt.stage == Stage::Prefill {
             let uncached = request.request().prompt_tokens - outcome.cached_prompt_tokens as f64;
             let computed = PREFILL_BASE_TOKENS + uncached.max(0.0);
@@ -48,7 +47,7 @@
     }
 
     /// Decides what follows the end of an attempt.
-    fn settle_attempt(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
+    fn follow_up_attempt(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
         let id = outcome.id;
         let Some(request) = self.requests.get(id) else { return };
         if request.finished {
@@ -57,7 +56,7 @@
             return;
         }
         let may_have_run = request.may_have_run.or_else(|| self.possible_run(outcome, attempt));
-        let is_kv_cache_missing = is_kv_cache_missing(outcome) && attempt.stage != Stage::Prefill;
+        let is_kv_cache_missing = outcome.kv_cache_missing && attempt.stage != Stage::Prefill;
         let says_nothing_of_server =
             matches!(outcome.status, AttemptStatus::Prefilled | AttemptStatus::NoSocket);
         self.requests.update(id, |request| {
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -2,8 +2,8 @@
 
 use super::constants::{
     CANCELLATIONS_PER_ATTEMPT, LATENCY_COMPARISON, LOAD_MAX_AGE, MAX_CANCELLATIONS, MEAN_GAIN,
-    MIN_SEND_TIMEOUT, OVERDUE_DEVIATIONS, PREFILL_BASE_TOKENS, PREFILL_GAINS, PREFILL_WAIT_SHARE, RATE_SPAN,
-    REPORT_LAG,
+    MIN_SEND_TIMEOUT, OVERDUE_DEVIATIONS, PREFILL_BASE_TOKENS, PREFILL_GAINS, PREFILL_WAIT_FRACTION,
+    RATE_SPAN, REPORT_LAG,
 };
 use super::Policy;
 use crate::api::{Action, AttemptNumber, CellId, Nanos, RequestId, Role};
@@ -58,8 +58,8 @@
     /// How long an attempt may go without an answer, by its latency objective and by what prefills
     /// take.
     pub(super) fn prefill_patience(&self, request: &InFlightRequest, attempt: &Attempt) -> Nanos {
-        let pace = self.prefill_cost.late_pace(OVERDUE_DEVIATIONS);
-        (PREFILL_WAIT_SHARE * request.time_to_objective() + attempt.queued_tokens * pace) as Nanos
+        let pace = self.prefill_cost.late_time_per_token(OVERDUE_DEVIATIONS);
+        (PREFILL_WAIT_FRACTION * request.time_to_objective() + attempt.queued_tokens * pace) as Nanos
     }
 
     /// An attempt has sent its first token: its KV cache was fetched.
@@ -102,7 +102,7 @@
         if is_decode {
             self.decode_delays.record(is_within_cell, latency, MEAN_GAIN);
         } else {
-            self.prefill_cost.record_pace(per_token, PREFILL_GAINS);
+            self.prefill_cost.record_time_per_token(per_token, PREFILL_GAINS);
         }
         // One measure for each role: mixed servers by what they take whole, decode workers by what
         // they fetch.
--- a/src/policy/connect.rs
+++ b/src/policy/connect.rs
@@ -18,14 +18,14 @@
 
 /// The share of a connection's time after which a second one is opened beside it: one that was lost
 /// on its way, or is never answered, would else count as a server that can't be reached.
-const HEDGE_SHARE: f64 = 0.4;
+const HEDGE_FRACTION: f64 = 0.4;
 /// Idle connections to a server on which nothing but probes and releases goes out.
 const IDLE_FOR_CONTROL: usize = 2;
 
 /// The time after which a second connection is opened beside one that has not come up, of the time
 /// that one may take.
 pub fn hedge_connection_after(connect_timeout: Nanos) -> Nanos {
-    (connect_timeout as f64 * HEDGE_SHARE) as Nanos
+    (connect_timeout as f64 * HEDGE_FRACTION) as Nanos
 }
 
 /// What is lost if a send does not arrive on an idle connection that passes nothing any more.
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -22,14 +22,14 @@
 
 /// The share of the KV release time by which a KV cache has to be sent for, or its request is given
 /// up.
-pub const PLACEMENT_SHARE: f64 = 0.7;
+pub const PLACEMENT_FRACTION: f64 = 0.7;
 /// The share of the KV release time after which the server of an unanswered decode attempt is probed.
-pub const PROBE_SHARE: f64 = 0.3;
+pub const PROBE_FRACTION: f64 = 0.3;
 /// The share of it after which another decode worker is tried, if that server does not answer the
 /// probe.
-pub const RETRY_SHARE: f64 = 0.6;
+pub const RETRY_FRACTION: f64 = 0.6;
 /// The share of it after which the KV cache is released beside its unanswered decode attempt.
-pub const RELEASE_SHARE: f64 = 0.9;
+pub const RELEASE_FRACTION: f64 = 0.9;
 /// The time in which an attempt reaches a running server, and in which that answers a probe.
 pub const DELIVERY_TIME: Nanos = 50 * MILLISECOND;
 
@@ -72,10 +72,10 @@
 pub const OVERDUE_DEVIATIONS: f64 = 4.0;
 /// The share of the latency objective from which a wait makes a prefill worker count as saturated;
 /// further requests wait in the router's queue.
-pub const PREFILL_WAIT_SHARE: f64 = 0.25;
+pub const PREFILL_WAIT_FRACTION: f64 = 0.25;
 /// The share of the latency objective from which a prefill is lost, a sign of more requests than
 /// all routers can serve.
-pub const PREFILL_LOST_SHARE: f64 = 1.0;
+pub const PREFILL_LOST_FRACTION: f64 = 1.0;
 /// How prefills are throttled after a lost one: to a share of those recently sent, at most once a
 /// second.
 pub const PREFILL_REDUCTION: RateReduction =
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -172,7 +172,7 @@
         self.eject(check.attempt.server, traffic);
         if check.prefills() {
             let per_token = check.age as f64 / check.attempt.queued_tokens.max(PREFILL_BASE_TOKENS);
-            self.prefill_cost.record_pace(per_token, PREFILL_GAINS);
+            self.prefill_cost.record_time_per_token(per_token, PREFILL_GAINS);
         }
         self.cancel_attempt(id, &check.attempt);
     }
--- a/src/policy/decode_capacity.rs
+++ b/src/policy/decode_capacity.rs
@@ -22,7 +22,7 @@
         let capacity = server.listing.kv_capacity_tokens;
         let fits = capacity <= 0.0
             || utilization + kv_tokens / capacity <= SATURATION_UTILIZATION
-            || server.own_load.reserved_kv_tokens() <= 0.0;
+            || server.local_load.reserved_kv_tokens() <= 0.0;
         let reported = server.reported_load.memory_utilization();
         let is_reported_open = reported.is_none_or(|utilization| utilization < SATURATION_UTILIZATION);
         let is_probe_late = server.liveness.awaits_probe_for(self.now, SLOW_PROBE_LATENCY);
@@ -35,7 +35,7 @@
         // Without any report what gossip says; only for capacity, not to compare loads.
         let by_gossip = || self.peer_load.tokens_at(server.id) / capacity;
         let peers = self.peer_utilization(server).unwrap_or_else(by_gossip);
-        server.own_load.reserved_kv_tokens() / capacity + peers
+        server.local_load.reserved_kv_tokens() / capacity + peers
     }
 
     /// The share that other routers' requests use, by reports; a server not heard from lately
@@ -50,7 +50,7 @@
     pub(super) fn relative_decode_load(&self, server: &Server) -> f64 {
         let capacity = server.listing.kv_capacity_tokens.max(1.0);
         let peers = self.peer_utilization(server).unwrap_or(0.0);
-        (server.own_load.reserved_kv_tokens() / capacity + peers) / self.relative_speed(server)
+        (server.local_load.reserved_kv_tokens() / capacity + peers) / self.relative_speed(server)
     }
 
     /// Its weight as a multiple of its role's mean, less while it is slow or warming up.
--- a/src/policy/decode_placement.rs
+++ b/src/policy/decode_placement.rs
@@ -1,6 +1,6 @@
 //! Where a request whose prompt is prefilled is decoded: at a worker with capacity near its KV cache.
 
-use super::constants::{NEAR_DECODE_TOLERANCE, PLACEMENT_SHARE, SLOW_LINK_TOLERANCE};
+use super::constants::{NEAR_DECODE_TOLERANCE, PLACEMENT_FRACTION, SLOW_LINK_TOLERANCE};
 use super::eligibility::WorkerPool;
 use super::Policy;
 use crate::api::{GiveUpReason, RequestId, ServerId};
@@ -62,7 +62,7 @@
         servers: impl Iterator<Item = &'s Server>,
     ) -> Option<&'s Server> {
         let rank = |server: &Server| request.tie_breaker.rendezvous_rank(server.id);
-        let own_tokens = |server: &Server| server.own_load.reserved_kv_tokens();
+        let own_tokens = |server: &Server| server.local_load.reserved_kv_tokens();
         servers.min_by(|a, b| {
             let by_load = self.relative_decode_load(a).total_cmp(&self.relative_decode_load(b));
             by_load.then(own_tokens(a).total_cmp(&own_tokens(b))).then_with(|| rank(a).cmp(&rank(b)))
@@ -77,7 +77,7 @@
         };
         let Some(kv_cache) = request.kv_cache else { return };
         let release_within = self.settings.kv_release_within;
-        let patience = (release_within as f64 * PLACEMENT_SHARE) as u64;
+        let patience = (release_within as f64 * PLACEMENT_FRACTION) as u64;
         let next_check = self.now.saturating_add(self.check_interval());
         let is_last_check = next_check >= kv_cache.held_since.saturating_add(patience);
         let is_over = self.now > kv_cache.held_since && self.now >= request.kv_release_at(release_within);
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -26,7 +26,7 @@
         if !is_allowed || now < self.last_sent_at + GOSSIP_INTERVAL || servers_report_load(servers) {
             return None;
         }
-        let message = own_load(servers);
+        let message = local_load(servers);
         // An empty message says nothing, and costs its sending all the same.
         if message.is_empty() || !self.budget.try_spend(cost(settings, &message)) {
             return None;
@@ -41,8 +41,8 @@
 }
 
 /// The own load, the most loaded servers first: a message has no space for all where there are many.
-fn own_load(servers: &ServerTable) -> Vec<u8> {
-    let load = servers.iter().map(|server| (server.id, server.own_load.reserved_kv_tokens())).collect();
+fn local_load(servers: &ServerTable) -> Vec<u8> {
+    let load = servers.iter().map(|server| (server.id, server.local_load.reserved_kv_tokens())).collect();
     let most_loaded_first = least_by(load, usize::MAX, |(_, tokens)| -tokens);
     encode_gossip(most_loaded_first.into_iter())
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -14,7 +14,7 @@
     let is_ejected = server.ejections.is_ejected(now, None)
         || traffic.is_some() && server.ejections.is_ejected(now, traffic);
     let is_busy_outlier =
-        server.latency.ratio() >= OUTLIER_LATENCY_RATIO && server.own_load.awaiting_first_token() > 0;
+        server.latency.ratio() >= OUTLIER_LATENCY_RATIO && server.local_load.awaiting_first_token() > 0;
     server.liveness.is_unreachable() || is_ejected || is_busy_outlier
 }
 
@@ -114,17 +114,12 @@
 /// Whether a rejection says that the server is saturated: a decode worker may have rejected a KV
 /// cache that it did not find.
 fn is_saturated(outcome: &AttemptOutcome, role: Role) -> bool {
-    !is_kv_cache_missing(outcome) || role == Role::Prefill
-}
-
-/// Whether a server rejected an attempt because it found no KV cache to fetch.
-pub(super) fn is_kv_cache_missing(outcome: &AttemptOutcome) -> bool {
-    outcome.status == AttemptStatus::Rejected && outcome.kv_cache_missing
+    !outcome.kv_cache_missing || role == Role::Prefill
 }
 
 /// A probe waits in the server's queue: its latency shows how long that is.
 fn record_probe_latency(now: Nanos, server: &mut Server, latency: Nanos, queued_tokens: f64) {
-    let peer_tokens = (queued_tokens - server.own_load.queued_prompt_tokens()).max(0.0);
+    let peer_tokens = (queued_tokens - server.local_load.queued_prompt_tokens()).max(0.0);
     server.reported_load.record_queue(now, peer_tokens);
     if server.listing.role != Role::Prefill && latency >= SLOW_PROBE_LATENCY {
         server.saturated_at = Some(now);
--- a/src/policy/kv_release.rs
+++ b/src/policy/kv_release.rs
@@ -14,12 +14,12 @@
 const MAX_ROUND_WIDTH: usize = 4;
 /// The share of a round's time after which the next one begins beside it: several rounds have to
 /// fit into the release time, also where most servers are cut off.
-const NEXT_ROUND_SHARE: f64 = 0.3;
+const NEXT_ROUND_FRACTION: f64 = 0.3;
 /// The time between two rounds once all servers have been tried.
 const PAUSE: Nanos = 250_000_000;
 /// How long a release is owed: a server that has held a KV cache for longer will have released it,
 /// or be gone.
-pub const RELEASE_OWED_FOR: Nanos = 15_000_000_000;
+pub const RELEASE_PENDING_FOR: Nanos = 15_000_000_000;
 
 /// Whether the KV cache of a request is released beside a decode attempt that is in flight for it.
 /// `keeps_awaited`: a release leaves alone what an attempt at a running server waits for.
@@ -31,7 +31,7 @@
 /// When the next round begins beside one that nobody has answered, of the time that one round may
 /// take.
 pub fn next_round_after(round_time: Nanos) -> Nanos {
-    (round_time as f64 * NEXT_ROUND_SHARE) as Nanos
+    (round_time as f64 * NEXT_ROUND_FRACTION) as Nanos
 }
 
 /// The rounds of one release.
@@ -62,7 +62,7 @@
 
     /// The next round; `None` once the release is not owed any more, or there is nobody to notify.
     pub fn next(&mut self, now: Nanos) -> Option<ReleaseRound> {
-        let is_owed = now < self.began_at.saturating_add(RELEASE_OWED_FOR);
+        let is_owed = now < self.began_at.saturating_add(RELEASE_PENDING_FOR);
         if self.servers == 0 || !is_owed {
             return None;
         }
--- a/src/policy/load_probes.rs
+++ b/src/policy/load_probes.rs
@@ -7,7 +7,7 @@
 
 impl Policy {
     /// Whether a probe would say something new of a server, and probes are allowed.
-    pub(super) fn is_worth_probing(&self, server: &Server) -> bool {
+    pub(super) fn needs_probe(&self, server: &Server) -> bool {
         let is_recent = server.liveness.last_response_at() + RECENT >= self.now;
         self.settings.can_probe && server.liveness.probe_sent_at().is_none() && !is_recent
     }
@@ -17,7 +17,7 @@
     pub(super) fn probe_loads(&mut self, ids: &[ServerId]) -> bool {
         let cost = self.load_probe_cost();
         for id in ids {
-            if self.servers.get(*id).is_some_and(|server| self.is_worth_probing(server)) {
+            if self.servers.get(*id).is_some_and(|server| self.needs_probe(server)) {
                 self.send_load_probe(*id, cost);
             }
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -109,7 +109,7 @@
             admission: Admission::default(),
             quotas: TenantQuotas::new(settings.tenants.len()),
             traffic: TrafficStatistics::new(settings.classes.len()),
-            prefill_cost: PrefillCostModel::with_unloaded_pace(slowest_pace),
+            prefill_cost: PrefillCostModel::with_unloaded_time_per_token(slowest_pace),
             decode_delays: DecodeStartDelays::default(),
             slow_start: SlowStart::new(settings.kinds.len()),
             probe_budget: Budget::default(),
--- a/src/policy/prefill_placement.rs
+++ b/src/policy/prefill_placement.rs
@@ -1,7 +1,9 @@
 //! Where a request is prefilled: at the worker that it has affinity to, unless that is clearly
 //! busier than the least loaded one.
 
-use super::constants::{PREFILL_BASE_TOKENS, PREFILL_WAIT_SHARE, PROBED_DECODE_WORKERS, PROBE_WAIT, RECENT};
+use super::constants::{
+    PREFILL_BASE_TOKENS, PREFILL_WAIT_FRACTION, PROBED_DECODE_WORKERS, PROBE_WAIT, RECENT,
+};
 use super::decode_placement::DecodeUrgency;
 use super::eligibility::WorkerPool;
 use super::prefill_affinity::{preferred_workers, PrefillCandidates};
@@ -139,7 +141,7 @@
         // Mixed servers stand in for decode workers that can't be reached.
         let mut near =
             self.servers.at(&servers.decode).chain(self.servers.at(&servers.mixed)).filter(is_near);
-        if !near.any(|server| self.is_worth_probing(server)) {
+        if !near.any(|server| self.needs_probe(server)) {
             return Vec::new();
         }
         let candidates = self.candidates(WorkerPool::Decode, request).into_iter().filter(is_near);
@@ -149,18 +151,18 @@
     /// What a worker has to prefill with so many tokens more, in tokens at the pace of an average
     /// one.
     fn prefill_cost_at(&self, server: &Server, tokens: f64) -> f64 {
-        let queued = server.own_load.queued_prompt_tokens() + self.peer_queued_tokens(server) + tokens;
+        let queued = server.local_load.queued_prompt_tokens() + self.peer_queued_tokens(server) + tokens;
         queued / self.relative_speed(server)
     }
 
     /// A prefill worker with a long wait counts as saturated, but one with nothing of ours is tried
     /// all the same.
     pub(super) fn is_prefill_wait_long(&self, server: &Server, time_to_objective: f64) -> bool {
-        if server.own_load.awaiting_first_token() == 0 {
+        if server.local_load.awaiting_first_token() == 0 {
             return false;
         }
-        let wait = self.prefill_cost_at(server, 0.0) * self.prefill_cost.unloaded_pace();
-        wait > PREFILL_WAIT_SHARE * time_to_objective
+        let wait = self.prefill_cost_at(server, 0.0) * self.prefill_cost.unloaded_time_per_token();
+        wait > PREFILL_WAIT_FRACTION * time_to_objective
     }
 
     /// What other routers' requests have queued there, by reports or by how long a probe takes;
--- a/src/policy/unanswered_decode.rs
+++ b/src/policy/unanswered_decode.rs
@@ -13,7 +13,7 @@
 //! Before that the server is probed: one that answers runs. If it does not, another decode worker
 //! is tried while the KV cache is still there, where the rules allow a second attempt.
 
-use super::constants::{DELIVERY_TIME, PROBE_SHARE, RELEASE_SHARE, RETRY_SHARE, SLOW_PROBE_LATENCY};
+use super::constants::{DELIVERY_TIME, PROBE_FRACTION, RELEASE_FRACTION, RETRY_FRACTION, SLOW_PROBE_LATENCY};
 use super::eligibility::WorkerPool;
 use super::Policy;
 use crate::api::{Action, AttemptOutcome, AttemptStatus, Nanos, RequestId};
@@ -55,17 +55,17 @@
 impl UnansweredDecode {
     /// What is to be done now.
     pub fn next_step(&self) -> NextStep {
-        if self.is_past(RELEASE_SHARE, DELIVERY_TIME) {
+        if self.is_past(RELEASE_FRACTION, DELIVERY_TIME) {
             return NextStep::Release;
         }
         if self.server_runs {
             return NextStep::Wait;
         }
-        if self.is_past(RETRY_SHARE, DELIVERY_TIME) {
+        if self.is_past(RETRY_FRACTION, DELIVERY_TIME) {
             return NextStep::Retry;
         }
         let can_probe = self.may_probe && self.probed_at.is_none();
-        if can_probe && self.is_past(PROBE_SHARE, DELIVERY_TIME / 2) {
+        if can_probe && self.is_past(PROBE_FRACTION, DELIVERY_TIME / 2) {
             return NextStep::Probe;
         }
         NextStep::Wait
@@ -174,7 +174,7 @@
     }
 
     /// Records what has become of a request's KV cache with the end of an attempt.
-    pub(super) fn settle_kv_cache(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
+    pub(super) fn update_kv_cache(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
         let Some(request) = self.requests.get(outcome.id) else { return };
         let server = self.servers.get(outcome.server);
         let server_runs = server.is_some_and(|server| server.liveness.ran_since(attempt.sent_at));
--- a/src/state/fleet_summary.rs
+++ b/src/state/fleet_summary.rs
@@ -36,7 +36,7 @@
     /// new ones come under new ids all the time. With more than `most` ready servers requests
     /// choose among neighbourhoods.
     pub fn update_listed(&mut self, servers: &mut ServerTable, most: usize, limits: NeighborhoodLimits) {
-        servers.retain(|server| !server.listing.is_removed() || has_own_work(server));
+        servers.retain(|server| !server.listing.is_removed() || has_local_work(server));
         // Mixed servers are sent KV caches from prefill workers only where there are no decode
         // workers.
         let has_decode_workers = servers.iter().any(|server| is_ready_as(server, Role::Decode));
@@ -105,7 +105,7 @@
             }
             if role != Role::Prefill {
                 decode_servers += 1.0;
-                own_kv_tokens += server.own_load.reserved_kv_tokens();
+                own_kv_tokens += server.local_load.reserved_kv_tokens();
             }
         }
         self.mean_peer_utilization = utilization.map(MeanAccumulator::mean);
@@ -196,8 +196,8 @@
     server.listing.is_ready() && server.listing.role == role
 }
 
-fn has_own_work(server: &Server) -> bool {
-    let own = &server.own_load;
+fn has_local_work(server: &Server) -> bool {
+    let own = &server.local_load;
     own.awaiting_first_token() > 0 || own.reserved_kv_tokens() >= NEGLIGIBLE_KV_TOKENS
 }
 
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -44,7 +44,7 @@
 pub use request_table::RequestTable;
 pub use selection::{least_by, least_with_tie_breaker, next_power_of_four, sample_by_rank};
 pub use server::{
-    EjectionBounds, Ejections, LatencyRecord, Listing, ListingState, Liveness, OwnLoad, Reachability,
+    EjectionBounds, Ejections, LatencyRecord, Listing, ListingState, Liveness, LocalLoad, Reachability,
     ReportedLoad, Server, SlowStartRecord, TrafficClassKey,
 };
 pub use server_table::ServerTable;
--- a/src/state/prefill_cost.rs
+++ b/src/state/prefill_cost.rs
@@ -20,7 +20,7 @@
     /// How far single prefills are off that.
     deviation: RunningMean,
     /// Nanoseconds a token where nothing else waited.
-    unloaded_pace: f64,
+    unloaded_time_per_token: f64,
     /// Tokens a prefill computed, without those found cached.
     computed_tokens: RunningMean,
     /// Tokens that a prefill queued behind at a server that had not answered its probe.
@@ -29,18 +29,18 @@
 
 impl PrefillCostModel {
     /// A model that goes by a given pace, in nanoseconds a token, until one is learnt.
-    pub fn with_unloaded_pace(unloaded_pace: f64) -> PrefillCostModel {
-        PrefillCostModel { unloaded_pace, ..PrefillCostModel::default() }
+    pub fn with_unloaded_time_per_token(unloaded_time_per_token: f64) -> PrefillCostModel {
+        PrefillCostModel { unloaded_time_per_token, ..PrefillCostModel::default() }
     }
 
     /// Nanoseconds a token of a prefill that is slower than the mean by so many deviations.
-    pub fn late_pace(&self, deviations: f64) -> f64 {
+    pub fn late_time_per_token(&self, deviations: f64) -> f64 {
         self.pace.value() + deviations * self.deviation.value()
     }
 
     /// Nanoseconds a token where nothing else waits.
-    pub fn unloaded_pace(&self) -> f64 {
-        self.unloaded_pace
+    pub fn unloaded_time_per_token(&self) -> f64 {
+        self.unloaded_time_per_token
     }
 
     /// The mean of tokens that a prefill computes.
@@ -55,7 +55,7 @@
 
     /// The tokens that can be prefilled in that span where nothing else waits.
     pub fn tokens_within(&self, span: Nanos) -> f64 {
-        span as f64 / self.unloaded_pace.max(1.0)
+        span as f64 / self.unloaded_time_per_token.max(1.0)
     }
 
     /// Learns from a prefill that is done, when it is known how many tokens it computed and so how
@@ -79,16 +79,16 @@
     }
 
     /// Learns from a prefill of which only the pace is known, in nanoseconds a token.
-    pub fn record_pace(&mut self, per_token: f64, gains: LearningGains) {
+    pub fn record_time_per_token(&mut self, per_token: f64, gains: LearningGains) {
         self.learn(per_token, per_token, gains);
     }
 
     /// `per_own_token` counts only the prefill's own tokens: whatever it queued behind, an unloaded
     /// one is no slower.
     fn learn(&mut self, per_token: f64, per_own_token: f64, gains: LearningGains) {
-        let known = if self.pace.samples() > 0 { self.unloaded_pace } else { per_own_token };
+        let known = if self.pace.samples() > 0 { self.unloaded_time_per_token } else { per_own_token };
         let moved = known + (per_own_token - known) * gains.slower_unloaded;
-        self.unloaded_pace = per_own_token.min(moved);
+        self.unloaded_time_per_token = per_own_token.min(moved);
         self.deviation.add((per_token - self.pace.value()).abs(), gains.mean);
         self.pace.add(per_token, gains.mean);
     }
--- a/src/state/server/local_load.rs
+++ b/src/state/server/local_load.rs
@@ -5,7 +5,7 @@
 
 /// The load on a server from this router's own attempts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnLoad {
+pub struct LocalLoad {
     awaiting_first_token: u32,
     queued_prompt_tokens: f64,
     reserved_kv_tokens: f64,
@@ -13,7 +13,7 @@
     lagged_awaiting_first_token: LaggedValue,
 }
 
-impl OwnLoad {
+impl LocalLoad {
     /// Attempts that have not sent their first token.
     pub fn awaiting_first_token(&self) -> u32 {
         self.awaiting_first_token
--- a/src/state/server/mod.rs
+++ b/src/state/server/mod.rs
@@ -6,7 +6,7 @@
 mod latency;
 mod listing;
 mod liveness;
-mod own_load;
+mod local_load;
 mod reported_load;
 mod slow_start;
 
@@ -14,7 +14,7 @@
 pub use latency::LatencyRecord;
 pub use listing::{Listing, ListingState};
 pub use liveness::{Liveness, Reachability};
-pub use own_load::OwnLoad;
+pub use local_load::LocalLoad;
 pub use reported_load::ReportedLoad;
 pub use slow_start::SlowStartRecord;
 
@@ -29,7 +29,7 @@
     /// What the endpoint list says.
     pub listing: Listing,
     /// The load from this router's attempts.
-    pub own_load: OwnLoad,
+    pub local_load: LocalLoad,
     /// The load from other routers, by load reports and probes.
     pub reported_load: ReportedLoad,
     /// When it last said, or showed, that it is saturated.
@@ -53,7 +53,7 @@
         Server {
             id,
             listing: Listing::new(role, kv_capacity_tokens),
-            own_load: OwnLoad::default(),
+            local_load: LocalLoad::default(),
             reported_load: ReportedLoad::default(),
             saturated_at: None,
             liveness: Liveness::default(),
@@ -88,7 +88,7 @@
     fn restart(&mut self, now: Nanos, started_at: Nanos, debt: f64) {
         let listing = Listing { started_at, ..self.listing.clone() };
         *self = Server {
-            own_load: self.own_load,
+            local_load: self.local_load,
             liveness: self.liveness.after_restart(),
             slow_start: SlowStartRecord::in_debt(now, debt),
             affinity_weight: self.affinity_weight,
@@ -99,17 +99,17 @@
 
     /// Books an attempt that is sent there; `lag` is that of load reports.
     pub fn begin_attempt(&mut self, now: Nanos, lag: Nanos, attempt: &Attempt) {
-        self.own_load.add(now, lag, attempt);
+        self.local_load.add(now, lag, attempt);
     }
 
     /// Books the first token of an attempt.
     pub fn begin_streaming(&mut self, now: Nanos, lag: Nanos, attempt: &Attempt) {
-        self.own_load.begin_streaming(now, lag, attempt);
+        self.local_load.begin_streaming(now, lag, attempt);
     }
 
     /// Books the end of an attempt.
     pub fn end_attempt(&mut self, now: Nanos, lag: Nanos, attempt: &Attempt) {
-        self.own_load.remove(now, lag, attempt);
+        self.local_load.remove(now, lag, attempt);
     }
 
     /// Takes a load report. It counts own attempts too, as they were a while ago: what is left is
@@ -122,7 +122,7 @@
         mean_prefill_tokens: f64,
     ) {
         let Some(report) = report else { return };
-        self.own_load.advance_lag(now, lag);
-        self.reported_load.record(now, &report, &self.own_load, &self.listing, mean_prefill_tokens);
+        self.local_load.advance_lag(now, lag);
+        self.reported_load.record(now, &report, &self.local_load, &self.listing, mean_prefill_tokens);
     }
 }
--- a/src/state/server/reported_load.rs
+++ b/src/state/server/reported_load.rs
@@ -1,6 +1,6 @@
 //! The load on a server from other routers, as load reports and probes show it.
 
-use super::{Listing, OwnLoad};
+use super::{Listing, LocalLoad};
 use crate::api::{LoadReport, Nanos, Role};
 
 /// Prompt tokens in the unit of load reports.
@@ -50,7 +50,7 @@
         &mut self,
         now: Nanos,
         report: &LoadReport,
-        own: &OwnLoad,
+        own: &LocalLoad,
         listing: &Listing,
         mean_prefill_tokens: f64,
     ) {
@@ -70,7 +70,7 @@
 }
 
 /// Reported prompt tokens without the own ones; where only requests are reported, by their mean size.
-fn peer_queued_tokens(report: &LoadReport, own: &OwnLoad, mean_prefill_tokens: f64) -> Option<f64> {
+fn peer_queued_tokens(report: &LoadReport, own: &LocalLoad, mean_prefill_tokens: f64) -> Option<f64> {
     if let Some(kilotokens) = report.pending_prefill_kilotokens {
         return Some(kilotokens * TOKENS_PER_KILOTOKEN - own.queued_prompt_tokens());
     }
--- a/tests/kv_release.rs
+++ b/tests/kv_release.rs
@@ -1,6 +1,6 @@
 //! Tests of the rounds of a release.
 
-use gaparch_scheduler::policy::kv_release::{ReleaseRounds, RELEASE_OWED_FOR};
+use gaparch_scheduler::policy::kv_release::{ReleaseRounds, RELEASE_PENDING_FOR};
 
 #[test]
 fn rounds_widen_go_over_all_servers_and_end() {
@@ -12,6 +12,6 @@
     assert_eq!(rounds.next(0).expect("one").servers, vec![3, 4, 0, 1]);
     let again = rounds.next(0).expect("one");
     assert!(again.pause > 0, "all were told");
-    assert_eq!(rounds.next(RELEASE_OWED_FOR), None);
+    assert_eq!(rounds.next(RELEASE_PENDING_FOR), None);
     assert_eq!(ReleaseRounds::new(0, 0).next(0), None);
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -678,11 +678,12 @@
     for _ in 0..10 {
         reads.record_finished(&sent, 50_000_000, 1000.0, gains);
     }
-    assert_eq!(reads.unloaded_pace(), 50_000.0);
+    assert_eq!(reads.unloaded_time_per_token(), 50_000.0);
     assert_eq!(reads.tokens_within(100_000_000), 2000.0);
     // Until then the settings' own allowance for a token is gone by.
     assert_eq!(
-        gaparch_scheduler::state::PrefillCostModel::with_unloaded_pace(100_000.0).tokens_within(100_000_000),
+        gaparch_scheduler::state::PrefillCostModel::with_unloaded_time_per_token(100_000.0)
+            .tokens_within(100_000_000),
         1000.0
     );
 }
