--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -332,7 +332,7 @@
             Attempt {
                 prompt_tokens: unread,
                 queued_tokens: queued,
-                probe_outstanding: probe_outstanding,
+                probe_outstanding,
                 ..Attempt::planned(chosen, stage)
             },
         );
