--- a/crates/gaparch-simulator-adapter/src/endpoint.rs
+++ b/crates/gaparch-simulator-adapter/src/endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::error::BatchError;
 use crate::field::{required, server_id};
-use gaparch_platform_settings::{index, number, whole, Site};
+use gaparch_platform_settings::{index_of, non_negative_number, whole_number, PlatformSettings};
 use gaparch_scheduler::api::{
     CellId, Endpoint, EndpointUpdate, KindId, Nanos, ServerId, ServerState, ZoneId,
 };
@@ -33,24 +33,24 @@
         server: required(endpoint, "worker", server_id)?,
         zone: endpoint["az"].clone(),
         kind: endpoint["kind"].clone(),
-        cell: whole(&endpoint["cohort"]).map(CellId),
+        cell: whole_number(&endpoint["cohort"]).map(CellId),
         state: match endpoint["status"].as_str() {
             Some("up") => ServerState::Ready,
             Some("removed") => ServerState::Removed,
             _ => ServerState::Draining,
         },
-        weight: number(&endpoint["scale"]),
-        started_at: whole(&endpoint["launchedNs"]),
+        weight: non_negative_number(&endpoint["scale"]),
+        started_at: whole_number(&endpoint["launchedNs"]),
     })
 }
 
 impl UnresolvedEndpoint {
     /// The endpoint with zone and kind as the settings of an instance number them.
-    pub fn resolve(&self, site: &Site) -> Endpoint {
+    pub fn resolve(&self, settings: &PlatformSettings) -> Endpoint {
         Endpoint {
             server: self.server,
-            zone: index(&site.zones, &self.zone).map(ZoneId),
-            kind: index(&site.kinds, &self.kind).map(KindId),
+            zone: index_of(&settings.zones, &self.zone).map(ZoneId),
+            kind: index_of(&settings.kinds, &self.kind).map(KindId),
             cell: self.cell,
             state: self.state,
             weight: self.weight,
--- a/crates/gaparch-simulator-adapter/src/field.rs
+++ b/crates/gaparch-simulator-adapter/src/field.rs
@@ -1,7 +1,7 @@
 //! Fields of the simulator's events.
 
 use crate::error::BatchError;
-use gaparch_platform_settings::whole;
+use gaparch_platform_settings::whole_number;
 use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId, ServerId};
 use serde_json::Value;
 
@@ -31,22 +31,22 @@
 
 /// The id of a request.
 pub fn request_id(value: &Value) -> Option<RequestId> {
-    whole(value).map(RequestId)
+    whole_number(value).map(RequestId)
 }
 
 /// The id of a server.
 pub fn server_id(value: &Value) -> Option<ServerId> {
-    u32::try_from(whole(value)?).ok().map(ServerId)
+    u32::try_from(whole_number(value)?).ok().map(ServerId)
 }
 
 /// The number of an attempt.
 pub fn attempt_number(value: &Value) -> Option<AttemptNumber> {
-    u32::try_from(whole(value)?).ok().map(AttemptNumber)
+    u32::try_from(whole_number(value)?).ok().map(AttemptNumber)
 }
 
 /// A time; one before the clock's zero is long past.
 pub fn time_or_past(value: &Value) -> Option<Nanos> {
-    whole(value).or_else(|| value.as_f64().map(|_| 0))
+    whole_number(value).or_else(|| value.as_f64().map(|_| 0))
 }
 
 /// An object, as it is.
@@ -56,7 +56,7 @@
 
 /// A seed, which may be negative on the wire.
 pub fn seed(value: &Value) -> Option<u64> {
-    whole(value).or_else(|| value.as_i64().map(|seed| seed as u64))
+    whole_number(value).or_else(|| value.as_i64().map(|seed| seed as u64))
 }
 
 /// Bytes, as hexadecimal text.
--- a/crates/gaparch-simulator-adapter/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -4,7 +4,7 @@
 use crate::error::BatchError;
 use crate::field::{object, required, seed};
 use crate::{action, event};
-use gaparch_platform_settings::{whole, Site};
+use gaparch_platform_settings::{whole_number, PlatformSettings};
 use gaparch_scheduler::api::{Action, EndpointUpdate, Event, Nanos};
 use gaparch_scheduler::policy::Policy;
 use serde::Deserialize;
@@ -31,7 +31,7 @@
 
 /// A simulated router.
 struct Instance {
-    site: Site,
+    settings: PlatformSettings,
     policy: Policy,
 }
 
@@ -52,18 +52,18 @@
     fn handle(&mut self, now: Nanos, event: &Value, actions: &mut Vec<Value>) -> Result<(), BatchError> {
         match required(event, "t", Value::as_str)? {
             "pool" => {
-                self.tables.insert(required(event, "table", whole)?, parse_table(event)?);
+                self.tables.insert(required(event, "table", whole_number)?, parse_table(event)?);
             }
             "init" => {
-                let who = required(event, "who", whole)?;
+                let who = required(event, "who", whole_number)?;
                 self.instances.insert(who, start(event)?);
             }
             "teardown" => {
-                let who = required(event, "who", whole)?;
+                let who = required(event, "who", whole_number)?;
                 self.instances.remove(&who).ok_or_else(|| unknown_instance("teardown", who))?;
             }
             kind => {
-                let who = required(event, "who", whole)?;
+                let who = required(event, "who", whole_number)?;
                 let instance = self.instances.get_mut(&who).ok_or_else(|| unknown_instance(kind, who))?;
                 let new = instance.handle(now, kind, event, &self.tables)?;
                 actions.extend(new.iter().map(|new| action::to_json(new, who)));
@@ -82,18 +82,18 @@
         tables: &BTreeMap<u64, Vec<UnresolvedEndpoint>>,
     ) -> Result<Vec<Action>, BatchError> {
         let parsed = match kind {
-            "rosterChange" => Some(endpoints_changed(event, &self.site, tables)?),
-            _ => event::parse(event, &self.site)?,
+            "rosterChange" => Some(endpoints_changed(event, &self.settings, tables)?),
+            _ => event::parse(event, &self.settings)?,
         };
         Ok(parsed.map_or_else(Vec::new, |event| self.policy.handle(now, event)))
     }
 }
 
 fn start(event: &Value) -> Result<Instance, BatchError> {
-    let settings = required(event, "env", object)?;
-    let site = gaparch_platform_settings::read(settings, required(event, "entropy", seed)?);
-    let policy = Policy::new(site.settings.clone());
-    Ok(Instance { site, policy })
+    let env = required(event, "env", object)?;
+    let settings = PlatformSettings::read(env, required(event, "entropy", seed)?);
+    let policy = Policy::new(settings.scheduler.clone());
+    Ok(Instance { settings, policy })
 }
 
 fn unknown_instance(event: &str, instance: u64) -> BatchError {
@@ -102,15 +102,15 @@
 
 fn endpoints_changed(
     event: &Value,
-    site: &Site,
+    settings: &PlatformSettings,
     tables: &BTreeMap<u64, Vec<UnresolvedEndpoint>>,
 ) -> Result<Event, BatchError> {
     let update = parse_update(event)?;
     if update == EndpointUpdate::Failed {
         return Ok(Event::EndpointsChanged { update, endpoints: Arc::from([]) });
     }
-    let table = required(event, "table", whole)?;
+    let table = required(event, "table", whole_number)?;
     let endpoints = tables.get(&table).ok_or(BatchError::UnknownTable { table })?;
-    let resolved = endpoints.iter().map(|endpoint| endpoint.resolve(site));
+    let resolved = endpoints.iter().map(|endpoint| endpoint.resolve(settings));
     Ok(Event::EndpointsChanged { update, endpoints: resolved.collect() })
 }
