--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -3,14 +3,14 @@
 mod driver;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use driver::Day;
+use driver::Simulation;
 use std::time::Duration;
 
 fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request event");
     group.sample_size(20);
     for (count, held) in [(14, 0), (110, 0), (400, 0), (14, 500), (14, 5000)] {
-        let mut day = Day::with_held(count, held);
+        let mut day = Simulation::with_held(count, held);
         let id = BenchmarkId::from_parameter(format!("{count} engines, {held} held"));
         // The time until the next request passes in between: only the event itself is measured.
         group.bench_function(id, |bencher| {
--- a/benches/driver/mod.rs
+++ b/benches/driver/mod.rs
@@ -57,7 +57,7 @@
     (1..=count).map(entry).collect()
 }
 
-pub struct Day {
+pub struct Simulation {
     policy: Policy,
     now: Nanos,
     id: u64,
@@ -68,10 +68,10 @@
     overload: bool,
 }
 
-impl Day {
-    /// So many engines, half readers and half writers; in overload their answers never end.
-    fn new(count: u32, overload: bool) -> Day {
-        let mut day = Day {
+impl Simulation {
+    /// So many engines, half prefill workers and half decode workers; in overload their answers never end.
+    fn new(count: u32, overload: bool) -> Simulation {
+        let mut day = Simulation {
             policy: Policy::new(settings()),
             now: 100 * S,
             id: 0,
@@ -169,12 +169,12 @@
     }
 }
 
-impl Day {
+impl Simulation {
     /// A day on which so many requests are held; with none, one at light load.
-    pub fn with_held(count: u32, held: usize) -> Day {
-        let mut day = Day::new(count, held > 0);
+    pub fn with_held(count: u32, held: usize) -> Simulation {
+        let mut day = Simulation::new(count, held > 0);
         if held > 0 {
-            // Fills the writers and then what is held.
+            // Fills the decode workers and then what is held.
             for n in 0..count as usize / 2 * 140 + held {
                 day.ask();
                 if n % 8 == 0 {
--- a/examples/decisions.rs
+++ b/examples/decisions.rs
@@ -6,10 +6,10 @@
 #[path = "../benches/driver/mod.rs"]
 mod driver;
 
-use driver::Day;
+use driver::Simulation;
 
 fn run(count: u32, held: usize, samples: usize) -> (f64, f64, f64) {
-    let mut day = Day::with_held(count, held);
+    let mut day = Simulation::with_held(count, held);
     let mut times: Vec<u64> = (0..samples).map(|_| day.turn(count)).collect();
     times.sort_unstable();
     let mean = times.iter().sum::<u64>() as f64 / samples as f64;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -10,10 +10,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const READERS: u32 = 12;
-const WRITERS: u32 = 12;
+const PREFILL_WORKERS: u32 = 12;
+const DECODE_WORKERS: u32 = 12;
 /// The servers that start at `START`: one that reads and one that writes.
-const COLD: [u32; 2] = [READERS, 100 + WRITERS];
+const COLD: [u32; 2] = [PREFILL_WORKERS, 100 + DECODE_WORKERS];
 const START: Nanos = 30 * S;
 /// Of what a server bears, how much its warm peers carry: sites are loaded so in quiet times.
 const LOADED: f64 = 0.6;
@@ -23,7 +23,7 @@
 
 /// A day: what differs from one to the next.
 #[derive(Clone, Copy, Debug)]
-struct Day {
+struct Simulation {
     routers: usize,
     /// Requests a second, all routers together.
     rate: f64,
@@ -39,11 +39,11 @@
     told_late: Nanos,
     /// So many warm servers of each role are gone from a moment after the start on.
     lost: (Nanos, u32),
-    /// Shared beginnings; few of them are hot.
+    /// Shared shared prefixes; few of them are hot.
     prefixes: f64,
 }
 
-const PLAIN: Day = Day {
+const PLAIN: Simulation = Simulation {
     routers: 30,
     rate: 240.0,
     rises: (0, 1.0),
@@ -62,7 +62,7 @@
 }
 
 struct Fleet {
-    day: Day,
+    day: Simulation,
     draws: Draws,
     routers: Vec<Policy>,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
@@ -93,7 +93,7 @@
 }
 
 fn list(cold: bool, lost: u32) -> Vec<Endpoint> {
-    let kinds = (lost..READERS).map(|s| (s, 0)).chain((lost..WRITERS).map(|s| (100 + s, 1)));
+    let kinds = (lost..PREFILL_WORKERS).map(|s| (s, 0)).chain((lost..DECODE_WORKERS).map(|s| (100 + s, 1)));
     let mut all: Vec<Endpoint> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 3))).collect();
     for (server, kind) in COLD.into_iter().zip(0..).filter(|_| cold) {
         all.push(Endpoint { started_at: Some(START), ..entry(server, kind, 0) });
@@ -102,7 +102,7 @@
 }
 
 impl Fleet {
-    fn new(day: Day, seed: u64) -> Fleet {
+    fn new(day: Simulation, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             day,
             draws: Draws(seed),
@@ -259,7 +259,7 @@
 
     /// Work a second at a warm server of the same role, over a span before the start.
     fn warm(&self, server: u32, span: Nanos) -> f64 {
-        let peers = if server < 100 { 0..READERS } else { 100..100 + WRITERS };
+        let peers = if server < 100 { 0..PREFILL_WORKERS } else { 100..100 + DECODE_WORKERS };
         let count = peers.len() as f64;
         let sent = peers.flat_map(|s| self.sent.get(&s).into_iter().flatten());
         let work: f64 = sent.filter(|(at, _)| (START - span..START).contains(at)).map(|(_, work)| work).sum();
@@ -287,7 +287,7 @@
     }
 }
 
-/// What one cold server got.
+/// What one warming-up server got.
 #[derive(Clone, Copy, Debug, Default)]
 struct Ramp {
     /// The worst window: how much of what chance may add to the budget was used; 1 is the limit.
@@ -305,8 +305,8 @@
     }
 }
 
-/// Plays a day; of each cold server its ramp.
-fn play(day: Day, seed: u64) -> [Ramp; 2] {
+/// Plays a day; of each warming-up server its ramp.
+fn play(day: Simulation, seed: u64) -> [Ramp; 2] {
     let set = settings();
     let mut fleet = Fleet::new(day, seed);
     fleet.run(START + set.slow_start_duration);
@@ -334,8 +334,8 @@
     })
 }
 
-/// Plays each day on some seeds: the worst ramps, and what the cold servers got on average.
-fn judge(days: &[(&str, Day)], least: [f64; 2]) {
+/// Plays each day on some seeds: the worst ramps, and what the warming-up servers got on average.
+fn judge(days: &[(&str, Simulation)], least: [f64; 2]) {
     const SEEDS: u64 = 4;
     let played: Vec<(&str, [Ramp; 2])> = std::thread::scope(|all| {
         let played = days.iter().map(|(name, day)| {
@@ -365,25 +365,25 @@
 
 /// By the number of routers, however their shares are spread and whoever among them has just started.
 #[test]
-fn all_routers_together_keep_a_cold_servers_budget() {
-    let with = |routers| Day { routers, ..PLAIN };
+fn all_routers_together_keep_a_warming_up_servers_budget() {
+    let with = |routers| Simulation { routers, ..PLAIN };
     let days = [
         ("1 router", with(1)),
         ("3 routers", with(3)),
         ("20 routers", with(20)),
         ("30 routers", with(30)),
         ("300 routers", with(300)),
-        ("300, little traffic", Day { rate: 60.0, ..with(300) }),
+        ("300, little traffic", Simulation { rate: 60.0, ..with(300) }),
         ("1300 routers", with(1300)),
-        ("1300, uneven, told late", Day { skew: 2.0, told_late: 5 * S, ..with(1300) }),
-        ("300, uneven", Day { skew: 2.0, ..with(300) }),
-        ("30, uneven, moved", Day { skew: 2.0, moves: true, ..with(30) }),
-        ("300, uneven, moved", Day { skew: 2.0, moves: true, ..with(300) }),
-        ("30, half restarted", Day { restarts: true, ..with(30) }),
-        ("300, half restarted", Day { restarts: true, ..with(300) }),
-        ("300, told late", Day { told_late: 5 * S, ..with(300) }),
-        ("3, hot beginnings", Day { prefixes: 8.0, ..with(3) }),
-        ("300, hot beginnings", Day { prefixes: 8.0, ..with(300) }),
+        ("1300, uneven, told late", Simulation { skew: 2.0, told_late: 5 * S, ..with(1300) }),
+        ("300, uneven", Simulation { skew: 2.0, ..with(300) }),
+        ("30, uneven, moved", Simulation { skew: 2.0, moves: true, ..with(30) }),
+        ("300, uneven, moved", Simulation { skew: 2.0, moves: true, ..with(300) }),
+        ("30, half restarted", Simulation { restarts: true, ..with(30) }),
+        ("300, half restarted", Simulation { restarts: true, ..with(300) }),
+        ("300, told late", Simulation { told_late: 5 * S, ..with(300) }),
+        ("3, hot shared prefixes", Simulation { prefixes: 8.0, ..with(3) }),
+        ("300, hot shared prefixes", Simulation { prefixes: 8.0, ..with(300) }),
     ];
     judge(&days, [0.005, 0.02]);
 }
@@ -391,7 +391,7 @@
 /// A budget of less than 30 calls has a bound of its own.
 #[test]
 fn small_budgets_are_kept_too() {
-    let quiet = |routers| Day { routers, rate: 60.0, ..PLAIN };
+    let quiet = |routers| Simulation { routers, rate: 60.0, ..PLAIN };
     let days = [
         ("1 router, little traffic", quiet(1)),
         ("3 routers, little traffic", quiet(3)),
@@ -404,9 +404,9 @@
 
 /// Traffic rises while a server is cold, or its peers are lost: what each router may send has piled up by then.
 #[test]
-fn a_rise_of_the_traffic_keeps_it_too_and_finds_the_cold_servers() {
-    let rise = |routers, at| Day { routers, rises: (at, 2.0), ..PLAIN };
-    let lost = |routers, at, servers| Day { routers, lost: (at, servers), ..PLAIN };
+fn a_rise_of_the_traffic_keeps_it_too_and_finds_the_warming_up_servers() {
+    let rise = |routers, at| Simulation { routers, rises: (at, 2.0), ..PLAIN };
+    let lost = |routers, at, servers| Simulation { routers, lost: (at, servers), ..PLAIN };
     let days = [
         ("300, twice at once", rise(300, 0)),
         ("3, twice at 4 s", rise(3, 4 * S)),
@@ -416,7 +416,7 @@
         ("3, nine lost at 4 s", lost(3, 4 * S, 9)),
         ("30, nine lost at 4 s", lost(30, 4 * S, 9)),
         ("300, nine lost at 4 s", lost(300, 4 * S, 9)),
-        ("300, nine lost, twice", Day { rises: (4 * S, 2.0), ..lost(300, 4 * S, 9) }),
+        ("300, nine lost, twice", Simulation { rises: (4 * S, 2.0), ..lost(300, 4 * S, 9) }),
         ("1, all lost at 4 s", lost(1, 4 * S, 12)),
         ("30, all lost at 4 s", lost(30, 4 * S, 12)),
         ("300, all lost at 8 s", lost(300, 8 * S, 12)),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Readers 1 and 2, writers 11 and 12, a cell for each pair.
+/// Prefill workers 1 and 2, decode workers 11 and 12, a cell for each pair.
 pub fn pairs() -> Vec<Endpoint> {
     vec![entry(1, 0, 0), entry(2, 0, 1), entry(11, 1, 0), entry(12, 1, 1)]
 }
@@ -186,28 +186,30 @@
                 _ => None,
             };
             let probes: Vec<ServerId> = done.iter().filter_map(probed).collect();
-            let reader = sent_to(&done);
+            let prefill_worker = sent_to(&done);
             done = self.pass(2 * MS);
             for server in probes {
                 let ok =
                     Event::ProbeFinished { server, status: AttemptStatus::Ok, latency: 2 * MS, report: None };
                 done.extend(self.event(ok));
             }
-            if let Some(reader) = reader {
-                let writer = sent_to(&self.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-                self.first(id, writer);
-                return (reader, writer);
+            if let Some(prefill_worker) = prefill_worker {
+                let decode_worker =
+                    sent_to(&self.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+                self.first(id, decode_worker);
+                return (prefill_worker, decode_worker);
             }
         }
         panic!("no read")
     }
 
-    /// Asks, reads and begins to write; returns the reader and the writer.
+    /// Asks, reads and begins to write; returns the prefill worker and the decode worker.
     pub fn stream(&mut self, id: u64) -> (u32, u32) {
-        let reader = sent_to(&self.ask(id)).expect("a read");
-        let writer = sent_to(&self.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        self.first(id, writer);
-        (reader, writer)
+        let prefill_worker = sent_to(&self.ask(id)).expect("a read");
+        let decode_worker =
+            sent_to(&self.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        self.first(id, decode_worker);
+        (prefill_worker, decode_worker)
     }
 }
 
@@ -235,11 +237,11 @@
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if i.0 == id))
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+pub fn rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
-/// Why that request was refused or failed.
+/// Why that request was rejected or failed.
 pub fn why(actions: &[Action], id: u64) -> Option<GiveUpCause> {
     actions.iter().find_map(|a| match a {
         Action::Reject { id: i, cause: why, .. } | Action::Fail { id: i, cause: why } if i.0 == id => {
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -1,5 +1,5 @@
 //! Nobody is starved: what of each class, tenant, prompt length, session and third of a day is answered, on a small
-//! model of readers that read one prompt after the other and writers whose memory is bounded.
+//! model of prefill workers that read one prompt after the other and decode workers whose memory is bounded.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const READERS: u32 = 4;
-const WRITERS: u32 = 4;
+const PREFILL_WORKERS: u32 = 4;
+const DECODE_WORKERS: u32 = 4;
 const FIRST_WRITER: u32 = 100;
-/// Prompt tokens a second that a reader reads.
+/// Prompt tokens a second that a prefill worker reads.
 const READ_PACE: f64 = 20_000.0;
-/// Tokens of prompts and answers that a writer can hold.
+/// Tokens of prompts and answers that a decode worker can hold.
 const WRITER_MEMORY: f64 = 60_000.0;
 /// Between two tokens of an answer.
 const TOKEN_TIME: Nanos = 20 * MS;
@@ -23,7 +23,7 @@
 
 /// What differs from one day to the next.
 #[derive(Clone, Copy)]
-struct Day {
+struct Simulation {
     /// Requests a second.
     rate: f64,
     /// Times as many in the second third.
@@ -34,9 +34,9 @@
     flood: f64,
 }
 
-const QUIET: Day = Day { rate: 16.0, burst: 1.0, second_class: 0.4, flood: 1.0 };
-/// A fifth more than the readers can read.
-const OVERLOAD: Day = Day { rate: 75.0, ..QUIET };
+const QUIET: Simulation = Simulation { rate: 16.0, burst: 1.0, second_class: 0.4, flood: 1.0 };
+/// A fifth more than the prefill workers can read.
+const OVERLOAD: Simulation = Simulation { rate: 75.0, ..QUIET };
 const SEEDS: [u64; 4] = [3, 17, 101, 404];
 
 enum What {
@@ -59,7 +59,7 @@
 }
 
 struct World {
-    day: Day,
+    day: Simulation,
     draws: Draws,
     policy: Policy,
     now: Nanos,
@@ -68,7 +68,7 @@
     next: u64,
     asked: BTreeMap<RequestId, Asked>,
     attempts: BTreeMap<RequestId, u32>,
-    /// When each reader is done with what it has.
+    /// When each prefill worker is done with what it has.
     busy_until: BTreeMap<ServerId, Nanos>,
     held: BTreeMap<ServerId, f64>,
 }
@@ -101,7 +101,7 @@
 }
 
 impl World {
-    fn play(day: Day, seed: u64, change: impl FnOnce(&mut Settings)) -> Vec<Asked> {
+    fn play(day: Simulation, seed: u64, change: impl FnOnce(&mut Settings)) -> Vec<Asked> {
         let mut world = World {
             day,
             draws: Draws(seed),
@@ -115,7 +115,8 @@
             busy_until: BTreeMap::new(),
             held: BTreeMap::new(),
         };
-        let kinds = (0..READERS).map(|s| (s, 0)).chain((0..WRITERS).map(|s| (FIRST_WRITER + s, 1)));
+        let kinds =
+            (0..PREFILL_WORKERS).map(|s| (s, 0)).chain((0..DECODE_WORKERS).map(|s| (FIRST_WRITER + s, 1)));
         let entries: Vec<Endpoint> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 2))).collect();
         world.tell(Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: entries.into() });
         world.after(MS, What::Ask);
@@ -277,7 +278,7 @@
 }
 
 /// Plays a day on each seed.
-fn each(day: Day, judge: impl Fn(u64, &[Asked])) {
+fn each(day: Simulation, judge: impl Fn(u64, &[Asked])) {
     for seed in SEEDS {
         judge(seed, &World::play(day, seed, |_| {}));
     }
@@ -312,7 +313,7 @@
 
 #[test]
 fn a_tenant_within_its_share_comes_before_one_far_beyond_its_own() {
-    let flood = Day { flood: 6.0, rate: 110.0, ..OVERLOAD };
+    let flood = Simulation { flood: 6.0, rate: 110.0, ..OVERLOAD };
     each(flood, |seed, day| {
         let [loud, other] =
             [0, 1].map(|of| answered(day, |asked| asked.request.tenant == Some(TenantId(of))));
@@ -324,20 +325,20 @@
 }
 
 #[test]
-fn on_a_quiet_day_no_session_is_refused_throughout() {
+fn on_a_quiet_day_no_session_is_rejected_throughout() {
     each(QUIET, |seed, day| {
         let mut sessions: BTreeMap<AffinityKey, Vec<bool>> = BTreeMap::new();
         for asked in day {
             sessions.entry(asked.request.session.expect("it has one")).or_default().push(asked.answered);
         }
-        let refused = sessions.values().filter(|turns| turns.iter().all(|answered| !answered)).count();
-        assert_eq!(refused, 0, "{seed}: of {}", sessions.len());
+        let rejected = sessions.values().filter(|turns| turns.iter().all(|answered| !answered)).count();
+        assert_eq!(rejected, 0, "{seed}: of {}", sessions.len());
     });
 }
 
 #[test]
 fn a_burst_starves_neither_its_own_third_of_a_day_nor_the_next() {
-    each(Day { burst: 4.0, ..QUIET }, |seed, day| {
+    each(Simulation { burst: 4.0, ..QUIET }, |seed, day| {
         let [before, within, after] = [0, 1, 2].map(|of| answered(day, |asked| third(asked.at) == of));
         assert!(before > 0.95 && after > 0.8 && within > 0.5, "{seed}: {before}, {within}, {after}");
     });
--- a/tests/reasons.rs
+++ b/tests/give_up_causes.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_held_request_says_what_it_waited_for() {
+fn a_queued_request_says_what_it_waited_for() {
     for (engines, by) in [
         (vec![entry(1, 0, 0)], QueueingReason::NoDecodeWorker),
         (vec![entry(11, 1, 0)], QueueingReason::NoPrefillWorker),
@@ -20,7 +20,7 @@
         r.ask(1);
         assert_eq!(why(&r.pass(1100 * MS), 1), held(GiveUpReason::ObjectiveMissed, by));
     }
-    // Its writer says that it is full, again and again.
+    // Its decode worker says that it is full, again and again.
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0)]);
     let report = LoadReport { memory_utilization: Some(0.99), ..LoadReport::default() };
     r.event(Event::ProbeFinished {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn one_over_its_share_says_so_where_there_is_no_room_for_all() {
+fn one_over_its_share_says_so_where_there_is_no_capacity_for_all() {
     let tenants = vec![Tenant { quota_share: 1.0, quota_per_second: 1.0 }];
     let mut r = Router::new(Settings { tenants, ..settings() }, vec![entry(1, 0, 0), entry(11, 1, 0)]);
     let report = LoadReport { memory_utilization: Some(0.99), ..LoadReport::default() };
@@ -112,14 +112,14 @@
 fn attempts_used_up_and_effects_that_may_have_been_are_told_apart() {
     let settings = Settings { max_attempts: 2, ..settings() };
     let mut r = Router::new(settings.clone(), pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let done = r.outcome(1, reader, AttemptStatus::Error);
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let done = r.outcome(1, prefill_worker, AttemptStatus::Error);
     assert_eq!(why(&done, 1), Some(GiveUpReason::AttemptsExhausted.into()));
     let classes = vec![class(Idempotency::NotIdempotent, DeduplicationScope::All)];
     let mut r = Router::new(Settings { classes, ..settings }, pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
-    let done = r.outcome(1, writer, AttemptStatus::Error);
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    let done = r.outcome(1, decode_worker, AttemptStatus::Error);
     assert!(failed(&done, 1));
     assert_eq!(why(&done, 1), Some(GiveUpReason::MayHaveRun.into()));
 }
@@ -129,15 +129,15 @@
     let mut r = Router::new(settings(), pairs());
     let seen = |r: &Router, id| r.policy.views().find(|v| v.server == ServerId(id)).expect("known");
     assert_eq!(seen(&r, 1).avoid_reason, None);
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    assert_eq!(seen(&r, reader).awaiting_first_token, 1);
-    r.outcome(1, reader, AttemptStatus::Error);
-    assert!(matches!(seen(&r, reader).avoid_reason, Some(AvoidReason::Ejected { .. })));
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    assert_eq!(seen(&r, prefill_worker).awaiting_first_token, 1);
+    r.outcome(1, prefill_worker, AttemptStatus::Error);
+    assert!(matches!(seen(&r, prefill_worker).avoid_reason, Some(AvoidReason::Ejected { .. })));
     r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..entry(11, 1, 0) }]);
     assert_eq!(seen(&r, 11).avoid_reason, Some(AvoidReason::NotReady));
-    let reader = sent_to(&r.ask(2)).expect("a read");
-    r.outcome(2, reader, AttemptStatus::ConnectFailed);
-    assert_eq!(seen(&r, reader).avoid_reason, Some(AvoidReason::Unreachable));
+    let prefill_worker = sent_to(&r.ask(2)).expect("a read");
+    r.outcome(2, prefill_worker, AttemptStatus::ConnectFailed);
+    assert_eq!(seen(&r, prefill_worker).avoid_reason, Some(AvoidReason::Unreachable));
     r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..entry(12, 1, 1) }]);
     assert_eq!(seen(&r, 12).avoid_reason, Some(AvoidReason::WarmingUp));
     assert!(seen(&r, 12).slow_start_budget.is_some_and(|left| left < 0.0));
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -9,17 +9,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// As in the module.
-const NEARNESS: NeighborhoodLimits =
+const NEIGHBORHOOD: NeighborhoodLimits =
     NeighborhoodLimits { enough: NEAR, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
 const NEAR: usize = 64;
-const WALKED: usize = 256;
-const READER: usize = 0;
-const WRITER: usize = 1;
+const SERVERS_PER_STEP: usize = 256;
+const PREFILL: usize = 0;
+const DECODE: usize = 1;
 
-/// A fleet of cells of this many servers, one of three a reader.
+/// A fleet of cells of this many servers, one of three a prefill worker.
 fn fleet(servers: u32, cell: u32) -> Vec<Endpoint> {
     (0..servers)
-        .map(|number| server(number, if number % 3 == 0 { READER } else { WRITER }, number / cell))
+        .map(|number| server(number, if number % 3 == 0 { PREFILL } else { DECODE }, number / cell))
         .collect()
 }
 
@@ -49,36 +49,36 @@
     }
 
     fn tell(&mut self, entries: &[Endpoint]) {
-        let role = |e: &Endpoint| if e.kind == Some(KindId(READER)) { Role::Prefill } else { Role::Decode };
+        let role = |e: &Endpoint| if e.kind == Some(KindId(PREFILL)) { Role::Prefill } else { Role::Decode };
         self.servers.insert_missing(entries.iter().map(|e| Server::new(e.server, role(e), 1e5)));
         for entry in entries {
             self.servers.get_mut(entry.server).expect("made").update_listing(0, entry, 0.0);
         }
-        self.fleet.update_listed(&mut self.servers, WALKED, NEARNESS);
+        self.fleet.update_listed(&mut self.servers, SERVERS_PER_STEP, NEIGHBORHOOD);
     }
 
     fn ids(&self, places: &[usize]) -> BTreeSet<ServerId> {
         self.servers.at(places).map(|s| s.id).collect()
     }
 
-    /// The readers and writers near a key.
+    /// The prefill workers and decode workers near a key.
     fn near(&self, key: u64) -> [BTreeSet<ServerId>; 2] {
         self.near_position(position(key))
     }
 
     fn near_position(&self, position: RingPosition) -> [BTreeSet<ServerId>; 2] {
-        let near = self.fleet.neighborhood(Some(position), None, NEARNESS);
+        let near = self.fleet.neighborhood(Some(position), None, NEIGHBORHOOD);
         [self.ids(&near.servers.prefill), self.ids(&near.servers.decode)]
     }
 
     /// The home of a key, as the module hashes it.
     fn home(&self, key: u64) -> ServerId {
-        let near = self.fleet.neighborhood(Some(position(key)), None, NEARNESS);
+        let near = self.fleet.neighborhood(Some(position(key)), None, NEIGHBORHOOD);
         let weights = near.distance_weights(&self.servers);
         let distance =
             |s: &&Server| -AffinityKey(key).unit_interval(s.id).ln() / (s.affinity_weight * weights.of(s.id));
         let home = self.servers.at(&near.servers.prefill).min_by(|a, b| distance(a).total_cmp(&distance(b)));
-        home.expect("there are readers").id
+        home.expect("there are prefill workers").id
     }
 }
 
@@ -97,9 +97,17 @@
     for servers in [400, 1_000, 4_000, 10_000] {
         let listed = Listed::of(&fleet(servers, 12));
         for key in 0..500 {
-            let [readers, writers] = listed.near(key);
-            assert!((NEAR..2 * NEAR).contains(&readers.len()), "{servers}: {} readers", readers.len());
-            assert!((NEAR..4 * NEAR).contains(&writers.len()), "{servers}: {} writers", writers.len());
+            let [prefill_workers, decode_workers] = listed.near(key);
+            assert!(
+                (NEAR..2 * NEAR).contains(&prefill_workers.len()),
+                "{servers}: {} prefill workers",
+                prefill_workers.len()
+            );
+            assert!(
+                (NEAR..4 * NEAR).contains(&decode_workers.len()),
+                "{servers}: {} decode workers",
+                decode_workers.len()
+            );
         }
     }
 }
@@ -108,8 +116,8 @@
 fn of_few_servers_all_are_chosen_among() {
     let listed = Listed::of(&fleet(256, 12));
     assert!(!listed.fleet.uses_neighborhoods());
-    let [readers, writers] = listed.near(7);
-    assert_eq!((readers.len(), writers.len()), (86, 170));
+    let [prefill_workers, decode_workers] = listed.near(7);
+    assert_eq!((prefill_workers.len(), decode_workers.len()), (86, 170));
     assert!(Listed::of(&fleet(257, 12)).fleet.uses_neighborhoods());
 }
 
@@ -117,15 +125,20 @@
 #[test]
 fn uneven_fleets_are_borne() {
     let scarce = |servers: u32| -> Vec<Endpoint> {
-        (0..servers).map(|n| server(n, if n % 50 == 0 { READER } else { WRITER }, n / 10)).collect()
+        (0..servers).map(|n| server(n, if n % 50 == 0 { PREFILL } else { DECODE }, n / 10)).collect()
     };
     let listed = Listed::of(&scarce(5_000));
     for key in 0..200 {
-        let [readers, writers] = listed.near(key);
-        assert!(readers.len() >= NEAR && writers.len() <= 5 * NEAR, "{} {}", readers.len(), writers.len());
+        let [prefill_workers, decode_workers] = listed.near(key);
+        assert!(
+            prefill_workers.len() >= NEAR && decode_workers.len() <= 5 * NEAR,
+            "{} {}",
+            prefill_workers.len(),
+            decode_workers.len()
+        );
     }
     let listed = Listed::of(&scarce(1_000));
-    assert_eq!(listed.near(3)[0].len(), 20, "of so few readers all are chosen among");
+    assert_eq!(listed.near(3)[0].len(), 20, "of so few prefill workers all are chosen among");
     let alone: Vec<Endpoint> = fleet(2_000, 12).into_iter().map(|e| Endpoint { cell: None, ..e }).collect();
     let listed = Listed::of(&alone);
     for key in 0..200 {
@@ -145,14 +158,16 @@
         cells.entry(entry.cell.expect("it has one")).or_default()[kind].insert(entry.server);
     }
     for key in 0..300 {
-        let [readers, writers] = listed.near(key);
-        for of_cell in cells.values().filter(|of_cell| !of_cell[READER].is_disjoint(&readers)) {
-            assert!(of_cell[READER].is_subset(&readers) && of_cell[WRITER].is_subset(&writers));
+        let [prefill_workers, decode_workers] = listed.near(key);
+        for of_cell in cells.values().filter(|of_cell| !of_cell[PREFILL].is_disjoint(&prefill_workers)) {
+            assert!(
+                of_cell[PREFILL].is_subset(&prefill_workers) && of_cell[DECODE].is_subset(&decode_workers)
+            );
         }
     }
 }
 
-/// No reader is home to more than its even share, by more than chance gives and the ring's own spread.
+/// No prefill worker is home to more than its even share, by more than chance gives and the ring's own spread.
 #[test]
 fn homes_are_spread_evenly() {
     for servers in [600u32, 3_000] {
@@ -161,7 +176,7 @@
         let mut homes: BTreeMap<ServerId, u64> = BTreeMap::new();
         (0..keys).for_each(|key| *homes.entry(listed.home(key)).or_default() += 1);
         let mean = keys as f64 / (servers as f64 / 3.0);
-        assert_eq!(homes.len(), servers as usize / 3, "every reader is home to some");
+        assert_eq!(homes.len(), servers as usize / 3, "every prefill worker is home to some");
         let most = *homes.values().max().expect("some") as f64;
         // Five deviations of chance, and a fifth for the uneven gaps of the ring.
         let bound = mean * 1.2 + 5.0 * mean.sqrt();
@@ -234,9 +249,9 @@
     })
 }
 
-/// All servers near a key fail, drain or are cold: its requests go to others, and none is refused.
+/// All servers near a key fail, drain or are cold: its requests go to others, and none is rejected.
 #[test]
-fn what_has_no_room_near_its_key_goes_further() {
+fn what_has_no_capacity_near_its_key_goes_further() {
     let entries = fleet(1_200, 12);
     let near = Listed::of(&entries).near(5);
     let without = |state: ServerState, ready_at: Option<Nanos>| -> Vec<Endpoint> {
@@ -255,12 +270,12 @@
         let mut actions = router.event(Event::RequestArrived(request));
         actions.extend(router.pass(300 * MS));
         let server = sent(&actions).expect("it is sent");
-        assert!(!near[READER].contains(&server), "{server:?} is near");
+        assert!(!near[PREFILL].contains(&server), "{server:?} is near");
         assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })));
     }
 }
 
-/// Where nothing near a key has room, the way on goes past every server, and in no more looks than that takes.
+/// Where nothing near a key has capacity, the way on goes past every server, and in no more looks than that takes.
 #[test]
 fn the_way_on_goes_past_every_server_once() {
     for (servers, cell) in [(600, 12), (3_000, 12), (2_000, 7)] {
@@ -273,31 +288,31 @@
                 looks += 1;
                 assert!(looks <= most_looks, "{servers}: {} seen in {looks} looks", seen.len());
                 seen.extend(listed.near_position(at).into_iter().flatten());
-                at = listed.fleet.neighborhood(Some(at), None, NEARNESS).next.expect("there are more");
+                at = listed.fleet.neighborhood(Some(at), None, NEIGHBORHOOD).next.expect("there are more");
             }
         }
     }
 }
 
-/// The writers of the cell in which a state waits can be asked, wherever it was read.
+/// The decode workers of the cell in which a KV cache waits can be asked, wherever it was read.
 #[test]
-fn writers_of_a_states_cell_are_always_among_those_near() {
+fn decode_workers_of_a_kv_caches_cell_are_always_among_those_near() {
     let entries = fleet(2_000, 12);
     let listed = Listed::of(&entries);
     for cell in (0..160).map(CellId) {
-        let near = listed.fleet.neighborhood(Some(position(3)), Some(cell), NEARNESS);
-        let writers = listed.ids(&near.servers.decode);
-        let of_cell = entries.iter().filter(|e| e.cell == Some(cell) && e.kind == Some(KindId(WRITER)));
+        let near = listed.fleet.neighborhood(Some(position(3)), Some(cell), NEIGHBORHOOD);
+        let decode_workers = listed.ids(&near.servers.decode);
+        let of_cell = entries.iter().filter(|e| e.cell == Some(cell) && e.kind == Some(KindId(DECODE)));
         assert!(of_cell.clone().count() > 0);
-        of_cell.for_each(|e| assert!(writers.contains(&e.server), "{cell:?}"));
+        of_cell.for_each(|e| assert!(decode_workers.contains(&e.server), "{cell:?}"));
     }
 }
 
-/// Of a whole fleet only one cell's servers have room: wherever that is, a request finds it before its time is up.
+/// Of a whole fleet only one cell's servers have capacity: wherever that is, a request finds it before its time is up.
 #[test]
-fn the_last_room_of_a_fleet_is_found() {
+fn the_last_capacity_of_a_fleet_is_found() {
     let entries = fleet(1_200, 12);
-    // So many that a cold server's part comes to nothing.
+    // So many that a warming-up server's part comes to nothing.
     let site = Settings { router_count: 1_000_000, ..site() };
     let left = CellId(57);
     let list: Vec<Endpoint> = entries
@@ -354,43 +369,43 @@
     actions.iter().filter_map(server).collect()
 }
 
-/// A beginning that makes up all traffic is at home at many points, each session at one.
+/// A shared prefix that makes up all traffic is at home at many points, each session at one.
 #[test]
-fn a_beginning_that_is_hot_is_read_at_more_servers_than_are_near_one_point() {
+fn a_shared_prefix_that_is_hot_is_read_at_more_servers_than_are_near_one_point() {
     let mut router = Router::new(site(), fleet(1_200, 12));
-    let mut readers = BTreeSet::new();
+    let mut prefill_workers = BTreeSet::new();
     for id in 1..=2_000 {
         let request = Request { prefix: Some(AffinityKey(5)), ..router.request(id) };
-        readers.extend(sends(&router.event(Event::RequestArrived(request))));
+        prefill_workers.extend(sends(&router.event(Event::RequestArrived(request))));
     }
-    assert!(readers.len() > 3 * NEAR, "{} readers", readers.len());
+    assert!(prefill_workers.len() > 3 * NEAR, "{} prefill workers", prefill_workers.len());
 }
 
-/// What is being read is for writers everywhere: those near one key are not to have room for all of it.
+/// What is being read is for decode workers everywhere: those near one key are not to have capacity for all of it.
 #[test]
-fn what_is_being_read_is_set_against_the_room_of_all_writers() {
+fn what_is_being_read_is_set_against_the_capacity_of_all_decode_workers() {
     let mut router = Router::new(site(), fleet(300, 12));
-    // 200 writers of 92,000 tokens each; 1,100 tokens a request.
+    // 200 decode workers of 92,000 tokens each; 1,100 tokens a request.
     const REQUESTS: u64 = 14_000;
     let mut sent = 0;
     for id in 1..=REQUESTS {
         let request = Request { prefix: Some(AffinityKey(id * 977)), ..router.request(id) };
         sent += sends(&router.event(Event::RequestArrived(request))).len() as u64;
     }
-    assert_eq!(sent, REQUESTS, "none is held while all writers together have room");
+    assert_eq!(sent, REQUESTS, "none is held while all decode workers together have capacity");
 }
 
-/// Requests for which there is no room anywhere don't keep those behind them from being looked at.
+/// Requests for which there is no capacity anywhere don't keep those behind them from being looked at.
 #[test]
-fn held_requests_that_find_no_room_do_not_starve_others() {
-    let writers = (0..5).map(|number| server(10_000 + number, WRITER, 900 + number));
-    let readers = (0..300).map(|number| server(number, READER, number / 12));
-    let mut router = Router::new(site(), readers.chain(writers).collect());
-    // A stream at each writer: one that holds nothing would take any request.
+fn queued_requests_that_find_no_capacity_do_not_starve_others() {
+    let decode_workers = (0..5).map(|number| server(10_000 + number, DECODE, 900 + number));
+    let prefill_workers = (0..300).map(|number| server(number, PREFILL, number / 12));
+    let mut router = Router::new(site(), prefill_workers.chain(decode_workers).collect());
+    // A stream at each decode worker: one that holds nothing would take any request.
     let mut written = BTreeSet::new();
     let mut ids = 1..=50;
     while written.len() < 5 {
-        let id = ids.next().expect("each writer gets one");
+        let id = ids.next().expect("each decode worker gets one");
         let read = sends(&router.event(Event::RequestArrived(router.request(id))))[0];
         let write =
             sends(&router.event(Event::AttemptFinished(outcome(id, 0, read, AttemptStatus::Prefilled))))[0];
@@ -400,7 +415,7 @@
     }
     for id in 100..130 {
         let large = Request { prompt_tokens: 95_000.0, ..router.request(id) };
-        assert!(sends(&router.event(Event::RequestArrived(large))).is_empty(), "there is no room for it");
+        assert!(sends(&router.event(Event::RequestArrived(large))).is_empty(), "there is no capacity for it");
     }
     let mut actions = router.event(Event::RequestArrived(router.request(500)));
     actions.extend(router.pass(200 * MS));
@@ -409,19 +424,19 @@
 
 /// What may have run in one cell may be repeated there alone: it does not wait until the way on comes past that cell.
 #[test]
-fn a_repeat_that_is_bound_to_a_cell_goes_there_as_soon_as_that_has_room() {
+fn a_repeat_that_is_bound_to_a_cell_goes_there_as_soon_as_that_has_capacity() {
     let class = TrafficClass {
         idempotency: Idempotency::WithKey,
         deduplication_window: 4 * S,
         ..class(Idempotency::WithKey, DeduplicationScope::Cell)
     };
     let site = Settings { classes: vec![class], kv_release_within: 3 * S, ..site() };
-    // A reader and two writers a cell.
+    // A prefill worker and two decode workers a cell.
     let mut router = Router::new(site, fleet(10_000, 3));
     let read = sends(&router.event(Event::RequestArrived(router.request(1))))[0];
     let cell = |of: ServerId| (0..10_000).find(|n| server(*n, 0, 0).server == of).expect("it is one") / 3;
     let own = (0..3).map(|n| 3 * cell(read) + n).filter(|n| n % 3 != 0);
-    let drained = |n| Endpoint { state: ServerState::Draining, ..server(n, WRITER, cell(read)) };
+    let drained = |n| Endpoint { state: ServerState::Draining, ..server(n, DECODE, cell(read)) };
     router.members(EndpointUpdate::Delta, own.map(drained).collect());
     let mut at =
         sends(&router.event(Event::AttemptFinished(outcome(1, 0, read, AttemptStatus::Prefilled))))[0];
@@ -442,9 +457,9 @@
 
 /// Latencies are compared within their role among many servers, too.
 #[test]
-fn a_reader_that_is_slower_than_its_peers_is_told_among_many() {
+fn a_prefill_worker_that_is_slower_than_its_peers_is_told_among_many() {
     let mut router = Router::new(site(), fleet(300, 12));
-    let slow = server(0, READER, 0).server;
+    let slow = server(0, PREFILL, 0).server;
     for id in 1..=1_500 {
         let read = sends(&router.event(Event::RequestArrived(router.request(id))))[0];
         let latency = if read == slow { 100 * MS } else { 10 * MS };
@@ -459,6 +474,6 @@
     let pace = |of: ServerId| {
         router.policy.views().find(|view| view.server == of).expect("it is known").latency_ratio
     };
-    let peer = pace(server(3, READER, 0).server);
+    let peer = pace(server(3, PREFILL, 0).server);
     assert!(pace(slow) > 2.0 && (0.5..1.5).contains(&peer), "{} beside {peer}", pace(slow));
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -7,11 +7,12 @@
 fn reads(r: &mut Router, ids: std::ops::Range<u64>, prefix: u64) -> Vec<u32> {
     ids.map(|id| {
         let request = Request { prefix: Some(AffinityKey(prefix)), prefix_tokens: 800.0, ..r.request(id) };
-        let reader = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
-        reader
+        let prefill_worker = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
+        prefill_worker
     })
     .collect()
 }
@@ -28,7 +29,7 @@
     assert_eq!(at_a, at_b);
 }
 
-/// Found at the size of many routers: a few hot beginnings swamped their readers and the writers near them.
+/// Found at the size of many routers: a few hot shared prefixes swamped their prefill workers and the decode workers near them.
 #[test]
 fn a_hot_prefix_gets_several_homes_and_keeps_each_session_at_one() {
     let list: Vec<Endpoint> =
@@ -39,24 +40,28 @@
         let session = id % 10;
         let request =
             Request { prefix: Some(AffinityKey(7)), session: Some(AffinityKey(session)), ..r.request(id) };
-        let reader = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        let prefill_worker = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         r.pass(20 * MS);
-        at.entry(session).or_default().push(reader);
+        at.entry(session).or_default().push(prefill_worker);
     }
-    let late = at.values().map(|readers| readers[20..].to_vec()).collect::<Vec<_>>();
-    assert!(late.iter().all(|readers| readers.iter().all(|reader| *reader == readers[0])));
-    let homes: std::collections::BTreeSet<u32> = late.iter().map(|readers| readers[0]).collect();
+    let late = at.values().map(|prefill_workers| prefill_workers[20..].to_vec()).collect::<Vec<_>>();
+    assert!(late.iter().all(|prefill_workers| prefill_workers
+        .iter()
+        .all(|prefill_worker| *prefill_worker == prefill_workers[0])));
+    let homes: std::collections::BTreeSet<u32> =
+        late.iter().map(|prefill_workers| prefill_workers[0]).collect();
     assert!(homes.len() >= 4, "{homes:?}");
 }
 
-/// Found at the size of many racks: readers with few writers near them sent most states over slow links.
+/// Found at the size of many racks: prefill workers with few decode workers near them sent most KV caches over slow links.
 #[test]
-fn homes_follow_the_writers_of_their_cell() {
-    let writers = (11..16).map(|n| entry(n, 1, 0)).chain([entry(16, 1, 1)]);
-    let list: Vec<Endpoint> = [entry(1, 0, 0), entry(2, 0, 1)].into_iter().chain(writers).collect();
+fn homes_follow_the_decode_workers_of_their_cell() {
+    let decode_workers = (11..16).map(|n| entry(n, 1, 0)).chain([entry(16, 1, 1)]);
+    let list: Vec<Endpoint> = [entry(1, 0, 0), entry(2, 0, 1)].into_iter().chain(decode_workers).collect();
     let mut r = Router::new(settings(), list);
     let homes: Vec<u32> = (0..60).map(|p| reads(&mut r, p * 10..p * 10 + 1, p)[0]).collect();
     let at_first = homes.iter().filter(|s| **s == 1).count();
@@ -64,7 +69,7 @@
 }
 
 #[test]
-fn prefixes_spread_over_the_readers() {
+fn prefixes_spread_over_the_prefill_workers() {
     let mut r = Router::new(settings(), pairs());
     let homes: Vec<u32> = (0..40).map(|p| reads(&mut r, p * 10..p * 10 + 1, p)[0]).collect();
     let at_one = homes.iter().filter(|s| **s == 1).count();
@@ -74,65 +79,68 @@
 #[test]
 fn home_yields_to_the_least_loaded_when_clearly_busier() {
     let mut r = Router::new(settings(), pairs());
-    let readers: Vec<u32> = (1..30)
+    let prefill_workers: Vec<u32> = (1..30)
         .filter_map(|id| {
             let long = Request { prefix: Some(AffinityKey(7)), prompt_tokens: 2000.0, ..r.request(id) };
             sent_to(&r.event(Event::RequestArrived(long)))
         })
         .collect();
-    assert_eq!(readers[0], readers[1], "one more is not clearly busier");
-    assert!(readers.iter().any(|s| *s != readers[0]), "a swamped home yields");
+    assert_eq!(prefill_workers[0], prefill_workers[1], "one more is not clearly busier");
+    assert!(prefill_workers.iter().any(|s| *s != prefill_workers[0]), "a swamped home yields");
 }
 
 #[test]
-fn the_writer_is_picked_after_the_read_and_in_the_readers_cell() {
+fn the_decode_worker_is_picked_after_the_read_and_in_the_prefill_workers_cell() {
     let mut r = Router::new(settings(), pairs());
     for id in 1..20 {
         let done = r.ask(id);
         let sends = done.iter().filter(|a| matches!(a, Action::Send { .. })).count();
         assert_eq!(sends, 1, "no place is held ahead");
         assert!(!done.iter().any(|a| matches!(a, Action::ReserveKv { .. })));
-        let reader = sent_to(&done).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        assert_eq!(writer, reader + 10, "cells pair 1 with 11 and 2 with 12");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        let prefill_worker = sent_to(&done).expect("a read");
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        assert_eq!(decode_worker, prefill_worker + 10, "cells pair 1 with 11 and 2 with 12");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
     }
 }
 
 #[test]
-fn the_near_writer_yields_when_clearly_busier() {
+fn the_near_decode_worker_yields_when_clearly_busier() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(12, 1, 1)]);
     let mut far = 0;
     for id in 1..60 {
         let request = Request { prefix: Some(AffinityKey(7)), ..r.request(id) };
-        let Some(reader) = sent_to(&r.event(Event::RequestArrived(request))) else { break };
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
-        far += usize::from(writer != reader + 10);
+        let Some(prefill_worker) = sent_to(&r.event(Event::RequestArrived(request))) else { break };
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
+        far += usize::from(decode_worker != prefill_worker + 10);
     }
     assert!(far > 0);
 }
 
 #[test]
-fn requests_wait_before_their_read_while_all_writers_look_full_and_leave_as_one_frees() {
+fn requests_wait_before_their_read_while_all_decode_workers_look_full_and_leave_as_one_frees() {
     let mut r = Router::new(Settings { router_count: 1, ..settings() }, pairs());
     let mut streams = Vec::new();
     let mut held = None;
     for id in 1..400 {
-        let Some(reader) = sent_to(&r.ask(id)) else {
+        let Some(prefill_worker) = sent_to(&r.ask(id)) else {
             held = Some(id);
             break;
         };
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
-        streams.push((id, writer));
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
+        streams.push((id, decode_worker));
     }
     let held = held.expect("guessed memory runs out");
     // 1,000 tokens of prompt and half of 200 allowed, in two memories of 100,000.
     assert!((140..200).contains(&streams.len()), "{}", streams.len());
-    let (id, writer) = streams[0];
-    let done = r.outcome(id, writer, AttemptStatus::Ok);
+    let (id, decode_worker) = streams[0];
+    let done = r.outcome(id, decode_worker, AttemptStatus::Ok);
     assert!(done.iter().any(|a| matches!(a, Action::Send { id, .. } if id.0 == held)));
 }
 
@@ -148,9 +156,12 @@
                     prompt_tokens: 100.0,
                     ..r.request(*id)
                 };
-                let Some(reader) = sent_to(&r.event(Event::RequestArrived(request))) else { return false };
-                let writer = sent_to(&r.outcome(*id, reader, AttemptStatus::Prefilled)).expect("a write");
-                r.first(*id, writer);
+                let Some(prefill_worker) = sent_to(&r.event(Event::RequestArrived(request))) else {
+                    return false;
+                };
+                let decode_worker =
+                    sent_to(&r.outcome(*id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+                r.first(*id, decode_worker);
                 true
             })
             .count()
@@ -160,11 +171,11 @@
 }
 
 #[test]
-fn a_writer_that_answered_full_is_left_alone_for_a_second() {
+fn a_decode_worker_that_answered_full_is_left_alone_for_a_second() {
     let mut r = Router::new(settings(), pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let full = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
-    let other = sent_to(&r.outcome(1, full, AttemptStatus::Rejected)).expect("another writer");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let full = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    let other = sent_to(&r.outcome(1, full, AttemptStatus::Rejected)).expect("another decode worker");
     assert_ne!(full, other);
     r.first(1, other);
     for id in 2..10 {
@@ -174,12 +185,12 @@
     assert!((10..30).any(|id| r.stream(id).1 == full));
 }
 
-/// Found in incidents: each full answer of a reader was followed by another send to it at once.
+/// Found in incidents: each full answer of a prefill worker was followed by another send to it at once.
 #[test]
-fn a_reader_that_answered_full_is_left_alone_and_requests_wait() {
+fn a_prefill_worker_that_answered_full_is_left_alone_and_requests_wait() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0)]);
     r.ask(1);
-    // A reader has no state to fetch: the note says nothing there.
+    // A prefill worker has no KV cache to fetch: the note says nothing there.
     assert_eq!(sent_to(&r.outcome_with(1, 1, AttemptStatus::Rejected, 1)), None);
     let sends: usize = (2..20).filter(|id| sent_to(&r.ask(*id)).is_some()).count();
     assert_eq!(sends, 0);
@@ -187,7 +198,7 @@
 }
 
 #[test]
-fn a_full_report_closes_a_writer_until_the_next() {
+fn a_full_report_closes_a_decode_worker_until_the_next() {
     let mut r = Router::new(settings(), pairs());
     let report = |server, memory| Event::ProbeFinished {
         server: ServerId(server),
@@ -215,8 +226,8 @@
             assert_eq!(sent_to(&r.first(id, 21)), None);
             assert_eq!(sent_to(&r.outcome(id, 21, AttemptStatus::Ok)), None);
         } else {
-            let writer = sent_to(&r.outcome(id, server, AttemptStatus::Prefilled));
-            assert_eq!(writer, Some(11));
+            let decode_worker = sent_to(&r.outcome(id, server, AttemptStatus::Prefilled));
+            assert_eq!(decode_worker, Some(11));
             r.first(id, 11);
             r.outcome(id, 11, AttemptStatus::Ok);
         }
@@ -225,7 +236,7 @@
 }
 
 #[test]
-fn writers_that_read_by_themselves_serve_without_any_reader() {
+fn decode_workers_that_read_by_themselves_serve_without_any_prefill_worker() {
     let only_writers = vec![entry(11, 1, 0)];
     let mut r =
         Router::new(Settings { decode_workers_can_prefill: true, ..settings() }, only_writers.clone());
@@ -239,15 +250,16 @@
     let mut r = Router::new(settings(), pairs());
     let mut to_failing = 0;
     for id in 1..100 {
-        let mut reader = sent_to(&r.ask(id)).expect("a read");
-        if reader == 1 {
+        let mut prefill_worker = sent_to(&r.ask(id)).expect("a read");
+        if prefill_worker == 1 {
             to_failing += 1;
-            reader = sent_to(&r.outcome(id, 1, AttemptStatus::Error)).expect("another reader");
+            prefill_worker =
+                sent_to(&r.outcome(id, 1, AttemptStatus::Error)).expect("another prefill worker");
         }
-        assert_eq!(reader, 2);
-        let writer = sent_to(&r.outcome(id, 2, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        assert_eq!(prefill_worker, 2);
+        let decode_worker = sent_to(&r.outcome(id, 2, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         r.pass(50 * MS);
     }
     assert!((3..15).contains(&to_failing), "{to_failing}");
@@ -257,8 +269,9 @@
 fn when_all_servers_of_a_stage_fail_they_are_used_all_the_same() {
     let mut r = Router::new(settings(), pairs());
     for id in 1..40 {
-        let reader = sent_to(&r.ask(id)).expect("a read");
-        let other = sent_to(&r.outcome(id, reader, AttemptStatus::Error)).expect("another reader");
+        let prefill_worker = sent_to(&r.ask(id)).expect("a read");
+        let other =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Error)).expect("another prefill worker");
         r.outcome(id, other, AttemptStatus::Error);
         r.event(Event::ClientDisconnected(RequestId(id)));
         r.pass(20 * MS);
@@ -267,19 +280,20 @@
 }
 
 #[test]
-fn a_silent_reader_is_probed_and_the_read_goes_elsewhere() {
+fn a_silent_prefill_worker_is_probed_and_the_read_goes_elsewhere() {
     let mut r = Router::new(Settings { can_probe: true, ..settings() }, pairs());
     r.ask(1);
-    let reader = sent_to(&r.pass(50 * MS)).expect("a read, though no probe is answered");
+    let prefill_worker = sent_to(&r.pass(50 * MS)).expect("a read, though no probe is answered");
     let done = r.pass(S);
-    assert!(done.contains(&Action::Probe(ServerId(reader))));
+    assert!(done.contains(&Action::Probe(ServerId(prefill_worker))));
     assert!(done.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptNumber(0) }));
-    let other = sent_to(&r.outcome(1, reader, AttemptStatus::Cancelled)).expect("another reader");
-    assert_ne!(reader, other);
+    let other =
+        sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Cancelled)).expect("another prefill worker");
+    assert_ne!(prefill_worker, other);
 }
 
 #[test]
-fn held_requests_that_cannot_make_their_aim_are_refused_and_told_when_to_come_back() {
+fn queued_requests_that_cannot_make_their_objective_are_rejected_and_told_when_to_come_back() {
     let settings = Settings { can_send_retry_after: true, max_retry_after: 700 * MS, ..settings() };
     let mut r = Router::new(settings, vec![entry(1, 0, 0)]);
     r.ask(1);
@@ -301,8 +315,8 @@
     }
     let request = Request { tenant: Some(TenantId(1)), ..r.request(50) };
     r.event(Event::RequestArrived(request));
-    let writer = entry(11, 1, 0);
-    let done = r.members(EndpointUpdate::Delta, vec![writer]);
+    let decode_worker = entry(11, 1, 0);
+    let done = r.members(EndpointUpdate::Delta, vec![decode_worker]);
     let order: Vec<u64> = done
         .iter()
         .filter_map(|a| match a {
@@ -338,11 +352,11 @@
     let run = || {
         let mut r = Router::new(settings(), pairs());
         for id in 1..60 {
-            let reader = sent_to(&r.ask(id));
+            let prefill_worker = sent_to(&r.ask(id));
             r.pass(7 * MS);
-            if let Some(reader) = reader {
+            if let Some(prefill_worker) = prefill_worker {
                 let status = if id % 7 == 0 { AttemptStatus::Error } else { AttemptStatus::Prefilled };
-                if let Some(server) = sent_to(&r.outcome(id, reader, status)) {
+                if let Some(server) = sent_to(&r.outcome(id, prefill_worker, status)) {
                     r.first(id, server);
                 }
             }
@@ -362,7 +376,7 @@
 }
 
 #[test]
-fn without_reports_what_other_routers_told_makes_writers_look_full() {
+fn without_reports_what_other_routers_told_makes_decode_workers_look_full() {
     let with_peers = || Settings { can_gossip: true, ..settings() };
     let mut busy = Router::new(with_peers(), pairs());
     for id in 1..70 {
@@ -404,17 +418,17 @@
 }
 
 #[test]
-fn a_slow_reader_gets_one_request_at_a_time() {
+fn a_slow_prefill_worker_gets_one_request_at_a_time() {
     let mut r =
         Router::new(settings(), vec![entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0), entry(11, 1, 0)]);
     for id in 1..60 {
-        let reader = sent_to(&r.ask(id)).expect("a read");
-        let latency = if reader == 1 { 900 * MS } else { 60 * MS };
+        let prefill_worker = sent_to(&r.ask(id)).expect("a read");
+        let latency = if prefill_worker == 1 { 900 * MS } else { 60 * MS };
         let attempt = AttemptNumber(0);
         let done = r.event(Event::AttemptFinished(AttemptOutcome {
             id: RequestId(id),
             attempt,
-            server: ServerId(reader),
+            server: ServerId(prefill_worker),
             status: AttemptStatus::Prefilled,
             latency,
             request_finished: false,
@@ -422,26 +436,26 @@
             kv_cache_missing: false,
             report: None,
         }));
-        let writer = sent_to(&done).expect("a write");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        let decode_worker = sent_to(&done).expect("a write");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
     }
     let at_slow = (100..106).filter(|id| sent_to(&r.ask(*id)) == Some(1)).count();
     assert!(at_slow <= 1, "{at_slow}");
 }
 
-/// Found in incidents with slow moves: each state was moved again and again, over the link that was slow.
+/// Found in incidents with slow moves: each KV cache was moved again and again, over the link that was slow.
 #[test]
-fn a_write_that_waits_out_of_its_cell_is_not_called_off_for_another_far_one() {
+fn a_write_that_waits_out_of_its_cell_is_not_cancelled_for_another_far_one() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(12, 1, 1), entry(13, 1, 2)]);
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
     r.ask(2);
     r.pass(300 * MS);
-    // The writer answers others meanwhile: it lives.
+    // The decode worker answers others meanwhile: it lives.
     let report = Some(LoadReport::default());
     r.event(Event::ProbeFinished {
-        server: ServerId(writer),
+        server: ServerId(decode_worker),
         status: AttemptStatus::Ok,
         latency: MS,
         report,
@@ -452,14 +466,14 @@
 
 /// Found at the size of many routers: all took the same server where they knew nothing of any.
 #[test]
-fn routers_that_know_nothing_do_not_all_pick_the_same_writer() {
+fn routers_that_know_nothing_do_not_all_pick_the_same_decode_worker() {
     let list = || (1..9).map(|n| entry(10 + n, 1, 0)).chain([entry(1, 0, 0)]).collect::<Vec<_>>();
     let first = |seed| Router::new(Settings { seed, router_count: 200, ..settings() }, list()).stream(1).1;
     let picked: std::collections::BTreeSet<u32> = (0..40).map(first).collect();
     assert!(picked.len() >= 6, "{picked:?}");
 }
 
-/// Found at the size of many routers: a writer once reported full stayed closed until the next report.
+/// Found at the size of many routers: a decode worker once reported full stayed closed until the next report.
 #[test]
 fn old_news_of_a_server_is_forgotten() {
     let mut r = Router::new(settings(), pairs());
@@ -481,11 +495,12 @@
         let set = Settings { router_count: routers, can_gossip: true, gossip_cost: peer_price, ..settings() };
         let mut r = Router::new(set, pairs());
         for id in 1..40 {
-            let reader = sent_to(&r.ask(id)).expect("a read");
-            let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
+            let prefill_worker = sent_to(&r.ask(id)).expect("a read");
+            let decode_worker =
+                sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
             r.pass(50 * MS);
-            r.first(id, writer);
-            r.outcome(id, writer, AttemptStatus::Ok);
+            r.first(id, decode_worker);
+            r.outcome(id, decode_worker, AttemptStatus::Ok);
         }
         tells(&r).len()
     };
@@ -501,7 +516,7 @@
     let done = r.ask(1000);
     let asked: Vec<u32> =
         done.iter().filter_map(|a| if let Action::Probe(s) = a { Some(s.0) } else { None }).collect();
-    assert_eq!(asked.len(), 2, "home and another reader");
+    assert_eq!(asked.len(), 2, "home and another prefill worker");
     let ok = |server, latency| Event::ProbeFinished {
         server: ServerId(server),
         status: AttemptStatus::Ok,
@@ -516,7 +531,7 @@
     assert!(!r.ask(1001).iter().any(|a| matches!(a, Action::Probe(s) if [first, second].contains(&s.0))));
 }
 
-/// Found at the size of many routers: reads taken for dead were read again elsewhere, until all readers jammed.
+/// Found at the size of many routers: reads taken for dead were read again elsewhere, until all prefill workers jammed.
 #[test]
 fn call_offs_are_a_small_part_of_sends() {
     let list: Vec<Endpoint> = (1..21).map(|n| entry(n, 0, 0)).chain([entry(31, 1, 0)]).collect();
@@ -526,14 +541,14 @@
         r.pass(50 * MS);
     }
     r.pass(2 * S);
-    // No request has reached its end, at which its attempt is called off in any case.
+    // No request has reached its end, at which its attempt is cancelled in any case.
     let called_off = r.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert!((3..=30).contains(&called_off), "{called_off}");
 }
 
-/// Seen with servers that refuse one class or tenant while they serve the rest.
+/// Seen with servers that reject one class or tenant while they serve the rest.
 #[test]
-fn a_server_that_refuses_a_part_of_the_traffic_keeps_serving_the_rest() {
+fn a_server_that_rejects_a_part_of_the_traffic_keeps_serving_the_rest() {
     let classes = vec![
         class(Idempotency::Idempotent, DeduplicationScope::All),
         class(Idempotency::Idempotent, DeduplicationScope::All),
@@ -543,35 +558,37 @@
     for id in 1..400 {
         let request = Request { class: ClassId(id as usize % 2), ..r.request(id) };
         let part = request.class.0;
-        let mut reader = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
-        sent[part][usize::from(reader == 1)] += 1;
-        if reader == 1 && part == 0 {
-            reader = sent_to(&r.outcome(id, 1, AttemptStatus::Rejected)).expect("the other reader");
+        let mut prefill_worker = sent_to(&r.event(Event::RequestArrived(request))).expect("a read");
+        sent[part][usize::from(prefill_worker == 1)] += 1;
+        if prefill_worker == 1 && part == 0 {
+            prefill_worker =
+                sent_to(&r.outcome(id, 1, AttemptStatus::Rejected)).expect("the other prefill worker");
         }
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         r.pass(50 * MS);
     }
     assert!(sent[0][1] < 12, "{sent:?}");
     assert!(sent[1][1] > 40, "{sent:?}");
 }
 
-/// Found in an incident: queues of reads for clients already gone kept all readers busy for nothing.
+/// Found in an incident: queues of reads for clients already gone kept all prefill workers busy for nothing.
 #[test]
-fn reads_are_throttled_while_they_take_longer_than_the_aim() {
+fn reads_are_throttled_while_they_take_longer_than_the_objective() {
     let sends = |latency: Nanos| {
         let mut r = Router::new(settings(), pairs());
         let mut open: Vec<(u64, u32)> = Vec::new();
         let mut sends = 0;
         for id in 1..300 {
-            if let Some(reader) = sent_to(&r.ask(id)) {
-                open.push((id, reader));
+            if let Some(prefill_worker) = sent_to(&r.ask(id)) {
+                open.push((id, prefill_worker));
             }
             r.pass(50 * MS);
             sends += open.len();
-            for (id, reader) in open.drain(..) {
-                let (id, attempt, server) = (RequestId(id), AttemptNumber(0), ServerId(reader));
+            for (id, prefill_worker) in open.drain(..) {
+                let (id, attempt, server) = (RequestId(id), AttemptNumber(0), ServerId(prefill_worker));
                 let (status, closed, report) = (AttemptStatus::Prefilled, false, None);
                 r.event(Event::AttemptFinished(AttemptOutcome {
                     id,
@@ -593,9 +610,9 @@
     assert!(quick > 50 && slow < quick * 3 / 4, "{quick} {slow}");
 }
 
-/// A fleet's requests for one beginning, at a router that has learnt what a queue behind a silent probe is.
+/// A fleet's requests for one shared prefix, at a router that has learnt what a queue behind a silent probe is.
 fn yields_after(probe: Option<Nanos>) -> (u32, u32) {
-    // Readers in a cell without writers are home to nothing, and have the room.
+    // Prefill workers in a cell without decode workers are home to nothing, and have the capacity.
     let idle = [entry(31, 0, 7), entry(32, 0, 7)];
     let list = [pairs(), idle.to_vec()].concat();
     let settings = Settings { can_probe: true, probe_cost: 0.0001, ..settings() };
@@ -609,7 +626,7 @@
         };
         let mut done = r.event(Event::RequestArrived(request));
         let mut told = 0;
-        // Writers answer their probes in any case.
+        // Decode workers answer their probes in any case.
         for _ in 0..8 {
             let new = done[told..].to_vec();
             told = done.len();
@@ -639,9 +656,9 @@
             kv_cache_missing: false,
             report: None,
         };
-        let writer = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
-        r.first(id, writer);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        let decode_worker = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
+        r.first(id, decode_worker);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         r.pass(2 * S);
         server.0
     };
@@ -658,7 +675,7 @@
 }
 
 #[test]
-fn a_home_whose_probe_stays_out_yields_to_a_reader_that_is_home_to_less() {
+fn a_home_whose_probe_stays_out_yields_to_a_prefill_worker_that_is_home_to_less() {
     let (home, then) = yields_after(Some(2 * MS));
     assert_eq!(home, then, "a home that answers at once is kept");
     let (home, then) = yields_after(None);
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -30,20 +30,20 @@
 }
 
 #[test]
-fn where_time_comes_in_coarse_steps_a_state_is_still_let_go_in_time() {
+fn where_time_comes_in_coarse_steps_a_kv_cache_is_still_let_go_in_time() {
     let set = Settings { step: 100 * MS, kv_release_within: 90 * MS, ..settings() };
     let mut r = Router::new(set, vec![entry(1, 0, 0), entry(11, 1, 0)]);
     r.step = 100 * MS;
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..entry(11, 1, 0) }]);
-    r.outcome(1, reader, AttemptStatus::Prefilled);
+    r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
     r.pass(90 * MS);
     assert!(released(&r.log, 1));
 }
 
 /// Found by reading: a small server that starts was given its part of what large peers of its role carry.
 #[test]
-fn a_cold_server_is_measured_by_servers_of_its_own_size() {
+fn a_warming_up_server_is_measured_by_servers_of_its_own_size() {
     // Told by their kinds, or by their weights where the kind is the same.
     for (small, weight) in [(2, None), (1, Some(0.1))] {
         let mut kinds = kinds([100_000.0, 100_000.0, if small == 2 { 10_000.0 } else { 100_000.0 }]);
@@ -58,16 +58,17 @@
                 r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..little(15) }]);
             }
             let short = Request { prompt_tokens: 300.0, ..r.request(id) };
-            let reader = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
-            let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-            r.first(id, writer);
+            let prefill_worker = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
+            let decode_worker =
+                sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+            r.first(id, decode_worker);
             r.pass(10 * MS);
-            wrote.push(writer);
+            wrote.push(decode_worker);
             if id > 20 {
                 r.outcome(id - 20, wrote[id as usize - 21], AttemptStatus::Ok);
             }
             if id >= 600 {
-                (warm, cold) = (warm + u32::from(writer == 14), cold + u32::from(writer == 15));
+                (warm, cold) = (warm + u32::from(decode_worker == 14), cold + u32::from(decode_worker == 15));
             }
         }
         // 2.5 x 0.3 of what one of its size carries is the limit.
@@ -75,7 +76,7 @@
     }
 }
 
-/// Found by reading: the part of a cell's writers weighed mixed servers too, and one with no writer near was home to
+/// Found by reading: the part of a cell's decode workers weighed mixed servers too, and one with no decode worker near was home to
 /// nothing.
 #[test]
 fn a_mixed_server_is_home_to_its_share_whatever_stands_in_its_cell() {
@@ -103,7 +104,7 @@
         })
         .collect();
     let of = |server| reads.iter().filter(|s| **s == server).count();
-    assert!(of(1) > 10 * of(2), "{} in the cell with writers, {} in the other", of(1), of(2));
+    assert!(of(1) > 10 * of(2), "{} in the cell with decode workers, {} in the other", of(1), of(2));
 }
 
 #[test]
@@ -112,8 +113,8 @@
     set.kinds[2].role = None;
     let mut r = Router::new(set, [pairs(), vec![entry(21, 2, 0), entry(22, 2, 1)]].concat());
     for id in 1..50 {
-        let (reader, writer) = r.stream(id);
-        assert!(reader < 3 && (11..13).contains(&writer));
+        let (prefill_worker, decode_worker) = r.stream(id);
+        assert!(prefill_worker < 3 && (11..13).contains(&decode_worker));
     }
     let others: Vec<Endpoint> =
         pairs().into_iter().map(|e| Endpoint { state: ServerState::Removed, ..e }).collect();
@@ -127,20 +128,20 @@
     let mut r = Router::new(settings(), pairs());
     r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(1), ..entry(11, 0, 1) }]);
     let reads = (1..60).filter(|id| {
-        let (reader, writer) = r.stream(*id);
-        assert_eq!(writer, 12);
-        r.outcome(*id, writer, AttemptStatus::Ok);
-        reader == 11
+        let (prefill_worker, decode_worker) = r.stream(*id);
+        assert_eq!(decode_worker, 12);
+        r.outcome(*id, decode_worker, AttemptStatus::Ok);
+        prefill_worker == 11
     });
     assert!(reads.count() > 0);
 }
 
 #[test]
-fn a_class_without_an_aim_is_served_while_its_client_waits() {
+fn a_class_without_an_objective_is_served_while_its_client_waits() {
     let class =
         TrafficClass { latency_objective: 0, ..class(Idempotency::Idempotent, DeduplicationScope::All) };
     let mut r = Router::new(Settings { classes: vec![class], ..settings() }, pairs());
-    // All writers drain for a second: it waits, and is served when one is back.
+    // All decode workers drain for a second: it waits, and is served when one is back.
     let state = |state| vec![Endpoint { state, ..entry(11, 1, 0) }, Endpoint { state, ..entry(12, 1, 1) }];
     r.members(EndpointUpdate::Delta, state(ServerState::Draining));
     r.ask(1);
@@ -156,9 +157,9 @@
     assert_eq!(answers(&r.log, 1), 0);
 }
 
-/// Found by reading: where attempts can't be called off each read got 1.5 s, whatever reads take at a site.
+/// Found by reading: where attempts can't be cancelled each read got 1.5 s, whatever reads take at a site.
 #[test]
-fn where_nothing_can_be_called_off_an_attempt_gets_the_time_that_they_take_there() {
+fn where_nothing_can_be_cancelled_an_attempt_gets_the_time_that_they_take_there() {
     let class = TrafficClass {
         latency_objective: 20 * S,
         deadline: 60 * S,
@@ -190,8 +191,8 @@
             kv_cache_missing: false,
             report,
         };
-        let writer = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
-        r.outcome(id.0, writer, AttemptStatus::Ok);
+        let decode_worker = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
+        r.outcome(id.0, decode_worker, AttemptStatus::Ok);
         r.pass(S);
     }
     assert!(last > 3 * S, "{last}");
@@ -199,7 +200,7 @@
 
 // What is given up gets its final answer at once.
 
-/// Found by reading: past its window, or with no group known to stay in, it was held until its aim was lost.
+/// Found by reading: past its window, or with no group known to stay in, it was held until its objective was lost.
 #[test]
 fn a_keyed_request_that_can_go_nowhere_any_more_fails_at_once() {
     let site = |group, window, entries: Vec<Endpoint>| {
@@ -250,10 +251,10 @@
     };
     // The last attempt has failed.
     let mut r = site(safe.clone(), 2);
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
-    told(&r.outcome(1, writer, AttemptStatus::Error), GiveUpReason::AttemptsExhausted);
-    // No writer is left: the aim ends the wait, three seconds before the client leaves.
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    told(&r.outcome(1, decode_worker, AttemptStatus::Error), GiveUpReason::AttemptsExhausted);
+    // No decode worker is left: the objective ends the wait, three seconds before the client leaves.
     let mut r = site(safe.clone(), 5);
     r.members(EndpointUpdate::Full, vec![entry(1, 0, 0)]);
     let asked = r.now;
@@ -263,16 +264,16 @@
     }
     told(&r.log, GiveUpReason::ObjectiveMissed);
     assert!(r.now <= asked + 2 * S + 20 * MS, "{}", r.now - asked);
-    // The state can't wait any longer.
+    // The KV cache can't wait any longer.
     let mut r = site(safe.clone(), 5);
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     r.members(EndpointUpdate::Full, vec![entry(1, 0, 0), entry(2, 0, 1)]);
-    r.outcome(1, reader, AttemptStatus::Prefilled);
+    r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
     told(&r.pass(400 * MS), GiveUpReason::KvReleaseTimeout);
     // A send that was too late.
     let mut r = site(safe, 5);
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    told(&r.outcome(1, reader, AttemptStatus::Expired), GiveUpReason::TooLate);
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    told(&r.outcome(1, prefill_worker, AttemptStatus::Expired), GiveUpReason::TooLate);
 }
 
 // Servers that do both.
@@ -291,18 +292,18 @@
     assert!(pace(21) > 3.0 && pace(22) < 2.0, "{} {}", pace(21), pace(22));
 }
 
-/// Found by reading: while all writers looked full everything was held, also beside mixed servers with room.
+/// Found by reading: while all decode workers looked full everything was held, also beside mixed servers with capacity.
 #[test]
-fn while_writers_look_full_mixed_servers_with_room_take_requests_whole() {
+fn while_decode_workers_look_full_mixed_servers_with_capacity_take_requests_whole() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(21, 2, 0)]);
     let mut id = 0;
-    // A request that was read: its writer answers full.
+    // A request that was read: its decode worker answers full.
     loop {
         id += 1;
         let server = sent_to(&r.ask(id)).expect("a send");
         if server == 1 {
-            let writer = sent_to(&r.outcome(id, 1, AttemptStatus::Prefilled)).expect("a write");
-            r.outcome(id, writer, AttemptStatus::Rejected);
+            let decode_worker = sent_to(&r.outcome(id, 1, AttemptStatus::Prefilled)).expect("a write");
+            r.outcome(id, decode_worker, AttemptStatus::Rejected);
             break;
         }
         r.first(id, server);
@@ -313,14 +314,14 @@
         r.first(next, 21);
         r.outcome(next, 21, AttemptStatus::Ok);
     }
-    // One without room holds them as before.
+    // One without capacity holds them as before.
     r.event(Event::RequestArrived(Request { max_output_tokens: 190_000.0, ..r.request(900) }));
     r.first(900, 21);
     assert_eq!(sent_to(&r.ask(901)), None);
 }
 
 #[test]
-fn a_state_goes_to_a_mixed_server_where_no_writer_is_left() {
+fn a_kv_cache_goes_to_a_mixed_server_where_no_decode_worker_is_left() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(21, 2, 0)]);
     let id = (1..).find(|id| sent_to(&r.ask(*id)) == Some(1)).expect("a read");
     r.outcome(id, 1, AttemptStatus::Prefilled);
@@ -329,15 +330,15 @@
 
 // Signals that never come.
 
-/// Found by reading: an answer that does not stream looked late after 0.4 s, and was called off after 0.9.
+/// Found by reading: an answer that does not stream looked late after 0.4 s, and was cancelled after 0.9.
 #[test]
-fn where_answers_do_not_stream_a_silent_writer_is_no_late_one() {
+fn where_answers_do_not_stream_a_silent_decode_worker_is_no_late_one() {
     for cancel in [true, false] {
         let classes =
             vec![TrafficClass { streamed: false, ..class(Idempotency::Idempotent, DeduplicationScope::All) }];
         let mut r = Router::new(Settings { classes, can_cancel: cancel, ..settings() }, pairs());
-        let reader = sent_to(&r.ask(1)).expect("a read");
-        let done = r.outcome(1, reader, AttemptStatus::Prefilled);
+        let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+        let done = r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
         let Some(Action::Send { server, timeout: 0, .. }) = done.first().cloned() else { panic!("{done:?}") };
         assert!(r.pass(3 * S).iter().all(|a| !matches!(a, Action::Cancel { .. })));
         let view = r.policy.views().find(|v| v.server == server).expect("it is listed");
@@ -347,7 +348,7 @@
     }
 }
 
-/// Found by reading: a writer whose probe was never answered looked full for ever.
+/// Found by reading: a decode worker whose probe was never answered looked full for ever.
 #[test]
 fn a_probe_that_is_never_answered_is_forgotten() {
     let set = Settings { can_probe: true, ..settings() };
@@ -374,24 +375,25 @@
     assert!(served > 20, "{served}");
 }
 
-/// Found by reading: a message has room for 42 servers, and named those of the lowest ids.
+/// Found by reading: a message has capacity for 42 servers, and named those of the lowest ids.
 #[test]
 fn a_message_names_the_servers_where_most_is_held() {
     let set = Settings { can_gossip: true, gossip_cost: 0.0, ..settings() };
-    let writers = (100..160).map(|id| entry(id, 1, 0));
-    let mut r = Router::new(set, [vec![entry(1, 0, 0)], writers.collect()].concat());
+    let decode_workers = (100..160).map(|id| entry(id, 1, 0));
+    let mut r = Router::new(set, [vec![entry(1, 0, 0)], decode_workers.collect()].concat());
     for id in 1..61 {
-        let reader = sent_to(&r.ask(id)).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
+        let prefill_worker = sent_to(&r.ask(id)).expect("a read");
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
     }
     let held = |r: &Router, id| {
         r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.memory_utilization)
     };
     let heavy = Request { max_output_tokens: 100_000.0, ..r.request(61) };
-    let reader = sent_to(&r.event(Event::RequestArrived(heavy))).expect("a read");
-    let writer = sent_to(&r.outcome(61, reader, AttemptStatus::Prefilled)).expect("a write");
-    assert!(held(&r, writer) > 0.4);
+    let prefill_worker = sent_to(&r.event(Event::RequestArrived(heavy))).expect("a read");
+    let decode_worker = sent_to(&r.outcome(61, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    assert!(held(&r, decode_worker) > 0.4);
     r.log.clear();
     r.pass(S);
     let told = r.log.iter().rev().find_map(|a| match a {
@@ -400,7 +402,7 @@
     });
     let told = told.expect("a message");
     let first = u32::from_le_bytes([told[0], told[1], told[2], told[3]]);
-    assert!(told.len() <= 256 && first == writer, "{first}, not {writer}");
+    assert!(told.len() <= 256 && first == decode_worker, "{first}, not {decode_worker}");
 }
 
 // What does no harm in one router, and does in hundreds.
@@ -418,15 +420,15 @@
     assert!(r.pass(S).iter().any(|a| matches!(a, Action::SendGossip { data, .. } if !data.is_empty())));
 }
 
-/// Found on the full fleet: while most readers were new, they stood idle beside the jammed old ones, since each router
+/// Found on the full fleet: while most prefill workers were new, they stood idle beside the jammed old ones, since each router
 /// seldom met one of the few that it might ask.
 #[test]
-fn beside_its_home_a_cold_reader_that_may_be_asked_is_looked_at() {
+fn beside_its_home_a_warming_up_prefill_worker_that_may_be_asked_is_looked_at() {
     let set = Settings { can_probe: true, router_count: 300, ..settings() };
     let mut r = Router::new(set, [pairs(), (3..9).map(|id| entry(id, 0, u64::from(id))).collect()].concat());
     for id in 1..40 {
-        let (_, writer) = r.stream_after_probes(id);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        let (_, decode_worker) = r.stream_after_probes(id);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         r.pass(50 * MS);
     }
     r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..entry(20, 0, 1) }]);
@@ -438,12 +440,12 @@
             .views()
             .any(|v| v.server == ServerId(20) && v.slow_start_budget.is_some_and(|b| b >= 0.0));
         r.log.clear();
-        let (reader, writer) = r.stream_after_probes(id);
-        if allowed && reader != 20 {
+        let (prefill_worker, decode_worker) = r.stream_after_probes(id);
+        if allowed && prefill_worker != 20 {
             looked += 1;
             assert!(r.log.contains(&Action::Probe(ServerId(20))), "{:?}", r.log);
         }
-        r.outcome(id, writer, AttemptStatus::Ok);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         r.pass(1100 * MS);
         if r.policy.views().any(|v| v.server == ServerId(20) && v.slow_start_budget.is_none()) {
             break;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -46,9 +46,9 @@
 #[test]
 fn nothing_but_a_release_follows_a_client_that_left() {
     let mut r = Router::new(settings(), pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     r.event(Event::ClientDisconnected(RequestId(1)));
-    let done = r.outcome(1, reader, AttemptStatus::Prefilled);
+    let done = r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
     assert_eq!(done, vec![Action::ReleaseKv(RequestId(1))]);
     assert_eq!(r.pass(6 * S), vec![]);
     // Late and unknown ones are ignored.
@@ -95,28 +95,28 @@
     let settings =
         Settings { classes: vec![class(Idempotency::NotIdempotent, DeduplicationScope::All)], ..settings() };
     let mut r = Router::new(settings, pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    assert!(sent_to(&r.outcome(1, reader, AttemptStatus::Error)).is_some());
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    assert!(sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Error)).is_some());
 }
 
 #[test]
-fn an_unsafe_request_at_a_writer_is_failed_not_refused_when_its_time_is_up() {
+fn an_unsafe_request_at_a_decode_worker_is_failed_not_rejected_when_its_time_is_up() {
     let mut r = whole_site(Idempotency::NotIdempotent, DeduplicationScope::All);
     r.ask(1);
     let done = r.pass(5 * S);
     assert!(failed(&done, 1));
-    assert!(!refused(&done, 1));
+    assert!(!rejected(&done, 1));
 }
 
 #[test]
-fn a_read_that_is_out_is_cancelled_before_its_request_is_refused() {
+fn a_read_that_is_out_is_cancelled_before_its_request_is_rejected() {
     for (effect, group) in [
         (Idempotency::NotIdempotent, DeduplicationScope::All),
         (Idempotency::WithKey, DeduplicationScope::Cell),
         (Idempotency::Idempotent, DeduplicationScope::All),
     ] {
         let settings = Settings { classes: vec![class(effect, group)], ..settings() };
-        // No other reader that it would be called off for.
+        // No other prefill worker that it would be cancelled for.
         let mut r = Router::new(settings, vec![entry(1, 0, 0), entry(11, 1, 0)]);
         r.ask(1);
         let done = r.pass(5 * S);
@@ -144,7 +144,7 @@
         let mut r = Router::new(settings, pairs());
         r.ask(1);
         let done = r.pass(5 * S);
-        assert!(failed(&done, 1) && !refused(&done, 1), "{effect:?}: {done:?}");
+        assert!(failed(&done, 1) && !rejected(&done, 1), "{effect:?}: {done:?}");
     }
 }
 
@@ -165,7 +165,7 @@
     assert_eq!(sent_to(&done), None);
     r.pass(5 * S);
     assert!(failed(&r.log, 1));
-    assert!(!refused(&r.log, 1));
+    assert!(!rejected(&r.log, 1));
 }
 
 #[test]
@@ -215,20 +215,20 @@
 /// Found on the full fleet: in a zone cut off from the others four connections in a row did not come up, 250 ms each, and
 /// each of them began the release time anew.
 #[test]
-fn connections_that_do_not_come_up_do_not_hold_a_state_past_the_release_time() {
-    let writers = (11..19).map(|server| entry(server, 1, 0));
-    let mut r = Router::new(settings(), [entry(1, 0, 0)].into_iter().chain(writers).collect());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let mut writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled));
+fn connections_that_do_not_come_up_do_not_hold_a_kv_cache_past_the_release_time() {
+    let decode_workers = (11..19).map(|server| entry(server, 1, 0));
+    let mut r = Router::new(settings(), [entry(1, 0, 0)].into_iter().chain(decode_workers).collect());
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let mut decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled));
     let read_at = r.now;
-    while let Some(server) = writer {
+    while let Some(server) = decode_worker {
         r.pass(250 * MS);
         let done = r.outcome(1, server, AttemptStatus::ConnectFailed);
-        writer = sent_to(&done);
+        decode_worker = sent_to(&done);
         let let_go = done.contains(&Action::ReleaseKv(RequestId(1)));
-        assert!(writer.is_some() != let_go, "{done:?}");
+        assert!(decode_worker.is_some() != let_go, "{done:?}");
     }
-    // The second may still be tried in time, and a state is not given up for one connection.
+    // The second may still be tried in time, and a KV cache is not given up for one connection.
     assert_eq!((r.now - read_at) / MS, 500);
 }
 
@@ -241,16 +241,16 @@
 #[test]
 fn a_write_says_by_when_what_was_read_has_to_be_taken_or_let_go_of() {
     let mut r = Router::new(settings(), pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     let read_at = r.now;
-    let written = r.outcome(1, reader, AttemptStatus::Prefilled);
+    let written = r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
     assert_eq!(send_by(&written), read_at + 500 * MS);
     r.pass(400 * MS);
-    // No writer was reached: the time has not begun again.
+    // No decode worker was reached: the time has not begun again.
     let again = r.outcome(1, sent_to(&written).expect("a write"), AttemptStatus::ConnectFailed);
     assert_eq!(send_by(&again), read_at + 500 * MS);
     let too_late = r.outcome(1, sent_to(&again).expect("a write"), AttemptStatus::Expired);
-    assert!(refused(&too_late, 1) && released(&too_late, 1), "{too_late:?}");
+    assert!(rejected(&too_late, 1) && released(&too_late, 1), "{too_late:?}");
 }
 
 /// Found by reading: a repeat was judged when it was decided, and its connection could outlast its window.
@@ -261,8 +261,8 @@
     let mut r = Router::new(keyed, pairs());
     let asked = r.ask(1);
     assert_eq!(send_by(&asked), Nanos::MAX, "a read has no effect");
-    let reader = sent_to(&asked).expect("a read");
-    let written = r.outcome(1, reader, AttemptStatus::Prefilled);
+    let prefill_worker = sent_to(&asked).expect("a read");
+    let written = r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
     let first = r.now;
     assert_eq!(
         send_by(&written),
@@ -274,10 +274,10 @@
     assert_eq!(send_by(&again), first + 2 * S, "the window counts from the send that may have run");
 }
 
-// 4: cold servers.
+// 4: warming-up servers.
 
 #[test]
-fn a_cold_server_gets_a_small_part_of_what_its_warm_peer_gets() {
+fn a_warming_up_server_gets_a_small_part_of_what_its_warm_peer_gets() {
     let mut r = Router::new(settings(), pairs());
     let (mut cold, mut warm) = (0, 0);
     for id in 1..400 {
@@ -286,13 +286,14 @@
             r.members(EndpointUpdate::Delta, vec![started]);
         }
         let short = Request { prompt_tokens: 300.0, ..r.request(id) };
-        let reader = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
-        let writer = sent_to(&r.outcome(id, reader, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, writer);
+        let prefill_worker = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
+        let decode_worker =
+            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        r.first(id, decode_worker);
         r.pass(20 * MS);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
         if id >= 200 {
-            *(if reader == 1 { &mut cold } else { &mut warm }) += 1;
+            *(if prefill_worker == 1 { &mut cold } else { &mut warm }) += 1;
         }
     }
     // 2.5 x 0.3 of what a peer carries is the limit for all routers together.
@@ -301,7 +302,7 @@
 }
 
 #[test]
-fn a_router_with_no_past_sends_a_cold_server_next_to_nothing() {
+fn a_router_with_no_past_sends_a_warming_up_server_next_to_nothing() {
     let started = |server, kind| Endpoint { started_at: Some(100 * S), ..entry(server, kind, 0) };
     let mut r = Router::new(settings(), vec![started(1, 0), entry(11, 1, 0)]);
     for id in 1..100 {
@@ -313,7 +314,7 @@
 }
 
 #[test]
-fn what_all_routers_together_may_try_at_a_cold_server_is_divided_by_their_number() {
+fn what_all_routers_together_may_try_at_a_warming_up_server_is_divided_by_their_number() {
     let reads = |told: Option<u32>| {
         let cold = |server, kind| Endpoint { started_at: Some(100 * S), ..entry(server, kind, 0) };
         let settings = Settings { router_count: 1, slow_start_duration: 60 * S, ..settings() };
@@ -332,46 +333,46 @@
 }
 
 #[test]
-fn a_server_that_was_lost_counts_as_cold_when_it_answers_again() {
+fn a_server_that_was_lost_counts_as_warming_up_when_it_answers_again() {
     // Too dear before a choice, probes still tell when a server is back.
     let settings = Settings { can_probe: true, probe_cost: 1.0, ..settings() };
     let mut r = Router::new(settings, pairs());
     for id in 1..100 {
-        let (_, writer) = r.stream(id);
+        let (_, decode_worker) = r.stream(id);
         r.pass(20 * MS);
-        r.outcome(id, writer, AttemptStatus::Ok);
+        r.outcome(id, decode_worker, AttemptStatus::Ok);
     }
-    let reader = sent_to(&r.ask(100)).expect("a read");
-    r.outcome(100, reader, AttemptStatus::ConnectFailed);
+    let prefill_worker = sent_to(&r.ask(100)).expect("a read");
+    r.outcome(100, prefill_worker, AttemptStatus::ConnectFailed);
     r.pass(20 * MS);
-    assert!(r.log.contains(&Action::Probe(ServerId(reader))));
+    assert!(r.log.contains(&Action::Probe(ServerId(prefill_worker))));
     let ok = Event::ProbeFinished {
-        server: ServerId(reader),
+        server: ServerId(prefill_worker),
         status: AttemptStatus::Ok,
         latency: MS,
         report: None,
     };
     r.event(ok);
-    let at_once = (200..220).filter(|id| sent_to(&r.ask(*id)) == Some(reader)).count();
+    let at_once = (200..220).filter(|id| sent_to(&r.ask(*id)) == Some(prefill_worker)).count();
     assert!(at_once <= 2, "{at_once}");
 }
 
 /// Found on sockets: a stream that breaks off is no new process, and a worker that serves on must not be cold for it.
 #[test]
-fn a_server_that_lost_one_connection_and_answers_at_once_is_not_cold() {
+fn a_server_that_lost_one_connection_and_answers_at_once_is_not_warming_up() {
     let settings = Settings { can_probe: true, probe_cost: 1.0, ..settings() };
     let mut r = Router::new(settings, pairs());
-    let reader = sent_to(&r.ask(100)).expect("a read");
-    r.outcome(100, reader, AttemptStatus::Reset);
+    let prefill_worker = sent_to(&r.ask(100)).expect("a read");
+    r.outcome(100, prefill_worker, AttemptStatus::Reset);
     r.pass(20 * MS);
-    assert!(r.log.contains(&Action::Probe(ServerId(reader))));
+    assert!(r.log.contains(&Action::Probe(ServerId(prefill_worker))));
     r.event(Event::ProbeFinished {
-        server: ServerId(reader),
+        server: ServerId(prefill_worker),
         status: AttemptStatus::Ok,
         latency: MS,
         report: None,
     });
-    let view = r.policy.views().find(|v| v.server == ServerId(reader)).expect("it is listed");
+    let view = r.policy.views().find(|v| v.server == ServerId(prefill_worker)).expect("it is listed");
     assert_eq!((view.avoid_reason, view.slow_start_budget), (None, None));
 }
 
@@ -379,16 +380,16 @@
 #[test]
 fn a_server_that_is_gone_is_forgotten_with_the_last_of_our_work_there() {
     let mut r = Router::new(settings(), pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     let known = |r: &Router, server: u32| r.policy.views().any(|v| v.server == ServerId(server));
     let gone = |server, kind| Endpoint { state: ServerState::Removed, ..entry(server, kind, 0) };
-    r.members(EndpointUpdate::Delta, vec![gone(reader, 0)]);
-    assert!(known(&r, reader), "its read is out");
-    r.outcome(1, reader, AttemptStatus::Reset);
+    r.members(EndpointUpdate::Delta, vec![gone(prefill_worker, 0)]);
+    assert!(known(&r, prefill_worker), "its read is out");
+    r.outcome(1, prefill_worker, AttemptStatus::Reset);
     for next in 100..1000 {
         r.members(EndpointUpdate::Delta, vec![entry(next, 1, 0), gone(next - 1, 1)]);
     }
-    assert!(!known(&r, reader));
+    assert!(!known(&r, prefill_worker));
     assert!(r.policy.views().count() <= 5, "{}", r.policy.views().count());
     // What a whole list does not name is gone too.
     r.members(EndpointUpdate::Full, pairs());
@@ -398,48 +399,48 @@
 // 5: nothing pinned.
 
 #[test]
-fn a_state_is_taken_or_let_go_within_the_release_time() {
+fn a_kv_cache_is_taken_or_let_go_within_the_release_time() {
     let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0)]);
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     let gone = Endpoint { state: ServerState::Removed, ..entry(11, 1, 0) };
     r.members(EndpointUpdate::Delta, vec![gone]);
-    r.outcome(1, reader, AttemptStatus::Prefilled);
+    r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
     let done = r.pass(490 * MS);
     assert!(released(&done, 1));
     assert_eq!(answers(&r.log, 1), 1);
 }
 
 #[test]
-fn a_refused_or_failed_request_lets_its_state_go() {
+fn a_rejected_or_failed_request_lets_its_kv_cache_go() {
     let mut r = Router::new(Settings { max_attempts: 2, ..settings() }, pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
-    let done = r.outcome(1, writer, AttemptStatus::Error);
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    let done = r.outcome(1, decode_worker, AttemptStatus::Error);
     assert_eq!(answers(&done, 1), 1);
     assert!(released(&done, 1));
 }
 
-/// Found by a hunt with a zone cut off: 'no state to fetch' came from a writer that could not reach the reader.
+/// Found by a hunt with a zone cut off: 'no KV cache to fetch' came from a decode worker that could not reach the prefill worker.
 #[test]
-fn a_state_that_a_writer_cannot_reach_is_let_go_and_read_again() {
+fn a_kv_cache_that_a_decode_worker_cannot_reach_is_let_go_and_read_again() {
     let mut r = Router::new(settings(), pairs());
-    let reader = sent_to(&r.ask(1)).expect("a read");
-    let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
-    let done = r.outcome_with(1, writer, AttemptStatus::Rejected, 1);
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
+    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    let done = r.outcome_with(1, decode_worker, AttemptStatus::Rejected, 1);
     assert!(released(&done, 1));
     assert!(matches!(sent_to(&done), Some(1 | 2)));
 }
 
-/// Reads request 1 and sends its write; returns the writer and when the read ended.
+/// Reads request 1 and sends its write; returns the decode worker and when the read ended.
 fn written(r: &mut Router) -> (u32, Nanos) {
-    let reader = sent_to(&r.ask(1)).expect("a read");
+    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
     let read_at = r.now;
-    (sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write"), read_at)
+    (sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write"), read_at)
 }
 
-/// Reported by operators: a write that no running server had taken counted as out, and its state waited for 3.5 s.
+/// Reported by operators: a write that no running server had taken counted as out, and its KV cache waited for 3.5 s.
 #[test]
-fn a_state_is_let_go_of_once_beside_a_write_that_is_not_answered() {
+fn a_kv_cache_is_let_go_of_once_beside_a_write_that_is_not_answered() {
     for (cancel, probes) in [(true, true), (true, false), (false, true), (false, false)] {
         for effect in [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent] {
             let classes = vec![class(effect, DeduplicationScope::All)];
@@ -453,7 +454,7 @@
             assert_eq!(releases(&r.pass(400 * MS)), 0, "{effect:?}");
             let done = r.pass(100 * MS);
             assert_eq!((releases(&done), sent_to(&done), answers(&done, 1)), (1, None, 0), "{effect:?}");
-            // Its answer may still come: it had arrived, and its state stayed for it.
+            // Its answer may still come: it had arrived, and its KV cache stayed for it.
             assert_eq!(releases(&r.pass(200 * MS)), 0, "{effect:?}");
             r.first(1, 11);
             assert_eq!(answers(&r.outcome(1, 11, AttemptStatus::Ok), 1), 0, "{effect:?}");
@@ -461,44 +462,44 @@
     }
 }
 
-/// A server that did not answer may never have heard of the write: the time of the state has not begun anew.
+/// A server that did not answer may never have heard of the write: the time of the KV cache has not begun anew.
 #[test]
 fn the_end_of_an_unanswered_write_does_not_begin_the_release_time_anew() {
     for status in [AttemptStatus::Reset, AttemptStatus::Timeout, AttemptStatus::Cancelled] {
         let mut r = Router::new(settings(), pairs());
-        let (writer, read_at) = written(&mut r);
+        let (decode_worker, read_at) = written(&mut r);
         r.pass(200 * MS);
-        let again = r.outcome(1, writer, status);
+        let again = r.outcome(1, decode_worker, status);
         assert_eq!(send_by(&again), read_at + 500 * MS, "{status:?}");
     }
     // One that answered had it, or left it where it was.
     for status in [AttemptStatus::Rejected, AttemptStatus::Error] {
         let mut r = Router::new(settings(), pairs());
-        let (writer, read_at) = written(&mut r);
+        let (decode_worker, read_at) = written(&mut r);
         r.pass(200 * MS);
-        let again = r.outcome(1, writer, status);
+        let again = r.outcome(1, decode_worker, status);
         assert_eq!(send_by(&again), read_at + 700 * MS, "{status:?}");
     }
 }
 
-/// Past its release the state of a write that ends unanswered is gone: the request is read again.
+/// Past its release the KV cache of a write that ends unanswered is gone: the request is read again.
 #[test]
 fn what_was_let_go_of_is_read_again() {
     let mut r = Router::new(settings(), pairs());
-    let (writer, _) = written(&mut r);
+    let (decode_worker, _) = written(&mut r);
     assert!(released(&r.pass(600 * MS), 1));
-    let again = sent_to(&r.outcome(1, writer, AttemptStatus::Reset)).expect("another send");
+    let again = sent_to(&r.outcome(1, decode_worker, AttemptStatus::Reset)).expect("another send");
     assert!([1, 2].contains(&again), "sent to {again}");
 }
 
-/// A writer that does not answer a probe is left for another one while the state is still there; one that answers is not.
+/// A decode worker that does not answer a probe is left for another one while the KV cache is still there; one that answers is not.
 #[test]
-fn a_writer_that_does_not_answer_a_probe_is_left_for_another() {
+fn a_decode_worker_that_does_not_answer_a_probe_is_left_for_another() {
     for answers_probes in [false, true] {
         let mut r = Router::new(Settings { can_probe: true, ..settings() }, pairs());
         let mut done = r.ask(1);
         done.extend(r.pass(40 * MS));
-        let reader = sent_to(&done).expect("a read");
+        let prefill_worker = sent_to(&done).expect("a read");
         for server in [1, 2, 11, 12].map(ServerId) {
             r.event(Event::ProbeFinished {
                 server,
@@ -507,8 +508,9 @@
                 report: None,
             });
         }
-        let writer = sent_to(&r.outcome(1, reader, AttemptStatus::Prefilled)).expect("a write");
-        let server = ServerId(writer);
+        let decode_worker =
+            sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+        let server = ServerId(decode_worker);
         let probed = r.pass(200 * MS);
         assert!(probed.contains(&Action::Probe(server)), "{probed:?}");
         if answers_probes {
@@ -523,8 +525,8 @@
         let cancelled = done.iter().any(|a| matches!(a, Action::Cancel { .. }));
         assert_eq!(cancelled, !answers_probes, "{done:?}");
         if cancelled {
-            let other = sent_to(&r.outcome(1, writer, AttemptStatus::Cancelled)).expect("a send");
-            assert!([11, 12].contains(&other) && other != writer, "sent to {other}");
+            let other = sent_to(&r.outcome(1, decode_worker, AttemptStatus::Cancelled)).expect("a send");
+            assert!([11, 12].contains(&other) && other != decode_worker, "sent to {other}");
         }
     }
 }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -113,7 +113,7 @@
         let no = self.attempts.entry(id.0).or_default();
         let attempt = AttemptNumber(*no);
         *no += 1;
-        let reader = server.0.is_multiple_of(3);
+        let prefill_worker = server.0.is_multiple_of(3);
         let latency = (1 + self.draw(600)) * MS;
         let bad = [
             AttemptStatus::Error,
@@ -126,7 +126,7 @@
             let status = bad[self.draw(5) as usize];
             return self.outcome(latency, id, attempt, server, status, false);
         }
-        if reader {
+        if prefill_worker {
             return self.outcome(latency, id, attempt, server, AttemptStatus::Prefilled, false);
         }
         self.later(latency, Event::FirstToken { id, attempt, server, latency });
--- a/tests/permits.rs
+++ b/tests/send_guards.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_refusal_promises_only_what_holds() {
+fn a_rejection_promises_only_what_holds() {
     for (effect, group, harmless_after_a_run) in [
         (Idempotency::Idempotent, DeduplicationScope::Cell, true),
         (Idempotency::WithKey, DeduplicationScope::All, true),
