--- a/crates/gaparch-audit/src/orders/replication.rs
+++ b/crates/gaparch-audit/src/orders/replication.rs
@@ -5,7 +5,7 @@
 use super::subject::{restrictiveness, subject};
 use super::table::OrderTable;
 use crate::{Nanos, MILLISECOND};
-use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::versions::{FleetOrder, OrderId, ReplicationMessage};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -138,7 +138,7 @@
     }
 
     /// Takes an order that an operator has given here; it is in force already.
-    pub fn issue(&mut self, now: Nanos, change: &Change, note: &Note, out: &mut Vec<OrderOutput>) {
+    pub fn issue(&mut self, now: Nanos, change: &Change, note: &ChangeNote, out: &mut Vec<OrderOutput>) {
         self.advance(now);
         let Some(subject) = subject(change) else { return };
         if !self.table.has_capacity_for(&subject) {
@@ -152,7 +152,7 @@
         out.push(OrderOutput::Persist(self.all()));
     }
 
-    fn new_order(&mut self, subject: &str, change: &Change, note: &Note) -> FleetOrder {
+    fn new_order(&mut self, subject: &str, change: &Change, note: &ChangeNote) -> FleetOrder {
         self.last_number = self.last_number.saturating_add(1);
         let id = OrderId {
             number: self.last_number,
@@ -160,16 +160,16 @@
             router: self.router.clone(),
             incarnation: self.incarnation,
         };
-        let note = Note {
-            who: truncated(&note.who, MAX_WHO_CHARS),
-            why: truncated(&note.why, MAX_WHY_CHARS),
+        let note = ChangeNote {
+            operator: truncated(&note.operator, MAX_WHO_CHARS),
+            reason: truncated(&note.reason, MAX_WHY_CHARS),
             at: note.at,
         };
         let replaces = self.table.get(subject).map(|order| order.id.clone());
         FleetOrder { id, replaces, change: change.clone(), note }
     }
 
-    /// Sends an order to some routers drawn by lot.
+    /// Sends an order to some routers chosen at random.
     fn forward(
         &mut self,
         order: &FleetOrder,
@@ -209,7 +209,8 @@
         }
     }
 
-    /// Reports to the router that issued an order: it waits to hear that the order is in force and stored.
+    /// Reports to the router that issued an order: it waits for all routers to have the order in force and
+    /// stored.
     fn acknowledge(&self, issuer: &str, out: &mut Vec<OrderOutput>) {
         if issuer != self.router {
             self.send_summary(issuer, false, out);
@@ -285,7 +286,7 @@
         out.push(OrderOutput::Send { to: peer.to_owned(), message });
     }
 
-    /// Requests the next page at once after one that brought news: where much is missing, more follows.
+    /// Requests the next page at once after one that brought new orders: where much is missing, more follows.
     fn continue_page(&mut self, from: &str, is_new: bool, out: &mut Vec<OrderOutput>) {
         let Some(page) = self.pending_page.as_mut().filter(|page| page.peer == from) else { return };
         page.has_new_orders |= is_new;
@@ -317,7 +318,7 @@
             return false;
         }
         if current.id > order.id {
-            // The sender has not heard of the later one.
+            // The sender does not know the later one.
             out.push(send_order(from.to_owned(), &current));
             self.report_if_superseded(order, &current, out);
             return false;
@@ -367,7 +368,8 @@
         self.compare_with_others(out);
     }
 
-    /// Asks others for their summaries: those that have not acknowledged while somebody waits, else one drawn by lot.
+    /// Asks others for their summaries: those that have not acknowledged while somebody waits, else one
+    /// chosen at random.
     fn compare_with_others(&mut self, out: &mut Vec<OrderOutput>) {
         let is_waiting = self.now < self.waits_until;
         let digest = self.table.digest();
@@ -393,8 +395,8 @@
         self.summaries.get(router).is_some_and(|summary| summary.complete_digest == digest)
     }
 
-    /// Whether each of these routers has acknowledged all orders that are known here, this one first. Those that have not
-    /// are asked, for somebody waits for it.
+    /// Whether each of these routers has acknowledged all orders that are known here, this one first. Those
+    /// that have not are asked, for somebody waits for it.
     pub fn acknowledgements(&mut self, routers: &[String]) -> Vec<OrderAck> {
         self.waits_until = self.waits_until.max(self.now + WAIT_AFTER_QUERY);
         self.next_timer_at = self.next_timer_at.min(self.now + QUERY_INTERVAL);
--- a/crates/gaparch-router/src/core/input.rs
+++ b/crates/gaparch-router/src/core/input.rs
@@ -2,7 +2,7 @@
 
 use super::{AcceptedRequest, ConnectionNumber, ListUpdate};
 use gaparch_protocol::engine::{EngineFacts, EngineFrame};
-use gaparch_protocol::ops::intent::Taken;
+use gaparch_protocol::ops::intent::AcceptedChange;
 use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, ServerId};
 
 /// Something that has happened outside the core.
@@ -67,7 +67,7 @@
     /// The number of routers that share quotas and limits now, this one included.
     RouterCountChanged(u32),
     /// A change by an operator: [proposed](super::Core::propose) before, or restored at the start.
-    OperatorChange(Taken),
+    OperatorChange(AcceptedChange),
     /// No new requests are accepted from that time on, in nanoseconds since the Unix epoch.
     StopAt(Nanos),
     /// Every request that is still open is ended at once.
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -29,9 +29,9 @@
 use connection::EngineConnection;
 use endpoint_table::EndpointTable;
 use gaparch_config::Config;
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{RouterRun, StateAt};
-use gaparch_protocol::ops::ending::Evidence;
+use gaparch_protocol::ops::outcome::EngineEvidence;
 use gaparch_scheduler::api::{EndpointUpdate, Event, Nanos, RequestId, ServerId};
 use gaparch_scheduler::policy::Policy;
 use request::TrackedRequest;
@@ -55,11 +55,11 @@
     /// From when on nothing new is taken.
     stop_at: Option<Nanos>,
     /// The operators' orders.
-    orders: Book,
+    orders: OrderRegistry,
     /// Requests whose final answer is owed.
     unanswered: usize,
     /// How the engines looked a moment ago, for requests that are given up in one go.
-    evidence: Option<(Nanos, Vec<Evidence>)>,
+    evidence: Option<(Nanos, Vec<EngineEvidence>)>,
     /// Engines that may have nothing more of ours, and are no longer listed or set aside.
     disconnect_candidates: Vec<ServerId>,
     /// Frames to hand over at the end of the action.
@@ -71,7 +71,13 @@
 impl Core {
     /// A router that starts now, with what its operators have ordered before. `run` must differ from that of
     /// any earlier run.
-    pub fn new(config: Config, book: Book, run: RouterRun, now: Nanos, out: &mut Vec<Output>) -> Core {
+    pub fn new(
+        config: Config,
+        book: OrderRegistry,
+        run: RouterRun,
+        now: Nanos,
+        out: &mut Vec<Output>,
+    ) -> Core {
         let mut core = Core {
             policy: Policy::new(config.module.clone()),
             endpoints: EndpointTable::default(),
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -3,20 +3,22 @@
 use super::request::{Stage, TrackedRequest};
 use super::{Core, Output, ResponseEvent};
 use gaparch_config::Span;
-use gaparch_ops::book::{Denied, EngineStanding, Standing};
 use gaparch_ops::limits::{limited_tenant, tenant_limit, OPEN_REQUESTS};
-use gaparch_protocol::ops::ending::{
-    self, Cause, EndKind, Ending, Evidence, RequestName, Step, MAX_EVIDENCE,
+use gaparch_ops::{EngineStatus, OrderDenied, SiteStatus};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, LimitView};
+use gaparch_protocol::ops::outcome::{
+    self, AttemptRecord, EngineEvidence, GlobalRequestId, OutcomeCause, OutcomeKind, RequestOutcome,
+    MAX_EVIDENCE,
 };
-use gaparch_protocol::ops::intent::{Change, LimitView, Note, Taken};
 use gaparch_protocol::ops::view::{
-    Avoid, EngineRole, EngineState, EngineView, Figures, LiveView, PartRest, Phase, Setting,
+    AvoidReason, EngineRole, EngineState, EngineView, PartialEjection, Phase, RequestView, RouterMetrics,
+    Setting,
 };
 use gaparch_protocol::ops::Order;
 use gaparch_scheduler::api::{
     EndpointUpdate, Event, Idempotency, Nanos, RequestId, Role, ServerId, ServerState, TenantId,
 };
-use gaparch_scheduler::view::{AvoidReason, ServerView};
+use gaparch_scheduler::view::{self, ServerView};
 use std::collections::BTreeMap;
 
 /// Evidence younger than this is used again: requests given up together saw the same.
@@ -28,7 +30,7 @@
     match state {
         ServerState::Ready => EngineState::Ready,
         ServerState::Draining => EngineState::Draining,
-        ServerState::Removed => EngineState::Gone,
+        ServerState::Removed => EngineState::Removed,
     }
 }
 
@@ -36,26 +38,26 @@
     match state {
         EngineState::Ready => ServerState::Ready,
         EngineState::Draining => ServerState::Draining,
-        EngineState::Gone => ServerState::Removed,
+        EngineState::Removed => ServerState::Removed,
     }
 }
 
 fn role(role: Role) -> EngineRole {
     match role {
-        Role::Prefill => EngineRole::Read,
-        Role::Decode => EngineRole::Write,
-        Role::Mixed => EngineRole::Both,
+        Role::Prefill => EngineRole::Prefill,
+        Role::Decode => EngineRole::Decode,
+        Role::Mixed => EngineRole::Mixed,
     }
 }
 
-fn avoid(avoided: AvoidReason) -> Avoid {
+fn avoid(avoided: view::AvoidReason) -> AvoidReason {
     match avoided {
-        AvoidReason::NotReady => Avoid::NotReady,
-        AvoidReason::Unreachable => Avoid::Unreachable,
-        AvoidReason::Ejected { .. } => Avoid::Resting,
-        AvoidReason::Outlier => Avoid::Slow,
-        AvoidReason::WarmingUp => Avoid::Cold,
-        AvoidReason::Saturated => Avoid::Full,
+        view::AvoidReason::NotReady => AvoidReason::NotReady,
+        view::AvoidReason::Unreachable => AvoidReason::Unreachable,
+        view::AvoidReason::Ejected { .. } => AvoidReason::Ejected,
+        view::AvoidReason::Outlier => AvoidReason::Outlier,
+        view::AvoidReason::WarmingUp => AvoidReason::WarmingUp,
+        view::AvoidReason::Saturated => AvoidReason::Saturated,
     }
 }
 
@@ -71,7 +73,7 @@
 /// An order that may be carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
-    pub taken: Taken,
+    pub taken: AcceptedChange,
     /// What it does to the requests at hand, in words.
     pub effect: String,
 }
@@ -81,9 +83,9 @@
     ///
     /// # Errors
     /// When it may not; the message says why.
-    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, Denied> {
-        let (taken, effect) = self.orders.propose(order, who, now, &self.site_state())?;
-        Ok(Proposal { taken, effect })
+    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, OrderDenied> {
+        let proposed = self.orders.propose(order, who, now, &self.site_state())?;
+        Ok(Proposal { taken: proposed.change, effect: proposed.effect })
     }
 
     /// The number of the last change by an operator.
@@ -100,24 +102,29 @@
     ///
     /// # Errors
     /// When it makes no sense here; the message says why.
-    pub fn adopt_fleet_order(&self, change: &Change, note: &Note) -> Result<Option<Taken>, Denied> {
+    pub fn adopt_fleet_order(
+        &self,
+        change: &Change,
+        note: &ChangeNote,
+    ) -> Result<Option<AcceptedChange>, OrderDenied> {
         self.orders.adopt(change, note, &self.limits())
     }
 
-    fn site_state(&self) -> Standing {
-        let standing = |view: EngineView| EngineStanding {
-            takes_new: view.state == EngineState::Ready && view.avoided != Some(Avoid::Unreachable),
+    fn site_state(&self) -> SiteStatus {
+        let standing = |view: EngineView| EngineStatus {
+            accepts_requests: view.state == EngineState::Ready
+                && view.avoid_reason != Some(AvoidReason::Unreachable),
             name: view.name,
             role: view.role,
-            waiting: view.waiting,
+            awaiting_first_token: view.awaiting_first_token,
             streaming: view.streaming,
         };
         let figures = self.figures();
-        Standing {
+        SiteStatus {
             engines: self.engine_views().into_iter().map(standing).collect(),
-            held: figures.held,
-            reading: figures.reading,
-            self_prefill: self.config.module.decode_workers_can_prefill,
+            queued: figures.queued,
+            prefilling: figures.prefilling,
+            decode_workers_can_prefill: self.config.module.decode_workers_can_prefill,
             limits: self.limits(),
         }
     }
@@ -128,9 +135,9 @@
         let limit = |name: String, by_settings: f64, least, most, unit: &str| LimitView {
             value: self.orders.limit(&name).unwrap_or(by_settings),
             name,
-            by_settings,
-            least,
-            most,
+            configured_value: by_settings,
+            min: least,
+            max: most,
             unit: unit.to_owned(),
         };
         let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
@@ -152,11 +159,11 @@
         }
     }
 
-    pub(super) fn on_operator_change(&mut self, taken: Taken, out: &mut Vec<Output>) {
+    pub(super) fn on_operator_change(&mut self, taken: AcceptedChange, out: &mut Vec<Output>) {
         let change = taken.change.clone();
         self.orders.apply(taken);
         match change {
-            Change::Hold { engine, .. } | Change::Free { engine } => {
+            Change::Drain { engine, .. } | Change::Undrain { engine } => {
                 if let Some(entry) = self.endpoints.apply_operator_hold(&engine, &self.orders) {
                     let entries = vec![entry].into();
                     self.scheduler_events.push_back(Event::EndpointsChanged {
@@ -166,7 +173,7 @@
                     self.follow_all_endpoints(out);
                 }
             }
-            Change::Limit { name, value } => {
+            Change::SetLimit { name, value } => {
                 let tenant = limited_tenant(&name);
                 let tenant = tenant.and_then(|t| self.config.names.tenants.iter().position(|n| n == t));
                 if let Some(tenant) = tenant.map(TenantId) {
@@ -193,7 +200,7 @@
             let seen = seen.get(id)?;
             let link = self.connections.get(id);
             let tally = link.map(|l| l.attempt_counters).unwrap_or_default();
-            let part = |rest: &gaparch_scheduler::view::PartialEjection| PartRest {
+            let part = |rest: &gaparch_scheduler::view::PartialEjection| PartialEjection {
                 class: self.config.names.classes.get(rest.class.0).cloned().unwrap_or_default(),
                 tenant: self.tenant_name(rest.tenant).to_owned(),
                 until: rest.until,
@@ -204,23 +211,23 @@
                 zone: known.listed.zone.clone(),
                 rack: known.listed.rack.clone(),
                 address: known.listed.address.clone(),
-                listed: listed_state(known.listed.state),
+                listed_state: listed_state(known.listed.state),
                 state: listed_state(known.endpoint.state),
                 connected: link.is_some_and(|l| l.is_connected()),
-                avoided: seen.avoid_reason.map(avoid),
-                rests: seen.partial_ejections.iter().map(part).collect(),
-                waiting: seen.awaiting_first_token,
+                avoid_reason: seen.avoid_reason.map(avoid),
+                partial_ejections: seen.partial_ejections.iter().map(part).collect(),
+                awaiting_first_token: seen.awaiting_first_token,
                 streaming: streaming.get(id).copied().unwrap_or(0),
-                unread: seen.queued_prompt_tokens,
-                memory: seen.memory_utilization,
-                memory_said: seen.reported_memory_utilization,
-                pace: seen.latency_ratio,
-                cold_budget: seen.slow_start_budget,
+                queued_prompt_tokens: seen.queued_prompt_tokens,
+                memory_utilization: seen.memory_utilization,
+                reported_memory_utilization: seen.reported_memory_utilization,
+                latency_ratio: seen.latency_ratio,
+                slow_start_budget: seen.slow_start_budget,
                 started_at: known.endpoint.started_at,
-                heard_at: seen.last_response_at,
+                last_response_at: seen.last_response_at,
                 attempts: tally.attempts,
                 failed: tally.failed,
-                called_off: tally.cancelled,
+                cancelled: tally.cancelled,
             })
         };
         let mut views: Vec<EngineView> = self.endpoints.iter().filter_map(view).collect();
@@ -229,26 +236,26 @@
     }
 
     /// The router's own figures; the owner's lag is for the shell to fill in.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> RouterMetrics {
         let counts = self.counters;
-        let mut figures = Figures {
+        let mut figures = RouterMetrics {
             at: self.now,
             requests: counts.requests,
             served: counts.served,
-            in_time: counts.within_objective,
-            refused: counts.rejected,
+            served_in_time: counts.within_objective,
+            rejected: counts.rejected,
             failed: counts.failed,
-            left: counts.client_disconnected,
+            client_disconnected: counts.client_disconnected,
             tokens: counts.tokens,
-            paused: self.orders.paused(),
-            ..Figures::default()
+            paused: self.orders.is_paused(),
+            ..RouterMetrics::default()
         };
         for live in self.requests.values() {
             match live.phase() {
-                super::Phase::Queued => figures.held += 1,
-                super::Phase::Prefilling => figures.reading += 1,
-                super::Phase::Prefilled => figures.read += 1,
-                super::Phase::Decoding => figures.writing += 1,
+                super::Phase::Queued => figures.queued += 1,
+                super::Phase::Prefilling => figures.prefilling += 1,
+                super::Phase::Prefilled => figures.prefilled += 1,
+                super::Phase::Decoding => figures.decoding += 1,
                 super::Phase::Streaming => figures.streaming += 1,
                 super::Phase::Ended => {}
             }
@@ -257,37 +264,37 @@
     }
 
     /// The oldest open requests, at most so many.
-    pub fn open_request_views(&self, most: usize) -> Vec<LiveView> {
+    pub fn open_request_views(&self, most: usize) -> Vec<RequestView> {
         let open = self.requests.iter().filter(|(_, l)| !l.answered);
         open.take(most).map(|(id, live)| self.request_view(*id, live)).collect()
     }
 
     /// One that is open.
-    pub fn open_request_view(&self, id: RequestId) -> Option<LiveView> {
+    pub fn open_request_view(&self, id: RequestId) -> Option<RequestView> {
         self.requests.get(&id).filter(|l| !l.answered).map(|live| self.request_view(id, live))
     }
 
-    fn request_view(&self, id: RequestId, live: &TrackedRequest) -> LiveView {
+    fn request_view(&self, id: RequestId, live: &TrackedRequest) -> RequestView {
         let phase = match live.phase() {
-            super::Phase::Queued => Phase::Held,
-            super::Phase::Prefilling => Phase::Reading,
-            super::Phase::Prefilled => Phase::Read,
-            super::Phase::Decoding => Phase::Writing,
+            super::Phase::Queued => Phase::Queued,
+            super::Phase::Prefilling => Phase::Prefilling,
+            super::Phase::Prefilled => Phase::Prefilled,
+            super::Phase::Decoding => Phase::Decoding,
             super::Phase::Streaming => Phase::Streaming,
             super::Phase::Ended => Phase::Ended,
         };
         let at = live.attempt.map(|a| a.server).or(live.kv_cache_at);
-        LiveView {
-            request: RequestName { run: self.run.0, number: id.0 },
-            asked_at: live.arrived_at,
+        RequestView {
+            request: GlobalRequestId { run: self.run.0, number: id.0 },
+            received_at: live.arrived_at,
             class: self.class_name(live).to_owned(),
             tenant: self.tenant_name(live.request.tenant).to_owned(),
             phase,
             kind: None,
             engine: at.map(|server| self.endpoints.name(server)).unwrap_or_default().to_owned(),
-            tokens: live.usage.output,
-            took_us: micros(self.now.saturating_sub(live.arrived_at)),
-            steps: self.attempt_views(live),
+            tokens: live.usage.output_tokens,
+            elapsed_us: micros(self.now.saturating_sub(live.arrived_at)),
+            attempts: self.attempt_views(live),
         }
     }
 
@@ -299,14 +306,14 @@
         tenant.and_then(|t| self.config.names.tenants.get(t.0)).map_or("", String::as_str)
     }
 
-    fn attempt_views(&self, live: &TrackedRequest) -> Vec<Step> {
-        let step = |note: &super::request::AttemptRecord| Step {
+    fn attempt_views(&self, live: &TrackedRequest) -> Vec<AttemptRecord> {
+        let step = |note: &super::request::AttemptRecord| AttemptRecord {
             engine: self.endpoints.name(note.server).to_owned(),
             stage: match note.stage {
-                Stage::Prefill => ending::Stage::Read,
-                Stage::Decode => ending::Stage::Write,
+                Stage::Prefill => outcome::Stage::Prefill,
+                Stage::Decode => outcome::Stage::Decode,
             },
-            from_us: micros(note.started_at.saturating_sub(live.arrived_at)),
+            sent_after_us: micros(note.started_at.saturating_sub(live.arrived_at)),
             took_us: micros(note.duration),
             end: note.end,
         };
@@ -333,34 +340,34 @@
             return;
         }
         let (kind, cause, waited_for, retry_after) = match event {
-            None => (EndKind::Left, Cause::ClientLeft, None, None),
+            None => (OutcomeKind::ClientDisconnected, OutcomeCause::ClientDisconnected, None, None),
             Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
-                (EndKind::Refused, *cause, *waited_for, Some(*retry_after))
+                (OutcomeKind::Rejected, *cause, *waited_for, Some(*retry_after))
             }
-            Some(ResponseEvent::Failed { cause, .. }) => (EndKind::Failed, *cause, None, None),
-            Some(_) => (EndKind::Served, Cause::Answered, None, None),
+            Some(ResponseEvent::Failed { cause, .. }) => (OutcomeKind::Failed, *cause, None, None),
+            Some(_) => (OutcomeKind::Served, OutcomeCause::Answered, None, None),
         };
-        let lost = matches!(kind, EndKind::Refused | EndKind::Failed);
+        let lost = matches!(kind, OutcomeKind::Rejected | OutcomeKind::Failed);
         let evidence = if lost { self.engine_evidence() } else { Vec::new() };
         let Some(live) = self.requests.get(&id) else { return };
-        let request = RequestName { run: self.run.0, number: id.0 };
-        let ending = Ending {
+        let request = GlobalRequestId { run: self.run.0, number: id.0 };
+        let ending = RequestOutcome {
             class: self.class_name(live).to_owned(),
             tenant: self.tenant_name(live.request.tenant).to_owned(),
-            waited_for,
+            queueing_reason: waited_for,
             retry_after_ms: retry_after.and_then(told_to_stay_away),
-            first_after_us: live.first_token_at.map(|at| micros(at.saturating_sub(live.arrived_at))),
-            tokens: live.usage.output,
-            steps: self.attempt_views(live),
+            first_token_after_us: live.first_token_at.map(|at| micros(at.saturating_sub(live.arrived_at))),
+            tokens: live.usage.output_tokens,
+            attempts: self.attempt_views(live),
             evidence,
             fingerprint: live.request.fingerprint,
-            ..Ending::bare(request, live.arrived_at, self.now, kind, cause)
+            ..RequestOutcome::bare(request, live.arrived_at, self.now, kind, cause)
         };
         out.push(Output::RequestEnded(Box::new(ending)));
     }
 
     /// How the engines look now, those avoided first.
-    fn engine_evidence(&mut self) -> Vec<Evidence> {
+    fn engine_evidence(&mut self) -> Vec<EngineEvidence> {
         if let Some((at, evidence)) = &self.evidence {
             if self.now < at.saturating_add(EVIDENCE_FOR) {
                 return evidence.clone();
@@ -368,14 +375,14 @@
         }
         let mut views: Vec<ServerView> = self.policy.views().collect();
         views.sort_by_key(|v| v.avoid_reason.is_none());
-        let one = |view: &ServerView| Evidence {
+        let one = |view: &ServerView| EngineEvidence {
             engine: self.endpoints.name(view.server).to_owned(),
-            avoided: view.avoid_reason.map(|a| avoid(a).word().to_owned()).unwrap_or_default(),
-            memory: view.memory_utilization,
-            unread: view.queued_prompt_tokens,
-            pace: view.latency_ratio,
+            avoid_reason: view.avoid_reason.map(|a| avoid(a).name().to_owned()).unwrap_or_default(),
+            memory_utilization: view.memory_utilization,
+            queued_prompt_tokens: view.queued_prompt_tokens,
+            latency_ratio: view.latency_ratio,
         };
-        let evidence: Vec<Evidence> = views.iter().take(MAX_EVIDENCE).map(one).collect();
+        let evidence: Vec<EngineEvidence> = views.iter().take(MAX_EVIDENCE).map(one).collect();
         self.evidence = Some((self.now, evidence.clone()));
         evidence
     }
--- a/crates/gaparch-router/src/core/output.rs
+++ b/crates/gaparch-router/src/core/output.rs
@@ -3,7 +3,7 @@
 use super::ConnectionNumber;
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::EngineFrame;
-use gaparch_protocol::ops::ending::{Cause, Ending, WaitedFor};
+use gaparch_protocol::ops::outcome::{OutcomeCause, QueueingReason, RequestOutcome};
 use gaparch_scheduler::api::{Nanos, RequestId, ServerId};
 
 /// A part of the response to one client. In order: at most one `Started`, any number of `Text`, and exactly one of the rest.
@@ -31,16 +31,16 @@
         /// When a retry makes sense; 0 where the settings allow no time to be told.
         retry_after: Nanos,
         /// Why it was rejected.
-        cause: Cause,
+        cause: OutcomeCause,
         /// What it was queued for, if it was queued.
-        waited_for: Option<WaitedFor>,
+        waited_for: Option<QueueingReason>,
     },
     /// The request failed; whether it had an effect is not known.
     Failed {
         /// The reason in words, for the client.
         message: &'static str,
         /// The reason, for operators.
-        cause: Cause,
+        cause: OutcomeCause,
     },
 }
 
@@ -103,5 +103,5 @@
     /// Write a line to the log.
     Log(String),
     /// A request has ended; emitted only where the settings have an operations side that records it.
-    RequestEnded(Box<Ending>),
+    RequestEnded(Box<RequestOutcome>),
 }
--- a/crates/gaparch-router/tests/pinned_state.rs
+++ b/crates/gaparch-router/tests/pinned_state.rs
@@ -3,8 +3,8 @@
 
 use gaparch_config::Config;
 use gaparch_net::{Clock, Credentials, OpsClient, Place};
-use gaparch_protocol::ops::intent::{Change, Hold};
-use gaparch_protocol::ops::{Answer, OpsRole, Order, Query};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
+use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
 use gaparch_router::shell::{serve_on, Disks, FleetDisks, RouterHandle};
 use gaparch_store::faulty::FaultyDisk;
 use gaparch_store::Journal;
@@ -119,7 +119,7 @@
 
     async fn operator(&self) -> OpsClient {
         let place = Place::Socket(self.folder.join("ops.sock"));
-        let credentials = Credentials { key: None, role: OpsRole::Change, who: "office".to_owned() };
+        let credentials = Credentials { key: None, role: SessionRole::ReadWrite, who: "office".to_owned() };
         OpsClient::connect(&place, &credentials).await.expect("welcome")
     }
 
@@ -146,8 +146,8 @@
     let router = state.start().await;
     let mut operator = state.operator().await;
     until_shown(&mut operator).await;
-    let change = Change::Hold { engine: "read-1".to_owned(), hold: Hold::Drain };
-    let order = Order { change, why: "a test".to_owned(), force: true, revision: None };
+    let change = Change::Drain { engine: "read-1".to_owned(), mode: DrainMode::Drain };
+    let order = Order { change, reason: "a test".to_owned(), force: true, revision: None };
     let done = operator.ask(Query::Order { order }).await.expect("an answer");
     assert!(matches!(done, Answer::Done { revision: 1, .. }), "{done:?}");
     state.until_kept("fleet-orders").await;
@@ -156,7 +156,7 @@
     let [order] = &orders[..] else { panic!("one order: {orders:?}") };
     let (head, time) = order.split_at(order.len() - 8);
     assert_eq!((hex(head).as_str(), time.len()), (FLEET_ORDER, 8));
-    let events = operator.ask(Query::Events { engine: None, since: 0, most: 100 }).await.expect("an answer");
+    let events = operator.ask(Query::Events { engine: None, since: 0, max: 100 }).await.expect("an answer");
     assert_eq!(events_without_times(&events, &state.folder), EVENTS);
     router.stop().await.expect("it ran");
     let marks = state.records("audit-mark");
@@ -181,7 +181,7 @@
         panic!("it is in a fleet");
     };
     assert_eq!(fleet.incarnation, 2);
-    let spread = operator.ask(Query::Spread {}).await.expect("an answer");
+    let spread = operator.ask(Query::OrderReplication {}).await.expect("an answer");
     let spread = serde_json::to_value(&spread).expect("JSON");
     let expected = serde_json::json!([{
         "id": {"number": 1, "care": 2, "router": "north-1", "incarnation": 1},
--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -2,10 +2,10 @@
 //! in `pinned/` were written by the build of commit bdb4937.
 
 use gaparch_config::{server_id, Config, EXAMPLE};
-use gaparch_ops::book::Book;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{EngineFacts, EngineFrame, RouterRun};
 use gaparch_protocol::list::{ListEntry, Scope};
-use gaparch_protocol::ops::intent::{Change, Hold};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
 use gaparch_protocol::ops::Order;
 use gaparch_router::core::{AcceptedRequest, ConnectionNumber, Core, Input, ListUpdate, Output};
 use gaparch_scheduler::api::{AttemptStatus, ClassId, Nanos, RequestId, Role, ServerId, ServerState};
@@ -29,7 +29,7 @@
         let config = Config::parse(&EXAMPLE.replace("</classes>", class)).expect("sound settings");
         let engines = config.engines.clone();
         let mut out = Vec::new();
-        let core = Core::new(config, Book::default(), RouterRun(42), 1000 * SECOND, &mut out);
+        let core = Core::new(config, OrderRegistry::default(), RouterRun(42), 1000 * SECOND, &mut out);
         let connections = BTreeMap::new();
         let mut router = Router { core, now: 1000 * SECOND, connections, endings: String::new() };
         router.take(&out);
@@ -138,7 +138,7 @@
 
     /// The effect of an order, or why it is denied.
     fn order(&mut self, change: Change, force: bool) -> String {
-        let order = Order { change, why: "a test".to_owned(), force, revision: None };
+        let order = Order { change, reason: "a test".to_owned(), force, revision: None };
         match self.core.propose(self.now, &order, "office") {
             Ok(proposal) => {
                 let effect = proposal.effect.clone();
@@ -227,15 +227,15 @@
 #[test]
 fn the_effects_of_orders_are_told_by_the_pinned_words() {
     let mut router = Router::new();
-    let hold = |engine: &str, hold| Change::Hold { engine: engine.to_owned(), hold };
-    let limit = |value| Change::Limit { name: "open-requests".to_owned(), value };
+    let hold = |engine: &str, hold| Change::Drain { engine: engine.to_owned(), mode: hold };
+    let limit = |value| Change::SetLimit { name: "open-requests".to_owned(), value };
     let orders = [
-        (hold("read-1", Hold::Drain), false),
-        (hold("read-2", Hold::Aside), false),
-        (hold("read-2", Hold::Aside), true),
-        (hold("read-3", Hold::Aside), false),
-        (Change::Free { engine: "read-1".to_owned() }, false),
-        (Change::Free { engine: "read-1".to_owned() }, false),
+        (hold("read-1", DrainMode::Drain), false),
+        (hold("read-2", DrainMode::Detach), false),
+        (hold("read-2", DrainMode::Detach), true),
+        (hold("read-3", DrainMode::Detach), false),
+        (Change::Undrain { engine: "read-1".to_owned() }, false),
+        (Change::Undrain { engine: "read-1".to_owned() }, false),
         (Change::Pause {}, false),
         (Change::Resume {}, false),
         (Change::Resume {}, false),
