--- a/crates/gaparch-platform-router/src/owner/attempts.rs
+++ b/crates/gaparch-platform-router/src/owner/attempts.rs
@@ -75,6 +75,7 @@
         tracing::debug!(
             target: "gaparch_platform_router::wire",
             request = id.0,
+            txn = self.transaction(id),
             attempt = job.key.attempt,
             worker = server.0,
             stage = stage.name(),
@@ -106,7 +107,8 @@
         self.touched.push(id);
         tracing::debug!(
             target: "gaparch_platform_router::wire",
-            request = key.request,
+            request = id.0,
+            txn = self.transaction(id),
             attempt = key.attempt,
             "attempt cancelled"
         );
@@ -137,6 +139,7 @@
         tracing::debug!(
             target: "gaparch_platform_router::wire",
             request = id.0,
+            txn = self.transaction(id),
             prefill_worker = prefill_worker.0,
             "KV cache released"
         );
@@ -171,6 +174,11 @@
         self.calls.spawn(probe);
     }
 
+    /// Returns the id that the client has given a request.
+    pub(super) fn transaction(&self, id: RequestId) -> Option<&str> {
+        self.open.get(&id).map(|open| open.forwarded.transaction.as_str())
+    }
+
     /// Returns the process that the core knows of a worker.
     fn process(&self, server: ServerId) -> Option<WorkerProcess> {
         let (address, started_at) = self.core.endpoint_process(server)?;
--- a/crates/gaparch-platform-router/src/owner/summary.rs
+++ b/crates/gaparch-platform-router/src/owner/summary.rs
@@ -43,10 +43,9 @@
             }
         }
         for cache in overdue {
-            let txn = self.open.get(&cache.request).map(|open| open.forwarded.transaction.as_str());
             tracing::info!(
                 request = cache.request.0,
-                txn,
+                txn = self.transaction(cache.request),
                 prefill_worker = cache.prefill_worker.0,
                 unanswered_at = cache.unanswered_at.map(|server| server.0),
                 held_ms = now.saturating_sub(cache.since) / NANOS_PER_MS,
--- a/crates/gaparch-platform-router/src/shared_state.rs
+++ b/crates/gaparch-platform-router/src/shared_state.rs
@@ -104,13 +104,7 @@
     }
 
     /// Counts an attempt that was stopped just before its first byte.
-    pub fn count_denial(&self, id: RequestId, denial: Denial) {
-        tracing::debug!(
-            target: "gaparch_platform_router::wire",
-            request = id.0,
-            ?denial,
-            "attempt not sent"
-        );
+    pub fn count_denial(&self, denial: Denial) {
         lock(&self.denials).count(denial);
     }
 
--- a/crates/gaparch-platform-router/src/worker/exchange/mod.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/mod.rs
@@ -122,7 +122,8 @@
         Err(status) => return ExchangeEnd::failed(status),
     };
     if let Err(denial) = may_send(attempt, shared) {
-        shared.count_denial(attempt.request, denial);
+        shared.count_denial(denial);
+        log_denial(attempt, denial);
         return ExchangeEnd::failed(denial.status());
     }
     trace.record_connected(connection.idle_time);
@@ -197,6 +198,18 @@
     })
 }
 
+fn log_denial(attempt: &Attempt, denial: Denial) {
+    tracing::debug!(
+        target: "gaparch_platform_router::wire",
+        request = attempt.request.0,
+        txn = attempt.forwarded.transaction.as_str(),
+        attempt = attempt.number.0,
+        worker = attempt.process.server.0,
+        ?denial,
+        "attempt not sent"
+    );
+}
+
 /// Writes the request up to its last byte, before which it has not run. A worker that takes none of it must not get the rest
 /// when the time of a drain or of a retry is over.
 async fn write_request(
--- /dev/null
+++ b/crates/gaparch-platform-router/tests/exchange_log.rs
@@ -0,0 +1,100 @@
+//! The log of the exchanges names the reason of each step by the enum of what decided it, as docs/operators/in-service.md says.
+
+mod common;
+
+use common::{begun, Site};
+use gaparch_testbed::platform::{ask, until, Platform, Step};
+use std::io::{self, Write};
+use std::sync::{Arc, Mutex};
+use tracing_subscriber::fmt::MakeWriter;
+
+/// The lines that were logged.
+#[derive(Clone, Default)]
+struct Log(Arc<Mutex<Vec<u8>>>);
+
+impl Log {
+    /// Takes all that is logged in this process.
+    fn capture() -> Log {
+        let log = Log::default();
+        let subscriber = tracing_subscriber::fmt()
+            .with_max_level(tracing::Level::DEBUG)
+            .with_ansi(false)
+            .with_writer(log.clone())
+            .finish();
+        tracing::subscriber::set_global_default(subscriber).expect("the only one");
+        log
+    }
+
+    fn has_line(&self, words: &[&str]) -> bool {
+        let bytes = self.0.lock().expect("no panic");
+        let text = String::from_utf8_lossy(&bytes);
+        text.lines().any(|line| words.iter().all(|word| line.contains(word)))
+    }
+
+    fn wait_for_line(&self, words: &[&str]) {
+        until(&format!("a line with {words:?}"), || self.has_line(words));
+    }
+}
+
+impl Write for Log {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.0.lock().expect("no panic").extend_from_slice(bytes);
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+impl<'a> MakeWriter<'a> for Log {
+    type Writer = Log;
+
+    fn make_writer(&'a self) -> Log {
+        self.clone()
+    }
+}
+
+#[test]
+fn each_line_of_an_exchange_names_its_reason() {
+    let log = Log::capture();
+    let site = Site::with(|_| {});
+
+    assert_eq!(ask(site.listen, "served").status, 200);
+    log.wait_for_line(&["attempt sent", "txn=\"served\"", "stage=\"prefill\"", "previous_status=None"]);
+    log.wait_for_line(&["exchange ended", "txn=\"served\"", "end=Prefilled { cached_prompt_tokens: "]);
+    log.wait_for_line(&[
+        "attempt sent",
+        "txn=\"served\"",
+        "stage=\"decode\"",
+        "previous_status=Some(Prefilled)",
+    ]);
+    log.wait_for_line(&["exchange ended", "txn=\"served\"", "end=Ended(AttemptEnd { status: Ok, "]);
+
+    let saturated = "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+    site.next_write(&[common::put(saturated)]);
+    assert_eq!(ask(site.listen, "retried").status, 200);
+    log.wait_for_line(&["exchange ended", "txn=\"retried\"", "end=Ended(AttemptEnd { status: Rejected, "]);
+    log.wait_for_line(&["attempt sent", "txn=\"retried\"", "previous_status=Some(Rejected)"]);
+
+    let missing = "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+    site.next_write(&[common::put(missing)]);
+    assert_eq!(ask(site.listen, "missing").status, 200);
+    log.wait_for_line(&["exchange ended", "txn=\"missing\"", "status: Rejected, kv_cache_missing: true"]);
+
+    site.next_write(&[Step::Close]);
+    assert_eq!(ask(site.listen, "reset").status, 200);
+    log.wait_for_line(&["exchange ended", "txn=\"reset\"", "status: Reset, "]);
+
+    // The client of a stream that has begun disconnects.
+    let first_event = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\ndata: {}\n\n\r\n";
+    site.next_write(&[common::put(first_event), Step::Hang]);
+    drop(begun(&site, "left"));
+    log.wait_for_line(&["attempt cancelled", "txn=\"left\""]);
+    log.wait_for_line(&["exchange ended", "txn=\"left\"", "end=Cancelled"]);
+    log.wait_for_line(&["connection closed", "reason=ClientDisconnected"]);
+
+    site.tell(Platform::without_writers(&Platform::list(&site.readers, &site.writers)));
+    assert_eq!(ask(site.listen, "rejected").status, 503);
+    log.wait_for_line(&["request rejected", "txn=\"rejected\"", "cause="]);
+}
