--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use gaparch_platform_protocol::client_request::ClientRequestError;
 use gaparch_platform_protocol::head::{decode_request, encode_response, HeadError, RequestHead};
-use gaparch_scheduler::policy::intake::Carried;
+use gaparch_scheduler::policy::shutdown_intake::ConnectionHistory;
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
@@ -173,7 +173,7 @@
     /// Waits for the head of a request. The connection counts as idle until its first byte.
     async fn read_head(&mut self, is_first: bool) -> Result<ArrivedHead, Stop> {
         let mut arrived_at = (!self.socket.buffer.is_empty()).then(Instant::now);
-        let carried = if is_first { Carried::Nothing } else { Carried::Requests };
+        let carried = if is_first { ConnectionHistory::Unused } else { ConnectionHistory::CarriedRequests };
         let mut idle_guard = arrived_at.is_none().then(|| self.idle.enter(carried));
         let mut phase = self.shared.phase.subscribe();
         loop {
--- a/crates/gaparch-platform-router/src/client/idle_connections.rs
+++ b/crates/gaparch-platform-router/src/client/idle_connections.rs
@@ -1,7 +1,7 @@
 //! Connections of clients without an open request, in the order in which they are closed for others.
 
 use crate::sync::lock;
-use gaparch_scheduler::policy::intake::Carried;
+use gaparch_scheduler::policy::shutdown_intake::ConnectionHistory;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 /// What has carried nothing goes first, and among equals the one idle for longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClosingOrder {
-    carried: Carried,
+    carried: ConnectionHistory,
     number: u64,
 }
 
@@ -42,7 +42,7 @@
 
 impl IdleConnections {
     /// Enters a connection that is idle from now on.
-    pub fn enter(self: &Arc<IdleConnections>, carried: Carried) -> IdleGuard {
+    pub fn enter(self: &Arc<IdleConnections>, carried: ConnectionHistory) -> IdleGuard {
         let close = Arc::new(Notify::new());
         let mut table = lock(&self.table);
         table.next_number += 1;
--- a/crates/gaparch-platform-router/src/client/idle_connections_tests.rs
+++ b/crates/gaparch-platform-router/src/client/idle_connections_tests.rs
@@ -5,8 +5,11 @@
 #[tokio::test]
 async fn the_longest_idle_is_asked_first_and_who_asks_meanwhile_never() {
     let idle = Arc::new(IdleConnections::default());
-    let (first, second, third) =
-        (idle.enter(Carried::Requests), idle.enter(Carried::Requests), idle.enter(Carried::Requests));
+    let (first, second, third) = (
+        idle.enter(ConnectionHistory::CarriedRequests),
+        idle.enter(ConnectionHistory::CarriedRequests),
+        idle.enter(ConnectionHistory::CarriedRequests),
+    );
     drop(first);
     idle.close_next();
     second.close_requested().await;
@@ -21,7 +24,8 @@
 #[tokio::test]
 async fn who_never_asked_is_asked_to_close_before_who_has() {
     let idle = Arc::new(IdleConnections::default());
-    let (used, unused) = (idle.enter(Carried::Requests), idle.enter(Carried::Nothing));
+    let (used, unused) =
+        (idle.enter(ConnectionHistory::CarriedRequests), idle.enter(ConnectionHistory::Unused));
     idle.close_next();
     unused.close_requested().await;
     idle.close_next();
--- a/crates/gaparch-platform-router/src/owner/attempts.rs
+++ b/crates/gaparch-platform-router/src/owner/attempts.rs
@@ -8,7 +8,7 @@
 use gaparch_platform_protocol::worker::Stage;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame, Job};
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, RequestId, ServerId};
-use gaparch_scheduler::policy::connecting::Carries;
+use gaparch_scheduler::policy::connect::SendRisk;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
 
@@ -18,9 +18,9 @@
     /// Carries out what the core has ordered of a worker.
     pub(super) fn dispatch(&mut self, server: ServerId, frame: EngineFrame) {
         match frame {
-            EngineFrame::Read(job) => self.send(server, &job, Stage::Prefill, Carries::NothingHeld),
+            EngineFrame::Read(job) => self.send(server, &job, Stage::Prefill, SendRisk::TimeOnly),
             EngineFrame::Write { job, state } => {
-                let carries = if state.is_some() { Carries::HeldState } else { Carries::NothingHeld };
+                let carries = if state.is_some() { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
                 self.send(server, &job, Stage::Decode, carries);
             }
             EngineFrame::Cancel(key) => self.cancel(key),
@@ -32,7 +32,7 @@
         }
     }
 
-    fn send(&mut self, server: ServerId, job: &Job, stage: Stage, carries: Carries) {
+    fn send(&mut self, server: ServerId, job: &Job, stage: Stage, carries: SendRisk) {
         let id = RequestId(job.key.request);
         let number = AttemptNumber(job.key.attempt);
         if !self.open.contains_key(&id) {
--- a/crates/gaparch-platform-router/src/run/mod.rs
+++ b/crates/gaparch-platform-router/src/run/mod.rs
@@ -15,7 +15,7 @@
 use crate::worker::ConnectionPool;
 use gaparch_net::{Clock, Signal, Signals};
 use gaparch_platform_protocol::config::{ConfigError, RouterConfig};
-use gaparch_scheduler::policy::connecting::ConnectFailure;
+use gaparch_scheduler::policy::connect::ConnectFailure;
 use reload::Reload;
 use shutdown::shut_down;
 use std::io;
--- a/crates/gaparch-platform-router/src/run/shutdown.rs
+++ b/crates/gaparch-platform-router/src/run/shutdown.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use crate::messages::OwnerMessage;
 use crate::shared_state::{Phase, SharedState};
-use gaparch_scheduler::policy::intake::{ACCEPTED_FOR, TAKEN_FOR};
+use gaparch_scheduler::policy::shutdown_intake::{ACCEPT_CONNECTIONS_FOR, ACCEPT_REQUESTS_FOR};
 use std::time::Duration;
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
@@ -20,11 +20,11 @@
     let Router { shared, listener, client_permits, max_clients, .. } = router;
     let ordered_at = Instant::now();
     // Requests are rejected by the clock, whatever keeps this task busy until then.
-    let rejects_from = ordered_at + Duration::from_nanos(TAKEN_FOR);
+    let rejects_from = ordered_at + Duration::from_nanos(ACCEPT_REQUESTS_FOR);
     shared.notify_owner(OwnerMessage::StopAt(shared.clock.at(rejects_from.into_std())));
     shared.phase.send_replace(Phase::Draining);
     tracing::info!("shutting down: open requests are finished");
-    sleep_until(ordered_at + Duration::from_nanos(ACCEPTED_FOR)).await;
+    sleep_until(ordered_at + Duration::from_nanos(ACCEPT_CONNECTIONS_FOR)).await;
     shared.phase.send_replace(Phase::Closing);
     let _ = listener.await;
     finish(&shared, &client_permits, max_clients).await;
--- a/crates/gaparch-platform-router/src/shared_state.rs
+++ b/crates/gaparch-platform-router/src/shared_state.rs
@@ -8,7 +8,7 @@
 use gaparch_platform_protocol::client_request::TransactionId;
 use gaparch_platform_protocol::config::RouterConfig;
 use gaparch_scheduler::api::RequestId;
-use gaparch_scheduler::policy::permits::{Denial, Denials};
+use gaparch_scheduler::policy::send_guards::{Denial, Denials};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/gaparch-platform-router/src/worker/exchange/mod.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/mod.rs
@@ -15,8 +15,8 @@
     cached_prompt_tokens, encode_request_head, interpret_response, ResponseMeaning, Stage,
 };
 use gaparch_scheduler::api::{AttemptNumber, AttemptStatus, Nanos, RequestId};
-use gaparch_scheduler::policy::connecting::Carries;
-use gaparch_scheduler::policy::permits::{self, Denial, SendFacts};
+use gaparch_scheduler::policy::connect::SendRisk;
+use gaparch_scheduler::policy::send_guards::{self, Denial, SendFacts};
 use std::sync::Arc;
 use std::time::Duration;
 use stream::forward_stream;
@@ -35,7 +35,7 @@
     pub process: WorkerProcess,
     pub stage: Stage,
     /// Whether something is reserved or cached for its request that it is to fetch.
-    pub carries: Carries,
+    pub carries: SendRisk,
     /// When the client stops waiting for its first token.
     pub deadline_at: Nanos,
     pub forwarded: Arc<ForwardedRequest>,
@@ -184,16 +184,16 @@
 /// Checks whether an attempt whose connection is up may still be sent. Since it was decided on, its client may have
 /// disconnected, its time may be over, or its worker may be draining or removed by a list that the owner has not seen yet.
 fn may_send(attempt: &Attempt, shared: &SharedState) -> Result<(), Denial> {
-    permits::may_send(&SendFacts {
+    send_guards::may_send(&SendFacts {
         now: shared.clock.now(),
-        give_up_at: attempt.deadline_at,
-        write_by: attempt.write_by,
+        deadline_at: attempt.deadline_at,
+        send_by: attempt.write_by,
         // The attempt before it was waited for, and a response cancels what is in flight.
         answered: false,
-        another_out: false,
-        attempts_used: false,
+        attempt_in_flight: false,
+        attempts_exhausted: false,
         repeat: None,
-        client_left: attempt.forwarded.is_client_disconnected(),
+        client_disconnected: attempt.forwarded.is_client_disconnected(),
         server_ready: shared.ready_workers.may_receive_requests(attempt.process.server),
     })
 }
--- a/crates/gaparch-platform-router/src/worker/pool.rs
+++ b/crates/gaparch-platform-router/src/worker/pool.rs
@@ -5,7 +5,7 @@
 use crate::transient_errors::connect_failure;
 use gaparch_platform_protocol::head::ResponseHead;
 use gaparch_scheduler::api::{Nanos, ServerId};
-use gaparch_scheduler::policy::connecting::{second_try_after, Carries, ConnectFailure, TRY_AGAIN};
+use gaparch_scheduler::policy::connect::{hedge_connection_after, ConnectFailure, SendRisk, RETRY_INTERVAL};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LastExchange {
     /// An attempt of a request, whose response may be followed by bytes some milliseconds late.
-    Attempt(Carries),
+    Attempt(SendRisk),
     /// A call without a body, as a probe or a release.
     Call,
 }
@@ -127,9 +127,9 @@
     pub async fn get_for(
         &self,
         process: WorkerProcess,
-        carries: Carries,
+        carries: SendRisk,
     ) -> Result<WorkerConnection, ConnectFailure> {
-        if carries.may_reuse() {
+        if carries.may_reuse_connection() {
             self.get(process).await
         } else {
             self.connect(process).await
@@ -160,10 +160,10 @@
         let attempts = async {
             loop {
                 last_failure = match self.connect_hedged(process).await {
-                    Err(failure) if failure.is_tried_again() => failure,
+                    Err(failure) if failure.is_retryable() => failure,
                     result => return result,
                 };
-                sleep(Duration::from_nanos(TRY_AGAIN)).await;
+                sleep(Duration::from_nanos(RETRY_INTERVAL)).await;
             }
         };
         let result = timeout(self.connect_timeout, attempts).await;
@@ -174,7 +174,7 @@
     async fn connect_hedged(&self, process: WorkerProcess) -> Result<WorkerConnection, ConnectFailure> {
         let first = self.connect_once(process);
         tokio::pin!(first);
-        let hedge_delay = second_try_after(self.connect_timeout.as_nanos() as Nanos);
+        let hedge_delay = hedge_connection_after(self.connect_timeout.as_nanos() as Nanos);
         tokio::select! {
             biased;
             result = &mut first => return result,
@@ -279,7 +279,7 @@
         let worker = workers.get_mut(&process.server).filter(|worker| worker.process == process);
         let Some(worker) = worker else { return };
         let (max_idle, settle_time) = match exchange {
-            LastExchange::Attempt(carries) => (carries.kept(MAX_IDLE_PER_WORKER), SETTLE_TIME),
+            LastExchange::Attempt(carries) => (carries.idle_connections(MAX_IDLE_PER_WORKER), SETTLE_TIME),
             LastExchange::Call => (MAX_IDLE_PER_WORKER, Duration::ZERO),
         };
         let surplus = (worker.idle.len() + 1).saturating_sub(max_idle);
--- a/crates/gaparch-platform-router/src/worker/pool_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/pool_tests.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use gaparch_platform_protocol::head::decode_response;
 use gaparch_scheduler::api::ServerId;
-use gaparch_scheduler::policy::connecting::{Carries, ConnectFailure};
+use gaparch_scheduler::policy::connect::{ConnectFailure, SendRisk};
 use gaparch_testbed::platform::Stuck;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     let connection = pool.connect(process).await.expect("it listens");
     let (socket, _) = listener.accept().expect("accepted");
     pool.record_response(process);
-    pool.put(connection, &response_head(), LastExchange::Attempt(Carries::NothingHeld));
+    pool.put(connection, &response_head(), LastExchange::Attempt(SendRisk::TimeOnly));
     tokio::time::sleep(SETTLE_TIME * 2).await;
     (pool, process, listener, socket)
 }
@@ -36,7 +36,7 @@
     let (pool, process, _listener, _socket) = pool_with_idle().await;
     let connection = pool.get(process).await.expect("it is idle");
     assert!(connection.idle_time.is_some());
-    pool.put(connection, &response_head(), LastExchange::Attempt(Carries::NothingHeld));
+    pool.put(connection, &response_head(), LastExchange::Attempt(SendRisk::TimeOnly));
     // Bytes that belong to no message may still be on their way.
     assert!(pool.take_idle(process).is_none());
     // Behind a probe there are none, and the prefill that was probed for follows at once.
--- a/crates/gaparch-platform-router/src/worker/release.rs
+++ b/crates/gaparch-platform-router/src/worker/release.rs
@@ -6,8 +6,8 @@
 use gaparch_platform_protocol::client_request::TransactionId;
 use gaparch_platform_protocol::worker::encode_release;
 use gaparch_scheduler::api::Nanos;
-use gaparch_scheduler::policy::connecting::Carries;
-use gaparch_scheduler::policy::releasing::{next_round_after, Rounds};
+use gaparch_scheduler::policy::connect::SendRisk;
+use gaparch_scheduler::policy::kv_release::{next_round_after, ReleaseRounds};
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,12 +29,12 @@
     let Release { transaction, mut processes, attempt_timeout } = release;
     // A worker that responded last is most likely to run. Where a prefill is unanswered that is another than its worker.
     processes.sort_by_key(|process| Reverse(pool.last_response_at(*process)));
-    let mut rounds = Rounds::new(processes.len(), clock.now());
+    let mut rounds = ReleaseRounds::new(processes.len(), clock.now());
     let mut attempts = JoinSet::new();
     let round_interval = Duration::from_nanos(next_round_after(attempt_timeout.as_nanos() as Nanos));
     while let Some(round) = rounds.next(clock.now()) {
         sleep(Duration::from_nanos(round.pause)).await;
-        let carries = if round.fresh { Carries::HeldState } else { Carries::NothingHeld };
+        let carries = if round.needs_fresh_connections { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
         for process in round.servers.iter().filter_map(|index| processes.get(*index)) {
             let pool = Arc::clone(&pool);
             attempts.spawn(attempt_release(transaction.clone(), *process, carries, attempt_timeout, pool));
@@ -64,7 +64,7 @@
 async fn attempt_release(
     transaction: TransactionId,
     process: WorkerProcess,
-    carries: Carries,
+    carries: SendRisk,
     attempt_timeout: Duration,
     pool: Arc<ConnectionPool>,
 ) -> bool {
