--- a/crates/gaparch-platform-router/tests/moments.rs
+++ b/crates/gaparch-platform-router/tests/faults_by_stage.rs
@@ -1,4 +1,4 @@
-//! Each moment of a request against each fault, on one harness; the workers' log is judged after each.
+//! Each stage of a request against each fault; the workers' log is checked after each.
 
 mod common;
 
@@ -14,28 +14,27 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Moment {
+enum Stage {
     Connecting,
     Head,
     Body,
-    /// No writer: held before its read.
-    Waiting,
-    Reading,
-    /// Read, and no writer to send it to.
-    BetweenStages,
-    Writing,
+    /// No decode worker: queued before its prefill.
+    Queued,
+    Prefilling,
+    /// Prefilled, and no decode worker to send it to.
+    Prefilled,
+    Decoding,
     Streaming,
-    /// Its answer is over.
-    Resting,
+    /// Its response is complete, and the connection idle.
+    Idle,
 }
 
-use Moment::*;
+use Stage::*;
 
-const MOMENTS: [Moment; 9] =
-    [Connecting, Head, Body, Waiting, Reading, BetweenStages, Writing, Streaming, Resting];
+const STAGES: [Stage; 9] = [Connecting, Head, Body, Queued, Prefilling, Prefilled, Decoding, Streaming, Idle];
 const TXN: &str = "txn";
 const GRACE: Duration = Duration::from_millis(500);
-/// Past the last moment at which something may still be sent for a client that has left.
+/// Past the last moment at which something may still be sent for a client that has disconnected.
 const AFTERWARDS: Duration = Duration::from_millis(300);
 
 /// The head of a stream and its first event.
@@ -45,9 +44,9 @@
 }
 
 /// What a client has written of its request by then.
-fn written(moment: Moment) -> Vec<u8> {
+fn written(stage: Stage) -> Vec<u8> {
     let whole = head_and_body(TXN, "{\"stream\":true}");
-    match moment {
+    match stage {
         Connecting => Vec::new(),
         Head => whole[..60].to_vec(),
         Body => whole[..whole.len() - 5].to_vec(),
@@ -55,18 +54,18 @@
     }
 }
 
-/// Brings a client to that moment.
-fn bring(site: &Site, moment: Moment) -> TcpStream {
+/// Brings a request to that stage.
+fn bring(site: &Site, stage: Stage) -> TcpStream {
     let list = Platform::list(&site.readers, &site.writers);
     let whole = stream(&events());
-    match moment {
-        Waiting => site.tell(Platform::without_writers(&list)),
-        Reading => site.readers[0].then(vec![Step::Hang]),
-        BetweenStages => site.readers[0].then(vec![
+    match stage {
+        Queued => site.tell(Platform::without_writers(&list)),
+        Prefilling => site.readers[0].then(vec![Step::Hang]),
+        Prefilled => site.readers[0].then(vec![
             Step::Wait(Duration::from_millis(300)),
             put("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"),
         ]),
-        Writing => site.next_write(&[Step::Hang]),
+        Decoding => site.next_write(&[Step::Hang]),
         Streaming => {
             let Step::Put(first) = first_event() else { unreachable!("it is put") };
             let head = whole.windows(6).position(|w| w == b"data: ").expect("an event");
@@ -74,49 +73,49 @@
             let rest = Step::Put(whole[second..].to_vec());
             site.next_write(&[Step::Put(first), Step::Wait(Duration::from_millis(700)), rest]);
         }
-        Connecting | Head | Body | Resting => {}
+        Connecting | Head | Body | Idle => {}
     }
     let mut client = TcpStream::connect(site.listen).expect("it listens");
-    client.write_all(&written(moment)).expect("written");
+    client.write_all(&written(stage)).expect("written");
     let asked =
         |of: &str| site.floor.asked().iter().any(|(worker, txn)| worker.starts_with(of) && txn == TXN);
-    match moment {
+    match stage {
         Connecting | Head | Body => {}
-        Waiting => std::thread::sleep(Duration::from_millis(50)),
-        Reading => until("it is being read", || asked("r-")),
-        BetweenStages => {
-            until("it is being read", || asked("r-"));
+        Queued => std::thread::sleep(Duration::from_millis(50)),
+        Prefilling => until("it is being prefilled", || asked("r-")),
+        Prefilled => {
+            until("it is being prefilled", || asked("r-"));
             site.tell(Platform::without_writers(&list));
             std::thread::sleep(Duration::from_millis(50));
         }
-        Writing => until("it is being written", || asked("w-")),
+        Decoding => until("it is being decoded", || asked("w-")),
         Streaming => {
             client.set_read_timeout(Some(LONG)).expect("set");
             client.read_exact(&mut [0; 1]).expect("its answer begins");
         }
-        Resting => assert!(read(&mut client, LONG).whole),
+        Idle => assert!(read(&mut client, LONG).whole),
     }
     client
 }
 
-/// The client goes by `go`: nothing more is sent for it, what it left is let go of, and others are served.
+/// The client disconnects by `go`: nothing more is sent for it, what workers hold for it is released, and others are served.
 fn leaves(go: fn(TcpStream)) {
     std::thread::scope(|all| {
-        for moment in MOMENTS {
+        for stage in STAGES {
             all.spawn(move || {
                 let site = Site::with(|_| {});
-                let client = bring(&site, moment);
+                let client = bring(&site, stage);
                 let mut facts = Facts::default();
                 go(client);
-                // Who has had its answer may ask again.
-                facts.left.extend((moment != Resting).then(|| (TXN.to_owned(), Instant::now())));
+                // A client that has had its response may send another request.
+                facts.left.extend((stage != Idle).then(|| (TXN.to_owned(), Instant::now())));
                 std::thread::sleep(gaparch_testbed::platform::LEFT + AFTERWARDS);
                 site.tell(Platform::list(&site.readers, &site.writers));
-                assert_eq!(ask(site.listen, "next").status, 200, "{moment:?}");
-                if matches!(moment, Reading | BetweenStages | Writing) {
-                    until("what it left is let go of", || site.released(TXN));
+                assert_eq!(ask(site.listen, "next").status, 200, "{stage:?}");
+                if matches!(stage, Prefilling | Prefilled | Decoding) {
+                    until("what workers hold for it is released", || site.released(TXN));
                 }
-                assert_eq!(judge(&site.floor.log(), &facts), Vec::<String>::new(), "{moment:?}");
+                assert_eq!(judge(&site.floor.log(), &facts), Vec::<String>::new(), "{stage:?}");
                 // Its id is free again.
                 until("its id is free", || ask(site.listen, TXN).status == 200);
             });
@@ -125,12 +124,12 @@
 }
 
 #[test]
-fn a_close_at_any_moment() {
+fn a_close_at_any_stage() {
     leaves(drop);
 }
 
 #[test]
-fn a_reset_at_any_moment() {
+fn a_reset_at_any_stage() {
     leaves(|client| {
         set_socket_linger(&client, Some(Duration::ZERO)).expect("set");
         drop(client);
@@ -138,7 +137,7 @@
 }
 
 #[test]
-fn a_half_close_at_any_moment() {
+fn a_half_close_at_any_stage() {
     leaves(|mut client| {
         client.shutdown(Shutdown::Write).expect("it is open");
         client.set_read_timeout(Some(LONG)).expect("set");
@@ -147,7 +146,7 @@
 }
 
 #[test]
-fn a_flood_and_a_close_at_any_moment() {
+fn a_flood_and_a_close_at_any_stage() {
     leaves(|mut client| {
         client.set_write_timeout(Some(Duration::from_millis(500))).expect("set");
         let _ = client.write_all(&vec![b'x'; 600 * 1024]);
@@ -155,41 +154,41 @@
     });
 }
 
-/// The client stays: it gets one whole answer and nothing after it, whatever is done to its router.
+/// The client stays connected: it gets one complete response and nothing after it, whatever is done to its router.
 fn stays(ends: bool, fault: fn(&Site, &mut Facts)) {
     std::thread::scope(|all| {
-        for moment in MOMENTS {
+        for stage in STAGES {
             all.spawn(move || {
                 let site = Site::with(|_| {});
-                let mut client = bring(&site, moment);
+                let mut client = bring(&site, stage);
                 let mut facts = Facts::default();
                 fault(&site, &mut facts);
                 let whole = head_and_body(TXN, "{\"stream\":true}");
-                let rest = &whole[written(moment).len()..];
+                let rest = &whole[written(stage).len()..];
                 client.write_all(rest).expect("it is open");
-                if moment != Resting {
-                    let status = match moment {
-                        // The list may say again that there are writers.
-                        Waiting | BetweenStages => [200, 503],
+                if stage != Idle {
+                    let status = match stage {
+                        // The list may say again that there are decode workers.
+                        Queued | Prefilled => [200, 503],
                         // The one that hangs may be the only one left.
-                        Reading | Writing if !facts.drained.is_empty() => [200, 503],
+                        Prefilling | Decoding if !facts.drained.is_empty() => [200, 503],
                         _ => [200, 200],
                     };
                     // Its first byte was taken where the stream had begun.
-                    let got = match moment {
+                    let got = match stage {
                         Streaming => streamed(&mut client),
                         _ => read(&mut client, LONG),
                     };
-                    assert!(got.whole && status.contains(&got.status), "{moment:?}: {got:?}");
+                    assert!(got.whole && status.contains(&got.status), "{stage:?}: {got:?}");
                 }
                 client.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
                 let after = client.read(&mut [0; 64]).map_err(|error| error.kind());
                 let none = matches!(after, Ok(0) | Err(ErrorKind::WouldBlock | ErrorKind::TimedOut));
-                assert!(none, "{moment:?}: something after the answer: {after:?}");
-                assert_eq!(judge(&site.floor.log(), &facts), Vec::<String>::new(), "{moment:?}");
+                assert!(none, "{stage:?}: something after the answer: {after:?}");
+                assert_eq!(judge(&site.floor.log(), &facts), Vec::<String>::new(), "{stage:?}");
                 match ends {
                     true => site.ended(),
-                    false => assert_eq!(ask(site.listen, "next").status, 200, "{moment:?}"),
+                    false => assert_eq!(ask(site.listen, "next").status, 200, "{stage:?}"),
                 }
             });
         }
@@ -209,16 +208,16 @@
 }
 
 #[test]
-fn an_end_ordered_at_any_moment() {
+fn a_shutdown_ordered_at_any_stage() {
     stays(true, |site, _| {
         site.order(Order::Shutdown);
-        until("it is on its way out", || site.health() != 200);
+        until("it is shutting down", || site.health() != 200);
         site.catalogue.set(Platform::list(&site.readers, &site.writers));
     });
 }
 
 #[test]
-fn a_configuration_read_again_at_any_moment() {
+fn a_configuration_read_again_at_any_stage() {
     stays(false, |site, _| {
         std::fs::write(&site.file, "{").expect("written");
         site.order(Order::Reload);
@@ -230,7 +229,7 @@
 }
 
 #[test]
-fn a_drain_told_at_any_moment() {
+fn a_drain_listed_at_any_stage() {
     stays(false, |site, facts| {
         let mut list = Platform::list(&site.readers, &site.writers);
         (list[0]["lifecycle"], list[2]["lifecycle"]) = (json!("draining"), json!("draining"));
@@ -241,7 +240,7 @@
 }
 
 #[test]
-fn a_silent_catalogue_at_any_moment() {
+fn a_silent_discovery_service_at_any_stage() {
     stays(false, |site, _| {
         site.catalogue.set(Platform::list(&site.readers, &site.writers));
         std::thread::sleep(Duration::from_millis(50));
--- a/crates/gaparch-platform-router/tests/guards.rs
+++ b/crates/gaparch-platform-router/tests/guards.rs
@@ -1,4 +1,4 @@
-//! Each guard of the shell, on the moment it is for.
+//! Each guard of the shell, in the case that it is for.
 
 mod common;
 
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn a_client_that_floods_and_goes_is_seen_to_go() {
+fn a_client_that_floods_and_disconnects_is_noticed() {
     let site = Site::with(|_| {});
     let list = Platform::list(&site.readers, &site.writers);
     site.tell(Platform::without_writers(&list));
     let mut client = TcpStream::connect(site.listen).expect("it listens");
     client.write_all(&head_and_body("flood", "{}")).expect("written");
-    // Waits for a writer. A megabyte behind the request must not hide the end.
+    // It waits for a decode worker. A megabyte behind the request must not hide the end.
     let _ = client.write_all(&vec![b'x'; 1 << 20]);
     drop(client);
     std::thread::sleep(ms(300));
@@ -54,7 +54,7 @@
     assert_eq!(site.writes("two"), 1);
 }
 
-/// A list with one writer to which connections come up late.
+/// A list with one decode worker to which connections come up late.
 fn late_writer(site: &Site, late: &Stuck) -> Vec<Value> {
     let mut entry = instance(&site.writers[0], "decode", "ready");
     entry["instanceId"] = json!("w-late");
@@ -64,7 +64,7 @@
 
 #[test]
 fn what_waits_for_a_connection_is_not_sent_once_its_client_has_left() {
-    // Attempts can't be called off here, and the connection may take long.
+    // Attempts can't be cancelled here, and the connection may take long.
     let site = Site::with(|config| {
         let settings = &mut config["settings"];
         settings["caps"]["cancel"] = json!(false);
@@ -81,11 +81,11 @@
     std::thread::sleep(ms(100));
     // Releases may go to any worker.
     let heard = late.heard_within(ms(2000));
-    assert!(!heard.contains("POST"), "sent for a client that had left: {heard}");
+    assert!(!heard.contains("POST"), "sent for a client that had disconnected: {heard}");
 }
 
 #[test]
-fn a_repeat_whose_connection_outlasts_its_window_is_not_sent() {
+fn a_retry_whose_connection_outlasts_its_deduplication_window_is_not_sent() {
     let site = Site::with(|config| {
         let settings = &mut config["settings"];
         let class = &mut settings["services"][0];
@@ -96,7 +96,7 @@
         settings["familyInfo"]["releaseWithinNs"] = json!(5_000_000_000u64);
     });
     let late = Stuck::start();
-    // The first write breaks: it may have run. By then only the late writer is left.
+    // The first decode attempt breaks: it may have run. By then only the late decode worker is left.
     site.writers.iter().for_each(|w| w.always(vec![Step::Wait(ms(300)), Step::Close]));
     let listen = site.listen;
     let client = std::thread::spawn(move || ask(listen, "repeat"));
@@ -104,14 +104,14 @@
     site.catalogue.set(late_writer(&site, &late));
     std::thread::sleep(ms(700));
     let heard = late.heard_within(ms(2000));
-    assert!(!heard.contains("POST"), "a repeat past its window: {heard}");
+    assert!(!heard.contains("POST"), "a retry past its window: {heard}");
     let got = client.join().expect("it ends");
     assert!(got.status >= 400, "{got:?}");
     assert_eq!(site.writes("repeat"), 1);
 }
 
 #[test]
-fn what_a_head_has_told_does_not_wait_for_a_body_without_end() {
+fn what_a_head_states_does_not_wait_for_a_body_without_end() {
     let site = Site::with(|_| {});
     let endless = |head: &str| {
         vec![put(&format!("HTTP/1.1 {head}\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n")), Step::Hang]
@@ -123,30 +123,30 @@
     assert_eq!(ask(site.listen, "full").status, 200);
     assert!(from.elapsed() < ms(3000), "{:?}", from.elapsed());
     assert_eq!((site.writes("read"), site.writes("full")), (1, 2));
-    // Not called off and read anew: what the head told was heard.
+    // Not cancelled and prefilled again: what the head states was taken.
     let reads =
         |of: &str| site.floor.asked().iter().filter(|(w, txn)| w.starts_with("r-") && txn == of).count();
     assert_eq!((reads("read"), reads("full")), (1, 1));
     site.no_second_copies();
 }
 
-/// What became of a request on a connection that rested.
+/// What became of a request on an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     Served,
-    /// Answered with a whole refusal: it must not have gone on.
-    Refused,
+    /// Rejected with a complete response: it must not have been forwarded.
+    Rejected,
     Unread,
 }
 
-/// On a connection that rests a request is answered, or the connection ends with nothing of it read.
+/// A request on an idle connection is answered, or the connection ends with nothing of it read.
 fn answered_or_unread(got: Result<Vec<u8>, ErrorKind>, what: &str) -> Fate {
     let text = String::from_utf8_lossy(&got.unwrap_or_else(|e| panic!("{what}: {e}"))).into_owned();
     match text.as_str() {
         "" => Fate::Unread,
         served if served.contains("[DONE]") && served.ends_with("0\r\n\r\n") => Fate::Served,
-        refused if refused.starts_with("HTTP/1.1 503 ") && refused.ends_with("a retry is harmless") => {
-            Fate::Refused
+        rejected if rejected.starts_with("HTTP/1.1 503 ") && rejected.ends_with("a retry is harmless") => {
+            Fate::Rejected
         }
         other => panic!("{what}: {other}"),
     }
@@ -157,7 +157,7 @@
     let site = Site::with(|config| config["limits"]["sockets"] = json!(512));
     let clients: Vec<TcpStream> =
         (0..120).map(|_| TcpStream::connect(site.listen).expect("it listens")).collect();
-    // All have asked before, and rest.
+    // All have sent a request before, and are idle.
     let clients: Vec<TcpStream> = clients
         .into_iter()
         .enumerate()
@@ -189,7 +189,7 @@
             answered.push(txn);
         }
     }
-    // Some came before, some after; what was not served never went on.
+    // Some came before, some after; what was not served was never forwarded.
     assert!(!answered.is_empty() && answered.len() < 120, "{}", answered.len());
     let asked = site.floor.asked();
     assert!(asked.iter().all(|(_, txn)| txn.starts_with("first") || answered.contains(txn)));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn who_rests_longest_is_shed_and_its_request_of_that_moment_answered_or_unread() {
+fn the_longest_idle_connection_is_closed_and_its_request_of_that_moment_answered_or_unread() {
     let site = Site::with(|config| config["limits"]["sockets"] = json!(64));
     let resting: Vec<TcpStream> = (0..20)
         .map(|number| {
@@ -212,7 +212,7 @@
         let mut all = Vec::new();
         while from.elapsed() < ms(400) {
             let Ok(mut client) = TcpStream::connect(listen) else { continue };
-            // One that never asked would be shed before those that have.
+            // A connection that carried nothing would be closed before those that have.
             let _ = client.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
             all.push(client);
         }
@@ -245,10 +245,10 @@
 fn an_answer_before_the_end_of_its_connection_outlives_what_comes_behind_the_request() {
     let site = Site::with(|_| {});
     site.order(Order::Shutdown);
-    until("it is on its way out", || site.health() != 200);
+    until("it is shutting down", || site.health() != 200);
     let mut client = TcpStream::connect(site.listen).expect("new connections still arrive");
     client.write_all(&head_and_body("last", "{}")).expect("written");
-    // It goes on sending until nobody takes it any more.
+    // It goes on sending until nothing reads it any more.
     let mut more = client.try_clone().expect("cloned");
     let sending = std::thread::spawn(move || {
         while more.write_all(&[b'x'; 500]).is_ok() {
@@ -264,7 +264,7 @@
 
 /// Of some lengths the rest is neither with the worker's exchange any more nor yet in the sockets' buffers.
 #[test]
-fn a_stream_that_its_worker_has_finished_is_passed_on_to_its_end_before_the_router_ends() {
+fn a_stream_that_its_worker_has_finished_is_forwarded_to_its_end_before_the_router_ends() {
     std::thread::scope(|all| {
         for step in 1..=12 {
             all.spawn(move || {
@@ -279,7 +279,7 @@
                 client.write_all(&head_and_body("long", "{}")).expect("written");
                 until("it is written", || site.writes("long") == 1);
                 site.order(Order::Shutdown);
-                // It takes nothing for a while.
+                // It reads nothing for a while.
                 std::thread::sleep(ms(900));
                 let bytes = end(&mut client).unwrap_or_else(|e| panic!("{length}: {e}"));
                 assert!(
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn discovery_is_heard_in_time_while_idle_clients_hold_all_they_can_get() {
+fn the_endpoint_list_is_followed_in_time_while_idle_clients_hold_all_they_can_get() {
     let site = Site::with(|config| config["limits"]["sockets"] = json!(128));
     site.catalogue.silent(true);
     let _crowd: Vec<TcpStream> = (0..400).filter_map(|_| TcpStream::connect(site.listen).ok()).collect();
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn entries_that_make_no_sense_cost_nobody_else_and_are_not_sent_to() {
+fn malformed_entries_cost_nobody_else_and_are_not_sent_to() {
     let site = Site::with(|_| {});
     let worker: &Worker = &site.writers[0];
     let bad = |field: &str, value: Value| {
@@ -343,10 +343,10 @@
     assert_eq!(site.health(), 200);
 }
 
-/// Silent connections come by the hundred: whoever asks behind them is not kept waiting for each of them to end, or its
-/// attempts would be told more time than it has left.
+/// Silent connections come by the hundred: a request behind them does not wait for each of them to end, or its attempts
+/// would state more time than its client has left.
 #[test]
-fn a_crowd_of_silent_connections_does_not_hold_up_who_asks_behind_it() {
+fn a_burst_of_silent_connections_does_not_delay_a_request_behind_it() {
     let site = Site::with(|config| config["limits"]["sockets"] = json!(64));
     let crowd: Vec<TcpStream> =
         (0..120).map(|_| TcpStream::connect(site.listen).expect("it listens")).collect();
--- a/crates/gaparch-platform-router/tests/hanging_writers.rs
+++ b/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
@@ -1,5 +1,5 @@
-//! Writers that hang while their machines take connections and bytes: a write that has been sent has not arrived. What a
-//! reader holds for it is fetched by a running writer or let go of in its time, whatever else holds for the request.
+//! Decode workers that hang while their machines accept connections and bytes: a decode request that was sent has not
+//! arrived. Its KV cache is fetched by a running decode worker or released in time, whatever else holds for the request.
 
 mod common;
 
@@ -15,7 +15,7 @@
 /// The settings' release time and what the platform adds to it.
 const RELEASE_WITHIN: Duration = Duration::from_millis(500 + 300);
 
-/// A site whose first writers stand behind relays that may hang, and no others.
+/// A platform whose only decode workers are its first, each behind a relay that may hang.
 struct HangingSite {
     site: Site,
     relays: Vec<HangingRelay>,
@@ -42,10 +42,10 @@
         std::thread::spawn(move || ask(listen, &txn))
     }
 
-    /// When its read arrived, which is answered at once.
+    /// When its prefill arrived, which is answered at once.
     fn read_at(&self, txn: &str) -> Instant {
         let reads = |seen: &Seen| matches!(seen, Seen::Asked { worker, txn: of, .. } if of == txn && worker.starts_with('r'));
-        until("it is read", || self.first(&reads).is_some());
+        until("it is prefilled", || self.first(&reads).is_some());
         self.first(&reads).expect("read")
     }
 
@@ -53,7 +53,7 @@
         self.site.floor.log().into_iter().find(|(_, seen)| fits(seen)).map(|(at, _)| at)
     }
 
-    /// What was read for it is fetched by a running writer, or let go of, in time.
+    /// Its KV cache is fetched by a running decode worker, or released, in time.
     fn is_not_pinned(&self, txn: &str) {
         let read_at = self.read_at(txn);
         let done = |seen: &Seen| match seen {
@@ -61,7 +61,7 @@
             Seen::Released { txn: of, .. } => of == txn,
             _ => false,
         };
-        until("its state is fetched or let go of", || self.first(&done).is_some());
+        until("its KV cache is fetched or released", || self.first(&done).is_some());
         let held = self.first(&done).expect("done").saturating_duration_since(read_at);
         assert!(held < RELEASE_WITHIN, "{txn}: held for {held:?}");
     }
@@ -76,10 +76,10 @@
     }
 }
 
-/// As reported: the read is answered, the write goes out on a new connection to a writer that hangs, and nothing more is
-/// heard of it. Whatever a repeat may do, whether or not attempts can be cancelled and servers probed, the state is let go of.
+/// As reported: the prefill is answered, the decode request goes out on a new connection to a worker that hangs, and nothing
+/// more comes of it. Whether or not it may be retried, attempts cancelled and workers probed, the KV cache is released.
 #[test]
-fn what_was_read_is_let_go_of_while_its_only_writer_hangs() {
+fn the_kv_cache_is_released_while_its_only_decode_worker_hangs() {
     std::thread::scope(|all| {
         for effect in ["free", "guarded", "single_shot"] {
             for (cancel, probes) in [(true, true), (true, false), (false, true), (false, false)] {
@@ -101,9 +101,9 @@
     });
 }
 
-/// One of two writers hangs: what may be repeated is served by the other one.
+/// One of two decode workers hangs: a request that may be retried is served by the other one.
 #[test]
-fn what_was_read_is_fetched_by_another_writer_while_one_hangs() {
+fn the_kv_cache_is_fetched_by_another_decode_worker_while_one_hangs() {
     let hanging = HangingSite::with(2, |_| {});
     assert_eq!(ask(hanging.site.listen, "before").status, 200);
     hanging.relays[0].hang();
@@ -117,17 +117,17 @@
     hanging.site.no_second_copies();
 }
 
-/// A write whose state was let go of is turned away once its writer goes on, so that it has not run: it is read again
-/// and served, also if it may run only once.
+/// A decode request whose KV cache was released is rejected once its worker resumes, so that it has not run: it is prefilled
+/// again and served, also if it may run only once.
 #[test]
-fn a_writer_that_goes_on_turns_the_write_away_and_the_request_is_read_again() {
+fn a_decode_worker_that_resumes_rejects_the_request_and_it_is_prefilled_again() {
     let hanging = HangingSite::with(1, class_of("single_shot"));
     let gone = "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     hanging.site.next_write(&[common::put(gone)]);
     hanging.relays[0].hang();
     let asked = hanging.asks("again");
     hanging.is_not_pinned("again");
-    until("it is let go of", || hanging.site.released("again"));
+    until("it is released", || hanging.site.released("again"));
     hanging.relays[0].resume();
     let answer = asked.join().expect("no panic");
     assert_eq!(answer.status, 200, "{}", answer.head);
@@ -135,9 +135,9 @@
     hanging.site.no_second_copies();
 }
 
-/// A client leaves while its write hangs and can't be cancelled, or the router is told to end just then.
+/// A client disconnects while its decode request hangs and can't be cancelled, or the router is ordered to shut down just then.
 #[test]
-fn what_was_read_is_let_go_of_though_its_client_leaves_or_its_router_ends() {
+fn the_kv_cache_is_released_though_its_client_disconnects_or_its_router_shuts_down() {
     let left = HangingSite::with(1, |config| config["settings"]["caps"]["cancel"] = json!(false));
     left.relays[0].hang();
     let mut client = TcpStream::connect(left.site.listen).expect("it listens");
--- a/crates/gaparch-platform-router/tests/long_lists.rs
+++ b/crates/gaparch-platform-router/tests/long_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of the catalogue that are longer than any other message, and lists that can't be taken.
+//! Endpoint lists that are longer than any other message, and lists that are rejected.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// The usual list with so many workers more, which are draining.
+/// The usual list with so many more workers, which are draining.
 fn with_others(site: &Site, others: usize) -> Vec<Value> {
     let mut list = Platform::list(&site.readers, &site.writers);
     let other = |n: usize| {
@@ -36,17 +36,17 @@
     assert!(asked.iter().all(|(worker, _)| worker.ends_with("-2")), "{asked:?}");
 }
 
-/// It is asked for again ever more slowly, the last good list serves, and the next good one is in force in time.
+/// It is requested again with backoff, the last good list serves, and the next good one is in force in time.
 #[test]
-fn a_list_beyond_the_bound_is_refused_and_the_last_good_one_serves() {
+fn a_list_beyond_the_bound_is_rejected_and_the_last_good_one_serves() {
     let site = with_memory(1);
     let calls = site.catalogue.calls();
     site.catalogue.set(with_others(&site, 5_000));
-    until("the long list is refused", || site.catalogue.calls() > calls + 3);
+    until("the long list is rejected", || site.catalogue.calls() > calls + 3);
     let (from, calls) = (Instant::now(), site.catalogue.calls());
     std::thread::sleep(Duration::from_secs(2));
     let again = (site.catalogue.calls() - calls) as f64 / from.elapsed().as_secs_f64();
-    assert!(again < 4.0, "asked for {again:.1} times a second");
+    assert!(again < 4.0, "requested {again:.1} times a second");
     assert_eq!(ask(site.listen, "kept").status, 200);
     let mut list = Platform::list(&site.readers, &site.writers);
     (list[0]["lifecycle"], list[2]["lifecycle"]) = (json!("draining"), json!("draining"));
--- a/crates/gaparch-platform-router/tests/shutdown.rs
+++ b/crates/gaparch-platform-router/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of a router whose clients go on sending: what comes late is refused at once, whoever else comes, since the process
-//! may be killed soon after.
+//! The shutdown of a router whose clients go on sending: what comes late is rejected at once, whatever else arrives, since the
+//! process may be killed soon after.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// An answer whose first event comes at once and the rest after that time.
+/// A stream whose first event comes at once and the rest after that time.
 fn slow_stream(after: Duration) -> Vec<Step> {
     let whole = stream(&events());
     let first = whole.windows(4).position(|w| w == b"\n\n\r\n").expect("an event") + 4;
@@ -19,8 +19,8 @@
     vec![Step::Put(first.to_vec()), Step::Wait(after), Step::Put(rest.to_vec())]
 }
 
-/// Connections that come from then on for so long and begin a request each: none of them can be shed.
-fn crowd(site: &Site, from: Instant, for_how_long: Duration) -> std::thread::JoinHandle<Vec<TcpStream>> {
+/// Connections that come from then on for so long and begin a request each: none of them can be closed for another.
+fn burst(site: &Site, from: Instant, for_how_long: Duration) -> std::thread::JoinHandle<Vec<TcpStream>> {
     let listen = site.listen;
     std::thread::spawn(move || {
         std::thread::sleep(from.saturating_duration_since(Instant::now()));
@@ -35,30 +35,30 @@
 }
 
 /// The platform counts from 0.7 s after the order. A router that is busy with connections that come just then must not
-/// take what comes on an open one all the same.
+/// accept what comes on an open one all the same.
 #[test]
-fn what_comes_late_on_an_open_connection_is_refused_while_a_crowd_connects() {
+fn what_comes_late_on_an_open_connection_is_rejected_during_a_burst_of_connections() {
     let site = Site::with(|config| config["limits"]["sockets"] = json!(64));
     site.next_write(&slow_stream(ms(850)));
     let mut client = begun(&site, "early");
-    let told = Instant::now();
+    let ordered_at = Instant::now();
     site.order(Order::Shutdown);
-    let crowd = crowd(&site, told + ms(350), ms(500));
-    // Its answer did not say that the connection would close: the client goes on with it.
+    let burst = burst(&site, ordered_at + ms(350), ms(500));
+    // Its response did not say that the connection would close: the client goes on with it.
     assert!(read(&mut client, LONG).whole, "its answer is cut off");
     let _ = client.write_all(&head_and_body("late", "{}"));
-    assert!(told.elapsed() > ms(700), "the machine is faster than the test");
+    assert!(ordered_at.elapsed() > ms(700), "the machine is faster than the test");
     let answer = read(&mut client, LONG);
-    assert_ne!(answer.status, 200, "taken {:?} after the order", told.elapsed());
+    assert_ne!(answer.status, 200, "taken {:?} after the order", ordered_at.elapsed());
     assert!(site.floor.asked().iter().all(|(_, txn)| txn != "late"));
-    drop(crowd.join().expect("no panic"));
+    drop(burst.join().expect("no panic"));
     drop(client);
     site.ended();
 }
 
-/// Nothing of this takes long: whoever asks late hears so within a moment, for as long as the router has open connections.
+/// Nothing of this takes long: a late request is rejected within a moment, for as long as the router has open connections.
 #[test]
-fn what_comes_on_open_connections_is_refused_at_once_until_the_last_stream_ends() {
+fn what_comes_on_open_connections_is_rejected_at_once_until_the_last_stream_ends() {
     let site = Site::with(|config| config["limits"]["sockets"] = json!(256));
     let clients: Vec<TcpStream> = (0..6)
         .map(|number| {
@@ -66,21 +66,21 @@
             begun(&site, &format!("early-{number}"))
         })
         .collect();
-    let told = Instant::now();
+    let ordered_at = Instant::now();
     site.order(Order::Shutdown);
-    let mut came_late = 0;
+    let mut late_requests = 0;
     for (number, mut client) in clients.into_iter().enumerate() {
         assert!(read(&mut client, LONG).whole, "early-{number} is cut off");
-        let late = told.elapsed() > ms(700);
-        came_late += usize::from(late);
+        let late = ordered_at.elapsed() > ms(700);
+        late_requests += usize::from(late);
         let asked = Instant::now();
         let _ = client.write_all(&head_and_body(&format!("late-{number}"), "{}"));
         let answer = read(&mut client, LONG);
         assert!(!late || [0, 503].contains(&answer.status), "{}", answer.status);
-        assert!(!late || asked.elapsed() < ms(500), "told so after {:?}", asked.elapsed());
-        let went_on = site.floor.asked().iter().any(|(_, txn)| *txn == format!("late-{number}"));
-        assert!(!late || !went_on, "late-{number} went on");
+        assert!(!late || asked.elapsed() < ms(500), "rejected after {:?}", asked.elapsed());
+        let was_forwarded = site.floor.asked().iter().any(|(_, txn)| *txn == format!("late-{number}"));
+        assert!(!late || !was_forwarded, "late-{number} was forwarded");
     }
-    assert!(came_late >= 4, "{came_late} came late");
+    assert!(late_requests >= 4, "{late_requests} came late");
     site.ended();
 }
