--- a/crates/gaparch-audit/src/orders/subject.rs
+++ b/crates/gaparch-audit/src/orders/subject.rs
@@ -1,14 +1,14 @@
 //! What an order is about, and how restrictive it is.
 
-use gaparch_protocol::ops::intent::{Change, Hold};
+use gaparch_protocol::ops::intent::{Change, DrainMode};
 
-/// The subject of a change, as a key: of each subject the latest order is in force. `None` for a change that is not
-/// kept.
+/// The subject of a change, as a key: of each subject the latest order is in force. `None` for a change that
+/// is not kept.
 pub fn subject(change: &Change) -> Option<String> {
     match change {
-        Change::Hold { engine, .. } | Change::Free { engine } => Some(format!("engine {engine}")),
+        Change::Drain { engine, .. } | Change::Undrain { engine } => Some(format!("engine {engine}")),
         Change::Pause {} | Change::Resume {} => Some("intake".to_owned()),
-        Change::Limit { name, .. } => Some(format!("limit {name}")),
+        Change::SetLimit { name, .. } => Some(format!("limit {name}")),
         Change::Stop {} => None,
     }
 }
@@ -16,10 +16,10 @@
 /// How restrictive a change is: of two orders with the same number the more restrictive one is in force.
 pub(super) fn restrictiveness(change: &Change) -> u64 {
     match change {
-        Change::Hold { hold: Hold::Aside, .. } => 3,
-        Change::Hold { hold: Hold::Drain, .. } | Change::Pause {} => 2,
+        Change::Drain { mode: DrainMode::Detach, .. } => 3,
+        Change::Drain { mode: DrainMode::Drain, .. } | Change::Pause {} => 2,
         // Floats that are not negative compare as their bits do.
-        Change::Limit { value: Some(value), .. } if *value >= 0.0 => u64::MAX - value.to_bits(),
+        Change::SetLimit { value: Some(value), .. } if *value >= 0.0 => u64::MAX - value.to_bits(),
         _ => 0,
     }
 }
--- a/crates/gaparch-cli/tests/pinned_ctl.rs
+++ b/crates/gaparch-cli/tests/pinned_ctl.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use gaparch_protocol::frame::encode;
 use gaparch_protocol::ops::{
-    from_bytes, to_bytes, Answer, OpsFrame, OpsRole, Query, Update, MAX_ASK, VERSION,
+    from_bytes, to_bytes, Answer, OpsFrame, Query, SessionRole, Update, MAX_QUERY_BYTES, VERSION,
 };
 use gaparch_protocol::FrameDecoder;
 use std::io::{Read, Write};
@@ -86,14 +86,14 @@
         let listener = UnixListener::bind(&socket).expect("bound");
         let thread = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("an operator");
-            let mut decoder = FrameDecoder::new(MAX_ASK);
+            let mut decoder = FrameDecoder::new(MAX_QUERY_BYTES);
             assert!(matches!(next_frame(&mut stream, &mut decoder), OpsFrame::Hello { .. }));
             let router = "north-1".to_owned();
             send(
                 &mut stream,
-                &OpsFrame::Welcome { version: VERSION, router, run: 42, role: OpsRole::Change },
+                &OpsFrame::Welcome { version: VERSION, router, run: 42, role: SessionRole::ReadWrite },
             );
-            let OpsFrame::Ask { seq, query } = next_frame(&mut stream, &mut decoder) else {
+            let OpsFrame::Query { seq, query } = next_frame(&mut stream, &mut decoder) else {
                 panic!("an operator asks");
             };
             replies(seq, &query).iter().for_each(|frame| send(&mut stream, frame));
--- a/crates/gaparch-platform-router/src/owner/responses.rs
+++ b/crates/gaparch-platform-router/src/owner/responses.rs
@@ -3,7 +3,7 @@
 use super::Owner;
 use crate::client::STREAM_QUEUE_LENGTH;
 use crate::messages::ClientResponse;
-use gaparch_protocol::ops::ending::WaitedFor;
+use gaparch_protocol::ops::outcome::QueueingReason;
 use gaparch_router::core::ResponseEvent;
 use gaparch_scheduler::api::RequestId;
 use tokio::sync::mpsc;
@@ -31,7 +31,7 @@
                     ?waited_for,
                     "request rejected"
                 );
-                let over_quota = waited_for == Some(WaitedFor::OverShare);
+                let over_quota = waited_for == Some(QueueingReason::OverQuota);
                 ClientResponse::Rejected { over_quota, retry_after }
             }
             ResponseEvent::Failed { message, cause } => {
--- a/crates/gaparch-protocol/src/versions.rs
+++ b/crates/gaparch-protocol/src/versions.rs
@@ -1,10 +1,11 @@
-//! What routers tell one another of endpoint lists, fleet orders and audit records, and what they store of these.
+//! What routers send one another about endpoint lists, fleet orders and audit records, and what they store of
+//! these.
 //!
 //! The messages travel inside the fleet's datagrams ([`crate::fleet::MessageBody::Payload`]);
 //! `docs/protocols/fleet.md` describes them. `gaparch-audit` owns the state behind them.
 
 use crate::list::ListEntry;
-use crate::ops::intent::{Change, Note};
+use crate::ops::intent::{Change, ChangeNote};
 use crate::wire::{choice, record};
 
 /// The number of claims of other routers that one list status passes on at most.
@@ -55,8 +56,8 @@
 }
 
 record! {
-    /// Identifies an order of the fleet. The greater id wins; of two orders that knew nothing of each other the more
-    /// restrictive one does.
+    /// Identifies an order of the fleet. The greater id wins; of two orders that knew nothing of each other
+    /// the more restrictive one does.
     #[derive(Eq, PartialOrd, Ord, Hash)]
     pub struct OrderId {
         /// A logical clock: one more than any number that the issuing router knew of.
@@ -82,7 +83,7 @@
         /// What the order changes.
         pub change: Change,
         /// Who gave the order, why and when.
-        pub note: Note,
+        pub note: ChangeNote,
     }
 }
 
--- a/crates/gaparch-router/src/core/attempts.rs
+++ b/crates/gaparch-router/src/core/attempts.rs
@@ -4,7 +4,7 @@
 use super::timers::Timer;
 use super::{Core, Output, ResponseEvent};
 use gaparch_protocol::engine::EngineFrame;
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{
     AttemptNumber, AttemptOutcome, AttemptStatus, Event, LoadReport, OutcomeNote, RequestId,
 };
@@ -117,7 +117,11 @@
         status: AttemptStatus,
         out: &mut Vec<Output>,
     ) {
-        let cause = if status == AttemptStatus::Timeout { Cause::Stalled } else { Cause::BrokeOff };
+        let cause = if status == AttemptStatus::Timeout {
+            OutcomeCause::StreamStalled
+        } else {
+            OutcomeCause::StreamBroken
+        };
         self.answer(id, ResponseEvent::Failed { message: "the answer broke off", cause }, out);
         self.finish_attempt(id, attempt, status, 0, None);
     }
@@ -161,7 +165,7 @@
         self.counters.overdue += 1;
         self.answer(
             id,
-            ResponseEvent::Failed { message: "it was not ended in time", cause: Cause::Overdue },
+            ResponseEvent::Failed { message: "it was not ended in time", cause: OutcomeCause::Overdue },
             out,
         );
         self.scheduler_events.push_back(Event::ClientDisconnected(id));
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -3,8 +3,8 @@
 use super::{load_values, state_at, Counters};
 use crate::core::operate::{listed_state, server_state};
 use gaparch_config::{server_id, Config, Links};
-use gaparch_ops::book::Book;
-use gaparch_ops::combine::combine;
+use gaparch_ops::effective_state;
+use gaparch_ops::OrderRegistry;
 use gaparch_protocol::engine::{EngineFacts, StateAt};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{
@@ -53,9 +53,9 @@
 }
 
 /// What the list and the operators say together.
-fn effective_state(listed: &ListEntry, book: &Book) -> ServerState {
-    let hold = book.hold(&listed.engine).map(|(hold, _)| hold);
-    server_state(combine(hold, listed_state(listed.state)))
+fn ordered_state(listed: &ListEntry, book: &OrderRegistry) -> ServerState {
+    let mode = book.drain(&listed.engine).map(|drain| drain.mode);
+    server_state(effective_state(mode, listed_state(listed.state)))
 }
 
 #[derive(Clone, Debug, Default)]
@@ -65,7 +65,7 @@
 }
 
 impl EndpointTable {
-    pub fn load_settings(&mut self, config: &Config, book: &Book, now: Nanos) -> Vec<Endpoint> {
+    pub fn load_settings(&mut self, config: &Config, book: &OrderRegistry, now: Nanos) -> Vec<Endpoint> {
         let mut counts = Counters::default();
         for engine in &config.engines {
             let listed = ListEntry {
@@ -94,7 +94,7 @@
         &mut self,
         update: ListUpdate,
         config: &Config,
-        book: &Book,
+        book: &OrderRegistry,
         now: Nanos,
         counts: &mut Counters,
     ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
@@ -119,9 +119,9 @@
     }
 
     /// An operator has changed his word on an engine; the entry to tell of, if the engine is known.
-    pub fn apply_operator_hold(&mut self, engine: &str, book: &Book) -> Option<Endpoint> {
+    pub fn apply_operator_hold(&mut self, engine: &str, book: &OrderRegistry) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|k| k.listed.engine == engine)?;
-        known.endpoint.state = effective_state(&known.listed, book);
+        known.endpoint.state = ordered_state(&known.listed, book);
         Some(known.endpoint.clone())
     }
 
@@ -175,7 +175,7 @@
         &mut self,
         EndpointWithStart { listed, started_at: began, is_addition: joins }: EndpointWithStart,
         config: &Config,
-        book: &Book,
+        book: &OrderRegistry,
         now: Nanos,
         counts: &mut Counters,
     ) -> Option<Endpoint> {
@@ -201,7 +201,7 @@
             zone: config.names.zone(&listed.zone),
             kind,
             cell: config.names.cell(&listed.zone, &listed.rack),
-            state: effective_state(&listed, book),
+            state: ordered_state(&listed, book),
             weight,
             started_at: began,
         };
