--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -20,7 +20,7 @@
 pub use counters::Counters;
 pub use endpoint_table::ListUpdate;
 pub use input::Input;
-pub(crate) use operate::told_to_stay_away;
+pub(crate) use operate::retry_after_millis;
 pub use operate::Proposal;
 pub use output::{Output, ResponseEvent};
 pub use reason_counters::{HeldKvCache, ReasonCounters, ReasonsByKind};
--- a/crates/gaparch-router/src/core/operate.rs
+++ b/crates/gaparch-router/src/core/operate.rs
@@ -60,7 +60,7 @@
 }
 
 /// The time that a refused client was told to stay away, in milliseconds, if it was told one.
-pub(crate) fn told_to_stay_away(retry_after: Nanos) -> Option<u64> {
+pub(crate) fn retry_after_millis(retry_after: Nanos) -> Option<u64> {
     (retry_after > 0).then_some(retry_after / 1_000_000)
 }
 
@@ -348,7 +348,7 @@
             class: self.class_name(live).to_owned(),
             tenant: self.tenant_name(live.request.tenant).to_owned(),
             waited_for,
-            retry_after_ms: retry_after.and_then(told_to_stay_away),
+            retry_after_ms: retry_after.and_then(retry_after_millis),
             first_after_us: live.first_token_at.map(|at| micros(at.saturating_sub(live.arrived_at))),
             tokens: live.usage.output,
             steps: self.attempt_views(live),
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -1,6 +1,6 @@
 //! The client side: HTTP/1.1, one JSON answer or a stream of events.
 
-use super::ops::Door;
+use super::ops::RejectionReporter;
 use super::owner::NewRequest;
 use super::stall::Stall;
 use crate::core::{AcceptedRequest, ResponseEvent};
@@ -41,22 +41,22 @@
     pub run: RouterRun,
     pub config: Config,
     pub requests: mpsc::Sender<NewRequest>,
-    pub gone: mpsc::UnboundedSender<RequestId>,
+    pub disconnected: mpsc::UnboundedSender<RequestId>,
     pub next_id: AtomicU64,
-    pub open: Arc<Semaphore>,
+    pub open_requests: Arc<Semaphore>,
     pub connections: Arc<Semaphore>,
-    pub door: Option<Arc<Door>>,
+    pub rejections: Option<Arc<RejectionReporter>>,
 }
 
 impl Shared {
     /// Refuses a request that the owner never hears of.
-    fn turn_away(&self, id: RequestId, ask: &AcceptedRequest) -> Refusal {
+    fn reject(&self, id: RequestId, ask: &AcceptedRequest) -> Refusal {
         let retry_after = self.config.module.advertised_retry_after();
-        if let Some(door) = &self.door {
+        if let Some(rejections) = &self.rejections {
             let names = &self.config.names;
             let class = names.classes.get(ask.class.0).map_or("", String::as_str);
             let tenant = ask.tenant.and_then(|t| names.tenants.get(t.0)).map_or("", String::as_str);
-            door.turn_away(id, class, tenant, retry_after, ask.fingerprint);
+            rejections.report(id, class, tenant, retry_after, ask.fingerprint);
         }
         Refusal::busy(retry_after, "too much is open here; nothing was done")
     }
@@ -262,7 +262,7 @@
 
 fn accepted(shared: &Shared, ask: Ask, class: ClassId, tenant: Option<TenantId>) -> AcceptedRequest {
     // Nobody follows a client up where there is no ledger: then the prompt need not be read through.
-    let fingerprint = shared.door.as_ref().map_or(0, |_| fingerprint(&ask, class, tenant));
+    let fingerprint = shared.rejections.as_ref().map_or(0, |_| fingerprint(&ask, class, tenant));
     AcceptedRequest {
         class,
         tenant,
@@ -291,7 +291,7 @@
 struct Ticket {
     id: RequestId,
     events: mpsc::Receiver<ResponseEvent>,
-    gone: mpsc::UnboundedSender<RequestId>,
+    disconnected: mpsc::UnboundedSender<RequestId>,
     over: bool,
     _open: OwnedSemaphorePermit,
 }
@@ -300,22 +300,22 @@
     fn drop(&mut self) {
         if !self.over {
             // The owner may have ended: then nobody has to know.
-            let _ = self.gone.send(self.id);
+            let _ = self.disconnected.send(self.id);
         }
     }
 }
 
-fn submit(shared: &Shared, ask: AcceptedRequest) -> Result<Ticket, Refusal> {
+fn submit(shared: &Shared, request: AcceptedRequest) -> Result<Ticket, Refusal> {
     let id = RequestId(shared.next_id.fetch_add(1, Ordering::Relaxed));
-    let Ok(open) = Arc::clone(&shared.open).try_acquire_owned() else {
-        return Err(shared.turn_away(id, &ask));
+    let Ok(open) = Arc::clone(&shared.open_requests).try_acquire_owned() else {
+        return Err(shared.reject(id, &request));
     };
-    let (answers, events) = mpsc::channel(shared.config.limits.stream_buffer);
-    let sent = shared.requests.try_send(NewRequest { id, ask, answers });
+    let (response, events) = mpsc::channel(shared.config.limits.stream_buffer);
+    let sent = shared.requests.try_send(NewRequest { id, request, response });
     if let Err(TrySendError::Full(request) | TrySendError::Closed(request)) = sent {
-        return Err(shared.turn_away(id, &request.ask));
+        return Err(shared.reject(id, &request.request));
     }
-    Ok(Ticket { id, events, gone: shared.gone.clone(), over: false, _open: open })
+    Ok(Ticket { id, events, disconnected: shared.disconnected.clone(), over: false, _open: open })
 }
 
 /// Waits until the answer begins, or it is clear that none will.
--- /dev/null
+++ b/crates/gaparch-router/src/shell/fleet/audit_queries.rs
@@ -0,0 +1,111 @@
+//! Questions to the audit records of all routers, and answers to those of others.
+
+use super::audit_record;
+use super::task::FleetTask;
+use super::views::audit_view;
+use gaparch_audit::{self as audit, Gather};
+use gaparch_membership::{MemberView, Output};
+use gaparch_protocol::fleet::MemberState;
+use gaparch_protocol::ops::to_bytes;
+use gaparch_protocol::ops::view::AuditView;
+use gaparch_protocol::versions::{AuditFilter, ReplicationMessage};
+use tokio::sync::oneshot;
+
+/// Questions of operators that are asked at once; one past it is denied.
+const MAX_PENDING_QUERIES: usize = 16;
+
+/// A question to all records whose answers are being gathered.
+pub(super) struct PendingQuery {
+    pub gather: Gather,
+    reply: oneshot::Sender<Option<AuditView>>,
+}
+
+impl FleetTask {
+    /// Asks all routers that may be alive what their records say.
+    pub(super) fn start_audit_query(
+        &mut self,
+        filter: AuditFilter,
+        reply: oneshot::Sender<Option<AuditView>>,
+        out: &mut Vec<Output>,
+    ) {
+        if self.list_replication.is_none() || self.audit_queries.len() >= MAX_PENDING_QUERIES {
+            return drop(reply.send(None));
+        }
+        let may_be_alive = |member: &MemberView| member.state != MemberState::Left;
+        let members = self.membership.view().members;
+        let routers = members.into_iter().filter(may_be_alive).map(|member| member.info.name).collect();
+        self.next_nonce += 1;
+        let gather = Gather::new(self.next_nonce, filter, routers, self.clock.now());
+        self.audit_queries.push(PendingQuery { gather, reply });
+        self.advance_audit_queries(out);
+    }
+
+    /// Asks on, and answers the questions for which everything is there or the time is over.
+    pub(super) fn advance_audit_queries(&mut self, out: &mut Vec<Output>) {
+        let now = self.clock.now();
+        let mut requests = Vec::new();
+        for query in &mut self.audit_queries {
+            query.gather.on_time(now, &mut requests);
+        }
+        self.send_all(now, requests, out);
+        let queries = std::mem::take(&mut self.audit_queries);
+        let (finished, pending) = queries.into_iter().partition(|query| query.gather.is_over(now));
+        self.audit_queries = pending;
+        for query in finished {
+            let answer = self.audit_answer(query.gather);
+            // The session that asked may have ended.
+            let _ = query.reply.send(Some(answer));
+        }
+    }
+
+    /// The answers of all routers, this one among them.
+    fn audit_answer(&self, gather: Gather) -> AuditView {
+        let filter = gather.filter().clone();
+        let mut answers = gather.told();
+        let record = audit_record::lock(&self.audit_record);
+        answers.push(audit::Told {
+            router: self.membership.local_info().name,
+            rows: record.rows(&filter),
+            gaps: Some(gap_count(&record)),
+        });
+        drop(record);
+        audit_view(answers)
+    }
+
+    /// Answers another router's question, or takes its answer to one asked here.
+    pub(super) fn on_audit_message(
+        &mut self,
+        from: &str,
+        message: &ReplicationMessage,
+        out: &mut Vec<Output>,
+    ) {
+        let now = self.clock.now();
+        if let ReplicationMessage::AuditRequest { nonce, filter, first } = message {
+            let pages = {
+                let record = audit_record::lock(&self.audit_record);
+                audit::answer(*nonce, now, gap_count(&record), &record.rows(filter), *first)
+            };
+            for page in pages {
+                self.membership.send_payload(now, from, to_bytes(&page), out);
+            }
+        }
+        if matches!(message, ReplicationMessage::AuditPage { .. }) {
+            let mut requests = Vec::new();
+            for query in &mut self.audit_queries {
+                query.gather.on_talk(now, from, message, &mut requests);
+            }
+            self.send_all(now, requests, out);
+            self.advance_audit_queries(out);
+        }
+    }
+
+    fn send_all(&mut self, now: u64, messages: Vec<(String, ReplicationMessage)>, out: &mut Vec<Output>) {
+        for (to, message) in messages {
+            self.membership.send_payload(now, &to, to_bytes(&message), out);
+        }
+    }
+}
+
+fn gap_count(record: &audit::Book) -> u32 {
+    u32::try_from(record.gaps().len()).unwrap_or(u32::MAX)
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/fleet/audit_record.rs
@@ -0,0 +1,144 @@
+//! The audit record: what was sent under which version of the list. It is written beside everything else, and never waited
+//! for.
+
+use super::incarnation_store::highest_number;
+use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter};
+use gaparch_audit::{Book, Chain, Sent};
+use gaparch_net::Clock;
+use gaparch_protocol::ops::{from_bytes, to_bytes};
+use gaparch_protocol::versions::AuditSegment;
+use gaparch_store::{Disk, Folder, History, HistoryLimits, Journal, StoreError};
+use std::path::Path;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+
+/// Hand-overs that wait; past it the owner keeps counting.
+pub(in crate::shell) const AUDIT_INBOX: usize = 64;
+/// Interval at which an open segment is closed.
+const CLOSE_INTERVAL: Duration = Duration::from_secs(5);
+/// Version of the meaning of a record: one segment. Of the mark: the number of the last segment written.
+const SCHEMA: u16 = 1;
+const LIMITS: HistoryLimits = HistoryLimits { segment: 1 << 20, segments: 16 };
+/// Marks before their journal is rewritten.
+const MAX_MARKS: u64 = 1024;
+
+/// The record, for whoever asks about it.
+pub(super) type SharedAuditRecord = Arc<Mutex<Book>>;
+
+pub(super) fn lock(record: &SharedAuditRecord) -> MutexGuard<'_, Book> {
+    record.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// A message of the owner.
+pub(in crate::shell) enum AuditMessage {
+    /// What was sent under one version.
+    Sent(Sent),
+    /// The router shuts down; notified once all is on disk.
+    Finish(oneshot::Sender<()>),
+}
+
+/// The files of the record. `None`: one that can't be read.
+pub(super) struct AuditStore {
+    history: Option<History<Box<dyn Disk>>>,
+    mark: Option<Journal<Box<dyn Disk>>>,
+}
+
+impl AuditStore {
+    /// Reads the stored record. A disk that can't be read keeps no router from starting; the record says what it lacks.
+    pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (AuditStore, Book) {
+        let mut segments: Vec<AuditSegment> = Vec::new();
+        let history =
+            History::open(disk, "audit", SCHEMA, LIMITS, |_, body| segments.extend(from_bytes(body))).ok();
+        let (mark, last_written) = match Journal::open(mark, "audit-mark", SCHEMA) {
+            Ok((journal, found)) => (Some(journal), highest_number(&found.records)),
+            Err(_) => (None, 0),
+        };
+        (AuditStore { history, mark }, Book::new(run, segments, last_written))
+    }
+
+    fn write(&mut self, segment: &AuditSegment) -> Result<(), StorageFailure> {
+        let history = self.history.as_mut().ok_or(StorageFailure::Unreadable)?;
+        history.push(&to_bytes(segment))?;
+        history.flush()?;
+        let mark = self.mark.as_mut().ok_or(StorageFailure::Unreadable)?;
+        let number = segment.number.to_be_bytes();
+        if mark.is_broken() || mark.records() > MAX_MARKS {
+            mark.rewrite([number])?;
+        } else {
+            mark.append(&[number])?;
+        }
+        Ok(())
+    }
+}
+
+/// Verifies the record in the state folder of a router that does not run.
+///
+/// # Errors
+/// When the folder can't be opened, or a router that runs has it.
+pub fn verify(folder: &Path) -> Result<Chain, StoreError> {
+    let folder = Folder::open(folder)?;
+    let mut chain = Chain::default();
+    History::open(folder.share(), "audit", SCHEMA, LIMITS, |_, body| {
+        from_bytes(body).iter().for_each(|segment| chain.take(segment));
+    })?;
+    let (_, found) = Journal::open(folder, "audit-mark", SCHEMA)?;
+    chain.witnessed(highest_number(&found.records));
+    Ok(chain)
+}
+
+/// What is to be done next.
+#[derive(Default)]
+struct Step {
+    /// A segment that is complete.
+    segment: Option<AuditSegment>,
+    /// The router shuts down: this is notified once the segment is written.
+    finished: Option<oneshot::Sender<()>>,
+}
+
+impl Step {
+    fn write(segment: Option<AuditSegment>) -> Step {
+        Step { segment, finished: None }
+    }
+}
+
+/// Records what the owner has counted, and writes segments as they are complete.
+pub(super) async fn run(
+    mut store: AuditStore,
+    record: SharedAuditRecord,
+    mut inbox: mpsc::Receiver<AuditMessage>,
+    clock: Clock,
+    mut reporter: StorageReporter,
+) {
+    let mut close = tokio::time::interval(CLOSE_INTERVAL);
+    close.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    for gap in lock(&record).gaps() {
+        tracing::warn!(%gap, "the audit record has a gap");
+    }
+    let mut step = Step::write(lock(&record).begin(clock.now()));
+    loop {
+        if let Some(segment) = step.segment.take() {
+            let Ok((back, result)) = run_blocking(store, move |store| store.write(&segment)).await else {
+                return;
+            };
+            store = back;
+            if reporter.report(result.err().as_ref()).await.is_err() {
+                return;
+            }
+        }
+        if let Some(finished) = step.finished.take() {
+            let _ = finished.send(());
+            return;
+        }
+        step = tokio::select! {
+            message = inbox.recv() => match message {
+                Some(AuditMessage::Sent(sent)) => Step::write(lock(&record).take(&sent)),
+                Some(AuditMessage::Finish(finished)) => {
+                    Step { segment: lock(&record).end(clock.now()), finished: Some(finished) }
+                }
+                None => return,
+            },
+            _ = close.tick() => Step::write(lock(&record).close(false)),
+        };
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/fleet/handle.rs
@@ -0,0 +1,51 @@
+//! Questions of operators' sessions to the fleet's task.
+
+use gaparch_protocol::ops::view::{AuditView, FleetView, SpreadView, VersionsView};
+use gaparch_protocol::versions::AuditFilter;
+use tokio::sync::{mpsc, oneshot};
+
+/// A question to the fleet's task. Where lists are not replicated, the answers on them are `None`.
+pub(super) enum FleetRequest {
+    /// What the audit records of all routers say.
+    Audit { filter: AuditFilter, reply: oneshot::Sender<Option<AuditView>> },
+    /// Which routers have stored the orders of the fleet.
+    OrderReplication(oneshot::Sender<Option<SpreadView>>),
+    /// Which routers there are.
+    Members(oneshot::Sender<FleetView>),
+    /// Which router holds which version of the endpoint list.
+    ListVersions(oneshot::Sender<Option<VersionsView>>),
+    /// This router leaves the fleet.
+    Leave(oneshot::Sender<()>),
+}
+
+/// Asks the fleet's task.
+#[derive(Clone)]
+pub(in crate::shell) struct FleetHandle(pub(super) mpsc::Sender<FleetRequest>);
+
+impl FleetHandle {
+    /// The routers of the fleet as this one sees them; `None` once the router has ended.
+    pub async fn members(&self) -> Option<FleetView> {
+        self.ask(FleetRequest::Members).await
+    }
+
+    /// What the audit records of all routers say; `None` once the router has ended.
+    pub async fn audit(&self, filter: AuditFilter) -> Option<Option<AuditView>> {
+        self.ask(|reply| FleetRequest::Audit { filter, reply }).await
+    }
+
+    /// Which routers have stored the orders of the fleet; `None` once the router has ended.
+    pub async fn order_replication(&self) -> Option<Option<SpreadView>> {
+        self.ask(FleetRequest::OrderReplication).await
+    }
+
+    /// Which router holds which version of the endpoint list; `None` once the router has ended.
+    pub async fn list_versions(&self) -> Option<Option<VersionsView>> {
+        self.ask(FleetRequest::ListVersions).await
+    }
+
+    async fn ask<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> FleetRequest) -> Option<T> {
+        let (reply, wait) = oneshot::channel();
+        self.0.send(request(reply)).await.ok()?;
+        wait.await.ok()
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -0,0 +1,273 @@
+//! The other routers of the site: membership, replication of the endpoint list and of orders, and the audit record.
+//!
+//! The [`task`] owns all of it and waits neither for the owner nor for the disk: what the owner is to know, and what is to
+//! be stored, stands in a cell that holds the latest value only, and is taken from there by tasks that may wait.
+
+mod audit_queries;
+mod audit_record;
+mod handle;
+mod incarnation_store;
+mod latest_value;
+mod list_versions;
+mod order_store;
+mod owner_updates;
+mod replication;
+mod send_recorder;
+mod task;
+mod views;
+
+pub use audit_record::verify as verify_record;
+pub(super) use audit_record::{AuditMessage, AUDIT_INBOX};
+pub(super) use handle::FleetHandle;
+pub(super) use list_versions::{AdoptedList, ListVersions, LocalListState, OwnerPorts, UpdateAction};
+pub(super) use owner_updates::{LocalOrder, LOCAL_ORDER_QUEUE};
+
+use super::ops::{BroadcasterMessage, FleetDisks};
+use super::owner::Control;
+use super::storage::StorageReporter;
+use audit_record::{AuditStore, SharedAuditRecord};
+use gaparch_audit::{self as audit, Follow, Orders};
+use gaparch_config::{Config, Fleet};
+use gaparch_membership::{Membership, Settings, SiteKey};
+use gaparch_net::{read_key, Clock, KeyError};
+use gaparch_protocol::engine::RouterRun;
+use gaparch_protocol::ops::view::{Happening, Severity};
+use handle::FleetRequest;
+use incarnation_store::IncarnationStore;
+use latest_value::store_latest;
+use order_store::{FleetOrderStore, FleetOrders};
+use owner_updates::{apply_remote_orders, forward_latest, REMOTE_ORDER_QUEUE};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use task::FleetTask;
+use thiserror::Error;
+use tokio::net::UdpSocket;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::JoinHandle;
+
+/// Questions that wait for the fleet's task.
+const REQUEST_QUEUE: usize = 16;
+/// Time for the last messages of a router that leaves.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Why a router can't join a fleet.
+#[derive(Debug, Error)]
+pub enum FleetError {
+    /// The address can't be bound.
+    #[error("can't listen at {address}: {source}")]
+    Listen {
+        /// The address of the settings.
+        address: SocketAddr,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The state folder can't be read.
+    #[error("reading the state folder: {0}")]
+    State(#[from] tokio::task::JoinError),
+}
+
+/// Why the key of the fleet can't be used.
+#[derive(Debug, Error)]
+enum FleetKeyError {
+    #[error(transparent)]
+    File(#[from] KeyError),
+    #[error("it is empty")]
+    Empty,
+}
+
+/// The channels between the fleet's tasks and the rest of the router.
+pub(super) struct Ports {
+    pub control: mpsc::Sender<Control>,
+    pub messages: mpsc::Sender<BroadcasterMessage>,
+    /// The list as the owner has it.
+    pub local_list: watch::Receiver<LocalListState>,
+    /// Orders given here that all routers are to keep.
+    pub local_orders: mpsc::Receiver<LocalOrder>,
+    /// What was sent, to be recorded.
+    pub sent: mpsc::Receiver<AuditMessage>,
+}
+
+/// The fleet's tasks. They end when this is dropped.
+#[derive(Debug)]
+pub(super) struct Running {
+    pub address: SocketAddr,
+    requests: mpsc::Sender<FleetRequest>,
+    tasks: Vec<JoinHandle<()>>,
+}
+
+impl Running {
+    pub fn handle(&self) -> FleetHandle {
+        FleetHandle(self.requests.clone())
+    }
+
+    /// Tells the others that this router leaves.
+    pub async fn leave(&self) {
+        let (reply, wait) = oneshot::channel();
+        let left = async {
+            if self.requests.send(FleetRequest::Leave(reply)).await.is_ok() {
+                // Dropped unsent, the task has ended.
+                let _ = wait.await;
+            }
+        };
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT, left).await;
+    }
+}
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        self.tasks.iter().for_each(JoinHandle::abort);
+    }
+}
+
+/// What the fleet's disks hold.
+struct Restored {
+    incarnation_store: IncarnationStore,
+    /// The incarnation of the last start; 0 if there was none.
+    last_incarnation: u64,
+    order_store: FleetOrderStore,
+    orders: Vec<audit::FleetOrder>,
+    audit_store: AuditStore,
+    audit_record: audit::Book,
+}
+
+impl Restored {
+    fn read(disks: FleetDisks, run: RouterRun) -> Restored {
+        let (audit_store, audit_record) = AuditStore::open(disks.audit, disks.audit_mark, run.0);
+        let (incarnation_store, last_incarnation) = IncarnationStore::open(disks.incarnation);
+        let (order_store, orders) = FleetOrderStore::open(disks.orders);
+        Restored { incarnation_store, last_incarnation, order_store, orders, audit_store, audit_record }
+    }
+}
+
+fn read_site_key(fleet: &Fleet) -> Result<SiteKey, FleetKeyError> {
+    let key = read_key(&fleet.key_file)?;
+    SiteKey::new(key.as_bytes()).ok_or(FleetKeyError::Empty)
+}
+
+fn membership_settings(fleet: &Fleet, config: &Config, run: RouterRun, incarnation: u64) -> Settings {
+    let zone = config.module.zone.and_then(|zone| config.names.zones.get(zone.0));
+    Settings {
+        name: config.router.clone(),
+        zone: zone.cloned().unwrap_or_default(),
+        build: env!("CARGO_PKG_VERSION").to_owned(),
+        address: fleet.address,
+        run_id: run.0,
+        incarnation,
+        seeds: fleet.seeds.clone(),
+        max_routers: config.module.router_count,
+        probe_interval: fleet.period,
+        dead_hold: fleet.hold,
+        seed: config.module.seed,
+        use_extensions: fleet.refined,
+    }
+}
+
+/// Reads what is stored, binds the socket and starts the tasks; `None` without a key: then there is no fleet, and an event
+/// says so.
+///
+/// A disk that can't be read does not keep a router from starting: what the others witnessed puts it right.
+///
+/// # Errors
+/// When the address can't be bound.
+pub(super) async fn start(
+    fleet: &Fleet,
+    config: &Config,
+    run: RouterRun,
+    clock: Clock,
+    disks: FleetDisks,
+    ports: Ports,
+) -> Result<Option<Running>, FleetError> {
+    let key = match read_site_key(fleet) {
+        Ok(key) => key,
+        Err(why) => {
+            // A missing key must not keep a router from routing.
+            let file = fleet.key_file.display();
+            let text = format!("this router knows of no other: the fleet's key file {file}: {why}");
+            let event = Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text };
+            // The broadcaster is not there yet, and its queue is empty.
+            let _ = ports.messages.try_send(BroadcasterMessage::Event(event));
+            return Ok(None);
+        }
+    };
+    let failed = |source| FleetError::Listen { address: fleet.listen, source };
+    let socket = UdpSocket::bind(fleet.listen).await.map_err(failed)?;
+    let restored = tokio::task::spawn_blocking(move || Restored::read(disks, run)).await?;
+    let incarnation = restored.last_incarnation.saturating_add(1);
+    let audit_record: SharedAuditRecord = Arc::new(Mutex::new(restored.audit_record));
+    let mut out = Vec::new();
+    let settings = membership_settings(fleet, config, run, incarnation);
+    let membership = Membership::new(settings, clock.now(), &mut out);
+    let seed = config.module.seed ^ run.0;
+    let list_replication = fleet.confirm.map(|confirm| {
+        let settings = audit::Settings { router: config.router.clone(), confirm, seed };
+        Follow::new(settings, clock.now())
+    });
+    let order_replication =
+        fleet.confirm.map(|_| Orders::new(&config.router, incarnation, seed, restored.orders, clock.now()));
+    let (requests, requests_in) = mpsc::channel(REQUEST_QUEUE);
+    let (router_count, router_count_in) = watch::channel(config.module.router_count);
+    let (incarnation_out, incarnation_in) = watch::channel(0);
+    let (adopted_list, adopted_list_in) = watch::channel(AdoptedList::default());
+    let (remote_orders, remote_orders_in) = mpsc::channel(REMOTE_ORDER_QUEUE);
+    let (applied, applied_in) = mpsc::channel(REMOTE_ORDER_QUEUE);
+    let (orders_to_store, orders_to_store_in) = watch::channel(FleetOrders::default());
+    let (stored_orders, stored_orders_in) = watch::channel(FleetOrders::default());
+    let task = FleetTask {
+        membership,
+        socket,
+        key,
+        clock,
+        dropped: views::DroppedDatagrams::default(),
+        messages: ports.messages.clone(),
+        router_count,
+        incarnation: incarnation_out,
+        requests: requests_in,
+        newer_version_reported: false,
+        list_replication,
+        local_list: ports.local_list,
+        adopted_list,
+        order_replication,
+        local_orders: ports.local_orders,
+        remote_orders,
+        applied_orders: applied_in,
+        orders_to_store,
+        stored_orders: stored_orders_in,
+        audit_record: Arc::clone(&audit_record),
+        audit_queries: Vec::new(),
+        next_nonce: 0,
+    };
+    let reporter = |store| StorageReporter::new(store, ports.messages.clone());
+    let mut tasks = vec![
+        tokio::spawn(task.run(out)),
+        tokio::spawn(forward_latest(router_count_in, ports.control.clone(), Control::RouterCount)),
+        tokio::spawn(store_latest(
+            restored.incarnation_store,
+            incarnation_in,
+            reporter("incarnations"),
+            drop,
+        )),
+    ];
+    // Where no list is replicated nothing is stored for it either.
+    if fleet.confirm.is_some() {
+        let on_stored = move |orders| drop(stored_orders.send_replace(orders));
+        tasks.extend([
+            tokio::spawn(forward_latest(adopted_list_in, ports.control.clone(), Control::AdoptList)),
+            tokio::spawn(apply_remote_orders(remote_orders_in, ports.control, applied)),
+            tokio::spawn(audit_record::run(
+                restored.audit_store,
+                audit_record,
+                ports.sent,
+                clock,
+                reporter("the audit's record"),
+            )),
+            tokio::spawn(store_latest(
+                restored.order_store,
+                orders_to_store_in,
+                reporter("orders of the fleet"),
+                on_stored,
+            )),
+        ]);
+    }
+    Ok(Some(Running { address: fleet.listen, requests, tasks }))
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/fleet/replication.rs
@@ -0,0 +1,90 @@
+//! Runs the replication of the endpoint list and of orders, and carries out what they want.
+
+use super::order_store::FleetOrders;
+use super::task::FleetTask;
+use super::views::replication_severity;
+use gaparch_audit::{self as audit, Follow, OrderOutput, Orders};
+use gaparch_membership::Output;
+use gaparch_protocol::fleet::MemberState;
+use gaparch_protocol::ops::to_bytes;
+use gaparch_protocol::ops::view::{Overtaken, Severity, SpreadRow, SpreadView};
+use std::collections::BTreeMap;
+
+impl FleetTask {
+    /// Lets the replication of orders do something, and does what it wants. `act` gets the time, the peers that are present
+    /// and where its outputs go.
+    pub(super) fn with_orders(
+        &mut self,
+        out: &mut Vec<Output>,
+        act: impl FnOnce(&mut Orders, u64, Vec<String>, &mut Vec<OrderOutput>),
+    ) {
+        let now = self.clock.now();
+        let Some(orders) = &mut self.order_replication else { return };
+        let mut wanted = Vec::new();
+        act(orders, now, self.membership.present_peers(), &mut wanted);
+        for output in wanted {
+            match output {
+                OrderOutput::Say { to, talk } => {
+                    self.membership.send_payload(now, &to, to_bytes(&talk), out);
+                }
+                // One that finds no room is handed over again.
+                OrderOutput::Apply(order) => drop(self.remote_orders.try_send(order)),
+                OrderOutput::Keep(all) => drop(self.orders_to_store.send_replace(FleetOrders::new(all))),
+                OrderOutput::Happened(event) => self.report(Severity::Warning, event.to_string()),
+            }
+        }
+    }
+
+    /// Lets the replication of the endpoint list do something, and does what it wants, as
+    /// [`with_orders`](FleetTask::with_orders) does.
+    pub(super) fn with_list(
+        &mut self,
+        out: &mut Vec<Output>,
+        act: impl FnOnce(&mut Follow, u64, Vec<String>, &mut Vec<audit::Output>),
+    ) {
+        let now = self.clock.now();
+        let Some(lists) = &mut self.list_replication else { return };
+        let mut wanted = Vec::new();
+        act(lists, now, self.membership.present_peers(), &mut wanted);
+        for output in wanted {
+            match output {
+                audit::Output::Say { to, talk } => {
+                    self.membership.send_payload(now, &to, to_bytes(&talk), out);
+                }
+                audit::Output::Take { list, .. } => {
+                    self.adopted_list.send_modify(|adopted| adopted.list = Some(list));
+                }
+                audit::Output::Believed(version) => {
+                    self.adopted_list.send_modify(|adopted| adopted.believed = Some(version));
+                }
+                audit::Output::Happened(event) => {
+                    self.report(replication_severity(&event), event.to_string())
+                }
+            }
+        }
+    }
+
+    /// Which routers have stored the orders of the fleet. Every router that did not say that it leaves may be alive: one that
+    /// counts as dead may only be unreachable.
+    pub(super) fn order_replication_view(&mut self) -> Option<SpreadView> {
+        let orders = self.order_replication.as_mut()?;
+        let members = self.membership.view().members;
+        let states: BTreeMap<String, MemberState> =
+            members.into_iter().map(|member| (member.info.name, member.state)).collect();
+        let may_be_alive = states.iter().filter(|(_, state)| **state != MemberState::Left);
+        let names: Vec<String> = may_be_alive.map(|(name, _)| name.clone()).collect();
+        let row = |acked: audit::Acked| SpreadRow {
+            state: states.get(&acked.router).copied().unwrap_or(MemberState::Alive),
+            router: acked.router,
+            keeps: acked.keeps,
+            said_at: acked.said_at,
+        };
+        let rows: Vec<SpreadRow> = orders.acked(&names).into_iter().map(row).collect();
+        let overtaken = orders
+            .overtaken()
+            .map(|(order, by)| Overtaken { order: order.clone(), by: by.clone() })
+            .collect();
+        let complete = rows.iter().all(|row| row.keeps);
+        Some(SpreadView { complete, orders: orders.all(), overtaken, rows })
+    }
+}
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -12,25 +12,23 @@
 //! | datagrams of other routers | the socket's own buffer | lost, as any may be |
 //! | open requests, connections | `limits` | refused; closed |
 
-mod audit;
 mod client;
 mod engine;
 mod fleet;
-mod fleet_orders;
 mod lag;
 mod list;
 mod ops;
 mod owner;
 mod stall;
-mod versions;
+mod storage;
 
-pub use audit::verify as verify_record;
-pub use fleet::FleetError;
+pub use fleet::{verify_record, FleetError};
 pub use lag::{Lag, LagSummary};
 pub use ops::{Disks, FleetDisks, OperationsError};
 
 use crate::core::{Core, Counters};
-use gaparch_config::Config;
+use fleet::ListVersions;
+use gaparch_config::{Config, Fleet as FleetSettings};
 use gaparch_net::Clock;
 use gaparch_protocol::engine::RouterRun;
 use owner::{Control, Owner, Ports};
@@ -44,8 +42,14 @@
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::JoinHandle;
 
-/// For the last of the record to be written.
-const RECORD_WITHIN: Duration = Duration::from_secs(1);
+/// Time for the last of the audit record to be written when the router ends.
+const AUDIT_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
+/// Messages of other tasks that wait for the owner.
+const CONTROL_QUEUE: usize = 64;
+/// Interval at which the open requests are counted while the router drains.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the last responses to be written to clients' sockets.
+const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(50);
 
 /// Why a router can't start.
 #[derive(Debug, Error)]
@@ -69,7 +73,7 @@
     operations: Option<ops::Running>,
     fleet: Option<fleet::Running>,
     /// Where what was sent is recorded.
-    record: Option<mpsc::Sender<audit::Message>>,
+    audit: Option<mpsc::Sender<fleet::AuditMessage>>,
     shutdown: Duration,
 }
 
@@ -105,7 +109,7 @@
     /// What was counted so far; `None` once it has ended.
     pub async fn counts(&self) -> Option<Counters> {
         let (answer, wait) = oneshot::channel();
-        self.control.send(Control::Counts(answer)).await.ok()?;
+        self.control.send(Control::Counters(answer)).await.ok()?;
         wait.await.ok()
     }
 
@@ -126,29 +130,29 @@
         let deadline = tokio::time::Instant::now() + self.shutdown;
         loop {
             let (answer, wait) = oneshot::channel();
-            self.control.send(Control::Open(answer)).await.ok()?;
+            self.control.send(Control::OpenRequestCount(answer)).await.ok()?;
             if wait.await.ok()? == 0 || tokio::time::Instant::now() >= deadline {
                 break;
             }
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.control.send(Control::StopNow).await.ok()?;
         let counts = self.counts().await;
         // The last answers are on their way to the clients' tasks: they get a moment to be written.
-        tokio::time::sleep(Duration::from_millis(50)).await;
-        if let Some(record) = &self.record {
+        tokio::time::sleep(RESPONSE_FLUSH_TIME).await;
+        if let Some(audit) = &self.audit {
             let (written, wait) = oneshot::channel();
             let finish = async {
-                if record.send(audit::Message::Finish(written)).await.is_ok() {
+                if audit.send(fleet::AuditMessage::Finish(written)).await.is_ok() {
                     // Dropped unsent, its task has ended.
                     let _ = wait.await;
                 }
             };
-            // Without its last word it shows a gap, as it should.
-            let _ = tokio::time::timeout(RECORD_WITHIN, finish).await;
+            // Without its last segment the record shows a gap, as it should.
+            let _ = tokio::time::timeout(AUDIT_FLUSH_TIMEOUT, finish).await;
         }
         if let Some(operations) = &self.operations {
-            operations.finish().await;
+            operations.flush().await;
         }
         counts
     }
@@ -192,52 +196,41 @@
         listeners.push((socket.local_addr().map_err(wrong)?, socket, Arc::clone(&listener.dialect)));
     }
     let (requests, requests_in) = mpsc::channel(config.limits.inbox);
-    let (gone, gone_in) = mpsc::unbounded_channel();
-    let (control, control_in) = mpsc::channel(64);
+    let (disconnected, disconnected_in) = mpsc::unbounded_channel();
+    let (control, control_in) = mpsc::channel(CONTROL_QUEUE);
     let lag = Arc::new(Lag::default());
     let mut out = Vec::new();
-    let book = prepared.as_ref().map(|p| p.book.clone()).unwrap_or_default();
-    let core = Core::new(config.clone(), book, run, clock.now(), &mut out);
-    let mut fleet = None;
-    let mut versions = None;
-    let mut record = None;
-    let (desk, operations) = match prepared {
+    let orders = prepared.as_ref().map(|p| p.orders.clone()).unwrap_or_default();
+    let core = Core::new(config.clone(), orders, run, clock.now(), &mut out);
+    let mut replication = Replication::default();
+    let (operations_handle, operations) = match prepared {
         Some(mut prepared) => {
-            let news = ops::news_channel();
+            let (messages, inbox) = ops::broadcaster_channel();
             if let (Some(settings), Some(disks)) = (&config.fleet, prepared.fleet.take()) {
-                let (cell, held) = watch::channel(versions::HeldNews::default());
-                let (issued, issued_in) = mpsc::channel(fleet_orders::ISSUED);
-                let (control, news) = (control.clone(), news.0.clone());
-                let (sent, sent_in) = mpsc::channel(audit::INBOX);
-                let ports = fleet::Ports { control, news, held, issued: issued_in, sent: sent_in };
-                fleet = fleet::start(settings, &config, run, clock, disks, ports).await?;
-                let follows = fleet.is_some() && settings.confirm.is_some();
-                let confirm = settings.confirm.unwrap_or(0);
-                record = follows.then(|| sent.clone());
-                versions = follows.then(|| {
-                    versions::Versions::new(config.module.poll_endpoints, confirm, cell, issued, sent)
-                });
+                let start = FleetStart { settings, config: &config, run, clock, disks };
+                replication = start_fleet(start, control.clone(), messages.clone()).await?;
             }
-            let asker = fleet.as_ref().map(fleet::Running::asker);
-            let channels = ops::Channels { control: control.clone(), news, fleet: asker };
-            let (desk, running) =
+            let fleet = replication.fleet.as_ref().map(fleet::Running::handle);
+            let channels = ops::Channels { control: control.clone(), messages, inbox, fleet };
+            let (handle, running) =
                 ops::start(prepared, &config, run, clock, core.settings_listing(), channels).await?;
-            (Some(desk), Some(running))
+            (Some(handle), Some(running))
         }
         None => (None, None),
     };
     let shared = Arc::new(client::Shared {
         run,
         requests,
-        gone,
+        disconnected,
         next_id: AtomicU64::new(1),
-        open: Arc::new(Semaphore::new(config.limits.open_requests)),
+        open_requests: Arc::new(Semaphore::new(config.limits.open_requests)),
         connections: Arc::new(Semaphore::new(config.limits.connections)),
-        door: desk.as_ref().map(ops::Desk::door),
+        rejections: operations_handle.as_ref().map(ops::OperationsHandle::rejection_reporter),
         config: config.clone(),
     });
-    let ports = Ports { requests: requests_in, gone: gone_in, control: control_in };
-    let owner = Owner::new(core, clock, config.clone(), Arc::clone(&lag), desk, versions);
+    let ports = Ports { requests: requests_in, disconnected: disconnected_in, control: control_in };
+    let owner =
+        Owner::new(core, clock, config.clone(), Arc::clone(&lag), operations_handle, replication.versions);
     let owner = tokio::spawn(owner.run(ports, out));
     let addresses = listeners.iter().map(|(address, ..)| *address).collect();
     let accepting = listeners
@@ -245,7 +238,56 @@
         .map(|(_, socket, dialect)| tokio::spawn(client::accept(socket, dialect, Arc::clone(&shared))))
         .collect();
     let shutdown = config.limits.shutdown.duration();
-    Ok(RouterHandle { addresses, control, lag, accepting, owner, operations, fleet, record, shutdown })
+    Ok(RouterHandle {
+        addresses,
+        control,
+        lag,
+        accepting,
+        owner,
+        operations,
+        fleet: replication.fleet,
+        audit: replication.audit,
+        shutdown,
+    })
+}
+
+/// What is started of the fleet, if there is one.
+#[derive(Default)]
+struct Replication {
+    fleet: Option<fleet::Running>,
+    /// The owner's side of the replicated list, where lists are replicated.
+    versions: Option<ListVersions>,
+    /// Where what was sent is recorded.
+    audit: Option<mpsc::Sender<fleet::AuditMessage>>,
+}
+
+/// What a fleet is started by.
+struct FleetStart<'a> {
+    settings: &'a FleetSettings,
+    config: &'a Config,
+    run: RouterRun,
+    clock: Clock,
+    disks: FleetDisks,
+}
+
+async fn start_fleet(
+    start: FleetStart<'_>,
+    control: mpsc::Sender<Control>,
+    messages: mpsc::Sender<ops::BroadcasterMessage>,
+) -> Result<Replication, FleetError> {
+    let FleetStart { settings, config, run, clock, disks } = start;
+    let (local_list, local_list_in) = watch::channel(fleet::LocalListState::default());
+    let (local_orders, local_orders_in) = mpsc::channel(fleet::LOCAL_ORDER_QUEUE);
+    let (audit, sent) = mpsc::channel(fleet::AUDIT_INBOX);
+    let ports =
+        fleet::Ports { control, messages, local_list: local_list_in, local_orders: local_orders_in, sent };
+    let running = fleet::start(settings, config, run, clock, disks, ports).await?;
+    let Some(confirm) = settings.confirm.filter(|_| running.is_some()) else {
+        return Ok(Replication { fleet: running, versions: None, audit: None });
+    };
+    let owner_ports = fleet::OwnerPorts { local_list, local_orders, audit: audit.clone() };
+    let versions = ListVersions::new(config.module.poll_endpoints, confirm, owner_ports);
+    Ok(Replication { fleet: running, versions: Some(versions), audit: Some(audit) })
 }
 
 /// Two routers of one process never have the same run.
--- /dev/null
+++ b/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
@@ -0,0 +1,226 @@
+//! The event broadcaster: keeps in memory what operators may ask for, and passes changes on to subscribers. It owns the
+//! event log, the ledger of endings and the last status report; [`queries`](super::queries) answers from them.
+
+use super::history_writer::Batch;
+use super::pending_history::PendingHistory;
+use super::subscribers::Subscribers;
+use super::{BroadcasterMessage, StatusReport};
+use gaparch_net::Clock;
+use gaparch_ops::book::{words, Book};
+use gaparch_ops::chronicle::Chronicle;
+use gaparch_ops::ledger::Ledger;
+use gaparch_ops::watch::Watch;
+use gaparch_protocol::ops::ending::{EndKind, Ending, Kept};
+use gaparch_protocol::ops::intent::{Change, Intent, Taken};
+use gaparch_protocol::ops::view::{Happening, Setting, Severity};
+use gaparch_protocol::ops::{to_bytes, Update};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{interval, MissedTickBehavior};
+
+/// Between two batches to the history writer.
+const HAND_OVER_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What a router is, for its snapshots.
+pub(super) struct Identity {
+    pub router: String,
+    pub run: u64,
+    /// When it started, in nanoseconds since the Unix epoch.
+    pub began_at: u64,
+    pub settings: Vec<Setting>,
+}
+
+/// The state of the event broadcaster's task.
+pub(super) struct EventBroadcaster {
+    pub(super) identity: Identity,
+    pub(super) orders: Book,
+    /// Orders up to this revision are on disk.
+    stored_revision: u64,
+    pub(super) event_log: Chronicle,
+    pub(super) ledger: Ledger,
+    watch: Watch,
+    pub(super) status: Option<Box<StatusReport>>,
+    subscribers: Subscribers,
+    /// What is not being stored, and why.
+    pub(super) storage_failures: BTreeMap<&'static str, String>,
+    history: PendingHistory,
+    /// Messages and records known as dropped when that was last an event.
+    reported_dropped: u64,
+}
+
+impl EventBroadcaster {
+    pub fn new(
+        identity: Identity,
+        orders: Book,
+        event_log: Chronicle,
+        ledger: Ledger,
+        history: mpsc::Sender<Batch>,
+    ) -> EventBroadcaster {
+        EventBroadcaster {
+            stored_revision: orders.revision(),
+            identity,
+            orders,
+            event_log,
+            ledger,
+            watch: Watch::default(),
+            status: None,
+            subscribers: Subscribers::default(),
+            storage_failures: BTreeMap::new(),
+            history: PendingHistory::new(history),
+            reported_dropped: 0,
+        }
+    }
+
+    /// Takes messages until nobody sends any more. `locked_out`: operators that can't authenticate, and why.
+    pub async fn run(
+        mut self,
+        mut messages: mpsc::Receiver<BroadcasterMessage>,
+        clock: Clock,
+        locked_out: Vec<String>,
+    ) {
+        let in_force = self.orders.intents(|_| true).len();
+        let text = format!("the router has begun; {in_force} orders of operators are in force");
+        self.record_event(Happening { at: clock.now(), severity: Severity::Info, engine: None, text });
+        for text in locked_out {
+            self.record_event(Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text });
+        }
+        let mut hand_over = interval(HAND_OVER_INTERVAL);
+        hand_over.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                message = messages.recv() => match message {
+                    Some(message) => self.handle(message, clock.now()),
+                    None => return,
+                },
+                _ = hand_over.tick() => self.history.hand_over(),
+            }
+        }
+    }
+
+    fn handle(&mut self, message: BroadcasterMessage, now: u64) {
+        match message {
+            BroadcasterMessage::Status(status) => self.on_status(status),
+            BroadcasterMessage::RequestEnded(ending) => self.on_request_ended(ending),
+            BroadcasterMessage::OrderInForce(taken) => self.on_order(taken),
+            BroadcasterMessage::Event(event) => self.record_event(event),
+            BroadcasterMessage::OrdersStored(revision) => self.on_orders_stored(revision),
+            BroadcasterMessage::StorageStatus { store, failure } => {
+                self.on_storage_status(store, failure, now)
+            }
+            BroadcasterMessage::Query { query, reply } => {
+                // The operator may have disconnected.
+                let _ = reply.send(self.answer(query));
+            }
+            BroadcasterMessage::Subscribe { session, updates } => {
+                let snapshot = self.snapshot();
+                self.subscribers.add(session, updates, snapshot);
+            }
+            BroadcasterMessage::Unsubscribe { session } => self.subscribers.remove(session),
+            BroadcasterMessage::Flush(written) => self.history.flush(written),
+        }
+    }
+
+    fn on_status(&mut self, status: Box<StatusReport>) {
+        let orders = &self.orders;
+        for event in self.watch.look(&status.figures, &status.engines, |engine| orders.hold(engine)) {
+            self.record_event(event);
+        }
+        self.report_dropped(status.dropped_messages, status.figures.at);
+        let before = self.status.replace(status);
+        let Some(status) = &self.status else { return };
+        let known = before.as_ref().map_or(&[][..], |before| &before.engines);
+        let changed: Vec<_> =
+            status.engines.iter().filter(|engine| !known.contains(engine)).cloned().collect();
+        let figures = status.figures;
+        self.publish(|| Update::Figures { figures });
+        if !changed.is_empty() {
+            self.publish(|| Update::Engines { engines: changed.clone() });
+        }
+    }
+
+    /// Makes an event of what was dropped since the last one.
+    fn report_dropped(&mut self, dropped_messages: u64, at: u64) {
+        let dropped = dropped_messages + self.history.dropped();
+        if dropped > self.reported_dropped {
+            let count = dropped - self.reported_dropped;
+            let text = format!("{count} things were not recorded: too much happened at once");
+            self.reported_dropped = dropped;
+            self.record_event(Happening { at, severity: Severity::Warning, engine: None, text });
+        }
+    }
+
+    fn on_request_ended(&mut self, ending: Box<Ending>) {
+        if ending.kind != EndKind::Served {
+            self.publish(|| Update::Ended { ending: ending.clone() });
+            self.history.add_ending(to_bytes(&Kept::Ending { ending: ending.clone() }));
+        }
+        for followed in self.ledger.add(*ending) {
+            let follow_up = Kept::FollowUp { request: followed.request, follow_up: followed.follow_up };
+            self.history.add_ending(to_bytes(&follow_up));
+        }
+    }
+
+    fn on_order(&mut self, taken: Taken) {
+        let engine = match &taken.change {
+            Change::Hold { engine, .. } | Change::Free { engine } => Some(engine.clone()),
+            _ => None,
+        };
+        let text = format!("{} by {}: {}", words(&taken.change), taken.note.who, taken.note.why);
+        self.record_event(Happening { at: taken.note.at, severity: Severity::Info, engine, text });
+        self.orders.apply(taken);
+        self.publish_intents();
+    }
+
+    fn on_orders_stored(&mut self, revision: u64) {
+        if revision > self.stored_revision {
+            self.stored_revision = revision;
+            self.publish_intents();
+        }
+    }
+
+    fn on_storage_status(&mut self, store: &'static str, failure: Option<String>, now: u64) {
+        let before = match &failure {
+            Some(why) => self.storage_failures.insert(store, why.clone()),
+            None => self.storage_failures.remove(store),
+        };
+        let (severity, text) = match (before.is_some(), failure) {
+            (false, Some(why)) => (Severity::Trouble, format!("{store} can't be kept on disk: {why}")),
+            (true, None) => (Severity::Info, format!("{store} are kept on disk again")),
+            _ => return,
+        };
+        self.record_event(Happening { at: now, severity, engine: None, text });
+    }
+
+    /// Logs an event, stores it and passes it on.
+    fn record_event(&mut self, event: Happening) {
+        match event.severity {
+            Severity::Info => tracing::info!(engine = event.engine, "{}", event.text),
+            _ => tracing::warn!(engine = event.engine, "{}", event.text),
+        }
+        self.history.add_event(to_bytes(&event));
+        self.publish(|| Update::Happened { event: event.clone() });
+        self.event_log.add(event);
+    }
+
+    /// Orders in force, and whether each is on disk.
+    pub(super) fn intents(&self) -> Vec<Intent> {
+        let stored = self.stored_revision;
+        self.orders.intents(|revision| revision <= stored)
+    }
+
+    fn publish_intents(&mut self) {
+        let (revision, intents) = (self.orders.revision(), self.intents());
+        self.publish(|| Update::Intents { revision, intents: intents.clone() });
+    }
+
+    /// Offers an update to every subscriber, and a snapshot to those that missed some.
+    fn publish(&mut self, update: impl Fn() -> Update) {
+        if self.subscribers.is_empty() {
+            return;
+        }
+        for session in self.subscribers.offer(update) {
+            self.subscribers.resync(session, self.snapshot());
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -0,0 +1,114 @@
+//! The owner's and the client connections' side of the operations tasks. Nothing here waits.
+
+use super::order_store::StoreOrder;
+use super::{BroadcasterMessage, OrderReply, StatusReport};
+use crate::core::{retry_after_millis, Proposal};
+use gaparch_net::Clock;
+use gaparch_protocol::engine::RouterRun;
+use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, RequestName};
+use gaparch_protocol::ops::intent::LimitView;
+use gaparch_protocol::ops::view::{EngineView, Figures, Happening, Severity};
+use gaparch_scheduler::api::{Nanos, RequestId};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use tokio::sync::{mpsc, Notify};
+
+/// Counts and reports requests that are rejected before the owner sees them, since too many are open.
+#[derive(Debug)]
+pub(in crate::shell) struct RejectionReporter {
+    messages: mpsc::Sender<BroadcasterMessage>,
+    run: RouterRun,
+    clock: Clock,
+    rejected: AtomicU64,
+}
+
+impl RejectionReporter {
+    pub fn new(
+        messages: mpsc::Sender<BroadcasterMessage>,
+        run: RouterRun,
+        clock: Clock,
+    ) -> RejectionReporter {
+        RejectionReporter { messages, run, clock, rejected: AtomicU64::new(0) }
+    }
+
+    /// Counts a rejected request and reports it; past the broadcaster's bound it is only counted.
+    pub fn report(&self, id: RequestId, class: &str, tenant: &str, retry_after: Nanos, fingerprint: u64) {
+        self.rejected.fetch_add(1, Ordering::Relaxed);
+        let now = self.clock.now();
+        let request = RequestName { run: self.run.0, number: id.0 };
+        let ending = Ending {
+            class: class.to_owned(),
+            tenant: tenant.to_owned(),
+            retry_after_ms: retry_after_millis(retry_after),
+            fingerprint,
+            ..Ending::bare(request, now, now, EndKind::Refused, Cause::TooMuchOpen)
+        };
+        // The count is what must not be lost.
+        let _ = self.messages.try_send(BroadcasterMessage::RequestEnded(Box::new(ending)));
+    }
+
+    fn rejected(&self) -> u64 {
+        self.rejected.load(Ordering::Relaxed)
+    }
+}
+
+/// What the owner reports to the operations tasks by.
+pub(in crate::shell) struct OperationsHandle {
+    pub(super) messages: mpsc::Sender<BroadcasterMessage>,
+    pub(super) rejections: Arc<RejectionReporter>,
+    pub(super) order_store: mpsc::Sender<StoreOrder>,
+    /// Notified when an operator stops the router.
+    pub(super) stop: Arc<Notify>,
+    /// Messages that found no room.
+    pub(super) dropped: u64,
+}
+
+impl OperationsHandle {
+    pub fn rejection_reporter(&self) -> Arc<RejectionReporter> {
+        Arc::clone(&self.rejections)
+    }
+
+    /// Sends a message to the event broadcaster; past its bound the message is dropped and counted.
+    pub fn send(&mut self, message: BroadcasterMessage) {
+        if self.messages.try_send(message).is_err() {
+            self.dropped += 1;
+        }
+    }
+
+    /// Reports the router's state.
+    pub fn report_status(&mut self, figures: Figures, engines: Vec<EngineView>, limits: Vec<LimitView>) {
+        let rejected = self.rejections.rejected();
+        let figures =
+            Figures { requests: figures.requests + rejected, refused: figures.refused + rejected, ..figures };
+        let status = StatusReport { figures, engines, limits, dropped_messages: self.dropped };
+        self.send(BroadcasterMessage::Status(Box::new(status)));
+    }
+
+    /// Reserves room for one more order to be stored, if there is any.
+    pub fn reserve(&self) -> Option<mpsc::OwnedPermit<StoreOrder>> {
+        self.order_store.clone().try_reserve_owned().ok()
+    }
+
+    /// Has an order stored that is in force; the reply is given once it is.
+    pub fn store_order(
+        &mut self,
+        permit: mpsc::OwnedPermit<StoreOrder>,
+        proposal: Proposal,
+        reply: OrderReply,
+    ) {
+        self.send(BroadcasterMessage::OrderInForce(proposal.taken.clone()));
+        permit.send(StoreOrder { taken: proposal.taken, effect: proposal.effect, reply });
+    }
+
+    /// Passes an operator's order to stop on to whoever runs the router.
+    pub fn request_stop(&mut self, at: u64, who: &str, why: &str) {
+        let text = format!("{who} stops the router: {why}");
+        self.send(BroadcasterMessage::Event(Happening {
+            at,
+            severity: Severity::Warning,
+            engine: None,
+            text,
+        }));
+        self.stop.notify_one();
+    }
+}
--- a/crates/gaparch-router/src/shell/ops/session.rs
+++ b/crates/gaparch-router/src/shell/ops/session.rs
@@ -1,177 +1,147 @@
-//! One console or script.
+//! One session of a console or a script: authentication, then questions and answers, with updates in between.
 
-use super::{KnownOperator, Lobby, News};
+use super::operators::{authenticate, AuthenticationError, Claim, Identity, KnownOperator};
+use super::session_queries::answer;
+use super::BroadcasterMessage;
+use crate::shell::fleet;
 use crate::shell::owner::Control;
 use bytes::BytesMut;
 use gaparch_net::{FrameReader, ReadError};
+use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::frame::encode;
-use gaparch_protocol::ops::{Answer, DenyCode, OpsFrame, OpsRole, Order, Query, Update, MAX_ASK, VERSION};
-use gaparch_scheduler::api::RequestId;
+use gaparch_protocol::ops::{OpsFrame, Update, VERSION};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use subtle::ConstantTimeEq;
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
-use tokio::net::{TcpListener, UnixListener};
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::{sleep, timeout};
+use tokio::sync::{mpsc, Semaphore};
+use tokio::time::timeout;
 
-/// Who says nothing for so long after connecting is sent away.
-const HELLO_WITHIN: Duration = Duration::from_secs(5);
+/// Time for the hello after a connection was accepted.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 /// A socket that takes no bytes for so long is closed: its console was stopped, or is no more.
-const WRITE_WITHIN: Duration = Duration::from_secs(120);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Updates that wait for one subscriber.
-const UPDATES: usize = 64;
-/// Live requests of one answer.
-const MOST_LIVE: u32 = 2000;
-
-pub(super) async fn accept_tcp(listener: TcpListener, lobby: Arc<Lobby>) {
-    loop {
-        match listener.accept().await {
-            Ok((socket, _)) => {
-                let _ = socket.set_nodelay(true);
-                let (reader, writer) = socket.into_split();
-                begin(reader, writer, false, &lobby);
-            }
-            Err(error) => failed(&error).await,
-        }
-    }
-}
-
-pub(super) async fn accept_unix(listener: UnixListener, lobby: Arc<Lobby>) {
-    loop {
-        match listener.accept().await {
-            Ok((socket, _)) => {
-                let (reader, writer) = socket.into_split();
-                begin(reader, writer, true, &lobby);
-            }
-            Err(error) => failed(&error).await,
-        }
-    }
+const UPDATE_QUEUE: usize = 64;
+
+/// What all sessions share.
+pub(super) struct SessionContext {
+    pub router: String,
+    pub run: RouterRun,
+    pub operators: Vec<KnownOperator>,
+    /// Bounds the number of open sessions.
+    pub sessions: Arc<Semaphore>,
+    pub control: mpsc::Sender<Control>,
+    pub messages: mpsc::Sender<BroadcasterMessage>,
+    /// Asks the fleet's task, where there are other routers.
+    pub fleet: Option<fleet::FleetHandle>,
 }
 
-async fn failed(error: &std::io::Error) {
-    tracing::warn!(%error, "can't accept an operator");
-    sleep(Duration::from_millis(100)).await;
-}
-
-fn begin<R, W>(reader: R, writer: W, local: bool, lobby: &Arc<Lobby>)
-where
-    R: AsyncRead + Unpin + Send + 'static,
-    W: AsyncWrite + Unpin + Send + 'static,
-{
-    let lobby = Arc::clone(lobby);
-    tokio::spawn(async move {
-        let mut session = Session { writer, bytes: BytesMut::new() };
-        let Ok(_permit) = Arc::clone(&lobby.sessions).try_acquire_owned() else {
-            return session.bye("too many sessions are open").await;
-        };
-        session.run(FrameReader::new(reader, MAX_ASK), local, &lobby).await;
-    });
+/// Why a session ended; its text is the reason that the other end is given.
+#[derive(Debug, Error)]
+pub(super) enum SessionError {
+    /// No hello came in time, or another frame came in its place.
+    #[error("expected a hello frame")]
+    HelloExpected,
+    /// The client speaks another version of the protocol.
+    #[error("version {0} is not spoken here, version {VERSION} is")]
+    Version(u16),
+    #[error(transparent)]
+    Authentication(#[from] AuthenticationError),
+    /// A frame that only a router sends.
+    #[error("a frame that an operator does not send")]
+    UnexpectedFrame,
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    #[error(transparent)]
+    Write(#[from] std::io::Error),
+    /// A task that the session asks has ended, as it does with the router.
+    #[error("the router has ended")]
+    RouterEnded,
 }
 
-/// Who is at the other end.
-#[derive(Clone, Debug, PartialEq, Eq)]
-struct Guest {
-    who: String,
-    role: OpsRole,
-}
-
-/// By a key its operator; without one only whoever may open the local socket, by the name it says.
-fn admit(
-    operators: &[KnownOperator],
-    local: bool,
-    key: Option<&str>,
-    asked: OpsRole,
-    who: &str,
-) -> Result<Guest, &'static str> {
-    let (name, most) = match key {
-        None if local => (if who.is_empty() { "someone" } else { who }, OpsRole::Change),
-        None => return Err("a key is wanted"),
-        Some(key) => {
-            // All are looked at, and each in constant time: how long it takes tells nothing of a key.
-            let mut found = None;
-            for operator in operators {
-                if bool::from(operator.key.as_slice().ct_eq(key.as_bytes())) {
-                    found = Some(operator);
-                }
-            }
-            let operator = found.ok_or("that key is not known here")?;
-            (operator.name.as_str(), operator.role)
-        }
-    };
-    Ok(Guest { who: name.to_owned(), role: asked.min(most) })
-}
-
-struct Session<W> {
+/// The writing side of a session.
+pub(super) struct Session<W> {
     writer: W,
-    bytes: BytesMut,
+    buffer: BytesMut,
 }
 
 impl<W: AsyncWrite + Unpin> Session<W> {
+    pub fn new(writer: W) -> Session<W> {
+        Session { writer, buffer: BytesMut::new() }
+    }
+
     async fn write(&mut self, frame: &OpsFrame) -> std::io::Result<()> {
-        self.bytes.clear();
-        encode(frame, &mut self.bytes);
-        timeout(WRITE_WITHIN, self.writer.write_all(&self.bytes)).await?
+        self.buffer.clear();
+        encode(frame, &mut self.buffer);
+        timeout(WRITE_TIMEOUT, self.writer.write_all(&self.buffer)).await?
     }
 
-    async fn bye(&mut self, reason: &str) {
+    /// Gives the other end a reason and closes the connection.
+    pub async fn close(&mut self, reason: &str) {
         // Whatever comes of it, the connection ends.
         let _ = self.write(&OpsFrame::Bye { reason: reason.to_owned() }).await;
         let _ = self.writer.shutdown().await;
     }
 
-    async fn run<R: AsyncRead + Unpin>(&mut self, mut reader: FrameReader<R>, local: bool, lobby: &Lobby) {
-        let guest = match timeout(HELLO_WITHIN, self.greet(&mut reader, local, lobby)).await {
-            Ok(Ok(guest)) => guest,
+    /// Runs the session to its end. `local`: it came in on the local socket.
+    pub async fn run<R: AsyncRead + Unpin>(
+        &mut self,
+        mut reader: FrameReader<R>,
+        local: bool,
+        context: &SessionContext,
+    ) {
+        let welcomed = timeout(HELLO_TIMEOUT, self.welcome(&mut reader, local, context)).await;
+        let identity = match welcomed {
+            Ok(Ok(identity)) => identity,
             Ok(Err(reason)) => {
-                tracing::warn!(%reason, "an operator was sent away");
-                return self.bye(&reason).await;
+                tracing::warn!(%reason, "operator session rejected");
+                return self.close(&reason.to_string()).await;
             }
-            Err(_) => return self.bye("a hello was wanted").await,
+            Err(_) => return self.close(&SessionError::HelloExpected.to_string()).await,
         };
-        let session = session_number();
-        if let Err(reason) = self.serve(&mut reader, &guest, session, lobby).await {
-            tracing::info!(who = guest.who, %reason, "an operator's session ended");
-            self.bye(&reason).await;
+        let session = next_session_number();
+        if let Err(reason) = self.serve(&mut reader, &identity, session, context).await {
+            tracing::info!(who = identity.who, %reason, "operator session ended");
+            self.close(&reason.to_string()).await;
         }
-        // The hub may have ended.
-        let _ = lobby.news.send(News::Unsubscribe(session)).await;
+        // The broadcaster may have ended.
+        let _ = context.messages.send(BroadcasterMessage::Unsubscribe { session }).await;
     }
 
-    async fn greet<R: AsyncRead + Unpin>(
+    async fn welcome<R: AsyncRead + Unpin>(
         &mut self,
         reader: &mut FrameReader<R>,
         local: bool,
-        lobby: &Lobby,
-    ) -> Result<Guest, String> {
-        match reader.read_one().await.map_err(|e| e.to_string())? {
+        context: &SessionContext,
+    ) -> Result<Identity, SessionError> {
+        match reader.read_one().await? {
             OpsFrame::Hello { version: VERSION, key, role, who } => {
-                let guest = admit(&lobby.operators, local, key.as_deref(), role, &who)?;
+                let claim = Claim { key: key.as_deref(), role, who: &who };
+                let identity = authenticate(&context.operators, local, &claim)?;
                 let welcome = OpsFrame::Welcome {
                     version: VERSION,
-                    router: lobby.router.clone(),
-                    run: lobby.run.0,
-                    role: guest.role,
+                    router: context.router.clone(),
+                    run: context.run.0,
+                    role: identity.role,
                 };
-                self.write(&welcome).await.map_err(|e| e.to_string())?;
-                Ok(guest)
+                self.write(&welcome).await?;
+                Ok(identity)
             }
-            OpsFrame::Hello { version, .. } => {
-                Err(format!("version {version} is not spoken here, version {VERSION} is"))
-            }
-            _ => Err("a hello was wanted".to_owned()),
+            OpsFrame::Hello { version, .. } => Err(SessionError::Version(version)),
+            _ => Err(SessionError::HelloExpected),
         }
     }
 
     async fn serve<R: AsyncRead + Unpin>(
         &mut self,
         reader: &mut FrameReader<R>,
-        guest: &Guest,
+        identity: &Identity,
         session: u64,
-        lobby: &Lobby,
-    ) -> Result<(), String> {
-        let (updates, mut updates_in) = mpsc::channel(UPDATES);
+        context: &SessionContext,
+    ) -> Result<(), SessionError> {
+        let (updates, mut updates_in) = mpsc::channel::<Update>(UPDATE_QUEUE);
         let mut frames = Vec::new();
         loop {
             tokio::select! {
@@ -180,137 +150,29 @@
                     for frame in frames.drain(..) {
                         match frame {
                             OpsFrame::Ask { seq, query } => {
-                                let answer = ask(query, guest, session, &updates, lobby).await?;
-                                self.write(&OpsFrame::Answer { seq, answer }).await.map_err(|e| e.to_string())?;
+                                let answer = answer(query, identity, session, &updates, context).await?;
+                                self.write(&OpsFrame::Answer { seq, answer }).await?;
                             }
                             OpsFrame::Bye { .. } => return Ok(()),
-                            _ => return Err("a frame that an operator does not send".to_owned()),
+                            _ => return Err(SessionError::UnexpectedFrame),
                         }
                     }
                     match read {
                         Ok(()) => {}
                         Err(ReadError::Closed) => return Ok(()),
-                        Err(error) => return Err(error.to_string()),
+                        Err(error) => return Err(error.into()),
                     }
                 }
                 Some(update) = updates_in.recv() => {
-                    self.write(&OpsFrame::Update(update)).await.map_err(|e| e.to_string())?;
+                    self.write(&OpsFrame::Update(update)).await?;
                 }
             }
         }
     }
 }
 
-fn session_number() -> u64 {
+/// Numbers sessions of this process from 0.
+fn next_session_number() -> u64 {
     static SESSIONS: AtomicU64 = AtomicU64::new(0);
     SESSIONS.fetch_add(1, Ordering::Relaxed)
 }
-
-const ENDED: &str = "the router has ended";
-
-/// Answers one question; an error ends the session.
-async fn ask(
-    query: Query,
-    guest: &Guest,
-    session: u64,
-    updates: &mpsc::Sender<Update>,
-    lobby: &Lobby,
-) -> Result<Answer, String> {
-    match query {
-        Query::Subscribe {} => {
-            let subscribed = lobby.news.send(News::Subscribe(session, updates.clone())).await;
-            subscribed.map(|()| Answer::Subscribed {}).map_err(|_| ENDED.to_owned())
-        }
-        Query::Unsubscribe {} => {
-            let unsubscribed = lobby.news.send(News::Unsubscribe(session)).await;
-            unsubscribed.map(|()| Answer::Unsubscribed {}).map_err(|_| ENDED.to_owned())
-        }
-        Query::Order { order } => carry_out(order, false, guest, lobby).await,
-        Query::OrderHere { order } => carry_out(order, true, guest, lobby).await,
-        Query::Spread {} => {
-            let spread = match &lobby.fleet {
-                Some(fleet) => fleet.spread().await.ok_or(ENDED)?,
-                None => None,
-            };
-            Ok(spread.map_or_else(alone, |spread| Answer::Spread { spread: Box::new(spread) }))
-        }
-        Query::Members {} => Ok(match &lobby.fleet {
-            Some(fleet) => {
-                let view = fleet.ask().await.ok_or(ENDED)?;
-                Answer::Members { fleet: Box::new(view) }
-            }
-            None => {
-                let message =
-                    "this router knows of no other: its settings have no <fleet>, or the key file can't \
-                               be read (see the events)"
-                        .to_owned();
-                Answer::Denied { code: DenyCode::Unknown, message }
-            }
-        }),
-        Query::Audit { filter } => {
-            let audit = match &lobby.fleet {
-                Some(fleet) => fleet.audit(filter).await.ok_or(ENDED)?,
-                None => None,
-            };
-            Ok(audit.map_or_else(alone, |audit| Answer::Audit { audit: Box::new(audit) }))
-        }
-        Query::Versions {} => {
-            let versions = match &lobby.fleet {
-                Some(fleet) => fleet.versions().await.ok_or(ENDED)?,
-                None => None,
-            };
-            Ok(versions.map_or_else(alone, |versions| Answer::Versions { versions: Box::new(versions) }))
-        }
-        Query::Live { most } => {
-            let most = most.clamp(1, MOST_LIVE);
-            let (reply, wait) = oneshot::channel();
-            lobby.control.send(Control::Live(most as usize, reply)).await.map_err(|_| ENDED)?;
-            let (mut live, mut total) = wait.await.map_err(|_| ENDED)?;
-            let left = most.saturating_sub(live.len() as u32);
-            if let Answer::Live { live: lately, total: more } =
-                ask_hub(Query::Live { most: left }, lobby).await?
-            {
-                live.extend(lately);
-                total += more;
-            }
-            Ok(Answer::Live { live, total })
-        }
-        Query::Story { request } => {
-            let (reply, wait) = oneshot::channel();
-            let open = RequestId(request.number);
-            lobby.control.send(Control::One(open, reply)).await.map_err(|_| ENDED)?;
-            let live = wait.await.map_err(|_| ENDED)?.filter(|l| l.request == request).map(Box::new);
-            match ask_hub(Query::Story { request }, lobby).await? {
-                Answer::Story { ending, .. } => Ok(Answer::Story { ending, live }),
-                other => Ok(other),
-            }
-        }
-        other => ask_hub(other, lobby).await,
-    }
-}
-
-async fn ask_hub(query: Query, lobby: &Lobby) -> Result<Answer, String> {
-    let (reply, wait) = oneshot::channel();
-    lobby.news.send(News::Ask(query, reply)).await.map_err(|_| ENDED)?;
-    wait.await.map_err(|_| ENDED.to_owned())
-}
-
-/// The answer of a router that follows no other.
-fn alone() -> Answer {
-    let message = "this router follows no other: its settings have no <fleet confirm=\"...\">";
-    Answer::Denied { code: DenyCode::Unknown, message: message.to_owned() }
-}
-
-async fn carry_out(order: Order, here: bool, guest: &Guest, lobby: &Lobby) -> Result<Answer, String> {
-    if guest.role != OpsRole::Change {
-        let message = format!("{} may look, and change nothing", guest.who);
-        return Ok(Answer::Denied { code: DenyCode::Role, message });
-    }
-    let (reply, wait) = oneshot::channel();
-    let who = guest.who.clone();
-    lobby.control.send(Control::Order { order, who, here, reply }).await.map_err(|_| ENDED)?;
-    Ok(match wait.await.map_err(|_| ENDED)? {
-        Ok(done) => Answer::Done { revision: done.revision, effect: done.effect },
-        Err(denied) => Answer::Denied { code: denied.code, message: denied.message },
-    })
-}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/ops/session_queries.rs
@@ -0,0 +1,152 @@
+//! Answers the questions of one session, by asking the owner, the event broadcaster or the fleet's task.
+
+use super::operators::Identity;
+use super::session::{SessionContext, SessionError};
+use super::BroadcasterMessage;
+use crate::shell::owner::{Control, OpenRequests};
+use gaparch_protocol::ops::ending::RequestName;
+use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Order, Query, Update};
+use gaparch_protocol::versions::AuditFilter;
+use gaparch_scheduler::api::RequestId;
+use tokio::sync::{mpsc, oneshot};
+
+/// Requests of one answer.
+const MAX_REQUESTS: u32 = 2000;
+
+/// Answers one question.
+///
+/// # Errors
+/// When the task that would answer has ended; the session ends then.
+pub(super) async fn answer(
+    query: Query,
+    identity: &Identity,
+    session: u64,
+    updates: &mpsc::Sender<Update>,
+    context: &SessionContext,
+) -> Result<Answer, SessionError> {
+    match query {
+        Query::Subscribe {} => {
+            let subscribe = BroadcasterMessage::Subscribe { session, updates: updates.clone() };
+            send_to_broadcaster(subscribe, context).await?;
+            Ok(Answer::Subscribed {})
+        }
+        Query::Unsubscribe {} => {
+            send_to_broadcaster(BroadcasterMessage::Unsubscribe { session }, context).await?;
+            Ok(Answer::Unsubscribed {})
+        }
+        Query::Order { order } => carry_out(order, false, identity, context).await,
+        Query::OrderHere { order } => carry_out(order, true, identity, context).await,
+        Query::Spread {} => order_replication(context).await,
+        Query::Members {} => members(context).await,
+        Query::Audit { filter } => audit(filter, context).await,
+        Query::Versions {} => versions(context).await,
+        Query::Live { most } => recent_requests(most, context).await,
+        Query::Story { request } => request_history(request, context).await,
+        other => ask_broadcaster(other, context).await,
+    }
+}
+
+async fn order_replication(context: &SessionContext) -> Result<Answer, SessionError> {
+    let view = match &context.fleet {
+        Some(fleet) => fleet.order_replication().await.ok_or(SessionError::RouterEnded)?,
+        None => None,
+    };
+    Ok(view.map_or_else(no_list_replication, |spread| Answer::Spread { spread: Box::new(spread) }))
+}
+
+async fn members(context: &SessionContext) -> Result<Answer, SessionError> {
+    let Some(fleet) = &context.fleet else {
+        let message = "this router knows of no other: its settings have no <fleet>, or the key file can't \
+                       be read (see the events)"
+            .to_owned();
+        return Ok(Answer::Denied { code: DenyCode::Unknown, message });
+    };
+    let view = fleet.members().await.ok_or(SessionError::RouterEnded)?;
+    Ok(Answer::Members { fleet: Box::new(view) })
+}
+
+async fn audit(filter: AuditFilter, context: &SessionContext) -> Result<Answer, SessionError> {
+    let view = match &context.fleet {
+        Some(fleet) => fleet.audit(filter).await.ok_or(SessionError::RouterEnded)?,
+        None => None,
+    };
+    Ok(view.map_or_else(no_list_replication, |audit| Answer::Audit { audit: Box::new(audit) }))
+}
+
+async fn versions(context: &SessionContext) -> Result<Answer, SessionError> {
+    let view = match &context.fleet {
+        Some(fleet) => fleet.list_versions().await.ok_or(SessionError::RouterEnded)?,
+        None => None,
+    };
+    Ok(view.map_or_else(no_list_replication, |versions| Answer::Versions { versions: Box::new(versions) }))
+}
+
+/// The answer of a router that shares lists and orders with no other.
+fn no_list_replication() -> Answer {
+    let message = "this router follows no other: its settings have no <fleet confirm=\"...\">";
+    Answer::Denied { code: DenyCode::Unknown, message: message.to_owned() }
+}
+
+/// Open requests, the oldest first, and then those that have ended, as far as there is room.
+async fn recent_requests(most: u32, context: &SessionContext) -> Result<Answer, SessionError> {
+    let most = most.clamp(1, MAX_REQUESTS);
+    let (reply, wait) = oneshot::channel();
+    send_to_owner(Control::OpenRequests { most: most as usize, reply }, context).await?;
+    let OpenRequests { mut views, mut total } = wait.await.map_err(|_| SessionError::RouterEnded)?;
+    let left = most.saturating_sub(views.len() as u32);
+    let ended = ask_broadcaster(Query::Live { most: left }, context).await?;
+    if let Answer::Live { live, total: ended_total } = ended {
+        views.extend(live);
+        total += ended_total;
+    }
+    Ok(Answer::Live { live: views, total })
+}
+
+async fn request_history(request: RequestName, context: &SessionContext) -> Result<Answer, SessionError> {
+    let (reply, wait) = oneshot::channel();
+    let id = RequestId(request.number);
+    send_to_owner(Control::OpenRequest { id, reply }, context).await?;
+    let open = wait.await.map_err(|_| SessionError::RouterEnded)?;
+    // Another run of the router has had the same number.
+    let live = open.filter(|view| view.request == request).map(Box::new);
+    match ask_broadcaster(Query::Story { request }, context).await? {
+        Answer::Story { ending, .. } => Ok(Answer::Story { ending, live }),
+        other => Ok(other),
+    }
+}
+
+async fn carry_out(
+    order: Order,
+    here: bool,
+    identity: &Identity,
+    context: &SessionContext,
+) -> Result<Answer, SessionError> {
+    if identity.role != OpsRole::Change {
+        let message = format!("{} may look, and change nothing", identity.who);
+        return Ok(Answer::Denied { code: DenyCode::Role, message });
+    }
+    let (reply, wait) = oneshot::channel();
+    let who = identity.who.clone();
+    send_to_owner(Control::Order { order, who, here, reply }, context).await?;
+    Ok(match wait.await.map_err(|_| SessionError::RouterEnded)? {
+        Ok(done) => Answer::Done { revision: done.revision, effect: done.effect },
+        Err(denied) => Answer::Denied { code: denied.code, message: denied.message },
+    })
+}
+
+async fn ask_broadcaster(query: Query, context: &SessionContext) -> Result<Answer, SessionError> {
+    let (reply, wait) = oneshot::channel();
+    send_to_broadcaster(BroadcasterMessage::Query { query, reply }, context).await?;
+    wait.await.map_err(|_| SessionError::RouterEnded)
+}
+
+async fn send_to_broadcaster(
+    message: BroadcasterMessage,
+    context: &SessionContext,
+) -> Result<(), SessionError> {
+    context.messages.send(message).await.map_err(|_| SessionError::RouterEnded)
+}
+
+async fn send_to_owner(message: Control, context: &SessionContext) -> Result<(), SessionError> {
+    context.control.send(message).await.map_err(|_| SessionError::RouterEnded)
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/ops/subscribers.rs
@@ -0,0 +1,62 @@
+//! The sessions that are subscribed to updates. Each has a bounded queue; one that is too slow for it misses updates and is
+//! sent a fresh snapshot.
+
+use gaparch_ops::feed::{Feed, Offer};
+use gaparch_protocol::ops::view::Snapshot;
+use gaparch_protocol::ops::Update;
+use std::collections::BTreeMap;
+use tokio::sync::mpsc;
+
+struct Subscriber {
+    updates: mpsc::Sender<Update>,
+    feed: Feed,
+}
+
+/// All subscribed sessions, by session number.
+#[derive(Default)]
+pub(super) struct Subscribers {
+    by_session: BTreeMap<u64, Subscriber>,
+}
+
+impl Subscribers {
+    pub fn is_empty(&self) -> bool {
+        self.by_session.is_empty()
+    }
+
+    /// Adds a session. Its queue is empty: the first update is a snapshot.
+    pub fn add(&mut self, session: u64, updates: mpsc::Sender<Update>, snapshot: Snapshot) {
+        let _ = updates.try_send(Update::Fresh { snapshot: Box::new(snapshot) });
+        self.by_session.insert(session, Subscriber { updates, feed: Feed::default() });
+    }
+
+    pub fn remove(&mut self, session: u64) {
+        self.by_session.remove(&session);
+    }
+
+    /// Offers an update to every subscriber and forgets those that have gone. Returns the sessions that missed updates and
+    /// need a fresh snapshot.
+    pub fn offer(&mut self, update: impl Fn() -> Update) -> Vec<u64> {
+        let mut need_snapshot = Vec::new();
+        self.by_session.retain(|session, subscriber| {
+            let capacity = subscriber.updates.max_capacity();
+            let queued = capacity - subscriber.updates.capacity();
+            match subscriber.feed.offer(queued, capacity) {
+                Offer::Send => drop(subscriber.updates.try_send(update())),
+                Offer::Skip => {}
+                Offer::Resync { missed } => {
+                    drop(subscriber.updates.try_send(Update::Missed { updates: missed }));
+                    need_snapshot.push(*session);
+                }
+            }
+            !subscriber.updates.is_closed()
+        });
+        need_snapshot
+    }
+
+    /// Sends a session a fresh snapshot, if it is still there.
+    pub fn resync(&self, session: u64, snapshot: Snapshot) {
+        if let Some(subscriber) = self.by_session.get(&session) {
+            drop(subscriber.updates.try_send(Update::Fresh { snapshot: Box::new(snapshot) }));
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/owner/control.rs
@@ -0,0 +1,118 @@
+//! What the owner does for other tasks: answers questions, carries out orders and reports the router's state.
+
+use super::{Control, OpenRequests, Owner};
+use crate::core::{Input, Output, Proposal};
+use crate::shell::fleet::{AdoptedList, LocalOrder};
+use crate::shell::ops::{BroadcasterMessage, OrderOutcome, OrderReply};
+use gaparch_ops::book::Denied;
+use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::view::{Figures, Happening, Severity};
+use gaparch_protocol::ops::{DenyCode, Order};
+use gaparch_protocol::versions::FleetOrder;
+use tokio::sync::oneshot;
+
+impl Owner {
+    pub(super) fn on_control(&mut self, control: Control, out: &mut Vec<Output>) {
+        let now = self.clock.now();
+        // In each case the task that asked may have ended.
+        match control {
+            Control::Counters(reply) => drop(reply.send(self.core.counters())),
+            Control::OpenRequestCount(reply) => drop(reply.send(self.core.open_requests())),
+            Control::Order { order, who, here, reply } => self.on_order(&order, &who, here, reply, out),
+            Control::FleetOrder { order, reply } => drop(reply.send(self.on_fleet_order(&order, out))),
+            Control::OpenRequests { most, reply } => {
+                let views = self.core.open_request_views(most);
+                drop(reply.send(OpenRequests { views, total: self.core.open_requests() as u64 }));
+            }
+            Control::OpenRequest { id, reply } => drop(reply.send(self.core.open_request_view(id))),
+            Control::RouterCount(count) => self.core.handle(now, Input::RouterCountChanged(count), out),
+            Control::AdoptList(adopted) => self.on_adopted_list(adopted, now, out),
+            Control::Stop => self.core.handle(now, Input::StopAt(now), out),
+            Control::StopNow => {
+                self.core.handle(now, Input::StopNow, out);
+                self.hand_over_sends();
+            }
+        }
+    }
+
+    fn on_adopted_list(&mut self, adopted: AdoptedList, now: u64, out: &mut Vec<Output>) {
+        self.hand_over_sends();
+        let update = self.versions.as_mut().and_then(|versions| versions.on_adopted(adopted));
+        if let Some(update) = update {
+            self.core.handle(now, Input::ListUpdated(update), out);
+        }
+    }
+
+    /// Carries out an order at once; it is acknowledged when it is stored.
+    fn on_order(&mut self, order: &Order, who: &str, here: bool, reply: OrderReply, out: &mut Vec<Output>) {
+        let now = self.clock.now();
+        let Some(operations) = &mut self.operations else { return };
+        let proposal = match self.core.propose(now, order, who) {
+            Ok(proposal) => proposal,
+            // Here and below: the operator may have disconnected.
+            Err(denied) => return drop(reply.send(Err(denied))),
+        };
+        if proposal.taken.change == (Change::Stop {}) {
+            operations.request_stop(now, who, &order.why);
+            let outcome = OrderOutcome { revision: proposal.taken.revision - 1, effect: proposal.effect };
+            return drop(reply.send(Ok(outcome)));
+        }
+        let Some(permit) = operations.reserve() else {
+            let message = "too many orders wait to be kept; nothing was changed";
+            return drop(reply.send(Err(Denied::new(DenyCode::Busy, message))));
+        };
+        let fleet = self.versions.as_ref().filter(|_| !here);
+        if let Some(versions) = fleet {
+            let Some(permit) = versions.reserve_order() else {
+                let message = "too many orders are on their way to the other routers; nothing was changed";
+                return drop(reply.send(Err(Denied::new(DenyCode::Busy, message))));
+            };
+            let (change, note) = (proposal.taken.change.clone(), proposal.taken.note.clone());
+            permit.send(LocalOrder { change, note });
+        }
+        self.hand_over_sends();
+        self.core.handle(now, Input::OperatorChange(proposal.taken.clone()), out);
+        // Whoever asks after the acknowledgement sees what it did.
+        self.report_status();
+        if let Some(operations) = &mut self.operations {
+            operations.store_order(permit, proposal, reply);
+        }
+    }
+
+    /// Puts an order of another router in force, and stores it as one given here; whether it is in force now.
+    fn on_fleet_order(&mut self, order: &FleetOrder, out: &mut Vec<Output>) -> bool {
+        let now = self.clock.now();
+        let who = format!("{} at {}", order.note.who, order.id.router);
+        let note = Note { who, ..order.note.clone() };
+        let Some(operations) = &mut self.operations else { return false };
+        let taken = match self.core.adopt_fleet_order(&order.change, &note) {
+            Ok(None) => return true,
+            Ok(Some(taken)) => taken,
+            Err(denied) => {
+                let text = format!("an order of the fleet can't be in force here: {denied}");
+                let event = Happening { at: now, severity: Severity::Trouble, engine: None, text };
+                operations.send(BroadcasterMessage::Event(event));
+                return false;
+            }
+        };
+        let Some(permit) = operations.reserve() else { return false };
+        self.hand_over_sends();
+        self.core.handle(now, Input::OperatorChange(taken.clone()), out);
+        self.report_status();
+        if let Some(operations) = &mut self.operations {
+            // Nobody waits for this copy: the fleet's own record of the order is what is acknowledged.
+            let (reply, _) = oneshot::channel();
+            operations.store_order(permit, Proposal { taken, effect: String::new() }, reply);
+        }
+        true
+    }
+
+    /// Reports the router's state to operators.
+    pub(super) fn report_status(&mut self) {
+        let Some(operations) = &mut self.operations else { return };
+        let lag = std::mem::take(&mut self.status_lag);
+        let lag_us = u64::try_from(lag.as_micros()).unwrap_or(u64::MAX);
+        let figures = Figures { at: self.clock.now(), lag_us, ..self.core.figures() };
+        operations.report_status(figures, self.core.engine_views(), self.core.limits());
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/owner/inputs.rs
@@ -0,0 +1,75 @@
+//! What the owner hears of engines and of the list service.
+
+use super::Owner;
+use crate::core::{Input, ListUpdate, Output};
+use crate::shell::engine::EngineMessage;
+use crate::shell::fleet::UpdateAction;
+use crate::shell::list::ListMessage;
+use crate::shell::ops::BroadcasterMessage;
+use gaparch_protocol::ops::view::{Happening, Severity};
+use gaparch_scheduler::api::ServerId;
+
+impl Owner {
+    pub(super) fn on_engine_message(&mut self, now: u64, message: EngineMessage, out: &mut Vec<Output>) {
+        match message {
+            EngineMessage::Up { engine, conn, facts } => {
+                self.core.handle(now, Input::EngineConnected { engine, conn, facts }, out);
+            }
+            EngineMessage::Down { engine, conn, reason } => {
+                tracing::info!(engine = engine.0, conn = conn.0, %reason, "engine connection down");
+                // Another connection may be there already.
+                if self.engines.get(&engine).is_some_and(|task| task.conn == conn) {
+                    self.engines.remove(&engine);
+                }
+                self.core.handle(now, Input::EngineDisconnected { engine, conn }, out);
+            }
+            EngineMessage::Frames { engine, conn, frames } => {
+                for frame in frames {
+                    self.core.handle(now, Input::EngineFrame { engine, conn, frame }, out);
+                }
+            }
+        }
+    }
+
+    pub(super) fn on_list_message(&mut self, message: ListMessage, out: &mut Vec<Output>) {
+        let now = self.clock.now();
+        let input = match message {
+            ListMessage::Up(epoch) => {
+                if let Some(versions) = &mut self.versions {
+                    versions.on_connected(epoch);
+                }
+                Input::ListServiceUp
+            }
+            ListMessage::Down(reason) => {
+                tracing::warn!(%reason, "the list service is unavailable");
+                Input::ListServiceDown
+            }
+            ListMessage::Update(update) => match self.decide_on_update(&update, now) {
+                UpdateAction::Apply => Input::ListUpdated(update),
+                UpdateAction::Ignore => return,
+                UpdateAction::FetchFullList => return out.push(Output::FetchEndpoints),
+            },
+        };
+        self.core.handle(now, input, out);
+    }
+
+    /// Whether an update is to be acted on: where other routers may hand the list on, an older one is not.
+    fn decide_on_update(&mut self, update: &ListUpdate, now: u64) -> UpdateAction {
+        self.hand_over_sends();
+        let Some(versions) = &mut self.versions else { return UpdateAction::Apply };
+        let decision = versions.on_update(update, now);
+        if let (Some(operations), Some(text)) = (&mut self.operations, decision.event) {
+            let event = Happening { at: now, severity: Severity::Warning, engine: None, text };
+            operations.send(BroadcasterMessage::Event(event));
+        }
+        decision.action
+    }
+
+    /// Hands over what was sent, to be recorded.
+    pub(super) fn hand_over_sends(&mut self) {
+        let Some(versions) = &mut self.versions else { return };
+        let core = &self.core;
+        let engine_name = |engine| core.engine_name(ServerId(engine)).to_owned();
+        versions.hand_over_sends(core.orders_revision(), self.clock.now(), engine_name);
+    }
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -0,0 +1,127 @@
+//! How the owner carries out what the core wants.
+
+use super::{EngineTask, Owner};
+use crate::core::{ConnectionNumber, Input, Output, ResponseEvent};
+use crate::shell::engine;
+use crate::shell::list::ListCommand;
+use crate::shell::ops::BroadcasterMessage;
+use gaparch_audit::Kind;
+use gaparch_protocol::engine::{AttemptKey, EngineFrame};
+use gaparch_scheduler::api::{RequestId, ServerId};
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// Frames that wait for one engine; past it its connection is closed.
+const ENGINE_OUTBOX: usize = 16_384;
+/// Stands for the attempt of a probe in the audit record.
+const NO_ATTEMPT: AttemptKey = AttemptKey { request: 0, attempt: 0 };
+
+/// What the audit record notes of a frame, if it notes it.
+fn recorded_send(frame: &EngineFrame) -> Option<(Kind, AttemptKey)> {
+    match frame {
+        EngineFrame::Read(job) => Some((Kind::Read, job.key)),
+        EngineFrame::Write { job, .. } => Some((Kind::Write, job.key)),
+        EngineFrame::Probe { .. } => Some((Kind::Probe, NO_ATTEMPT)),
+        _ => None,
+    }
+}
+
+impl Owner {
+    /// Carries out what the core wants, and what follows from that, until nothing is left.
+    pub(super) fn carry_out(&mut self, out: &mut Vec<Output>) {
+        let mut failures = Vec::new();
+        while !out.is_empty() {
+            for output in std::mem::take(out) {
+                self.perform(output, &mut failures);
+            }
+            let now = self.clock.now();
+            for input in failures.drain(..) {
+                self.core.handle(now, input, out);
+            }
+        }
+    }
+
+    /// Carries out one output; what could not be done is an input in `failures`.
+    fn perform(&mut self, output: Output, failures: &mut Vec<Input>) {
+        match output {
+            Output::Client { id, event } => self.send_to_client(id, event, failures),
+            Output::Engine { engine, frame } => self.send_to_engine(engine, frame, failures),
+            Output::Connect { engine, conn, name, address } => self.connect(engine, conn, name, address),
+            Output::Disconnect { engine, reason } => {
+                tracing::warn!(engine = engine.0, reason, "closing an engine's connection");
+                if let Some(task) = self.engines.remove(&engine) {
+                    let _ = task.frames.try_send(EngineFrame::Bye { reason: reason.to_owned() });
+                }
+            }
+            Output::WatchEndpoints(on) => self.send_to_list_service(ListCommand::Watch(on), failures),
+            Output::FetchEndpoints => self.send_to_list_service(ListCommand::Fetch, failures),
+            Output::RequestEnded(ending) => {
+                if let Some(operations) = &mut self.operations {
+                    operations.send(BroadcasterMessage::RequestEnded(ending));
+                }
+            }
+            // Its settings permit no messages between routers, and the one connection to an engine stays.
+            Output::SendGossip { .. } | Output::CloseIdleConnections(_) => {}
+            Output::Log(text) => tracing::info!(%text, "scheduler"),
+        }
+    }
+
+    fn connect(&mut self, engine: ServerId, conn: ConnectionNumber, name: String, address: String) {
+        let (frames, frames_in) = mpsc::channel(ENGINE_OUTBOX);
+        let plan = engine::Plan {
+            engine,
+            conn,
+            name,
+            address,
+            run: self.core.run(),
+            router: self.config.router.clone(),
+            connect_within: Duration::from_nanos(self.config.module.connect_timeout),
+            write_within: engine::write_within(self.config.module.drain_grace),
+            max_frame: self.config.limits.frame,
+        };
+        tokio::spawn(engine::run(plan, frames_in, self.engine_inbox.clone()));
+        self.engines.insert(engine, EngineTask { conn, frames });
+    }
+
+    fn send_to_client(&mut self, id: RequestId, event: ResponseEvent, failures: &mut Vec<Input>) {
+        let is_last = event.is_last();
+        if is_last {
+            tracing::debug!(request = id.0, ?event, "answered");
+        }
+        let Some(response) = self.clients.get(&id) else { return };
+        let sent = response.try_send(event);
+        if is_last || sent.is_err() {
+            self.clients.remove(&id);
+        }
+        if sent.is_err() && !is_last {
+            tracing::info!(request = id.0, "client disconnected, or reads too slowly");
+            failures.push(Input::ClientDisconnected(id));
+        }
+    }
+
+    fn send_to_engine(&mut self, engine: ServerId, frame: EngineFrame, failures: &mut Vec<Input>) {
+        if let Some(key) = frame.attempt() {
+            tracing::trace!(request = key.request, attempt = key.attempt, engine = engine.0, "to engine");
+        }
+        let Some(task) = self.engines.get(&engine) else { return };
+        if let Some(versions) = &mut self.versions {
+            if let Some((kind, key)) = recorded_send(&frame) {
+                let now = self.clock.now();
+                versions.recorder.tally.note(engine.0, kind, key.request, key.attempt, now);
+            }
+        }
+        if task.frames.try_send(frame).is_err() {
+            let conn = task.conn;
+            tracing::warn!(engine = engine.0, "engine does not accept frames; connection dropped");
+            self.engines.remove(&engine);
+            failures.push(Input::EngineDisconnected { engine, conn });
+        }
+    }
+
+    fn send_to_list_service(&mut self, command: ListCommand, failures: &mut Vec<Input>) {
+        let sent = self.list.as_ref().is_some_and(|list| list.try_send(command).is_ok());
+        if !sent {
+            failures.push(Input::ListServiceDown);
+        }
+    }
+}
