--- a/crates/gaparch-router/src/shell/fleet/audit_queries.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_queries.rs
@@ -3,7 +3,7 @@
 use super::audit_record;
 use super::task::FleetTask;
 use super::views::audit_view;
-use gaparch_audit::{self as audit, Gather};
+use gaparch_audit::{self as audit, AuditQuery};
 use gaparch_membership::{MemberView, Output};
 use gaparch_protocol::fleet::MemberState;
 use gaparch_protocol::ops::to_bytes;
@@ -16,7 +16,7 @@
 
 /// A question to all records whose answers are being gathered.
 pub(super) struct PendingQuery {
-    pub gather: Gather,
+    pub query: AuditQuery,
     reply: oneshot::Sender<Option<AuditView>>,
 }
 
@@ -35,8 +35,8 @@
         let members = self.membership.view().members;
         let routers = members.into_iter().filter(may_be_alive).map(|member| member.info.name).collect();
         self.next_nonce += 1;
-        let gather = Gather::new(self.next_nonce, filter, routers, self.clock.now());
-        self.audit_queries.push(PendingQuery { gather, reply });
+        let query = AuditQuery::new(self.next_nonce, filter, routers, self.clock.now());
+        self.audit_queries.push(PendingQuery { query, reply });
         self.advance_audit_queries(out);
     }
 
@@ -44,26 +44,26 @@
     pub(super) fn advance_audit_queries(&mut self, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let mut requests = Vec::new();
-        for query in &mut self.audit_queries {
-            query.gather.on_time(now, &mut requests);
+        for pending in &mut self.audit_queries {
+            pending.query.on_timer(now, &mut requests);
         }
         self.send_all(now, requests, out);
         let queries = std::mem::take(&mut self.audit_queries);
-        let (finished, pending) = queries.into_iter().partition(|query| query.gather.is_over(now));
+        let (finished_queries, pending) = queries.into_iter().partition(|pending| pending.query.is_over(now));
         self.audit_queries = pending;
-        for query in finished {
-            let answer = self.audit_answer(query.gather);
+        for finished in finished_queries {
+            let answer = self.audit_answer(finished.query);
             // The session that asked may have ended.
-            let _ = query.reply.send(Some(answer));
+            let _ = finished.reply.send(Some(answer));
         }
     }
 
     /// The answers of all routers, this one among them.
-    fn audit_answer(&self, gather: Gather) -> AuditView {
-        let filter = gather.filter().clone();
-        let mut answers = gather.told();
+    fn audit_answer(&self, query: AuditQuery) -> AuditView {
+        let filter = query.filter().clone();
+        let mut answers = query.into_answers();
         let record = audit_record::lock(&self.audit_record);
-        answers.push(audit::Told {
+        answers.push(audit::AuditAnswer {
             router: self.membership.local_info().name,
             rows: record.rows(&filter),
             gaps: Some(gap_count(&record)),
@@ -83,7 +83,7 @@
         if let ReplicationMessage::AuditRequest { nonce, filter, first } = message {
             let pages = {
                 let record = audit_record::lock(&self.audit_record);
-                audit::answer(*nonce, now, gap_count(&record), &record.rows(filter), *first)
+                audit::answer_pages(*nonce, now, gap_count(&record), &record.rows(filter), *first)
             };
             for page in pages {
                 self.membership.send_payload(now, from, to_bytes(&page), out);
@@ -91,8 +91,8 @@
         }
         if matches!(message, ReplicationMessage::AuditPage { .. }) {
             let mut requests = Vec::new();
-            for query in &mut self.audit_queries {
-                query.gather.on_talk(now, from, message, &mut requests);
+            for pending in &mut self.audit_queries {
+                pending.query.on_message(now, from, message, &mut requests);
             }
             self.send_all(now, requests, out);
             self.advance_audit_queries(out);
@@ -106,6 +106,6 @@
     }
 }
 
-fn gap_count(record: &audit::Book) -> u32 {
+fn gap_count(record: &audit::AuditLog) -> u32 {
     u32::try_from(record.gaps().len()).unwrap_or(u32::MAX)
 }
--- a/crates/gaparch-router/src/shell/fleet/audit_record.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_record.rs
@@ -3,7 +3,7 @@
 
 use super::incarnation_store::highest_number;
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter};
-use gaparch_audit::{Book, Chain, Sent};
+use gaparch_audit::{AuditLog, ChainVerifier, SendBatch};
 use gaparch_net::Clock;
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::AuditSegment;
@@ -24,16 +24,16 @@
 const MAX_MARKS: u64 = 1024;
 
 /// The record, for whoever asks about it.
-pub(super) type SharedAuditRecord = Arc<Mutex<Book>>;
+pub(super) type SharedAuditRecord = Arc<Mutex<AuditLog>>;
 
-pub(super) fn lock(record: &SharedAuditRecord) -> MutexGuard<'_, Book> {
+pub(super) fn lock(record: &SharedAuditRecord) -> MutexGuard<'_, AuditLog> {
     record.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A message of the owner.
 pub(in crate::shell) enum AuditMessage {
     /// What was sent under one version.
-    Sent(Sent),
+    Sent(SendBatch),
     /// The router shuts down; notified once all is on disk.
     Finish(oneshot::Sender<()>),
 }
@@ -46,7 +46,7 @@
 
 impl AuditStore {
     /// Reads the stored record. A disk that can't be read keeps no router from starting; the record says what it lacks.
-    pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (AuditStore, Book) {
+    pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (AuditStore, AuditLog) {
         let mut segments: Vec<AuditSegment> = Vec::new();
         let history =
             History::open(disk, "audit", SCHEMA, LIMITS, |_, body| segments.extend(from_bytes(body))).ok();
@@ -54,7 +54,7 @@
             Ok((journal, found)) => (Some(journal), highest_number(&found.records)),
             Err(_) => (None, 0),
         };
-        (AuditStore { history, mark }, Book::new(run, segments, last_written))
+        (AuditStore { history, mark }, AuditLog::new(run, segments, last_written))
     }
 
     fn write(&mut self, segment: &AuditSegment) -> Result<(), StorageFailure> {
@@ -76,14 +76,14 @@
 ///
 /// # Errors
 /// When the folder can't be opened, or a router that runs has it.
-pub fn verify(folder: &Path) -> Result<Chain, StoreError> {
+pub fn verify(folder: &Path) -> Result<ChainVerifier, StoreError> {
     let folder = Folder::open(folder)?;
-    let mut chain = Chain::default();
+    let mut chain = ChainVerifier::default();
     History::open(folder.share(), "audit", SCHEMA, LIMITS, |_, body| {
-        from_bytes(body).iter().for_each(|segment| chain.take(segment));
+        from_bytes(body).iter().for_each(|segment| chain.push(segment));
     })?;
     let (_, found) = Journal::open(folder, "audit-mark", SCHEMA)?;
-    chain.witnessed(highest_number(&found.records));
+    chain.witness(highest_number(&found.records));
     Ok(chain)
 }
 
@@ -115,7 +115,7 @@
     for gap in lock(&record).gaps() {
         tracing::warn!(%gap, "the audit record has a gap");
     }
-    let mut step = Step::write(lock(&record).begin(clock.now()));
+    let mut step = Step::write(lock(&record).start(clock.now()));
     loop {
         if let Some(segment) = step.segment.take() {
             let Ok((back, result)) = run_blocking(store, move |store| store.write(&segment)).await else {
@@ -132,13 +132,13 @@
         }
         step = tokio::select! {
             message = inbox.recv() => match message {
-                Some(AuditMessage::Sent(sent)) => Step::write(lock(&record).take(&sent)),
+                Some(AuditMessage::Sent(sent)) => Step::write(lock(&record).append(&sent)),
                 Some(AuditMessage::Finish(finished)) => {
-                    Step { segment: lock(&record).end(clock.now()), finished: Some(finished) }
+                    Step { segment: lock(&record).finish(clock.now()), finished: Some(finished) }
                 }
                 None => return,
             },
-            _ = close.tick() => Step::write(lock(&record).close(false)),
+            _ = close.tick() => Step::write(lock(&record).close_segment(false)),
         };
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/list_versions.rs
+++ b/crates/gaparch-router/src/shell/fleet/list_versions.rs
@@ -5,7 +5,7 @@
 use super::owner_updates::LocalOrder;
 use super::send_recorder::SendRecorder;
 use crate::core::ListUpdate;
-use gaparch_audit::{Held, HeldList, Nanos, Taken};
+use gaparch_audit::{ActiveList, ListOutcome, ListSnapshot, Nanos};
 use gaparch_protocol::list::Scope;
 use gaparch_protocol::versions::{ListVersion, SendContext};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub(in crate::shell) struct LocalListState {
     /// `None`: the engines of the settings alone.
-    pub list: Option<Arc<HeldList>>,
+    pub list: Option<Arc<ListSnapshot>>,
     /// When the list service itself confirmed the list last; `None`: another router has handed it on.
     pub confirmed_at: Option<Nanos>,
 }
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default)]
 pub(in crate::shell) struct AdoptedList {
     /// To be acted on, unless a later one is held by then.
-    pub list: Option<Arc<HeldList>>,
+    pub list: Option<Arc<ListSnapshot>>,
     /// A version that more than one other router has from the list service itself.
-    pub believed: Option<ListVersion>,
+    pub corroborated: Option<ListVersion>,
 }
 
 /// What to do with an update of the list service.
@@ -63,7 +63,7 @@
 
 /// The version of the list that the owner acts by.
 pub(in crate::shell) struct ListVersions {
-    held: Held,
+    active: ActiveList,
     /// Which run of the list service is connected.
     epoch: u64,
     /// No update has come on this connection yet.
@@ -83,7 +83,7 @@
 impl ListVersions {
     pub fn new(polled: bool, confirm: Nanos, ports: OwnerPorts) -> ListVersions {
         ListVersions {
-            held: Held::default(),
+            active: ActiveList::default(),
             epoch: 0,
             first_update: true,
             polled,
@@ -99,7 +99,7 @@
     pub fn hand_over_sends(&mut self, order_revision: u64, now: Nanos, engine_name: impl Fn(u32) -> String) {
         let confirmed_at = self.local_list.borrow().confirmed_at;
         let context = SendContext {
-            list: self.held.version().unwrap_or_default(),
+            list: self.active.version().unwrap_or_default(),
             confirmed: confirmed_at.is_some_and(|at| at.saturating_add(self.confirm) >= now),
             order_revision,
             build: env!("CARGO_PKG_VERSION").to_owned(),
@@ -121,21 +121,27 @@
     /// Decides what to do with an update of the list service.
     pub fn on_update(&mut self, update: &ListUpdate, now: Nanos) -> UpdateDecision {
         let first = std::mem::take(&mut self.first_update);
-        match self.held.from_service(self.epoch, first, update.scope, update.version, &update.entries) {
-            Taken::New { new_epoch } => {
+        match self.active.apply_service_update(
+            self.epoch,
+            first,
+            update.scope,
+            update.version,
+            &update.entries,
+        ) {
+            ListOutcome::Adopted { new_epoch } => {
                 self.reported_refusal = None;
-                let state = LocalListState { list: Some(self.held.list()), confirmed_at: Some(now) };
+                let state = LocalListState { list: Some(self.active.snapshot()), confirmed_at: Some(now) };
                 self.local_list.send_replace(state);
                 let text = "the list service counts anew: it was started from nothing, or went back";
                 UpdateDecision { action: UpdateAction::Apply, event: new_epoch.then(|| text.to_owned()) }
             }
-            Taken::Same => {
+            ListOutcome::Unchanged => {
                 self.local_list.send_modify(|state| state.confirmed_at = Some(now));
                 let action = if self.polled { UpdateAction::Apply } else { UpdateAction::Ignore };
                 UpdateDecision::of(action)
             }
-            Taken::Missed => UpdateDecision::of(UpdateAction::FetchFullList),
-            Taken::Refused(why) => {
+            ListOutcome::Incomplete => UpdateDecision::of(UpdateAction::FetchFullList),
+            ListOutcome::Rejected(why) => {
                 let text = format!("what the list service says is not acted on: {why}");
                 let is_new = self.reported_refusal.as_ref() != Some(&text);
                 self.reported_refusal = Some(text.clone());
@@ -146,19 +152,19 @@
 
     /// Takes a list that another router has handed on; the update to act on, if it is later than the one held.
     pub fn on_adopted(&mut self, adopted: AdoptedList) -> Option<ListUpdate> {
-        if let Some(believed) = adopted.believed {
-            let before = self.held.version();
-            self.held.believe(believed);
-            if self.held.version() != before {
+        if let Some(version) = adopted.corroborated {
+            let before = self.active.version();
+            self.active.corroborate(version);
+            if self.active.version() != before {
                 // The same list under the count that the others have: it stays as confirmed as it was.
-                let list = self.held.list();
+                let list = self.active.snapshot();
                 self.local_list.send_modify(|state| state.list = Some(list));
             }
         }
         let list = adopted.list?;
-        match self.held.from_peer(&list) {
-            Taken::New { .. } => {
-                let state = LocalListState { list: Some(self.held.list()), confirmed_at: None };
+        match self.active.apply_peer_list(&list) {
+            ListOutcome::Adopted { .. } => {
+                let state = LocalListState { list: Some(self.active.snapshot()), confirmed_at: None };
                 self.local_list.send_replace(state);
                 Some(ListUpdate {
                     scope: Scope::Full,
@@ -167,7 +173,7 @@
                     entries: list.entries.clone(),
                 })
             }
-            Taken::Same | Taken::Missed | Taken::Refused(_) => None,
+            ListOutcome::Unchanged | ListOutcome::Incomplete | ListOutcome::Rejected(_) => None,
         }
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -26,7 +26,7 @@
 use super::owner::Control;
 use super::storage::StorageReporter;
 use audit_record::{AuditStore, SharedAuditRecord};
-use gaparch_audit::{self as audit, Follow, Orders};
+use gaparch_audit::{self as audit, ListFollower};
 use gaparch_config::{Config, Fleet};
 use gaparch_membership::{Membership, Settings, SiteKey};
 use gaparch_net::{read_key, Clock, KeyError};
@@ -128,7 +128,7 @@
     order_store: FleetOrderStore,
     orders: Vec<audit::FleetOrder>,
     audit_store: AuditStore,
-    audit_record: audit::Book,
+    audit_record: audit::AuditLog,
 }
 
 impl Restored {
@@ -200,11 +200,13 @@
     let membership = Membership::new(settings, clock.now(), &mut out);
     let seed = config.module.seed ^ run.0;
     let list_replication = fleet.confirm.map(|confirm| {
-        let settings = audit::Settings { router: config.router.clone(), confirm, seed };
-        Follow::new(settings, clock.now())
+        let settings =
+            audit::FollowerSettings { router: config.router.clone(), confirm_within: confirm, seed };
+        ListFollower::new(settings, clock.now())
     });
-    let order_replication =
-        fleet.confirm.map(|_| Orders::new(&config.router, incarnation, seed, restored.orders, clock.now()));
+    let order_replication = fleet
+        .confirm
+        .map(|_| audit::FleetOrders::new(&config.router, incarnation, seed, restored.orders, clock.now()));
     let (requests, requests_in) = mpsc::channel(REQUEST_QUEUE);
     let (router_count, router_count_in) = watch::channel(config.module.router_count);
     let (incarnation_out, incarnation_in) = watch::channel(0);
--- a/crates/gaparch-router/src/shell/fleet/replication.rs
+++ b/crates/gaparch-router/src/shell/fleet/replication.rs
@@ -3,7 +3,9 @@
 use super::order_store::FleetOrders;
 use super::task::FleetTask;
 use super::views::replication_severity;
-use gaparch_audit::{self as audit, Follow, OrderOutput, Orders};
+use gaparch_audit::{
+    self as audit, FleetOrders as OrderReplication, FollowerOutput, ListFollower, OrderOutput,
+};
 use gaparch_membership::Output;
 use gaparch_protocol::fleet::MemberState;
 use gaparch_protocol::ops::to_bytes;
@@ -16,7 +18,7 @@
     pub(super) fn with_orders(
         &mut self,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Orders, u64, Vec<String>, &mut Vec<OrderOutput>),
+        act: impl FnOnce(&mut OrderReplication, u64, Vec<String>, &mut Vec<OrderOutput>),
     ) {
         let now = self.clock.now();
         let Some(orders) = &mut self.order_replication else { return };
@@ -24,13 +26,13 @@
         act(orders, now, self.membership.present_peers(), &mut wanted);
         for output in wanted {
             match output {
-                OrderOutput::Say { to, talk } => {
-                    self.membership.send_payload(now, &to, to_bytes(&talk), out);
+                OrderOutput::Send { to, message } => {
+                    self.membership.send_payload(now, &to, to_bytes(&message), out);
                 }
                 // One that finds no room is handed over again.
                 OrderOutput::Apply(order) => drop(self.remote_orders.try_send(order)),
-                OrderOutput::Keep(all) => drop(self.orders_to_store.send_replace(FleetOrders::new(all))),
-                OrderOutput::Happened(event) => self.report(Severity::Warning, event.to_string()),
+                OrderOutput::Persist(all) => drop(self.orders_to_store.send_replace(FleetOrders::new(all))),
+                OrderOutput::Event(event) => self.report(Severity::Warning, event.to_string()),
             }
         }
     }
@@ -40,7 +42,7 @@
     pub(super) fn with_list(
         &mut self,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut Follow, u64, Vec<String>, &mut Vec<audit::Output>),
+        act: impl FnOnce(&mut ListFollower, u64, Vec<String>, &mut Vec<FollowerOutput>),
     ) {
         let now = self.clock.now();
         let Some(lists) = &mut self.list_replication else { return };
@@ -48,18 +50,16 @@
         act(lists, now, self.membership.present_peers(), &mut wanted);
         for output in wanted {
             match output {
-                audit::Output::Say { to, talk } => {
-                    self.membership.send_payload(now, &to, to_bytes(&talk), out);
+                FollowerOutput::Send { to, message } => {
+                    self.membership.send_payload(now, &to, to_bytes(&message), out);
                 }
-                audit::Output::Take { list, .. } => {
+                FollowerOutput::Adopt { list, .. } => {
                     self.adopted_list.send_modify(|adopted| adopted.list = Some(list));
                 }
-                audit::Output::Believed(version) => {
-                    self.adopted_list.send_modify(|adopted| adopted.believed = Some(version));
-                }
-                audit::Output::Happened(event) => {
-                    self.report(replication_severity(&event), event.to_string())
+                FollowerOutput::Corroborated(version) => {
+                    self.adopted_list.send_modify(|adopted| adopted.corroborated = Some(version));
                 }
+                FollowerOutput::Event(event) => self.report(replication_severity(&event), event.to_string()),
             }
         }
     }
@@ -73,16 +73,16 @@
             members.into_iter().map(|member| (member.info.name, member.state)).collect();
         let may_be_alive = states.iter().filter(|(_, state)| **state != MemberState::Left);
         let names: Vec<String> = may_be_alive.map(|(name, _)| name.clone()).collect();
-        let row = |acked: audit::Acked| SpreadRow {
-            state: states.get(&acked.router).copied().unwrap_or(MemberState::Alive),
-            router: acked.router,
-            keeps: acked.keeps,
-            said_at: acked.said_at,
+        let row = |ack: audit::OrderAck| SpreadRow {
+            state: states.get(&ack.router).copied().unwrap_or(MemberState::Alive),
+            router: ack.router,
+            keeps: ack.is_complete,
+            said_at: ack.reported_at,
         };
-        let rows: Vec<SpreadRow> = orders.acked(&names).into_iter().map(row).collect();
+        let rows: Vec<SpreadRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
         let overtaken = orders
-            .overtaken()
-            .map(|(order, by)| Overtaken { order: order.clone(), by: by.clone() })
+            .superseded()
+            .map(|one| Overtaken { order: one.order.clone(), by: one.by.clone() })
             .collect();
         let complete = rows.iter().all(|row| row.keeps);
         Some(SpreadView { complete, orders: orders.all(), overtaken, rows })
--- a/crates/gaparch-router/src/shell/fleet/send_recorder.rs
+++ b/crates/gaparch-router/src/shell/fleet/send_recorder.rs
@@ -1,7 +1,7 @@
 //! Counts what is sent to engines, on the hot path, and hands the counts to the audit record's task without waiting for it.
 
 use super::audit_record::AuditMessage;
-use gaparch_audit::{Nanos, Sent, Tally};
+use gaparch_audit::{Nanos, SendBatch, SendTally};
 use gaparch_protocol::versions::SendContext;
 use std::collections::VecDeque;
 use tokio::sync::mpsc;
@@ -12,14 +12,14 @@
 /// Counts of sends that the audit record does not have yet.
 pub(in crate::shell) struct SendRecorder {
     /// What was sent since the last hand-over.
-    pub tally: Tally,
-    waiting: VecDeque<Sent>,
+    pub tally: SendTally,
+    waiting: VecDeque<SendBatch>,
     audit: mpsc::Sender<AuditMessage>,
 }
 
 impl SendRecorder {
     pub(super) fn new(audit: mpsc::Sender<AuditMessage>) -> SendRecorder {
-        SendRecorder { tally: Tally::default(), waiting: VecDeque::new(), audit }
+        SendRecorder { tally: SendTally::default(), waiting: VecDeque::new(), audit }
     }
 
     /// Hands over what was sent; `context` is what the router acted by.
@@ -54,21 +54,21 @@
 
 /// Adds counts to those that wait already: the record's disk has been stuck for long. One count an engine is kept, and where
 /// the contexts differ no context, for a clean record of the wrong one would be false.
-fn merge(last: &mut Sent, sent: Sent) {
-    last.left_out += sent.left_out + sent.singles.len() as u64;
+fn merge(last: &mut SendBatch, sent: SendBatch) {
+    last.omitted_records += sent.omitted_records + sent.records.len() as u64;
     last.at = sent.at;
-    if last.stamp != sent.stamp {
-        last.stamp = SendContext::default();
+    if last.context != sent.context {
+        last.context = SendContext::default();
     }
-    for counts in sent.sends {
-        match last.sends.iter_mut().find(|known| known.engine == counts.engine) {
+    for counts in sent.counts {
+        match last.counts.iter_mut().find(|known| known.engine == counts.engine) {
             Some(known) => {
                 known.prefills += counts.prefills;
                 known.decodes += counts.decodes;
                 known.probes += counts.probes;
                 known.last_at = counts.last_at;
             }
-            None => last.sends.push(counts),
+            None => last.counts.push(counts),
         }
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/task.rs
+++ b/crates/gaparch-router/src/shell/fleet/task.rs
@@ -8,7 +8,7 @@
 use super::owner_updates::LocalOrder;
 use super::views::{fleet_view, membership_severity, versions_view, DroppedDatagrams};
 use crate::shell::ops::BroadcasterMessage;
-use gaparch_audit::{FleetOrder, Follow, Orders};
+use gaparch_audit::{FleetOrder, FleetOrders as OrderReplication, ListFollower};
 use gaparch_membership::{Membership, MembershipEvent, OpenError, Output, SiteKey};
 use gaparch_net::Clock;
 use gaparch_protocol::fleet::MAX_DATAGRAM_BYTES;
@@ -39,13 +39,13 @@
     /// A datagram of a newer version of the protocol was an event already.
     pub(super) newer_version_reported: bool,
     /// Replication of the endpoint list, where the settings say for how long a list may go unconfirmed.
-    pub(super) list_replication: Option<Follow>,
+    pub(super) list_replication: Option<ListFollower>,
     /// The list as the owner has it.
     pub(super) local_list: watch::Receiver<LocalListState>,
     /// A list of another router, for the owner.
     pub(super) adopted_list: watch::Sender<AdoptedList>,
     /// Replication of orders, where lists are replicated.
-    pub(super) order_replication: Option<Orders>,
+    pub(super) order_replication: Option<OrderReplication>,
     /// Orders given at this router.
     pub(super) local_orders: mpsc::Receiver<LocalOrder>,
     /// Orders given at other routers, for the owner.
@@ -73,18 +73,18 @@
                 // Before what waits in the socket: a process that was stopped must know it first.
                 () = sleep_until(due) => self.on_timers_due(&mut out),
                 Some(LocalOrder { change, note }) = self.local_orders.recv(), if replicates_orders => {
-                    self.with_orders(&mut out, |orders, now, _, wanted| orders.give(now, &change, &note, wanted));
+                    self.with_orders(&mut out, |orders, now, _, wanted| orders.issue(now, &change, &note, wanted));
                 }
                 Some(id) = self.applied_orders.recv(), if replicates_orders => {
                     self.with_orders(&mut out, |orders, now, _, wanted| orders.on_applied(now, &id, wanted));
                 }
                 Ok(()) = self.stored_orders.changed(), if replicates_orders => {
                     let stored = FleetOrders::clone(&self.stored_orders.borrow_and_update());
-                    self.with_orders(&mut out, |orders, now, _, wanted| orders.on_kept(now, &stored, wanted));
+                    self.with_orders(&mut out, |orders, now, _, wanted| orders.on_stored(now, &stored, wanted));
                 }
                 Ok(()) = self.local_list.changed(), if self.list_replication.is_some() => {
                     let state = self.local_list.borrow_and_update().clone();
-                    self.with_list(&mut out, |lists, now, _, _| lists.on_news(now, state.list, state.confirmed_at));
+                    self.with_list(&mut out, |lists, now, _, _| lists.on_list(now, state.list, state.confirmed_at));
                 }
                 request = self.requests.recv() => {
                     let Some(request) = request else { return };
@@ -103,9 +103,9 @@
     }
 
     fn next_timer_at(&self) -> u64 {
-        let lists = self.list_replication.as_ref().map(Follow::next_at);
-        let orders = self.order_replication.as_ref().map(Orders::next_at);
-        let queries = self.audit_queries.iter().map(|query| query.gather.next_at());
+        let lists = self.list_replication.as_ref().map(ListFollower::next_timer_at);
+        let orders = self.order_replication.as_ref().map(OrderReplication::next_timer_at);
+        let queries = self.audit_queries.iter().map(|pending| pending.query.next_timer_at());
         let others = lists.into_iter().chain(orders).chain(queries);
         others.fold(self.membership.next_timer_at(), u64::min)
     }
@@ -113,8 +113,8 @@
     fn on_timers_due(&mut self, out: &mut Vec<Output>) {
         self.membership.on_timer(self.clock.now(), out);
         self.carry_out(out);
-        self.with_list(out, Follow::on_time);
-        self.with_orders(out, |orders, now, peers, wanted| orders.on_time(now, peers, wanted));
+        self.with_list(out, ListFollower::on_timer);
+        self.with_orders(out, |orders, now, peers, wanted| orders.on_timer(now, peers, wanted));
         self.advance_audit_queries(out);
     }
 
@@ -188,14 +188,14 @@
         }
         for (from, message) in received {
             self.on_audit_message(&from, &message, out);
-            self.with_orders(out, |orders, now, _, wanted| orders.on_talk(now, &from, &message, wanted));
-            self.with_list(out, |lists, now, _, wanted| lists.on_talk(now, &from, message, wanted));
+            self.with_orders(out, |orders, now, _, wanted| orders.on_message(now, &from, &message, wanted));
+            self.with_list(out, |lists, now, _, wanted| lists.on_message(now, &from, message, wanted));
         }
     }
 
     fn on_membership_event(&mut self, event: &MembershipEvent) {
         if let (MembershipEvent::Resumed { .. }, Some(lists)) = (event, &mut self.list_replication) {
-            lists.on_woken(self.clock.now());
+            lists.on_resumed(self.clock.now());
         }
         match membership_severity(event) {
             Some(severity) => self.report(severity, event.to_string()),
--- a/crates/gaparch-router/src/shell/fleet/views.rs
+++ b/crates/gaparch-router/src/shell/fleet/views.rs
@@ -65,7 +65,7 @@
 }
 
 /// The answers of all routers together: those that did not answer, or whose record has gaps, are unknown.
-pub(super) fn audit_view(mut answers: Vec<audit::Told>) -> AuditView {
+pub(super) fn audit_view(mut answers: Vec<audit::AuditAnswer>) -> AuditView {
     answers.sort_by(|a, b| a.router.cmp(&b.router));
     let mut rows = Vec::new();
     let mut unknown = Vec::new();
@@ -86,39 +86,39 @@
 }
 
 /// Which router holds which version of the list.
-pub(super) fn versions_view(view: audit::View) -> VersionsView {
-    let row = |row: audit::Row| VersionRow {
+pub(super) fn versions_view(view: audit::ListView) -> VersionsView {
+    let row = |row: audit::PeerListStatus| VersionRow {
         router: row.router,
         held: row.held,
         digest: row.digest,
-        sure: row.sure,
-        said_at: row.said_at,
+        sure: row.confirmed_ago,
+        said_at: row.reported_at,
     };
     VersionsView {
         held: view.held,
         entries: view.entries,
-        sure: view.sure,
+        sure: view.confirmed_ago,
         believed: view.believed,
-        corroborated: view.corroborated,
+        corroborated: view.is_corroborated,
         behind_since: view.behind_since,
-        brought_up: view.brought_up,
-        refused: view.refused,
-        rows: view.rows.into_iter().map(row).collect(),
+        brought_up: view.fetched,
+        refused: view.rejected,
+        rows: view.peers.into_iter().map(row).collect(),
     }
 }
 
 /// The severity of an event of list replication.
-pub(super) fn replication_severity(what: &audit::Happening) -> Severity {
+pub(super) fn replication_severity(what: &audit::ListEvent) -> Severity {
     match what {
-        audit::Happening::Sure | audit::Happening::CaughtUp { .. } | audit::Happening::BroughtUp { .. } => {
-            Severity::Info
-        }
-        audit::Happening::Unsure { .. }
-        | audit::Happening::Behind { .. }
-        | audit::Happening::Harmed { .. } => Severity::Warning,
-        audit::Happening::SourceIsOld { .. }
-        | audit::Happening::TwoSources { .. }
-        | audit::Happening::Outlier { .. } => Severity::Trouble,
+        audit::ListEvent::Confirmed
+        | audit::ListEvent::CaughtUp { .. }
+        | audit::ListEvent::FetchedFromPeer { .. } => Severity::Info,
+        audit::ListEvent::Unconfirmed { .. }
+        | audit::ListEvent::Behind { .. }
+        | audit::ListEvent::DigestMismatch { .. } => Severity::Warning,
+        audit::ListEvent::SourceOutdated { .. }
+        | audit::ListEvent::SourcesDiffer { .. }
+        | audit::ListEvent::Outlier { .. } => Severity::Trouble,
     }
 }
 
--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -5,7 +5,7 @@
 use crate::shell::engine;
 use crate::shell::list::ListCommand;
 use crate::shell::ops::BroadcasterMessage;
-use gaparch_audit::Kind;
+use gaparch_audit::SendKind;
 use gaparch_protocol::engine::{AttemptKey, EngineFrame};
 use gaparch_scheduler::api::{RequestId, ServerId};
 use std::time::Duration;
@@ -17,11 +17,11 @@
 const NO_ATTEMPT: AttemptKey = AttemptKey { request: 0, attempt: 0 };
 
 /// What the audit record notes of a frame, if it notes it.
-fn recorded_send(frame: &EngineFrame) -> Option<(Kind, AttemptKey)> {
+fn recorded_send(frame: &EngineFrame) -> Option<(SendKind, AttemptKey)> {
     match frame {
-        EngineFrame::Read(job) => Some((Kind::Read, job.key)),
-        EngineFrame::Write { job, .. } => Some((Kind::Write, job.key)),
-        EngineFrame::Probe { .. } => Some((Kind::Probe, NO_ATTEMPT)),
+        EngineFrame::Read(job) => Some((SendKind::Prefill, job.key)),
+        EngineFrame::Write { job, .. } => Some((SendKind::Decode, job.key)),
+        EngineFrame::Probe { .. } => Some((SendKind::Probe, NO_ATTEMPT)),
         _ => None,
     }
 }
@@ -107,7 +107,7 @@
         if let Some(versions) = &mut self.versions {
             if let Some((kind, key)) = recorded_send(&frame) {
                 let now = self.clock.now();
-                versions.recorder.tally.note(engine.0, kind, key.request, key.attempt, now);
+                versions.recorder.tally.record(engine.0, kind, key.request, key.attempt, now);
             }
         }
         if task.frames.try_send(frame).is_err() {
