--- a/crates/gaparch-router/src/core/attempts.rs
+++ b/crates/gaparch-router/src/core/attempts.rs
@@ -1,17 +1,31 @@
-//! How attempts end, and what falls due.
+//! How attempts end.
 
 use super::request::{Attempt, Stage};
-use super::timers::Timer;
-use super::{Core, Output, ResponseEvent};
+use super::Core;
 use gaparch_protocol::engine::EngineFrame;
-use gaparch_protocol::ops::ending::Cause;
 use gaparch_scheduler::api::{
     AttemptNumber, AttemptOutcome, AttemptStatus, Event, LoadReport, OutcomeNote, RequestId,
 };
 use gaparch_scheduler::state::MayHaveRun;
 
-/// Whether a read that ended so may have ended well all the same, and left its state behind.
-fn may_have_read(status: AttemptStatus) -> bool {
+/// How an attempt has ended.
+#[derive(Clone, Debug)]
+pub(super) struct AttemptResult {
+    pub status: AttemptStatus,
+    /// What the engine says beside the status; see [`OutcomeNote`].
+    pub note: u64,
+    pub report: Option<LoadReport>,
+}
+
+impl AttemptResult {
+    /// A result that the router itself has seen.
+    pub fn of(status: AttemptStatus) -> AttemptResult {
+        AttemptResult { status, note: 0, report: None }
+    }
+}
+
+/// Whether a prefill that ended so may have succeeded all the same, and left its KV cache behind.
+fn may_have_prefilled(status: AttemptStatus) -> bool {
     matches!(
         status,
         AttemptStatus::Error
@@ -22,7 +36,7 @@
     )
 }
 
-/// Whether a write that ended so is known not to have run.
+/// Whether a decode that ended so is known not to have run.
 fn has_not_run(status: AttemptStatus) -> bool {
     matches!(
         status,
@@ -34,66 +48,65 @@
 }
 
 impl Core {
-    /// Ends the attempt that is out, if it is that one, with what the router itself has seen.
+    /// Ends the attempt in flight, if it has that number, with what the router itself has seen.
     pub(super) fn finish_attempt_by_number(
         &mut self,
         id: RequestId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         status: AttemptStatus,
     ) {
-        if let Some(attempt) = self.requests.get(&id).and_then(|l| l.attempt).filter(|a| a.number == no) {
-            self.finish_attempt(id, attempt, status, 0, None);
+        if let Some(attempt) = self
+            .requests
+            .get(&id)
+            .and_then(|tracked| tracked.attempt)
+            .filter(|attempt| attempt.number == number)
+        {
+            self.finish_attempt(id, attempt, AttemptResult::of(status));
         }
     }
 
-    /// An attempt's one outcome, told to the module.
-    pub(super) fn finish_attempt(
-        &mut self,
-        id: RequestId,
-        attempt: Attempt,
-        status: AttemptStatus,
-        note: u64,
-        report: Option<LoadReport>,
-    ) {
+    /// Ends an attempt and tells the scheduler its one outcome.
+    pub(super) fn finish_attempt(&mut self, id: RequestId, attempt: Attempt, result: AttemptResult) {
+        let AttemptResult { status, note, report } = result;
         let (zone, cell) = self.endpoints.location(attempt.server);
-        let Some(live) = self.requests.get_mut(&id) else { return };
-        if let Some(attempt) = live.attempt.take() {
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        if let Some(attempt) = tracked.attempt.take() {
             self.timers.cancel(attempt.timer);
         }
         if attempt.stage == Stage::Decode
-            && !attempt.waits
+            && !attempt.awaits_connection()
             && !has_not_run(status)
-            && live.may_have_run.is_none()
+            && tracked.may_have_run.is_none()
         {
-            live.may_have_run = Some(MayHaveRun { zone, cell, at: attempt.sent_at });
+            tracked.may_have_run = Some(MayHaveRun { zone, cell, at: attempt.sent_at });
         }
-        live.record_attempt_end(status, self.now);
-        live.last_status = Some(status);
+        tracked.record_attempt_end(status, self.now);
+        tracked.last_status = Some(status);
         if !matches!(status, AttemptStatus::Ok | AttemptStatus::Prefilled) {
             self.reasons_by_kind.attempts.count(status.name());
         }
-        if let Some(link) = self.connections.get_mut(&attempt.server) {
-            link.in_flight.remove(&id);
+        if let Some(connection) = self.connections.get_mut(&attempt.server) {
+            connection.in_flight.remove(&id);
             match status {
                 AttemptStatus::Ok
                 | AttemptStatus::Prefilled
                 | AttemptStatus::Expired
                 | AttemptStatus::NoSocket => {}
-                AttemptStatus::Cancelled => link.attempt_counters.cancelled += 1,
-                _ => link.attempt_counters.failed += 1,
+                AttemptStatus::Cancelled => connection.attempt_counters.cancelled += 1,
+                _ => connection.attempt_counters.failed += 1,
             }
         }
         if status == AttemptStatus::Prefilled {
-            live.kv_cache_at = Some(attempt.server);
-            live.kv_cache_since = Some(self.now);
-            live.add_kv_holder(attempt.server);
+            tracked.kv_cache_at = Some(attempt.server);
+            tracked.kv_cache_since = Some(self.now);
+            tracked.add_kv_holder(attempt.server);
         }
-        if attempt.stage == Stage::Prefill && !attempt.waits && may_have_read(status) {
-            // The read may have ended well just as it was called off or broke: what it left would stay pinned.
+        if attempt.stage == Stage::Prefill && !attempt.awaits_connection() && may_have_prefilled(status) {
+            // The prefill may have succeeded just as it was cancelled or broke: its KV cache would stay allocated.
             self.send_to_engine(attempt.server, EngineFrame::Release { request: id.0 });
         }
-        let Some(live) = self.requests.get(&id) else { return };
-        let closed = live.answered;
+        let Some(tracked) = self.requests.get(&id) else { return };
+        let request_finished = tracked.answered;
         self.queue_disconnect_check(attempt.server);
         self.scheduler_events.push_back(Event::AttemptFinished(AttemptOutcome {
             id,
@@ -101,84 +114,11 @@
             server: attempt.server,
             status,
             latency: self.now.saturating_sub(attempt.sent_at),
-            request_finished: closed,
+            request_finished,
             cached_prompt_tokens: OutcomeNote(note).cached_prompt_tokens(status),
             kv_cache_missing: OutcomeNote(note).kv_cache_missing(status),
             report,
         }));
         self.forget_if_done(id);
     }
-
-    /// A begun stream has broken: its client is told, the request is finished by it.
-    pub(super) fn break_stream(
-        &mut self,
-        id: RequestId,
-        attempt: Attempt,
-        status: AttemptStatus,
-        out: &mut Vec<Output>,
-    ) {
-        let cause = if status == AttemptStatus::Timeout { Cause::Stalled } else { Cause::BrokeOff };
-        self.answer(id, ResponseEvent::Failed { message: "the answer broke off", cause }, out);
-        self.finish_attempt(id, attempt, status, 0, None);
-    }
-
-    pub(super) fn on_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
-        match timer {
-            Timer::Scheduler(token) => self.scheduler_events.push_back(Event::TimerFired(token)),
-            Timer::AttemptTimeout(id, no) => {
-                let attempt = self.requests.get(&id).and_then(|l| l.attempt);
-                let Some(attempt) = attempt.filter(|a| a.number == no && !a.begun) else { return };
-                self.send_cancel(id, attempt);
-                self.finish_attempt(id, attempt, AttemptStatus::Timeout, 0, None);
-            }
-            Timer::ConnectTimeout(id, no) => {
-                let waits =
-                    self.requests.get(&id).and_then(|l| l.attempt).is_some_and(|a| a.number == no && a.waits);
-                if waits {
-                    self.finish_attempt_by_number(id, no, AttemptStatus::ConnectFailed);
-                }
-            }
-            Timer::RequestOverdue(id) => self.on_overdue(id, out),
-            Timer::StreamLimit(id) => self.on_stream_limit(id, out),
-            Timer::ProbeTimeout(server, nonce) => {
-                let sent =
-                    self.connections.get_mut(&server).and_then(|l| l.outstanding_probes.remove(&nonce));
-                if let Some(sent) = sent {
-                    self.report_probe(server, self.now.saturating_sub(sent), AttemptStatus::Timeout, None);
-                }
-            }
-            Timer::Reconnect(server) => self.connect(server, out),
-        }
-        out.append(&mut self.pending_frames);
-    }
-
-    /// The client's time is up and the module has not answered: that should never be.
-    pub(super) fn on_overdue(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(live) = self.requests.get(&id).filter(|l| !l.answered) else { return };
-        if live.attempt.is_some_and(|a| a.begun) {
-            return;
-        }
-        self.counters.overdue += 1;
-        self.answer(
-            id,
-            ResponseEvent::Failed { message: "it was not ended in time", cause: Cause::Overdue },
-            out,
-        );
-        self.scheduler_events.push_back(Event::ClientDisconnected(id));
-        self.forget_if_done(id);
-    }
-
-    /// Whether a begun stream has gone on for too long, or has been silent for too long.
-    pub(super) fn on_stream_limit(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(live) = self.requests.get_mut(&id) else { return };
-        let until = live.stream_deadline(&self.config.class_times);
-        let Some(attempt) = live.attempt.as_mut().filter(|a| a.begun) else { return };
-        if self.now < until {
-            attempt.timer = self.timers.set(until, Timer::StreamLimit(id));
-            return;
-        }
-        let attempt = *attempt;
-        self.send_cancel(id, attempt);
-        self.break_stream(id, attempt, AttemptStatus::Timeout, out);
-    }
 }
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -1,7 +1,7 @@
 //! The list of engines as this router knows it, from the settings, the list service and the engines' hellos.
 
+use super::wire_names::{listed_state, server_state};
 use super::{load_values, state_at, Counters};
-use crate::core::operate::{listed_state, server_state};
 use gaparch_config::{server_id, Config, Links};
 use gaparch_ops::book::Book;
 use gaparch_ops::combine::combine;
@@ -25,39 +25,59 @@
     pub entries: Vec<ListEntry>,
 }
 
-/// Engines that are known at once; more are dropped and counted. Those of a list that replaces another count beside
-/// those of the old one until these are forgotten. The shells bound a list itself, by the memory that they may use.
+/// Endpoints that are known at once; more are ignored and counted. Those of a list that replaces another count beside those of
+/// the old one until these are forgotten. The shells bound a list itself, by the memory that they may use.
 const MAX_ENDPOINTS: usize = 1 << 16;
-/// A process that says that it began further in the future than this has a clock that is off.
+/// A process that says it began further in the future than this, in nanoseconds, has a wrong clock.
 const MAX_CLOCK_SKEW: Nanos = 3_600_000_000_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct KnownEndpoint {
     pub listed: ListEntry,
     pub address: SocketAddr,
-    /// As the module is told: with the operators' word.
+    /// What the scheduler is told, with the orders of operators applied.
     pub endpoint: Endpoint,
-    /// What its process says of its start, by its own clock.
+    /// The start of its process as it says itself, by its own clock.
     reported_start: Option<u64>,
-    /// When it was last not there, or could not be reached, by the clock here: where a change of the list first named it,
-    /// until then.
+    /// When it was last known not to be reachable, by the clock here; one that a change of the list added was not there until
+    /// then.
     unreachable_at: Nanos,
 }
 
-/// An entry of a list with when its process began, by the clock here; `None`: long ago, or not told.
+/// A list entry with the start of its process by the clock here; `None`: long ago, or not listed.
 struct EndpointWithStart {
     listed: ListEntry,
     started_at: Option<Nanos>,
-    /// A change of the list names it.
+    /// It comes with a change of the list, and not with a full list.
     is_addition: bool,
 }
 
-/// What the list and the operators say together.
-fn effective_state(listed: &ListEntry, book: &Book) -> ServerState {
-    let hold = book.hold(&listed.engine).map(|(hold, _)| hold);
+/// The state by the list and by the orders of operators together.
+fn effective_state(listed: &ListEntry, orders: &Book) -> ServerState {
+    let hold = orders.hold(&listed.engine).map(|(hold, _)| hold);
     server_state(combine(hold, listed_state(listed.state)))
 }
 
+/// Why an engine that was connected to is not the one that is listed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EngineMismatch {
+    NotListed,
+    OtherName,
+    OtherRole,
+}
+
+impl EngineMismatch {
+    /// The reason for which its connection is closed.
+    pub fn reason(self) -> &'static str {
+        match self {
+            EngineMismatch::NotListed => "an engine that is not listed",
+            EngineMismatch::OtherName => "an engine of another name than listed",
+            EngineMismatch::OtherRole => "an engine of another role than listed",
+        }
+    }
+}
+
+/// The endpoints by their server id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointTable {
     known: BTreeMap<ServerId, KnownEndpoint>,
@@ -65,8 +85,9 @@
 }
 
 impl EndpointTable {
-    pub fn load_settings(&mut self, config: &Config, book: &Book, now: Nanos) -> Vec<Endpoint> {
-        let mut counts = Counters::default();
+    /// Loads the engines of the settings.
+    pub fn load_settings(&mut self, config: &Config, orders: &Book, now: Nanos) -> Vec<Endpoint> {
+        let mut counters = Counters::default();
         for engine in &config.engines {
             let listed = ListEntry {
                 engine: engine.name.clone(),
@@ -81,146 +102,165 @@
             self.insert(
                 EndpointWithStart { listed, started_at: None, is_addition: false },
                 config,
-                book,
+                orders,
                 now,
-                &mut counts,
+                &mut counters,
             );
         }
-        self.known.values().map(|k| k.endpoint.clone()).collect()
+        self.known.values().map(|known| known.endpoint.clone()).collect()
     }
 
-    /// What the module is to be told; `None` where a change was missed.
+    /// Applies an update; what the scheduler is to be told, or `None` if a change before it was missed.
     pub fn apply_update(
         &mut self,
         update: ListUpdate,
         config: &Config,
-        book: &Book,
+        orders: &Book,
         now: Nanos,
-        counts: &mut Counters,
+        counters: &mut Counters,
     ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
-        let delta = update.scope == Scope::Delta;
-        if delta && self.version != Some(update.base_version) {
-            // One that is known already says nothing new.
-            let stale = self.version.is_some_and(|v| update.version <= v);
-            return stale.then_some((EndpointUpdate::Delta, Vec::new()));
+        let is_delta = update.scope == Scope::Delta;
+        if is_delta && self.version != Some(update.base_version) {
+            // A version that is known already says nothing new.
+            let is_known = self.version.is_some_and(|version| update.version <= version);
+            return is_known.then_some((EndpointUpdate::Delta, Vec::new()));
         }
         self.version = Some(update.version);
-        if !delta {
-            // What a whole list does not name is gone.
+        if !is_delta {
+            // What a full list does not name is removed.
             for known in self.known.values_mut() {
-                (known.listed.state, known.endpoint.state) = (ServerState::Removed, ServerState::Removed);
+                known.listed.state = ServerState::Removed;
+                known.endpoint.state = ServerState::Removed;
             }
         }
         let mut entries = Vec::new();
-        for timed in self.resolve_start_times(update.entries, !delta, config, now) {
-            entries.extend(self.insert(timed, config, book, now, counts));
+        for entry in self.resolve_start_times(update.entries, !is_delta, config, now) {
+            entries.extend(self.insert(entry, config, orders, now, counters));
         }
-        Some((if delta { EndpointUpdate::Delta } else { EndpointUpdate::Full }, entries))
+        let kind = if is_delta { EndpointUpdate::Delta } else { EndpointUpdate::Full };
+        Some((kind, entries))
     }
 
-    /// An operator has changed his word on an engine; the entry to tell of, if the engine is known.
-    pub fn apply_operator_hold(&mut self, engine: &str, book: &Book) -> Option<Endpoint> {
-        let known = self.known.get_mut(&server_id(engine)).filter(|k| k.listed.engine == engine)?;
-        known.endpoint.state = effective_state(&known.listed, book);
+    /// An operator has changed the state of an engine; what the scheduler is to be told, if the engine is known.
+    pub fn apply_operator_hold(&mut self, engine: &str, orders: &Book) -> Option<Endpoint> {
+        let known = self.known.get_mut(&server_id(engine)).filter(|known| known.listed.engine == engine)?;
+        known.endpoint.state = effective_state(&known.listed, orders);
         Some(known.endpoint.clone())
     }
 
+    /// All endpoints, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &KnownEndpoint)> {
         self.known.iter()
     }
 
+    /// The name of an engine; empty if it is not known.
     pub fn name(&self, server: ServerId) -> &str {
-        self.known.get(&server).map_or("", |k| k.listed.engine.as_str())
+        self.known.get(&server).map_or("", |known| known.listed.engine.as_str())
     }
 
-    /// Places the told starts on the clock here. One that was told before stays where it was placed then; another one
-    /// is another process, which began after the last.
+    /// Places the listed start times on the clock here. One that was listed before stays where it was placed then; another
+    /// one is another process, which began after the last.
     fn resolve_start_times(
         &self,
         entries: Vec<ListEntry>,
-        whole: bool,
+        is_full_list: bool,
         config: &Config,
         now: Nanos,
     ) -> Vec<EndpointWithStart> {
-        let before = |listed: &ListEntry| {
-            self.known.get(&server_id(&listed.engine)).filter(|known| known.listed.engine == listed.engine)
+        let starts: Vec<ListedStart> =
+            entries.iter().map(|listed| self.listed_start(listed, config)).collect();
+        let resolved = if is_full_list {
+            process_start::starts_of_full_list(now, config.module.slow_start_duration, &starts)
+        } else {
+            process_start::starts_of_delta(now, &starts)
         };
-        let start = |listed: &ListEntry| ListedStart {
+        let mut endpoints = Vec::with_capacity(entries.len());
+        for ((listed, start), resolved) in entries.into_iter().zip(starts).zip(resolved) {
+            let started_at = self.after_last_process(&listed, &start, resolved);
+            endpoints.push(EndpointWithStart { listed, started_at, is_addition: !is_full_list });
+        }
+        endpoints
+    }
+
+    /// The entry that is known under the same name.
+    fn known_as(&self, listed: &ListEntry) -> Option<&KnownEndpoint> {
+        let known = self.known.get(&server_id(&listed.engine))?;
+        (known.listed.engine == listed.engine).then_some(known)
+    }
+
+    fn listed_start(&self, listed: &ListEntry, config: &Config) -> ListedStart {
+        let same_process = self.known_as(listed).filter(|known| known.listed.started_at == listed.started_at);
+        ListedStart {
             kind: config.names.kind(&listed.kind),
             listed: listed.started_at,
-            known: before(listed)
-                .filter(|known| known.listed.started_at == listed.started_at)
-                .and_then(|known| known.endpoint.started_at),
-        };
-        let starts: Vec<ListedStart> = entries.iter().map(start).collect();
-        let began = match whole {
-            true => process_start::starts_of_full_list(now, config.module.slow_start_duration, &starts),
-            false => process_start::starts_of_delta(now, &starts),
-        };
-        let after_the_last = |listed: &ListEntry, start: &ListedStart, began: Option<Nanos>| {
-            let last =
-                before(listed).filter(|_| start.known.is_none()).and_then(|known| known.endpoint.started_at);
-            began.map(|began| last.map_or(began, |last| began.max(last + 1))).or(last)
-        };
-        let entries = entries.into_iter().zip(starts).zip(began);
-        entries
-            .map(|((listed, start), began)| {
-                let began = after_the_last(&listed, &start, began);
-                EndpointWithStart { listed, started_at: began, is_addition: !whole }
-            })
-            .collect()
+            known: same_process.and_then(|known| known.endpoint.started_at),
+        }
     }
 
+    /// A start time that is not before that of the last process under the same name.
+    fn after_last_process(
+        &self,
+        listed: &ListEntry,
+        start: &ListedStart,
+        started_at: Option<Nanos>,
+    ) -> Option<Nanos> {
+        let known = self.known_as(listed).filter(|_| start.known.is_none());
+        let last = known.and_then(|known| known.endpoint.started_at);
+        match (started_at, last) {
+            (Some(started_at), Some(last)) => Some(started_at.max(last + 1)),
+            (started_at, last) => started_at.or(last),
+        }
+    }
+
+    /// Adds or replaces an entry; what the scheduler is told of it, unless it can't be used.
     fn insert(
         &mut self,
-        EndpointWithStart { listed, started_at: began, is_addition: joins }: EndpointWithStart,
+        entry: EndpointWithStart,
         config: &Config,
-        book: &Book,
+        orders: &Book,
         now: Nanos,
-        counts: &mut Counters,
+        counters: &mut Counters,
     ) -> Option<Endpoint> {
+        let EndpointWithStart { listed, started_at, is_addition } = entry;
         let server = server_id(&listed.engine);
         let kind = config.names.kind(&listed.kind);
-        // An engine says itself what it is; without a word from it, one of an unknown kind may be asked for all.
-        let unknown = kind.is_none() && config.links == Links::Connections;
+        // An engine that is connected to says its role itself; one of an unknown kind that is not may be used for anything.
+        let is_unknown = kind.is_none() && config.links == Links::Connections;
         let known = self.known.get(&server);
-        let other = known.is_some_and(|k| k.listed.engine != listed.engine);
-        let full = known.is_none() && self.known.len() >= MAX_ENDPOINTS;
-        let Some(address) = listed.address.parse().ok().filter(|_| !unknown && !other && !full) else {
-            counts.ignored_entries += 1;
+        let is_hash_collision = known.is_some_and(|known| known.listed.engine != listed.engine);
+        let is_full = known.is_none() && self.known.len() >= MAX_ENDPOINTS;
+        let is_usable = !is_unknown && !is_hash_collision && !is_full;
+        let Some(address) = listed.address.parse().ok().filter(|_| is_usable) else {
+            counters.ignored_entries += 1;
             return None;
         };
-        let weight = listed.weight.filter(|w| load_values::is_valid(*w) && *w > 0.0);
-        counts.ignored_values += u64::from(weight.is_none() && listed.weight.is_some());
-        counts.ignored_values +=
-            u64::from(listed.started_at.is_some_and(|at| at > now.saturating_add(MAX_CLOCK_SKEW)));
-        let (said, away_at) =
-            known.map_or((None, if joins { now } else { 0 }), |k| (k.reported_start, k.unreachable_at));
-        let entry = Endpoint {
+        let weight = listed.weight.filter(|weight| load_values::is_valid(*weight) && *weight > 0.0);
+        let is_ahead = |at: u64| at > now.saturating_add(MAX_CLOCK_SKEW);
+        counters.ignored_values += u64::from(weight.is_none() && listed.weight.is_some());
+        counters.ignored_values += u64::from(listed.started_at.is_some_and(is_ahead));
+        let first_seen_at = if is_addition { now } else { 0 };
+        let reported_start = known.and_then(|known| known.reported_start);
+        let unreachable_at = known.map_or(first_seen_at, |known| known.unreachable_at);
+        let endpoint = Endpoint {
             server,
             zone: config.names.zone(&listed.zone),
             kind,
             cell: config.names.cell(&listed.zone, &listed.rack),
-            state: effective_state(&listed, book),
+            state: effective_state(&listed, orders),
             weight,
-            started_at: began,
+            started_at,
         };
-        self.known.insert(
-            server,
-            KnownEndpoint {
-                listed,
-                address,
-                endpoint: entry.clone(),
-                reported_start: said,
-                unreachable_at: away_at,
-            },
-        );
-        Some(entry)
+        let known =
+            KnownEndpoint { listed, address, endpoint: endpoint.clone(), reported_start, unreachable_at };
+        self.known.insert(server, known);
+        Some(endpoint)
     }
 
-    /// Nothing answers there now.
+    /// An engine can't be reached now.
     pub fn mark_unreachable(&mut self, server: ServerId, now: Nanos) {
-        self.known.get_mut(&server).into_iter().for_each(|k| k.unreachable_at = now);
+        if let Some(known) = self.known.get_mut(&server) {
+            known.unreachable_at = now;
+        }
     }
 
     /// An engine has said when it started; the entry to tell of, if that is news.
@@ -233,10 +273,10 @@
         server: ServerId,
         at: u64,
         now: Nanos,
-        counts: &mut Counters,
+        counters: &mut Counters,
     ) -> Option<Endpoint> {
         let known = self.known.get_mut(&server)?;
-        counts.ignored_values += u64::from(at > now.saturating_add(MAX_CLOCK_SKEW));
+        counters.ignored_values += u64::from(at > now.saturating_add(MAX_CLOCK_SKEW));
         if known.reported_start.replace(at) == Some(at) {
             return None;
         }
@@ -254,14 +294,14 @@
         server: ServerId,
         facts: &EngineFacts,
         config: &Config,
-    ) -> Result<(), &'static str> {
-        let Some(known) = self.known.get(&server) else { return Err("an engine that is not listed") };
+    ) -> Result<(), EngineMismatch> {
+        let Some(known) = self.known.get(&server) else { return Err(EngineMismatch::NotListed) };
         if facts.name != known.listed.engine {
-            return Err("an engine of another name than listed");
+            return Err(EngineMismatch::OtherName);
         }
-        match known.endpoint.kind.and_then(|k| config.module.kind(Some(k))) {
+        match known.endpoint.kind.and_then(|kind| config.module.kind(Some(kind))) {
             Some((role, _)) if role == facts.role => Ok(()),
-            _ => Err("an engine of another role than listed"),
+            _ => Err(EngineMismatch::OtherRole),
         }
     }
 
@@ -273,40 +313,40 @@
     pub fn present(&self) -> Vec<ServerId> {
         self.known
             .iter()
-            .filter(|(_, k)| k.endpoint.state != ServerState::Removed)
+            .filter(|(_, known)| known.endpoint.state != ServerState::Removed)
             .map(|(id, _)| *id)
             .collect()
     }
 
     /// It is to be connected to.
     pub fn is_present(&self, server: ServerId) -> bool {
-        self.known.get(&server).is_some_and(|k| k.endpoint.state != ServerState::Removed)
+        self.known.get(&server).is_some_and(|known| known.endpoint.state != ServerState::Removed)
     }
 
     pub fn is_ready(&self, server: ServerId) -> bool {
-        self.known.get(&server).is_some_and(|k| k.endpoint.state == ServerState::Ready)
+        self.known.get(&server).is_some_and(|known| known.endpoint.state == ServerState::Ready)
     }
 
     pub fn role(&self, server: ServerId, settings: &Settings) -> Option<Role> {
-        self.known.get(&server).and_then(|k| Some(settings.kind(k.endpoint.kind)?.0))
+        self.known.get(&server).and_then(|known| Some(settings.kind(known.endpoint.kind)?.0))
     }
 
     /// The zone and the cell that an engine is listed in.
     pub fn location(&self, server: ServerId) -> (Option<ZoneId>, Option<CellId>) {
-        self.known.get(&server).map_or((None, None), |k| (k.endpoint.zone, k.endpoint.cell))
+        self.known.get(&server).map_or((None, None), |known| (known.endpoint.zone, known.endpoint.cell))
     }
 
     pub fn connect_target(&self, server: ServerId) -> Option<(String, String)> {
-        let known = self.known.get(&server).filter(|k| k.endpoint.state != ServerState::Removed)?;
+        let known = self.known.get(&server).filter(|known| known.endpoint.state != ServerState::Removed)?;
         Some((known.listed.engine.clone(), known.listed.address.clone()))
     }
 
     /// Where an engine is, and when its process began; 0: long ago.
     pub fn process(&self, server: ServerId) -> Option<(SocketAddr, Nanos)> {
-        self.known.get(&server).map(|k| (k.address, k.endpoint.started_at.unwrap_or(0)))
+        self.known.get(&server).map(|known| (known.address, known.endpoint.started_at.unwrap_or(0)))
     }
 
     pub fn kv_source(&self, server: ServerId) -> Option<StateAt> {
-        self.known.get(&server).map(|k| state_at(&k.listed.engine, &k.listed.address))
+        self.known.get(&server).map(|known| state_at(&known.listed.engine, &known.listed.address))
     }
 }
--- a/crates/gaparch-router/src/core/endpoint_updates.rs
+++ b/crates/gaparch-router/src/core/endpoint_updates.rs
@@ -1,5 +1,6 @@
 //! The list, and the engines that it makes the router connect to.
 
+use super::attempts::AttemptResult;
 use super::connection::{ConnectionNumber, EngineConnection};
 use super::endpoint_table::ListUpdate;
 use super::request::{Attempt, TrackedRequest};
@@ -53,11 +54,11 @@
         self.fail_waiting_attempts();
         for engine in engines {
             if self.endpoints.is_present(engine) {
-                let link = match self.config.links {
+                let connection = match self.config.links {
                     Links::Connections => EngineConnection::default,
                     Links::Exchanges => EngineConnection::connectionless,
                 };
-                self.connections.entry(engine).or_insert_with(link);
+                self.connections.entry(engine).or_insert_with(connection);
             }
             self.follow_endpoint(engine, out);
         }
@@ -71,18 +72,20 @@
     /// Sends that wait for a connection are not to go out after the drain.
     fn fail_waiting_attempts(&mut self) {
         let roster = &self.endpoints;
-        let waits = |l: &TrackedRequest| l.attempt.filter(|a| a.waits && !roster.is_ready(a.server));
+        let waits = |tracked: &TrackedRequest| {
+            tracked.attempt.filter(|attempt| attempt.awaits_connection() && !roster.is_ready(attempt.server))
+        };
         let waiting: Vec<(RequestId, Attempt)> =
-            self.requests.iter().filter_map(|(id, l)| Some((*id, waits(l)?))).collect();
+            self.requests.iter().filter_map(|(id, tracked)| Some((*id, waits(tracked)?))).collect();
         for (id, attempt) in waiting {
-            self.finish_attempt(id, attempt, AttemptStatus::ConnectFailed, 0, None);
+            self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::ConnectFailed));
         }
     }
 
     fn follow_endpoint(&mut self, engine: ServerId, out: &mut Vec<Output>) {
-        let Some(link) = self.connections.get(&engine) else { return };
+        let Some(connection) = self.connections.get(&engine) else { return };
         if self.endpoints.is_present(engine) {
-            if link.is_new() {
+            if connection.is_new() {
                 self.connect(engine, out);
             }
         } else {
@@ -100,14 +103,15 @@
     /// Closes the connection to an engine that is not wanted any more, once nothing of ours runs or waits there: a
     /// state that is still to be fetched would go with it.
     pub(super) fn disconnect_if_idle(&mut self, engine: ServerId, out: &mut Vec<Output>) {
-        let Some(link) = self.connections.get(&engine).filter(|_| !self.endpoints.is_present(engine)) else {
+        let Some(connection) = self.connections.get(&engine).filter(|_| !self.endpoints.is_present(engine))
+        else {
             return;
         };
-        let holds = |l: &TrackedRequest| l.kv_held_at.contains(&engine);
-        if !link.in_flight.is_empty() || self.requests.values().any(holds) {
+        let holds = |tracked: &TrackedRequest| tracked.kv_held_at.contains(&engine);
+        if !connection.in_flight.is_empty() || self.requests.values().any(holds) {
             return;
         }
-        if let Some(conn) = link.number().filter(|c| *c != ConnectionNumber::EXCHANGES) {
+        if let Some(conn) = connection.number().filter(|c| *c != ConnectionNumber::EXCHANGES) {
             out.push(Output::Disconnect { engine, reason: "no longer listed, or set aside" });
             self.on_engine_disconnected(engine, conn, out);
         }
--- /dev/null
+++ b/crates/gaparch-router/src/core/kv_cache.rs
@@ -0,0 +1,42 @@
+//! What engines hold of a request: its KV cache after the prefill, and room reserved for it.
+
+use super::request::Stage;
+use super::Core;
+use gaparch_config::Links;
+use gaparch_protocol::engine::EngineFrame;
+use gaparch_scheduler::api::{RequestId, ServerId};
+use gaparch_scheduler::policy::kv_release::may_release_beside_decode;
+
+impl Core {
+    /// Lets go of all that is held for the request. A state that a write is out for stays booked: the write may have
+    /// arrived, and then it waits for it.
+    pub(super) fn release_kv(&mut self, id: RequestId) {
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let write = tracked.attempt.filter(|attempt| attempt.stage == Stage::Decode);
+        let fetched_from = tracked.kv_cache_at.filter(|_| write.is_some());
+        let held = std::mem::take(&mut tracked.kv_held_at);
+        tracked.kv_held_at.extend(fetched_from.filter(|s| held.contains(s)));
+        tracked.kv_cache_at = fetched_from;
+        let arrived = write.is_some_and(|w| self.policy.has_run_since(w.server, w.sent_at));
+        let beside = may_release_beside_decode(self.config.links == Links::Exchanges, arrived);
+        for server in held {
+            let is_fetched = Some(server) == fetched_from;
+            if beside || !is_fetched {
+                self.send_to_engine(server, EngineFrame::Release { request: id.0 });
+            }
+            if !is_fetched {
+                self.queue_disconnect_check(server);
+            }
+        }
+        self.forget_if_done(id);
+    }
+
+    pub(super) fn reserve_kv(&mut self, id: RequestId, server: ServerId) {
+        let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
+        let Some(reading) = tracked.attempt.filter(|attempt| attempt.stage == Stage::Prefill) else { return };
+        let Some(from) = self.endpoints.kv_source(reading.server) else { return };
+        let job = tracked.request.job(id, reading.number, tracked.deadline_at, self.now);
+        tracked.add_kv_holder(server);
+        self.send_to_engine(server, EngineFrame::Reserve { job, from });
+    }
+}
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -6,25 +6,34 @@
 mod counters;
 mod endpoint_table;
 mod endpoint_updates;
+mod engine_connections;
 mod engine_frames;
 mod input;
+mod kv_cache;
 mod load_values;
-mod operate;
+mod operator_orders;
+mod operator_views;
 mod output;
+mod probes;
 mod reason_counters;
 mod request;
+mod request_endings;
 mod request_lifecycle;
+mod sending;
+mod streams;
+mod timeouts;
 mod timers;
+mod wire_names;
 
 pub use connection::ConnectionNumber;
 pub use counters::Counters;
 pub use endpoint_table::ListUpdate;
 pub use input::Input;
-pub(crate) use operate::retry_after_millis;
-pub use operate::Proposal;
+pub use operator_orders::Proposal;
 pub use output::{Output, ResponseEvent};
 pub use reason_counters::{HeldKvCache, ReasonCounters, ReasonsByKind};
 pub use request::{AcceptedRequest, Phase};
+pub(crate) use wire_names::retry_after_millis;
 
 use connection::EngineConnection;
 use endpoint_table::EndpointTable;
@@ -122,17 +131,17 @@
 
     /// When the last byte of a request's attempt has to be written; what can't be by then is not sent.
     pub fn send_by(&self, id: RequestId) -> Nanos {
-        self.requests.get(&id).map_or(Nanos::MAX, |live| live.send_by)
+        self.requests.get(&id).map_or(Nanos::MAX, |tracked| tracked.send_by)
     }
 
     /// When the client of a request stops waiting for its first token; the present where it is not known any more.
     pub fn deadline_at(&self, id: RequestId) -> Nanos {
-        self.requests.get(&id).map_or(self.now, |live| live.deadline_at)
+        self.requests.get(&id).map_or(self.now, |tracked| tracked.deadline_at)
     }
 
     /// When a request came; the present where it is not known any more.
     pub fn arrived_at(&self, id: RequestId) -> Nanos {
-        self.requests.get(&id).map_or(self.now, |live| live.arrived_at)
+        self.requests.get(&id).map_or(self.now, |tracked| tracked.arrived_at)
     }
 
     /// Where a listed engine is, and when its process began; 0: long ago.
--- /dev/null
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -0,0 +1,205 @@
+//! The router as operators see it: engines, requests, figures and settings.
+
+use super::connection::EngineConnection;
+use super::endpoint_table::KnownEndpoint;
+use super::request::{AttemptRecord, Phase, TrackedRequest};
+use super::wire_names::{
+    attempt_stage, avoid_word, engine_role, idempotency_setting, listed_state, micros, request_phase,
+};
+use super::Core;
+use gaparch_config::Span;
+use gaparch_protocol::ops::ending::{RequestName, Step};
+use gaparch_protocol::ops::view::{EngineView, Figures, LiveView, PartRest, Setting};
+use gaparch_scheduler::api::{RequestId, ServerId, TenantId, TrafficClass};
+use gaparch_scheduler::view::{PartialEjection, ServerView};
+use std::collections::BTreeMap;
+
+impl Core {
+    /// The name of an engine that was ever listed.
+    pub fn engine_name(&self, engine: ServerId) -> &str {
+        self.endpoints.name(engine)
+    }
+
+    /// All engines that were ever listed, in the order of their names.
+    pub fn engine_views(&self) -> Vec<EngineView> {
+        let streaming = self.streams_by_engine();
+        let seen: BTreeMap<ServerId, ServerView> =
+            self.policy.views().map(|view| (view.server, view)).collect();
+        let mut views = Vec::new();
+        for (id, known) in self.endpoints.iter() {
+            if let Some(seen) = seen.get(id) {
+                let streaming = streaming.get(id).copied().unwrap_or(0);
+                views.push(self.engine_view(*id, known, seen, streaming));
+            }
+        }
+        views.sort_by(|a, b| a.name.cmp(&b.name));
+        views
+    }
+
+    fn streams_by_engine(&self) -> BTreeMap<ServerId, u32> {
+        let mut streaming: BTreeMap<ServerId, u32> = BTreeMap::new();
+        for attempt in self.requests.values().filter_map(|tracked| tracked.attempt) {
+            if attempt.is_streaming() {
+                *streaming.entry(attempt.server).or_default() += 1;
+            }
+        }
+        streaming
+    }
+
+    fn engine_view(
+        &self,
+        id: ServerId,
+        known: &KnownEndpoint,
+        seen: &ServerView,
+        streaming: u32,
+    ) -> EngineView {
+        let connection = self.connections.get(&id);
+        let counters = connection.map(|connection| connection.attempt_counters).unwrap_or_default();
+        let partial_ejection = |ejection: &PartialEjection| PartRest {
+            class: self.config.names.classes.get(ejection.class.0).cloned().unwrap_or_default(),
+            tenant: self.tenant_name(ejection.tenant).to_owned(),
+            until: ejection.until,
+        };
+        EngineView {
+            name: known.listed.engine.clone(),
+            role: engine_role(seen.role),
+            zone: known.listed.zone.clone(),
+            rack: known.listed.rack.clone(),
+            address: known.listed.address.clone(),
+            listed: listed_state(known.listed.state),
+            state: listed_state(known.endpoint.state),
+            connected: connection.is_some_and(EngineConnection::is_connected),
+            avoided: seen.avoid_reason.map(avoid_word),
+            rests: seen.partial_ejections.iter().map(partial_ejection).collect(),
+            waiting: seen.awaiting_first_token,
+            streaming,
+            unread: seen.queued_prompt_tokens,
+            memory: seen.memory_utilization,
+            memory_said: seen.reported_memory_utilization,
+            pace: seen.latency_ratio,
+            cold_budget: seen.slow_start_budget,
+            started_at: known.endpoint.started_at,
+            heard_at: seen.last_response_at,
+            attempts: counters.attempts,
+            failed: counters.failed,
+            called_off: counters.cancelled,
+        }
+    }
+
+    /// The router's own figures; the owner's lag is for the shell to fill in.
+    pub fn figures(&self) -> Figures {
+        let counters = self.counters;
+        let mut figures = Figures {
+            at: self.now,
+            requests: counters.requests,
+            served: counters.served,
+            in_time: counters.within_objective,
+            refused: counters.rejected,
+            failed: counters.failed,
+            left: counters.client_disconnected,
+            tokens: counters.tokens,
+            paused: self.orders.paused(),
+            ..Figures::default()
+        };
+        for tracked in self.requests.values() {
+            match tracked.phase() {
+                Phase::Queued => figures.held += 1,
+                Phase::Prefilling => figures.reading += 1,
+                Phase::Prefilled => figures.read += 1,
+                Phase::Decoding => figures.writing += 1,
+                Phase::Streaming => figures.streaming += 1,
+                Phase::Ended => {}
+            }
+        }
+        figures
+    }
+
+    /// The oldest open requests, at most so many.
+    pub fn open_request_views(&self, most: usize) -> Vec<LiveView> {
+        let open = self.requests.iter().filter(|(_, tracked)| !tracked.answered);
+        open.take(most).map(|(id, tracked)| self.request_view(*id, tracked)).collect()
+    }
+
+    /// One request, if it is open.
+    pub fn open_request_view(&self, id: RequestId) -> Option<LiveView> {
+        self.requests
+            .get(&id)
+            .filter(|tracked| !tracked.answered)
+            .map(|tracked| self.request_view(id, tracked))
+    }
+
+    fn request_view(&self, id: RequestId, tracked: &TrackedRequest) -> LiveView {
+        let phase = request_phase(tracked.phase());
+        let engine = tracked.attempt.map(|attempt| attempt.server).or(tracked.kv_cache_at);
+        LiveView {
+            request: RequestName { run: self.run.0, number: id.0 },
+            asked_at: tracked.arrived_at,
+            class: self.class_name(tracked).to_owned(),
+            tenant: self.tenant_name(tracked.request.tenant).to_owned(),
+            phase,
+            kind: None,
+            engine: engine.map(|server| self.endpoints.name(server)).unwrap_or_default().to_owned(),
+            tokens: tracked.usage.output,
+            took_us: micros(self.now.saturating_sub(tracked.arrived_at)),
+            steps: self.attempt_views(tracked),
+        }
+    }
+
+    /// The name of a request's class in the settings.
+    pub(super) fn class_name(&self, tracked: &TrackedRequest) -> &str {
+        self.config.names.classes.get(tracked.request.class.0).map_or("", String::as_str)
+    }
+
+    /// The name of a tenant in the settings; empty if there is none.
+    pub(super) fn tenant_name(&self, tenant: Option<TenantId>) -> &str {
+        tenant.and_then(|tenant| self.config.names.tenants.get(tenant.0)).map_or("", String::as_str)
+    }
+
+    pub(super) fn attempt_views(&self, tracked: &TrackedRequest) -> Vec<Step> {
+        let step = |record: &AttemptRecord| Step {
+            engine: self.endpoints.name(record.server).to_owned(),
+            stage: attempt_stage(record.stage),
+            from_us: micros(record.started_at.saturating_sub(tracked.arrived_at)),
+            took_us: micros(record.duration),
+            end: record.end,
+        };
+        tracked.attempt_records.iter().map(step).collect()
+    }
+
+    /// The settings in force, by the words that operators know.
+    pub fn settings_listing(&self) -> Vec<Setting> {
+        let module = &self.config.module;
+        let router = format!("{}, {} of {}", self.config.router, module.router_index, module.router_count);
+        let slow_start =
+            format!("{} from {} of full speed", Span(module.slow_start_duration), module.slow_start_speed);
+        let mut all = vec![
+            setting("router", router),
+            setting("drain grace", Span(module.drain_grace).to_string()),
+            setting("release within", Span(module.kv_release_within).to_string()),
+            setting("cold", slow_start),
+            setting("attempts at most", module.max_attempts.to_string()),
+            setting("calls off attempts", module.can_cancel.to_string()),
+            setting("probes", module.can_probe.to_string()),
+            setting("retry-after at most", Span(module.max_retry_after).to_string()),
+        ];
+        for (name, class) in self.config.names.classes.iter().zip(&module.classes) {
+            all.push(setting(&format!("class {name}"), class_listing(class)));
+        }
+        all
+    }
+}
+
+fn setting(name: &str, value: String) -> Setting {
+    Setting { name: name.to_owned(), value }
+}
+
+fn class_listing(class: &TrafficClass) -> String {
+    let listing = format!(
+        "{}, aim {}, deadline {}, worth {}",
+        idempotency_setting(class.idempotency),
+        Span(class.latency_objective),
+        Span(class.deadline),
+        class.priority_weight
+    );
+    listing.to_lowercase()
+}
--- a/crates/gaparch-router/src/core/reason_counters.rs
+++ b/crates/gaparch-router/src/core/reason_counters.rs
@@ -62,9 +62,9 @@
 
     /// What is held for requests whose answer has not begun.
     pub fn held_kv_caches(&self) -> impl Iterator<Item = HeldKvCache> + '_ {
-        self.requests.iter().filter_map(|(request, live)| {
-            let (reader, since) = (live.kv_cache_at?, live.kv_cache_since?);
-            let unanswered_at = live.attempt.map(|attempt| attempt.server);
+        self.requests.iter().filter_map(|(request, tracked)| {
+            let (reader, since) = (tracked.kv_cache_at?, tracked.kv_cache_since?);
+            let unanswered_at = tracked.attempt.map(|attempt| attempt.server);
             Some(HeldKvCache { request: *request, prefill_worker: reader, since, unanswered_at })
         })
     }
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -94,22 +94,40 @@
     Decode,
 }
 
-/// The attempt that is out.
+/// How far an attempt in flight has got.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AttemptState {
+    /// Its engine is being connected to; nothing was sent yet.
+    AwaitingConnection,
+    /// It was sent.
+    AwaitingFirstToken,
+    /// Its response has started.
+    Streaming,
+}
+
+/// The attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Attempt {
     pub number: AttemptNumber,
     pub server: ServerId,
     pub stage: Stage,
     pub sent_at: Nanos,
-    /// The answer has begun.
-    pub begun: bool,
-    /// For its connection; nothing has been written yet.
-    pub waits: bool,
-    /// Its time-out, or that of its stream once it has begun.
+    pub state: AttemptState,
+    /// Its time-out, or the limit of its stream once it has started.
     pub timer: TimerKey,
 }
 
-/// Where a request is in its life.
+impl Attempt {
+    pub fn awaits_connection(&self) -> bool {
+        self.state == AttemptState::AwaitingConnection
+    }
+
+    pub fn is_streaming(&self) -> bool {
+        self.state == AttemptState::Streaming
+    }
+}
+
+/// How far a request has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Queued,
@@ -218,7 +236,7 @@
     pub fn phase(&self) -> Phase {
         match self.attempt {
             _ if self.answered => Phase::Ended,
-            Some(Attempt { begun: true, .. }) => Phase::Streaming,
+            Some(Attempt { state: AttemptState::Streaming, .. }) => Phase::Streaming,
             Some(Attempt { stage: Stage::Prefill, .. }) => Phase::Prefilling,
             Some(_) => Phase::Decoding,
             None if self.kv_cache_at.is_some() => Phase::Prefilled,
--- /dev/null
+++ b/crates/gaparch-router/src/core/request_endings.rs
@@ -0,0 +1,79 @@
+//! Records of how requests ended, for operators.
+
+use super::wire_names::{avoid_word, micros, retry_after_millis};
+use super::{Core, Output, ResponseEvent};
+use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, Evidence, RequestName, MAX_EVIDENCE};
+use gaparch_scheduler::api::{Nanos, RequestId};
+use gaparch_scheduler::view::ServerView;
+
+/// Evidence younger than this, in nanoseconds, is used again: requests given up together saw the same.
+const EVIDENCE_MAX_AGE: Nanos = 50_000_000;
+
+impl Core {
+    /// Whether a request was served with its first token within the latency objective.
+    pub(super) fn met_latency_objective(&self, id: RequestId, event: &ResponseEvent) -> bool {
+        let Some(tracked) = self.requests.get(&id) else { return false };
+        let objective = tracked.request.latency_objective(&self.config.module);
+        let in_time = |first: Nanos| first.saturating_sub(tracked.arrived_at) <= objective;
+        matches!(event, ResponseEvent::Finished { .. }) && tracked.first_token_at.is_some_and(in_time)
+    }
+
+    /// Hands over how a request ended, where there is an operations side that records it. `event` is its final answer;
+    /// `None`: its client disconnected.
+    pub(super) fn report_ending(
+        &mut self,
+        id: RequestId,
+        event: Option<&ResponseEvent>,
+        out: &mut Vec<Output>,
+    ) {
+        if self.config.operations.is_none() {
+            return;
+        }
+        let (kind, cause, waited_for, retry_after) = match event {
+            None => (EndKind::Left, Cause::ClientLeft, None, None),
+            Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
+                (EndKind::Refused, *cause, *waited_for, Some(*retry_after))
+            }
+            Some(ResponseEvent::Failed { cause, .. }) => (EndKind::Failed, *cause, None, None),
+            Some(_) => (EndKind::Served, Cause::Answered, None, None),
+        };
+        let lost = matches!(kind, EndKind::Refused | EndKind::Failed);
+        let evidence = if lost { self.engine_evidence() } else { Vec::new() };
+        let Some(tracked) = self.requests.get(&id) else { return };
+        let request = RequestName { run: self.run.0, number: id.0 };
+        let ending = Ending {
+            class: self.class_name(tracked).to_owned(),
+            tenant: self.tenant_name(tracked.request.tenant).to_owned(),
+            waited_for,
+            retry_after_ms: retry_after.and_then(retry_after_millis),
+            first_after_us: tracked.first_token_at.map(|at| micros(at.saturating_sub(tracked.arrived_at))),
+            tokens: tracked.usage.output,
+            steps: self.attempt_views(tracked),
+            evidence,
+            fingerprint: tracked.request.fingerprint,
+            ..Ending::bare(request, tracked.arrived_at, self.now, kind, cause)
+        };
+        out.push(Output::RequestEnded(Box::new(ending)));
+    }
+
+    /// How the engines look now, the avoided ones first.
+    fn engine_evidence(&mut self) -> Vec<Evidence> {
+        if let Some((at, evidence)) = &self.evidence {
+            if self.now < at.saturating_add(EVIDENCE_MAX_AGE) {
+                return evidence.clone();
+            }
+        }
+        let mut views: Vec<ServerView> = self.policy.views().collect();
+        views.sort_by_key(|view| view.avoid_reason.is_none());
+        let evidence_of = |view: &ServerView| Evidence {
+            engine: self.endpoints.name(view.server).to_owned(),
+            avoided: view.avoid_reason.map(|reason| avoid_word(reason).word().to_owned()).unwrap_or_default(),
+            memory: view.memory_utilization,
+            unread: view.queued_prompt_tokens,
+            pace: view.latency_ratio,
+        };
+        let evidence: Vec<Evidence> = views.iter().take(MAX_EVIDENCE).map(evidence_of).collect();
+        self.evidence = Some((self.now, evidence.clone()));
+        evidence
+    }
+}
--- a/crates/gaparch-router/src/core/request_lifecycle.rs
+++ b/crates/gaparch-router/src/core/request_lifecycle.rs
@@ -1,5 +1,6 @@
 //! Requests come in, and get their one final answer.
 
+use super::attempts::AttemptResult;
 use super::request::{AcceptedRequest, TrackedRequest};
 use super::timers::Timer;
 use super::{Core, Output, ResponseEvent};
@@ -31,8 +32,8 @@
         }
         let overdue = request.deadline_at.saturating_add(self.config.module.answer_grace);
         let overdue = self.timers.set(overdue, Timer::RequestOverdue(id));
-        let live = TrackedRequest::new(ask, request.deadline_at, self.now);
-        self.requests.insert(id, TrackedRequest { overdue_timer: Some(overdue), ..live });
+        let tracked = TrackedRequest::new(ask, request.deadline_at, self.now);
+        self.requests.insert(id, TrackedRequest { overdue_timer: Some(overdue), ..tracked });
         self.scheduler_events.push_back(Event::RequestArrived(request));
     }
 
@@ -43,28 +44,28 @@
     }
 
     pub(super) fn on_client_disconnected(&mut self, id: RequestId, out: &mut Vec<Output>) {
-        let Some(live) = self.requests.get_mut(&id).filter(|l| !l.answered) else { return };
-        live.answered = true;
+        let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
+        tracked.answered = true;
         self.unanswered -= 1;
         self.counters.client_disconnected += 1;
         self.report_ending(id, None, out);
-        let Some(live) = self.requests.get(&id) else { return };
-        let begun = live.attempt.filter(|a| a.begun);
+        let Some(tracked) = self.requests.get(&id) else { return };
+        let begun = tracked.attempt.filter(|attempt| attempt.is_streaming());
         self.scheduler_events.push_back(Event::ClientDisconnected(id));
         // Nobody reads the stream: it ends, and the module hears of its attempt.
         if let Some(attempt) = begun {
             self.send_cancel(id, attempt);
-            self.finish_attempt(id, attempt, AttemptStatus::Cancelled, 0, None);
+            self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::Cancelled));
         }
         self.forget_if_done(id);
     }
 
     /// The one final answer. Whatever comes second is dropped.
     pub(super) fn answer(&mut self, id: RequestId, event: ResponseEvent, out: &mut Vec<Output>) {
-        let Some(live) = self.requests.get_mut(&id).filter(|l| !l.answered) else {
+        let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| !tracked.answered) else {
             return self.counters.duplicate_answers += 1;
         };
-        live.answered = true;
+        tracked.answered = true;
         self.unanswered -= 1;
         match event {
             ResponseEvent::Finished { .. } => self.counters.served += 1,
@@ -87,7 +88,7 @@
         if !self.requests.get(&id).is_some_and(TrackedRequest::can_be_forgotten) {
             return;
         }
-        if let Some(overdue) = self.requests.remove(&id).and_then(|live| live.overdue_timer) {
+        if let Some(overdue) = self.requests.remove(&id).and_then(|tracked| tracked.overdue_timer) {
             self.timers.cancel(overdue);
         }
     }
@@ -95,19 +96,19 @@
     pub(super) fn stop_now(&mut self, out: &mut Vec<Output>) {
         self.stop_at(self.now);
         let open: Vec<RequestId> =
-            self.requests.iter().filter(|(_, l)| !l.answered).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, tracked)| !tracked.answered).map(|(id, _)| *id).collect();
         for id in open {
             // What was never sent anywhere is harmless to repeat; of the rest nothing is promised.
-            let untouched = self.requests.get(&id).is_some_and(|l| l.next_attempt == 0);
+            let untouched = self.requests.get(&id).is_some_and(|tracked| tracked.next_attempt == 0);
             let answer = match untouched {
                 true => self.rejection(Cause::Stopping),
                 false => ResponseEvent::Failed { message: "the router was stopped", cause: Cause::Stopping },
             };
             self.answer(id, answer, out);
             self.scheduler_events.push_back(Event::ClientDisconnected(id));
-            if let Some(attempt) = self.requests.get(&id).and_then(|l| l.attempt) {
+            if let Some(attempt) = self.requests.get(&id).and_then(|tracked| tracked.attempt) {
                 self.send_cancel(id, attempt);
-                self.finish_attempt(id, attempt, AttemptStatus::Cancelled, 0, None);
+                self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::Cancelled));
             }
         }
     }
--- /dev/null
+++ b/crates/gaparch-router/src/core/timeouts.rs
@@ -0,0 +1,79 @@
+//! What is done when a timer is due.
+
+use super::attempts::AttemptResult;
+use super::timers::Timer;
+use super::{Core, Output, ResponseEvent};
+use gaparch_protocol::ops::ending::Cause;
+use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
+
+impl Core {
+    /// Does what one timer was set for.
+    pub(super) fn on_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
+        match timer {
+            Timer::Scheduler(token) => self.scheduler_events.push_back(Event::TimerFired(token)),
+            Timer::AttemptTimeout(id, number) => {
+                let attempt = self.requests.get(&id).and_then(|tracked| tracked.attempt);
+                let Some(attempt) =
+                    attempt.filter(|attempt| attempt.number == number && !attempt.is_streaming())
+                else {
+                    return;
+                };
+                self.send_cancel(id, attempt);
+                self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::Timeout));
+            }
+            Timer::ConnectTimeout(id, number) => {
+                let waits = self
+                    .requests
+                    .get(&id)
+                    .and_then(|tracked| tracked.attempt)
+                    .is_some_and(|attempt| attempt.number == number && attempt.awaits_connection());
+                if waits {
+                    self.finish_attempt_by_number(id, number, AttemptStatus::ConnectFailed);
+                }
+            }
+            Timer::RequestOverdue(id) => self.on_overdue(id, out),
+            Timer::StreamLimit(id) => self.on_stream_limit(id, out),
+            Timer::ProbeTimeout(server, nonce) => {
+                let sent = self
+                    .connections
+                    .get_mut(&server)
+                    .and_then(|connection| connection.outstanding_probes.remove(&nonce));
+                if let Some(sent) = sent {
+                    self.report_probe(server, self.now.saturating_sub(sent), AttemptStatus::Timeout, None);
+                }
+            }
+            Timer::Reconnect(server) => self.connect(server, out),
+        }
+        out.append(&mut self.pending_frames);
+    }
+
+    /// The client's deadline is over and the scheduler has not answered, which should never be.
+    pub(super) fn on_overdue(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(tracked) = self.requests.get(&id).filter(|tracked| !tracked.answered) else { return };
+        if tracked.attempt.is_some_and(|attempt| attempt.is_streaming()) {
+            return;
+        }
+        self.counters.overdue += 1;
+        self.answer(
+            id,
+            ResponseEvent::Failed { message: "it was not ended in time", cause: Cause::Overdue },
+            out,
+        );
+        self.scheduler_events.push_back(Event::ClientDisconnected(id));
+        self.forget_if_done(id);
+    }
+
+    /// Ends a stream that has gone on or been silent for too long; sets its timer anew if it has not.
+    pub(super) fn on_stream_limit(&mut self, id: RequestId, out: &mut Vec<Output>) {
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let until = tracked.stream_deadline(&self.config.class_times);
+        let Some(attempt) = tracked.attempt.as_mut().filter(|attempt| attempt.is_streaming()) else { return };
+        if self.now < until {
+            attempt.timer = self.timers.set(until, Timer::StreamLimit(id));
+            return;
+        }
+        let attempt = *attempt;
+        self.send_cancel(id, attempt);
+        self.break_stream(id, attempt, AttemptStatus::Timeout, out);
+    }
+}
