--- a/crates/gaparch-config/src/check/dialects.rs
+++ b/crates/gaparch-config/src/check/dialects.rs
@@ -5,7 +5,8 @@
 use crate::document::Problem;
 use crate::raw;
 use gaparch_protocol::client::{
-    Dialect, DialectParts, EventKind, EventShape, Field, Path, RequestField, Source, Value, Word,
+    Dialect, DialectDefinition, EventField, EventKind, EventShape, FieldSource, FieldValue, JsonPath, Label,
+    RequestField,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -42,8 +43,8 @@
                 continue;
             }
             let base = match dialect.based_on.as_str() {
-                "own" => DialectParts::own(),
-                "messages" => DialectParts::messages(),
+                "own" => DialectDefinition::own(),
+                "messages" => DialectDefinition::messages(),
                 other => {
                     self.wrong("dialect", n, "based-on", format!("'{other}' is neither own nor messages"));
                     continue;
@@ -64,21 +65,21 @@
     pub(super) fn dialect(
         &mut self,
         raw: &raw::Dialect,
-        base: DialectParts,
+        base: DialectDefinition,
         events_before: usize,
-    ) -> DialectParts {
-        let mut parts = DialectParts { name: raw.id.clone(), ..base };
+    ) -> DialectDefinition {
+        let mut parts = DialectDefinition { name: raw.id.clone(), ..base };
         for (n, event) in raw.event.iter().enumerate() {
-            let Some(kind) = EventKind::parse(&event.kind) else { continue };
+            let Some(kind) = EventKind::from_name(&event.kind) else { continue };
             let mut fields = Vec::new();
             for field in &event.field {
                 let source = match (&field.value, &field.text) {
-                    (Some(value), None) => Value::parse(value).map(Source::Value),
-                    (None, Some(text)) => Some(Source::Fixed(serde_json::Value::String(text.clone()))),
+                    (Some(value), None) => FieldValue::from_name(value).map(FieldSource::Value),
+                    (None, Some(text)) => Some(FieldSource::Fixed(serde_json::Value::String(text.clone()))),
                     _ => None,
                 };
-                match (Path::parse(&field.path), source) {
-                    (Some(path), Some(source)) => fields.push(Field { path, source }),
+                match (JsonPath::parse(&field.path), source) {
+                    (Some(path), Some(source)) => fields.push(EventField { path, source }),
                     _ => {
                         let message =
                             format!("field '{}' needs a sound path and either value or text", field.path);
@@ -89,10 +90,10 @@
             parts.events.insert(kind, EventShape { name: event.name.clone(), fields });
         }
         for word in &raw.word {
-            parts.words.extend(Word::parse(&word.of).map(|w| (w, word.spelt.clone())));
+            parts.labels.extend(Label::from_name(&word.of).map(|w| (w, word.spelt.clone())));
         }
         for request in &raw.request {
-            let field = RequestField::parse(&request.field).zip(Path::parse(&request.path));
+            let field = RequestField::from_name(&request.field).zip(JsonPath::parse(&request.path));
             parts.request.extend(field);
         }
         parts
--- a/crates/gaparch-protocol/tests/pinned_fleet.rs
+++ b/crates/gaparch-protocol/tests/pinned_fleet.rs
@@ -5,7 +5,7 @@
 
 use gaparch_protocol::fleet::{MemberInfo, MemberState, Message, MessageBody, Update};
 use gaparch_protocol::list::{ListEntry, ServerState};
-use gaparch_protocol::ops::intent::{Change, Hold, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote, DrainMode};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::{
     AuditFilter, AuditRow, AuditSegment, Claim, FleetOrder, ListVersion, OrderId, ReplicationMessage,
@@ -74,7 +74,11 @@
 }
 
 fn order(change: Change) -> FleetOrder {
-    let note = Note { who: "ada".to_owned(), why: "maintenance".to_owned(), at: 1_700_000_000_000_000_001 };
+    let note = ChangeNote {
+        operator: "ada".to_owned(),
+        reason: "maintenance".to_owned(),
+        at: 1_700_000_000_000_000_001,
+    };
     let replaced = OrderId { number: 11, restrictiveness: 0, router: "router-2".to_owned(), incarnation: 1 };
     FleetOrder { id: order_id(), replaces: Some(replaced), change, note }
 }
@@ -126,7 +130,7 @@
 }
 
 fn message(body: MessageBody, updates: Vec<Update>) -> Message {
-    Message { from: member_info(), to: "router-2".to_owned(), seq: 17, heard_members: 2, body, updates }
+    Message { from: member_info(), to: "router-2".to_owned(), seq: 17, direct_peers: 2, body, updates }
 }
 
 #[test]
@@ -201,12 +205,12 @@
 fn each_kind_of_audit_message() {
     let (held, claims) = (version(), vec![claim()]);
     assert_pinned!(
-        ReplicationMessage::ListStatus { held, digest: 0xabcd, entries: 110, confirmed_ms_ago: Some(40), claims },
+        ReplicationMessage::ListStatus { version: held, digest: 0xabcd, entries: 110, confirmed_ms_ago: Some(40), claims },
         "0100000002000000000000004d0000000000000fa1000000000000abcd0000006e0100000028000000010008726f757465722d3200000002000000000000004d0000000000000fa100000000feedbeef000000fa"
     );
     assert_pinned!(
         ReplicationMessage::ListStatus {
-            held,
+            version: held,
             digest: 0xabcd,
             entries: 0,
             confirmed_ms_ago: None,
@@ -224,7 +228,7 @@
         "0300000002000000000000004d0000000000000fa1000000000000abcd000000400000006e000000010008656e67696e652d31000d31302e302e302e313a383030300004626f746800056e6f7274680002723701013ff80000000000000117979cfe362a0000"
     );
     assert_pinned!(
-        ReplicationMessage::OrderSummary { held: 0x11, stored: 0x22, wants_answer: true },
+        ReplicationMessage::OrderSummary { digest: 0x11, complete_digest: 0x22, answer_requested: true },
         "040000000000000011000000000000002201"
     );
     assert_pinned!(
@@ -249,15 +253,15 @@
 fn stored_orders_of_each_change() {
     let engine = || "engine-1".to_owned();
     assert_pinned!(
-        order(Change::Hold { engine: engine(), hold: Hold::Drain }),
+        order(Change::Drain { engine: engine(), mode: DrainMode::Drain }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001010008656e67696e652d31010003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Hold { engine: engine(), hold: Hold::Aside }),
+        order(Change::Drain { engine: engine(), mode: DrainMode::Detach }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001010008656e67696e652d31020003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Free { engine: engine() }),
+        order(Change::Undrain { engine: engine() }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001020008656e67696e652d310003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
@@ -269,11 +273,11 @@
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d320000000000000001040003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Limit { name: "queue".to_owned(), value: Some(0.5) }),
+        order(Change::SetLimit { name: "queue".to_owned(), value: Some(0.5) }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d3200000000000000010500057175657565013fe00000000000000003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
-        order(Change::Limit { name: "queue".to_owned(), value: None }),
+        order(Change::SetLimit { name: "queue".to_owned(), value: None }),
         "000000000000000c00000000000000020008726f757465722d31000000000000000301000000000000000b00000000000000000008726f757465722d3200000000000000010500057175657565000003616461000b6d61696e74656e616e636517979cfe362a0001"
     );
     assert_pinned!(
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -3,8 +3,7 @@
 use super::wire_names::{listed_state, server_state};
 use super::{load_values, state_at, Counters};
 use gaparch_config::{server_id, Config, Links};
-use gaparch_ops::book::Book;
-use gaparch_ops::combine::combine;
+use gaparch_ops::{effective_state, OrderRegistry};
 use gaparch_protocol::engine::{EngineFacts, StateAt};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{
@@ -53,9 +52,9 @@
 }
 
 /// The state by the list and by the orders of operators together.
-fn effective_state(listed: &ListEntry, orders: &Book) -> ServerState {
-    let hold = orders.hold(&listed.engine).map(|(hold, _)| hold);
-    server_state(combine(hold, listed_state(listed.state)))
+fn ordered_state(listed: &ListEntry, orders: &OrderRegistry) -> ServerState {
+    let mode = orders.drain(&listed.engine).map(|drain| drain.mode);
+    server_state(effective_state(mode, listed_state(listed.state)))
 }
 
 /// Why an engine that was connected to is not the one that is listed.
@@ -86,7 +85,7 @@
 
 impl EndpointTable {
     /// Loads the engines of the settings.
-    pub fn load_settings(&mut self, config: &Config, orders: &Book, now: Nanos) -> Vec<Endpoint> {
+    pub fn load_settings(&mut self, config: &Config, orders: &OrderRegistry, now: Nanos) -> Vec<Endpoint> {
         let mut counters = Counters::default();
         for engine in &config.engines {
             let listed = ListEntry {
@@ -115,7 +114,7 @@
         &mut self,
         update: ListUpdate,
         config: &Config,
-        orders: &Book,
+        orders: &OrderRegistry,
         now: Nanos,
         counters: &mut Counters,
     ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
@@ -142,9 +141,9 @@
     }
 
     /// An operator has changed the state of an engine; what the scheduler is to be told, if the engine is known.
-    pub fn apply_operator_hold(&mut self, engine: &str, orders: &Book) -> Option<Endpoint> {
+    pub fn apply_operator_hold(&mut self, engine: &str, orders: &OrderRegistry) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|known| known.listed.engine == engine)?;
-        known.endpoint.state = effective_state(&known.listed, orders);
+        known.endpoint.state = ordered_state(&known.listed, orders);
         Some(known.endpoint.clone())
     }
 
@@ -217,7 +216,7 @@
         &mut self,
         entry: EndpointWithStart,
         config: &Config,
-        orders: &Book,
+        orders: &OrderRegistry,
         now: Nanos,
         counters: &mut Counters,
     ) -> Option<Endpoint> {
@@ -246,7 +245,7 @@
             zone: config.names.zone(&listed.zone),
             kind,
             cell: config.names.cell(&listed.zone, &listed.rack),
-            state: effective_state(&listed, orders),
+            state: ordered_state(&listed, orders),
             weight,
             started_at,
         };
--- a/crates/gaparch-router/src/core/engine_frames.rs
+++ b/crates/gaparch-router/src/core/engine_frames.rs
@@ -85,7 +85,7 @@
             EngineFrame::ReadDone { kept, report, .. } if attempt.stage == Stage::Prefill => {
                 let report = self.load_report_of(engine, report);
                 if let Some(tracked) = self.requests.get_mut(&id) {
-                    tracked.usage.kept = kept;
+                    tracked.usage.cached_prompt_tokens = kept;
                 }
                 self.finish_attempt(
                     id,
--- a/crates/gaparch-router/src/core/operator_orders.rs
+++ b/crates/gaparch-router/src/core/operator_orders.rs
@@ -1,10 +1,10 @@
 //! Orders of operators, and the limits that they may change.
 
 use super::{Core, Output};
-use gaparch_ops::book::{Denied, EngineStanding, Standing};
 use gaparch_ops::limits::{limited_tenant, tenant_limit, OPEN_REQUESTS};
-use gaparch_protocol::ops::intent::{Change, LimitView, Note, Taken};
-use gaparch_protocol::ops::view::{Avoid, EngineState, EngineView};
+use gaparch_ops::{EngineStatus, OrderDenied, SiteStatus};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, LimitView};
+use gaparch_protocol::ops::view::{AvoidReason, EngineState, EngineView};
 use gaparch_protocol::ops::Order;
 use gaparch_scheduler::api::{EndpointUpdate, Event, Nanos, Tenant, TenantId};
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
     /// The change, as it is stored.
-    pub taken: Taken,
+    pub taken: AcceptedChange,
     /// What it does to the requests at hand, in words.
     pub effect: String,
 }
@@ -25,9 +25,9 @@
     ///
     /// # Errors
     /// When it may not; the message says why.
-    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, Denied> {
-        let (taken, effect) = self.orders.propose(order, who, now, &self.site_state())?;
-        Ok(Proposal { taken, effect })
+    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, OrderDenied> {
+        let proposed = self.orders.propose(order, who, now, &self.site_state())?;
+        Ok(Proposal { taken: proposed.change, effect: proposed.effect })
     }
 
     /// The number of the last change by an operator.
@@ -39,24 +39,29 @@
     ///
     /// # Errors
     /// When it makes no sense here; the message says why.
-    pub fn adopt_fleet_order(&self, change: &Change, note: &Note) -> Result<Option<Taken>, Denied> {
+    pub fn adopt_fleet_order(
+        &self,
+        change: &Change,
+        note: &ChangeNote,
+    ) -> Result<Option<AcceptedChange>, OrderDenied> {
         self.orders.adopt(change, note, &self.limits())
     }
 
-    fn site_state(&self) -> Standing {
-        let standing = |view: EngineView| EngineStanding {
-            takes_new: view.state == EngineState::Ready && view.avoided != Some(Avoid::Unreachable),
+    fn site_state(&self) -> SiteStatus {
+        let standing = |view: EngineView| EngineStatus {
+            accepts_requests: view.state == EngineState::Ready
+                && view.avoid_reason != Some(AvoidReason::Unreachable),
             name: view.name,
             role: view.role,
-            waiting: view.waiting,
+            awaiting_first_token: view.awaiting_first_token,
             streaming: view.streaming,
         };
         let figures = self.figures();
-        Standing {
+        SiteStatus {
             engines: self.engine_views().into_iter().map(standing).collect(),
-            held: figures.held,
-            reading: figures.reading,
-            self_prefill: self.config.module.decode_workers_can_prefill,
+            queued: figures.queued,
+            prefilling: figures.prefilling,
+            decode_workers_can_prefill: self.config.module.decode_workers_can_prefill,
             limits: self.limits(),
         }
     }
@@ -67,9 +72,9 @@
         let limit = |name: String, by_settings: f64, least, most, unit: &str| LimitView {
             value: self.orders.limit(&name).unwrap_or(by_settings),
             name,
-            by_settings,
-            least,
-            most,
+            configured_value: by_settings,
+            min: least,
+            max: most,
             unit: unit.to_owned(),
         };
         let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
@@ -92,11 +97,11 @@
     }
 
     /// Puts a change by an operator in force.
-    pub(super) fn on_operator_change(&mut self, taken: Taken, out: &mut Vec<Output>) {
+    pub(super) fn on_operator_change(&mut self, taken: AcceptedChange, out: &mut Vec<Output>) {
         let change = taken.change.clone();
         self.orders.apply(taken);
         match change {
-            Change::Hold { engine, .. } | Change::Free { engine } => {
+            Change::Drain { engine, .. } | Change::Undrain { engine } => {
                 if let Some(entry) = self.endpoints.apply_operator_hold(&engine, &self.orders) {
                     let entries = vec![entry].into();
                     self.scheduler_events.push_back(Event::EndpointsChanged {
@@ -106,7 +111,7 @@
                     self.follow_all_endpoints(out);
                 }
             }
-            Change::Limit { name, value } => {
+            Change::SetLimit { name, value } => {
                 let tenant = limited_tenant(&name);
                 let tenant = tenant
                     .and_then(|tenant| self.config.names.tenants.iter().position(|name| name == tenant));
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -4,12 +4,12 @@
 use super::endpoint_table::KnownEndpoint;
 use super::request::{AttemptRecord, Phase, TrackedRequest};
 use super::wire_names::{
-    attempt_stage, avoid_word, engine_role, idempotency_setting, listed_state, micros, request_phase,
+    attempt_stage, avoid_reason, engine_role, idempotency_setting, listed_state, micros, request_phase,
 };
 use super::Core;
 use gaparch_config::Span;
-use gaparch_protocol::ops::ending::{RequestName, Step};
-use gaparch_protocol::ops::view::{EngineView, Figures, LiveView, PartRest, Setting};
+use gaparch_protocol::ops::outcome::{self, GlobalRequestId};
+use gaparch_protocol::ops::view::{self, EngineView, RequestView, RouterMetrics, Setting};
 use gaparch_scheduler::api::{RequestId, ServerId, TenantId, TrafficClass};
 use gaparch_scheduler::view::{PartialEjection, ServerView};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     ) -> EngineView {
         let connection = self.connections.get(&id);
         let counters = connection.map(|connection| connection.attempt_counters).unwrap_or_default();
-        let partial_ejection = |ejection: &PartialEjection| PartRest {
+        let partial_ejection = |ejection: &PartialEjection| view::PartialEjection {
             class: self.config.names.classes.get(ejection.class.0).cloned().unwrap_or_default(),
             tenant: self.tenant_name(ejection.tenant).to_owned(),
             until: ejection.until,
@@ -66,47 +66,47 @@
             zone: known.listed.zone.clone(),
             rack: known.listed.rack.clone(),
             address: known.listed.address.clone(),
-            listed: listed_state(known.listed.state),
+            listed_state: listed_state(known.listed.state),
             state: listed_state(known.endpoint.state),
             connected: connection.is_some_and(EngineConnection::is_connected),
-            avoided: seen.avoid_reason.map(avoid_word),
-            rests: seen.partial_ejections.iter().map(partial_ejection).collect(),
-            waiting: seen.awaiting_first_token,
+            avoid_reason: seen.avoid_reason.map(avoid_reason),
+            partial_ejections: seen.partial_ejections.iter().map(partial_ejection).collect(),
+            awaiting_first_token: seen.awaiting_first_token,
             streaming,
-            unread: seen.queued_prompt_tokens,
-            memory: seen.memory_utilization,
-            memory_said: seen.reported_memory_utilization,
-            pace: seen.latency_ratio,
-            cold_budget: seen.slow_start_budget,
+            queued_prompt_tokens: seen.queued_prompt_tokens,
+            memory_utilization: seen.memory_utilization,
+            reported_memory_utilization: seen.reported_memory_utilization,
+            latency_ratio: seen.latency_ratio,
+            slow_start_budget: seen.slow_start_budget,
             started_at: known.endpoint.started_at,
-            heard_at: seen.last_response_at,
+            last_response_at: seen.last_response_at,
             attempts: counters.attempts,
             failed: counters.failed,
-            called_off: counters.cancelled,
+            cancelled: counters.cancelled,
         }
     }
 
     /// The router's own figures; the owner's lag is for the shell to fill in.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> RouterMetrics {
         let counters = self.counters;
-        let mut figures = Figures {
+        let mut figures = RouterMetrics {
             at: self.now,
             requests: counters.requests,
             served: counters.served,
-            in_time: counters.within_objective,
-            refused: counters.rejected,
+            served_in_time: counters.within_objective,
+            rejected: counters.rejected,
             failed: counters.failed,
-            left: counters.client_disconnected,
+            client_disconnected: counters.client_disconnected,
             tokens: counters.tokens,
-            paused: self.orders.paused(),
-            ..Figures::default()
+            paused: self.orders.is_paused(),
+            ..RouterMetrics::default()
         };
         for tracked in self.requests.values() {
             match tracked.phase() {
-                Phase::Queued => figures.held += 1,
-                Phase::Prefilling => figures.reading += 1,
-                Phase::Prefilled => figures.read += 1,
-                Phase::Decoding => figures.writing += 1,
+                Phase::Queued => figures.queued += 1,
+                Phase::Prefilling => figures.prefilling += 1,
+                Phase::Prefilled => figures.prefilled += 1,
+                Phase::Decoding => figures.decoding += 1,
                 Phase::Streaming => figures.streaming += 1,
                 Phase::Ended => {}
             }
@@ -115,33 +115,33 @@
     }
 
     /// The oldest open requests, at most so many.
-    pub fn open_request_views(&self, most: usize) -> Vec<LiveView> {
+    pub fn open_request_views(&self, most: usize) -> Vec<RequestView> {
         let open = self.requests.iter().filter(|(_, tracked)| !tracked.answered);
         open.take(most).map(|(id, tracked)| self.request_view(*id, tracked)).collect()
     }
 
     /// One request, if it is open.
-    pub fn open_request_view(&self, id: RequestId) -> Option<LiveView> {
+    pub fn open_request_view(&self, id: RequestId) -> Option<RequestView> {
         self.requests
             .get(&id)
             .filter(|tracked| !tracked.answered)
             .map(|tracked| self.request_view(id, tracked))
     }
 
-    fn request_view(&self, id: RequestId, tracked: &TrackedRequest) -> LiveView {
+    fn request_view(&self, id: RequestId, tracked: &TrackedRequest) -> RequestView {
         let phase = request_phase(tracked.phase());
         let engine = tracked.attempt.map(|attempt| attempt.server).or(tracked.kv_cache_at);
-        LiveView {
-            request: RequestName { run: self.run.0, number: id.0 },
-            asked_at: tracked.arrived_at,
+        RequestView {
+            request: GlobalRequestId { run: self.run.0, number: id.0 },
+            received_at: tracked.arrived_at,
             class: self.class_name(tracked).to_owned(),
             tenant: self.tenant_name(tracked.request.tenant).to_owned(),
             phase,
             kind: None,
             engine: engine.map(|server| self.endpoints.name(server)).unwrap_or_default().to_owned(),
-            tokens: tracked.usage.output,
-            took_us: micros(self.now.saturating_sub(tracked.arrived_at)),
-            steps: self.attempt_views(tracked),
+            tokens: tracked.usage.output_tokens,
+            elapsed_us: micros(self.now.saturating_sub(tracked.arrived_at)),
+            attempts: self.attempt_views(tracked),
         }
     }
 
@@ -155,11 +155,11 @@
         tenant.and_then(|tenant| self.config.names.tenants.get(tenant.0)).map_or("", String::as_str)
     }
 
-    pub(super) fn attempt_views(&self, tracked: &TrackedRequest) -> Vec<Step> {
-        let step = |record: &AttemptRecord| Step {
+    pub(super) fn attempt_views(&self, tracked: &TrackedRequest) -> Vec<outcome::AttemptRecord> {
+        let step = |record: &AttemptRecord| outcome::AttemptRecord {
             engine: self.endpoints.name(record.server).to_owned(),
             stage: attempt_stage(record.stage),
-            from_us: micros(record.started_at.saturating_sub(tracked.arrived_at)),
+            sent_after_us: micros(record.started_at.saturating_sub(tracked.arrived_at)),
             took_us: micros(record.duration),
             end: record.end,
         };
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -4,7 +4,7 @@
 use gaparch_config::ClassTimes;
 use gaparch_protocol::client::Usage;
 use gaparch_protocol::engine::{AttemptKey, Job};
-use gaparch_protocol::ops::ending::{StepEnd, MAX_STEPS};
+use gaparch_protocol::ops::outcome::{AttemptEnd, MAX_ATTEMPTS};
 use gaparch_scheduler::api::{
     AffinityKey, AttemptNumber, AttemptStatus, ClassId, Nanos, Request, RequestId, ServerId, Settings,
     TenantId,
@@ -176,13 +176,13 @@
     pub stage: Stage,
     pub started_at: Nanos,
     pub duration: Nanos,
-    pub end: StepEnd,
+    pub end: AttemptEnd,
 }
 
 impl TrackedRequest {
     pub fn new(ask: AcceptedRequest, give_up_at: Nanos, now: Nanos) -> TrackedRequest {
         TrackedRequest {
-            usage: Usage { prompt: ask.prompt_tokens, ..Usage::default() },
+            usage: Usage { prompt_tokens: ask.prompt_tokens, ..Usage::default() },
             request: ask,
             deadline_at: give_up_at,
             next_attempt: 0,
@@ -205,30 +205,30 @@
 
     /// Notes an attempt that begins.
     pub fn record_attempt_start(&mut self, server: ServerId, stage: Stage, now: Nanos) {
-        if self.attempt_records.len() < MAX_STEPS {
+        if self.attempt_records.len() < MAX_ATTEMPTS {
             self.attempt_records.push(AttemptRecord {
                 server,
                 stage,
                 started_at: now,
                 duration: 0,
-                end: StepEnd::Out,
+                end: AttemptEnd::InFlight,
             });
         }
     }
 
     /// Notes how the last attempt ended.
     pub fn record_attempt_end(&mut self, status: AttemptStatus, now: Nanos) {
-        let out = self.attempt_records.last_mut().filter(|s| s.end == StepEnd::Out);
+        let out = self.attempt_records.last_mut().filter(|s| s.end == AttemptEnd::InFlight);
         if let Some(step) = out {
             step.duration = now.saturating_sub(step.started_at);
             step.end = match status {
-                AttemptStatus::Ok | AttemptStatus::Prefilled => StepEnd::Done,
-                AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => StepEnd::Error,
-                AttemptStatus::Rejected => StepEnd::Full,
-                AttemptStatus::Timeout => StepEnd::Timeout,
-                AttemptStatus::ConnectFailed | AttemptStatus::NoSocket => StepEnd::ConnectFailed,
-                AttemptStatus::Reset => StepEnd::Reset,
-                AttemptStatus::Cancelled => StepEnd::CalledOff,
+                AttemptStatus::Ok | AttemptStatus::Prefilled => AttemptEnd::Completed,
+                AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => AttemptEnd::Error,
+                AttemptStatus::Rejected => AttemptEnd::Rejected,
+                AttemptStatus::Timeout => AttemptEnd::Timeout,
+                AttemptStatus::ConnectFailed | AttemptStatus::NoSocket => AttemptEnd::ConnectFailed,
+                AttemptStatus::Reset => AttemptEnd::Reset,
+                AttemptStatus::Cancelled => AttemptEnd::Cancelled,
             };
         }
     }
--- a/crates/gaparch-router/src/core/request_endings.rs
+++ b/crates/gaparch-router/src/core/request_endings.rs
@@ -1,8 +1,10 @@
 //! Records of how requests ended, for operators.
 
-use super::wire_names::{avoid_word, micros, retry_after_millis};
+use super::wire_names::{avoid_reason, micros, retry_after_millis};
 use super::{Core, Output, ResponseEvent};
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, Evidence, RequestName, MAX_EVIDENCE};
+use gaparch_protocol::ops::outcome::{
+    EngineEvidence, GlobalRequestId, OutcomeCause, OutcomeKind, RequestOutcome, MAX_EVIDENCE,
+};
 use gaparch_scheduler::api::{Nanos, RequestId};
 use gaparch_scheduler::view::ServerView;
 
@@ -30,34 +32,36 @@
             return;
         }
         let (kind, cause, waited_for, retry_after) = match event {
-            None => (EndKind::Left, Cause::ClientLeft, None, None),
+            None => (OutcomeKind::ClientDisconnected, OutcomeCause::ClientDisconnected, None, None),
             Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
-                (EndKind::Refused, *cause, *waited_for, Some(*retry_after))
+                (OutcomeKind::Rejected, *cause, *waited_for, Some(*retry_after))
             }
-            Some(ResponseEvent::Failed { cause, .. }) => (EndKind::Failed, *cause, None, None),
-            Some(_) => (EndKind::Served, Cause::Answered, None, None),
+            Some(ResponseEvent::Failed { cause, .. }) => (OutcomeKind::Failed, *cause, None, None),
+            Some(_) => (OutcomeKind::Served, OutcomeCause::Answered, None, None),
         };
-        let lost = matches!(kind, EndKind::Refused | EndKind::Failed);
+        let lost = matches!(kind, OutcomeKind::Rejected | OutcomeKind::Failed);
         let evidence = if lost { self.engine_evidence() } else { Vec::new() };
         let Some(tracked) = self.requests.get(&id) else { return };
-        let request = RequestName { run: self.run.0, number: id.0 };
-        let ending = Ending {
+        let request = GlobalRequestId { run: self.run.0, number: id.0 };
+        let ending = RequestOutcome {
             class: self.class_name(tracked).to_owned(),
             tenant: self.tenant_name(tracked.request.tenant).to_owned(),
-            waited_for,
+            queueing_reason: waited_for,
             retry_after_ms: retry_after.and_then(retry_after_millis),
-            first_after_us: tracked.first_token_at.map(|at| micros(at.saturating_sub(tracked.arrived_at))),
-            tokens: tracked.usage.output,
-            steps: self.attempt_views(tracked),
+            first_token_after_us: tracked
+                .first_token_at
+                .map(|at| micros(at.saturating_sub(tracked.arrived_at))),
+            tokens: tracked.usage.output_tokens,
+            attempts: self.attempt_views(tracked),
             evidence,
             fingerprint: tracked.request.fingerprint,
-            ..Ending::bare(request, tracked.arrived_at, self.now, kind, cause)
+            ..RequestOutcome::bare(request, tracked.arrived_at, self.now, kind, cause)
         };
         out.push(Output::RequestEnded(Box::new(ending)));
     }
 
     /// How the engines look now, the avoided ones first.
-    fn engine_evidence(&mut self) -> Vec<Evidence> {
+    fn engine_evidence(&mut self) -> Vec<EngineEvidence> {
         if let Some((at, evidence)) = &self.evidence {
             if self.now < at.saturating_add(EVIDENCE_MAX_AGE) {
                 return evidence.clone();
@@ -65,14 +69,17 @@
         }
         let mut views: Vec<ServerView> = self.policy.views().collect();
         views.sort_by_key(|view| view.avoid_reason.is_none());
-        let evidence_of = |view: &ServerView| Evidence {
+        let evidence_of = |view: &ServerView| EngineEvidence {
             engine: self.endpoints.name(view.server).to_owned(),
-            avoided: view.avoid_reason.map(|reason| avoid_word(reason).word().to_owned()).unwrap_or_default(),
-            memory: view.memory_utilization,
-            unread: view.queued_prompt_tokens,
-            pace: view.latency_ratio,
+            avoid_reason: view
+                .avoid_reason
+                .map(|reason| avoid_reason(reason).name().to_owned())
+                .unwrap_or_default(),
+            memory_utilization: view.memory_utilization,
+            queued_prompt_tokens: view.queued_prompt_tokens,
+            latency_ratio: view.latency_ratio,
         };
-        let evidence: Vec<Evidence> = views.iter().take(MAX_EVIDENCE).map(evidence_of).collect();
+        let evidence: Vec<EngineEvidence> = views.iter().take(MAX_EVIDENCE).map(evidence_of).collect();
         self.evidence = Some((self.now, evidence.clone()));
         evidence
     }
--- a/crates/gaparch-router/src/core/streams.rs
+++ b/crates/gaparch-router/src/core/streams.rs
@@ -6,7 +6,7 @@
 use super::{Core, Output, ResponseEvent};
 use gaparch_protocol::client::{StopReason, Usage};
 use gaparch_protocol::engine::EngineFrame;
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{AttemptStatus, Event, Nanos, RequestId, ServerId};
 
 /// The message to a client whose stream has broken.
@@ -24,14 +24,14 @@
         out: &mut Vec<Output>,
     ) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
-        let received = tracked.usage.output;
+        let received = tracked.usage.output_tokens;
         if from > received {
             return self.on_protocol_violation(attempt.server, "tokens are missing", out);
         }
         if from < received {
             return self.counters.late_frames += 1;
         }
-        tracked.usage.output = received.saturating_add(u32::from(count));
+        tracked.usage.output_tokens = received.saturating_add(u32::from(count));
         self.counters.tokens += u64::from(count);
         tracked.last_token_at = self.now;
         if !attempt.is_streaming() {
@@ -47,7 +47,7 @@
         tracked.streaming_since = self.now;
         tracked.first_token_at = Some(self.now);
         tracked.last_token_at = self.now;
-        let usage = Usage { output: 0, ..tracked.usage };
+        let usage = Usage { output_tokens: 0, ..tracked.usage };
         self.timers.cancel(attempt.timer);
         let until = tracked.stream_deadline(&self.config.class_times);
         if until < Nanos::MAX {
@@ -89,12 +89,12 @@
         }
         if status != AttemptStatus::Ok {
             if attempt.is_streaming() {
-                let cause = Cause::BrokeOff;
+                let cause = OutcomeCause::StreamBroken;
                 self.answer(id, ResponseEvent::Failed { message: STREAM_BROKE_OFF, cause }, out);
             }
             return self.finish_attempt(id, attempt, AttemptResult { status, note, report });
         }
-        if produced != tracked.usage.output {
+        if produced != tracked.usage.output_tokens {
             return self.on_protocol_violation(
                 attempt.server,
                 "an answer whose tokens did not all come",
@@ -107,7 +107,7 @@
         let attempt = Attempt { state: AttemptState::Streaming, ..attempt };
         let Some(tracked) = self.requests.get(&id) else { return };
         let usage = tracked.usage;
-        let reason = if usage.output >= tracked.request.max_output_tokens {
+        let reason = if usage.output_tokens >= tracked.request.max_output_tokens {
             StopReason::MaxTokens
         } else {
             StopReason::Finished
@@ -124,7 +124,11 @@
         status: AttemptStatus,
         out: &mut Vec<Output>,
     ) {
-        let cause = if status == AttemptStatus::Timeout { Cause::Stalled } else { Cause::BrokeOff };
+        let cause = if status == AttemptStatus::Timeout {
+            OutcomeCause::StreamStalled
+        } else {
+            OutcomeCause::StreamBroken
+        };
         self.answer(id, ResponseEvent::Failed { message: STREAM_BROKE_OFF, cause }, out);
         self.finish_attempt(id, attempt, AttemptResult::of(status));
     }
--- a/crates/gaparch-router/src/core/timeouts.rs
+++ b/crates/gaparch-router/src/core/timeouts.rs
@@ -3,7 +3,7 @@
 use super::attempts::AttemptResult;
 use super::timers::Timer;
 use super::{Core, Output, ResponseEvent};
-use gaparch_protocol::ops::ending::Cause;
+use gaparch_protocol::ops::outcome::OutcomeCause;
 use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Core {
@@ -56,7 +56,7 @@
         self.counters.overdue += 1;
         self.answer(
             id,
-            ResponseEvent::Failed { message: "it was not ended in time", cause: Cause::Overdue },
+            ResponseEvent::Failed { message: "it was not ended in time", cause: OutcomeCause::Overdue },
             out,
         );
         self.scheduler_events.push_back(Event::ClientDisconnected(id));
--- a/crates/gaparch-router/src/core/wire_names.rs
+++ b/crates/gaparch-router/src/core/wire_names.rs
@@ -1,8 +1,8 @@
-//! The names that the operations protocol has for what the scheduler calls otherwise.
+//! The names that the operations protocol has for what the scheduler and the core call otherwise.
 
 use super::request::{Phase, Stage};
-use gaparch_protocol::ops::ending;
-use gaparch_protocol::ops::view::{self, Avoid, EngineRole, EngineState};
+use gaparch_protocol::ops::outcome;
+use gaparch_protocol::ops::view::{self, EngineRole, EngineState};
 use gaparch_scheduler::api::{Idempotency, Nanos, Role, ServerState};
 use gaparch_scheduler::view::AvoidReason;
 
@@ -10,7 +10,7 @@
     match state {
         ServerState::Ready => EngineState::Ready,
         ServerState::Draining => EngineState::Draining,
-        ServerState::Removed => EngineState::Gone,
+        ServerState::Removed => EngineState::Removed,
     }
 }
 
@@ -18,44 +18,44 @@
     match state {
         EngineState::Ready => ServerState::Ready,
         EngineState::Draining => ServerState::Draining,
-        EngineState::Gone => ServerState::Removed,
+        EngineState::Removed => ServerState::Removed,
     }
 }
 
 pub(super) fn engine_role(role: Role) -> EngineRole {
     match role {
-        Role::Prefill => EngineRole::Read,
-        Role::Decode => EngineRole::Write,
-        Role::Mixed => EngineRole::Both,
+        Role::Prefill => EngineRole::Prefill,
+        Role::Decode => EngineRole::Decode,
+        Role::Mixed => EngineRole::Mixed,
     }
 }
 
-pub(super) fn avoid_word(avoided: AvoidReason) -> Avoid {
+pub(super) fn avoid_reason(avoided: AvoidReason) -> view::AvoidReason {
     match avoided {
-        AvoidReason::NotReady => Avoid::NotReady,
-        AvoidReason::Unreachable => Avoid::Unreachable,
-        AvoidReason::Ejected { .. } => Avoid::Resting,
-        AvoidReason::Outlier => Avoid::Slow,
-        AvoidReason::WarmingUp => Avoid::Cold,
-        AvoidReason::Saturated => Avoid::Full,
+        AvoidReason::NotReady => view::AvoidReason::NotReady,
+        AvoidReason::Unreachable => view::AvoidReason::Unreachable,
+        AvoidReason::Ejected { .. } => view::AvoidReason::Ejected,
+        AvoidReason::Outlier => view::AvoidReason::Outlier,
+        AvoidReason::WarmingUp => view::AvoidReason::WarmingUp,
+        AvoidReason::Saturated => view::AvoidReason::Saturated,
     }
 }
 
 pub(super) fn request_phase(phase: Phase) -> view::Phase {
     match phase {
-        Phase::Queued => view::Phase::Held,
-        Phase::Prefilling => view::Phase::Reading,
-        Phase::Prefilled => view::Phase::Read,
-        Phase::Decoding => view::Phase::Writing,
+        Phase::Queued => view::Phase::Queued,
+        Phase::Prefilling => view::Phase::Prefilling,
+        Phase::Prefilled => view::Phase::Prefilled,
+        Phase::Decoding => view::Phase::Decoding,
         Phase::Streaming => view::Phase::Streaming,
         Phase::Ended => view::Phase::Ended,
     }
 }
 
-pub(super) fn attempt_stage(stage: Stage) -> ending::Stage {
+pub(super) fn attempt_stage(stage: Stage) -> outcome::Stage {
     match stage {
-        Stage::Prefill => ending::Stage::Read,
-        Stage::Decode => ending::Stage::Write,
+        Stage::Prefill => outcome::Stage::Prefill,
+        Stage::Decode => outcome::Stage::Decode,
     }
 }
 
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -6,9 +6,11 @@
 use crate::core::{AcceptedRequest, ResponseEvent};
 use bytes::{Bytes, BytesMut};
 use gaparch_config::Config;
-use gaparch_protocol::client::{parse_request, Answer, Ask, ClientEvent, Dialect, ErrorKind, Usage};
+use gaparch_protocol::client::{
+    parse_request, Answer, ClientEvent, Dialect, ErrorKind, MessageRequest, Usage,
+};
 use gaparch_protocol::engine::RouterRun;
-use gaparch_protocol::ops::ending::{RequestName, WaitedFor};
+use gaparch_protocol::ops::outcome::{GlobalRequestId, QueueingReason};
 use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, RequestId, TenantId};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full, Limited};
@@ -137,7 +139,7 @@
     fn busy(retry_after: Nanos, message: &str) -> Refusal {
         Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            kind: ErrorKind::Refused,
+            kind: ErrorKind::Rejected,
             message: message.to_owned(),
             harmless: true,
             // Where the settings allow no time to be told, none is.
@@ -209,11 +211,11 @@
     let class = class(shared, &ask)?;
     let (model, stream) = (ask.model.clone(), ask.stream);
     let mut ticket = submit(shared, accepted(shared, ask, class, tenant))?;
-    let id = RequestName { run: shared.run.0, number: ticket.id.0 }.to_string();
+    let id = GlobalRequestId { run: shared.run.0, number: ticket.id.0 }.to_string();
     let mut response = match first(&mut ticket).await {
         Err(refusal) => refusal.response(dialect),
         Ok(usage) if stream => {
-            let opened = ClientEvent::Opened { id: id.clone(), model, usage };
+            let opened = ClientEvent::MessageStart { id: id.clone(), model, usage };
             events(EventBody::new(ticket, Arc::clone(dialect), opened, limits.keep_alive.duration()))
         }
         Ok(_) => match collect(ticket, id.clone(), model).await {
@@ -245,7 +247,7 @@
     }
 }
 
-fn class(shared: &Shared, ask: &Ask) -> Result<ClassId, Refusal> {
+fn class(shared: &Shared, ask: &MessageRequest) -> Result<ClassId, Refusal> {
     let names = &shared.config.names;
     match &ask.class {
         Some(name) => names.class(name).ok_or_else(|| {
@@ -260,7 +262,12 @@
     }
 }
 
-fn accepted(shared: &Shared, ask: Ask, class: ClassId, tenant: Option<TenantId>) -> AcceptedRequest {
+fn accepted(
+    shared: &Shared,
+    ask: MessageRequest,
+    class: ClassId,
+    tenant: Option<TenantId>,
+) -> AcceptedRequest {
     // Nobody follows a client up where there is no ledger: then the prompt need not be read through.
     let fingerprint = shared.rejections.as_ref().map_or(0, |_| fingerprint(&ask, class, tenant));
     AcceptedRequest {
@@ -272,7 +279,7 @@
         prefix_tokens: ask.prefix_tokens,
         max_output_tokens: ask.max_tokens,
         expected_output_tokens: ask.answer_hint,
-        client_retry: ask.repeat,
+        client_retry: ask.is_retry,
         client_reconnect: false,
         deadline_at: None,
         fingerprint,
@@ -281,7 +288,7 @@
 }
 
 /// The same for the same question in the same session of a tenant, after a restart too.
-fn fingerprint(ask: &Ask, class: ClassId, tenant: Option<TenantId>) -> u64 {
+fn fingerprint(ask: &MessageRequest, class: ClassId, tenant: Option<TenantId>) -> u64 {
     let session = ask.session.as_deref().unwrap_or_default();
     let of_whom = format!("{session}/{}/{}", class.0, tenant.map_or(0, |t| t.0 + 1));
     AffinityKey::from_text(&ask.prompt).0 ^ AffinityKey::from_text(&of_whom).0.rotate_left(32)
@@ -325,8 +332,8 @@
     match first {
         Some(ResponseEvent::Started { usage }) => Ok(usage),
         Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
-            let over_share = waited_for == Some(WaitedFor::OverShare);
-            let why = waited_for.map_or(cause.word(), WaitedFor::word);
+            let over_share = waited_for == Some(QueueingReason::OverQuota);
+            let why = waited_for.map_or(cause.name(), QueueingReason::name);
             let message = format!("nothing was done; a retry is harmless ({why})");
             let refusal = Refusal::busy(retry_after, &message);
             // Its own share is what stands in its way: 429; else it is the site.
@@ -391,11 +398,11 @@
         let mut encode = |event: ClientEvent| self.dialect.encode(&event, out);
         match event {
             ResponseEvent::Started { .. } => {}
-            ResponseEvent::Text { text } => encode(ClientEvent::Part { text }),
+            ResponseEvent::Text { text } => encode(ClientEvent::TextDelta { text }),
             ResponseEvent::Finished { usage, reason } => {
-                encode(ClientEvent::PartClosed);
+                encode(ClientEvent::ContentBlockStop);
                 encode(ClientEvent::Usage { usage, reason });
-                encode(ClientEvent::Closed { reason });
+                encode(ClientEvent::MessageStop { reason });
             }
             // A refusal after the first event would be a broken promise; it is told as a failure.
             ResponseEvent::Rejected { .. } => encode(failed("the answer broke off")),
@@ -423,7 +430,7 @@
         let mut out = BytesMut::new();
         if let Some(opened) = this.first.take() {
             this.dialect.encode(&opened, &mut out);
-            this.dialect.encode(&ClientEvent::PartOpened, &mut out);
+            this.dialect.encode(&ClientEvent::ContentBlockStart, &mut out);
         }
         for _ in 0..COALESCE {
             match this.ticket.events.poll_recv(cx) {
--- a/crates/gaparch-router/src/shell/fleet/audit_record.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_record.rs
@@ -7,7 +7,7 @@
 use gaparch_net::Clock;
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::AuditSegment;
-use gaparch_store::{Disk, Folder, History, HistoryLimits, Journal, StoreError};
+use gaparch_store::{Disk, History, HistoryLimits, Journal, StateDirectory, StoreError};
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 const CLOSE_INTERVAL: Duration = Duration::from_secs(5);
 /// Version of the meaning of a record: one segment. Of the mark: the number of the last segment written.
 const SCHEMA: u16 = 1;
-const LIMITS: HistoryLimits = HistoryLimits { segment: 1 << 20, segments: 16 };
+const LIMITS: HistoryLimits = HistoryLimits { segment_bytes: 1 << 20, max_segments: 16 };
 /// Marks before their journal is rewritten.
 const MAX_MARKS: u64 = 1024;
 
@@ -63,7 +63,7 @@
         history.flush()?;
         let mark = self.mark.as_mut().ok_or(StorageFailure::Unreadable)?;
         let number = segment.number.to_be_bytes();
-        if mark.is_broken() || mark.records() > MAX_MARKS {
+        if mark.needs_rewrite() || mark.records() > MAX_MARKS {
             mark.rewrite([number])?;
         } else {
             mark.append(&[number])?;
@@ -77,7 +77,7 @@
 /// # Errors
 /// When the folder can't be opened, or a router that runs has it.
 pub fn verify(folder: &Path) -> Result<ChainVerifier, StoreError> {
-    let folder = Folder::open(folder)?;
+    let folder = StateDirectory::open(folder)?;
     let mut chain = ChainVerifier::default();
     History::open(folder.share(), "audit", SCHEMA, LIMITS, |_, body| {
         from_bytes(body).iter().for_each(|segment| chain.push(segment));
--- a/crates/gaparch-router/src/shell/fleet/handle.rs
+++ b/crates/gaparch-router/src/shell/fleet/handle.rs
@@ -1,6 +1,6 @@
 //! Questions of operators' sessions to the fleet's task.
 
-use gaparch_protocol::ops::view::{AuditView, FleetView, SpreadView, VersionsView};
+use gaparch_protocol::ops::view::{AuditView, FleetView, ListVersionsView, OrderReplicationView};
 use gaparch_protocol::versions::AuditFilter;
 use tokio::sync::{mpsc, oneshot};
 
@@ -9,11 +9,11 @@
     /// What the audit records of all routers say.
     Audit { filter: AuditFilter, reply: oneshot::Sender<Option<AuditView>> },
     /// Which routers have stored the orders of the fleet.
-    OrderReplication(oneshot::Sender<Option<SpreadView>>),
+    OrderReplication(oneshot::Sender<Option<OrderReplicationView>>),
     /// Which routers there are.
     Members(oneshot::Sender<FleetView>),
     /// Which router holds which version of the endpoint list.
-    ListVersions(oneshot::Sender<Option<VersionsView>>),
+    ListVersions(oneshot::Sender<Option<ListVersionsView>>),
     /// This router leaves the fleet.
     Leave(oneshot::Sender<()>),
 }
@@ -34,12 +34,12 @@
     }
 
     /// Which routers have stored the orders of the fleet; `None` once the router has ended.
-    pub async fn order_replication(&self) -> Option<Option<SpreadView>> {
+    pub async fn order_replication(&self) -> Option<Option<OrderReplicationView>> {
         self.ask(FleetRequest::OrderReplication).await
     }
 
     /// Which router holds which version of the endpoint list; `None` once the router has ended.
-    pub async fn list_versions(&self) -> Option<Option<VersionsView>> {
+    pub async fn list_versions(&self) -> Option<Option<ListVersionsView>> {
         self.ask(FleetRequest::ListVersions).await
     }
 
--- a/crates/gaparch-router/src/shell/fleet/incarnation_store.rs
+++ b/crates/gaparch-router/src/shell/fleet/incarnation_store.rs
@@ -31,7 +31,7 @@
         }
         let record = incarnation.to_be_bytes();
         let journal = self.journal.get()?;
-        if journal.is_broken() || journal.records() > MAX_SURPLUS_RECORDS {
+        if journal.needs_rewrite() || journal.records() > MAX_SURPLUS_RECORDS {
             journal.rewrite([record])?;
         } else {
             journal.append(&[record])?;
--- a/crates/gaparch-router/src/shell/fleet/latest_value.rs
+++ b/crates/gaparch-router/src/shell/fleet/latest_value.rs
@@ -1,7 +1,7 @@
 //! Tasks that store the latest value of a cell: values that are replaced before they could be written are skipped.
 
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter, RETRY_INTERVAL};
-use gaparch_store::{Disk, Found, Journal, StoreError};
+use gaparch_store::{Disk, Journal, JournalContents, StoreError};
 use std::sync::Arc;
 use tokio::sync::watch;
 
@@ -10,10 +10,10 @@
 
 impl OptionalJournal {
     /// Opens a journal and returns what was found in it, if it can be read.
-    pub fn open(disk: Box<dyn Disk>, name: &str, schema: u16) -> (OptionalJournal, Found) {
+    pub fn open(disk: Box<dyn Disk>, name: &str, schema: u16) -> (OptionalJournal, JournalContents) {
         match Journal::open(disk, name, schema) {
             Ok((journal, found)) => (OptionalJournal(Ok(journal)), found),
-            Err(error) => (OptionalJournal(Err(Arc::new(error))), Found::default()),
+            Err(error) => (OptionalJournal(Err(Arc::new(error))), JournalContents::default()),
         }
     }
 
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -31,7 +31,7 @@
 use gaparch_membership::{Membership, Settings, SiteKey};
 use gaparch_net::{read_key, Clock, KeyError};
 use gaparch_protocol::engine::RouterRun;
-use gaparch_protocol::ops::view::{Happening, Severity};
+use gaparch_protocol::ops::view::{Event, Severity};
 use handle::FleetRequest;
 use incarnation_store::IncarnationStore;
 use latest_value::store_latest;
@@ -184,7 +184,7 @@
             // A missing key must not keep a router from routing.
             let file = fleet.key_file.display();
             let text = format!("this router knows of no other: the fleet's key file {file}: {why}");
-            let event = Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text };
+            let event = Event { at: clock.now(), severity: Severity::Fault, engine: None, text };
             // The broadcaster is not there yet, and its queue is empty.
             let _ = ports.messages.try_send(BroadcasterMessage::Event(event));
             return Ok(None);
--- a/crates/gaparch-router/src/shell/fleet/owner_updates.rs
+++ b/crates/gaparch-router/src/shell/fleet/owner_updates.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::owner::Control;
 use gaparch_audit::FleetOrder;
-use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::versions::OrderId;
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -14,7 +14,7 @@
 /// An order given at this router, in force already, that all routers are to keep.
 pub(in crate::shell) struct LocalOrder {
     pub change: Change,
-    pub note: Note,
+    pub note: ChangeNote,
 }
 
 /// Tells the owner the latest value of a cell once it has time.
--- a/crates/gaparch-router/src/shell/fleet/replication.rs
+++ b/crates/gaparch-router/src/shell/fleet/replication.rs
@@ -9,7 +9,7 @@
 use gaparch_membership::Output;
 use gaparch_protocol::fleet::MemberState;
 use gaparch_protocol::ops::to_bytes;
-use gaparch_protocol::ops::view::{Overtaken, Severity, SpreadRow, SpreadView};
+use gaparch_protocol::ops::view::{OrderReplicationView, ReplicationRow, Severity, SupersededOrder};
 use std::collections::BTreeMap;
 
 impl FleetTask {
@@ -66,25 +66,25 @@
 
     /// Which routers have stored the orders of the fleet. Every router that did not say that it leaves may be alive: one that
     /// counts as dead may only be unreachable.
-    pub(super) fn order_replication_view(&mut self) -> Option<SpreadView> {
+    pub(super) fn order_replication_view(&mut self) -> Option<OrderReplicationView> {
         let orders = self.order_replication.as_mut()?;
         let members = self.membership.view().members;
         let states: BTreeMap<String, MemberState> =
             members.into_iter().map(|member| (member.info.name, member.state)).collect();
         let may_be_alive = states.iter().filter(|(_, state)| **state != MemberState::Left);
         let names: Vec<String> = may_be_alive.map(|(name, _)| name.clone()).collect();
-        let row = |ack: audit::OrderAck| SpreadRow {
+        let row = |ack: audit::OrderAck| ReplicationRow {
             state: states.get(&ack.router).copied().unwrap_or(MemberState::Alive),
             router: ack.router,
-            keeps: ack.is_complete,
-            said_at: ack.reported_at,
+            has_all: ack.is_complete,
+            reported_at: ack.reported_at,
         };
-        let rows: Vec<SpreadRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
+        let rows: Vec<ReplicationRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
         let overtaken = orders
             .superseded()
-            .map(|one| Overtaken { order: one.order.clone(), by: one.by.clone() })
+            .map(|one| SupersededOrder { order: one.order.clone(), by: one.by.clone() })
             .collect();
-        let complete = rows.iter().all(|row| row.keeps);
-        Some(SpreadView { complete, orders: orders.all(), overtaken, rows })
+        let complete = rows.iter().all(|row| row.has_all);
+        Some(OrderReplicationView { complete, orders: orders.all(), superseded: overtaken, rows })
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/task.rs
+++ b/crates/gaparch-router/src/shell/fleet/task.rs
@@ -13,7 +13,7 @@
 use gaparch_net::Clock;
 use gaparch_protocol::fleet::MAX_DATAGRAM_BYTES;
 use gaparch_protocol::ops::from_bytes;
-use gaparch_protocol::ops::view::{Happening, Severity};
+use gaparch_protocol::ops::view::{Event, Severity};
 use gaparch_protocol::versions::{OrderId, ReplicationMessage};
 use std::time::Duration;
 use tokio::net::UdpSocket;
@@ -205,7 +205,7 @@
 
     /// Reports an event to the event broadcaster.
     pub(super) fn report(&self, severity: Severity, text: String) {
-        let event = Happening { at: self.clock.now(), severity, engine: None, text };
+        let event = Event { at: self.clock.now(), severity, engine: None, text };
         // The broadcaster counts what it lost by its own inbox; here the log has it at least.
         if let Err(error) = self.messages.try_send(BroadcasterMessage::Event(event)) {
             tracing::warn!(%error, "an event of the fleet was dropped");
--- a/crates/gaparch-router/src/shell/fleet/views.rs
+++ b/crates/gaparch-router/src/shell/fleet/views.rs
@@ -3,7 +3,7 @@
 use gaparch_audit as audit;
 use gaparch_membership::{LinkFailure, MemberView, MembershipEvent, View};
 use gaparch_protocol::ops::view::{
-    AuditOf, AuditView, EdgeRow, FleetView, MemberRow, Severity, VersionRow, VersionsView,
+    self, AuditView, FleetView, LinkFault, ListVersionRow, ListVersionsView, RouterAuditRow, Severity,
 };
 
 /// Datagrams that were dropped before the membership saw them, counted from the start.
@@ -26,11 +26,11 @@
         present: view.present,
         counted: view.counted,
         divisor: view.divisor,
-        hears_nobody: view.is_isolated,
-        unheard: view.is_unanswered,
-        doubt: view.local_health,
-        members: view.members.into_iter().map(member_row).collect(),
-        edges: view.failed_links.into_iter().map(edge_row).collect(),
+        receives_nothing: view.is_isolated,
+        is_unanswered: view.is_unanswered,
+        timeout_extension: view.local_health,
+        members: view.members.into_iter().map(member_view).collect(),
+        link_faults: view.failed_links.into_iter().map(link_fault).collect(),
         sent: view.counters.sent,
         sent_bytes: view.counters.sent_bytes,
         received: view.counters.received,
@@ -43,8 +43,8 @@
     }
 }
 
-fn member_row(member: MemberView) -> MemberRow {
-    MemberRow {
+fn member_view(member: MemberView) -> view::MemberView {
+    view::MemberView {
         name: member.info.name,
         zone: member.info.zone,
         build: member.info.build,
@@ -52,16 +52,16 @@
         incarnation: member.info.incarnation,
         state: member.state,
         since: member.state_since,
-        alive_at: member.last_alive_at,
-        heard_at: member.last_heard_at,
-        accused_by: member.accused_by,
-        twin_at: member.duplicate_address,
-        hears_nobody: member.is_isolated,
+        last_alive_at: member.last_alive_at,
+        last_received_at: member.last_received_at,
+        suspected_by: member.accused_by,
+        duplicate_at: member.duplicate_address,
+        receives_nothing: member.is_isolated,
     }
 }
 
-fn edge_row(link: LinkFailure) -> EdgeRow {
-    EdgeRow { from: link.from, to: link.to, since: link.since }
+fn link_fault(link: LinkFailure) -> LinkFault {
+    LinkFault { from: link.from, to: link.to, since: link.since }
 }
 
 /// The answers of all routers together: those that did not answer, or whose record has gaps, are unknown.
@@ -75,10 +75,10 @@
             Some(0) => {}
             Some(gaps) => unknown.push(format!("{} has {gaps} gaps in its record", answer.router)),
         }
-        rows.extend(answer.rows.into_iter().map(|row| AuditOf {
+        rows.extend(answer.rows.into_iter().map(|row| RouterAuditRow {
             router: answer.router.clone(),
             list: row.list,
-            sure: row.confirmed,
+            confirmed: row.confirmed,
             sends: row.counts,
         }));
     }
@@ -86,23 +86,23 @@
 }
 
 /// Which router holds which version of the list.
-pub(super) fn versions_view(view: audit::ListView) -> VersionsView {
-    let row = |row: audit::PeerListStatus| VersionRow {
-        router: row.router,
-        held: row.held,
-        digest: row.digest,
-        sure: row.confirmed_ago,
-        said_at: row.reported_at,
+pub(super) fn versions_view(view: audit::ListView) -> ListVersionsView {
+    let row = |peer: audit::PeerListStatus| ListVersionRow {
+        router: peer.router,
+        version: peer.version,
+        digest: peer.digest,
+        confirmed_ago: peer.confirmed_ago,
+        reported_at: peer.reported_at,
     };
-    VersionsView {
-        held: view.held,
+    ListVersionsView {
+        version: view.in_use,
         entries: view.entries,
-        sure: view.confirmed_ago,
-        believed: view.believed,
+        confirmed_ago: view.confirmed_ago,
+        latest_known: view.believed,
         corroborated: view.is_corroborated,
         behind_since: view.behind_since,
-        brought_up: view.fetched,
-        refused: view.rejected,
+        lists_from_peers: view.fetched,
+        rejected_claims: view.rejected,
         rows: view.peers.into_iter().map(row).collect(),
     }
 }
@@ -118,7 +118,7 @@
         | audit::ListEvent::DigestMismatch { .. } => Severity::Warning,
         audit::ListEvent::SourceOutdated { .. }
         | audit::ListEvent::SourcesDiffer { .. }
-        | audit::ListEvent::Outlier { .. } => Severity::Trouble,
+        | audit::ListEvent::Outlier { .. } => Severity::Fault,
     }
 }
 
@@ -132,7 +132,7 @@
         | MembershipEvent::IncarnationRolledBack { .. }
         | MembershipEvent::Unanswered
         | MembershipEvent::Isolated
-        | MembershipEvent::QuorumLost { .. } => Severity::Trouble,
+        | MembershipEvent::QuorumLost { .. } => Severity::Fault,
         MembershipEvent::LinkFailed { .. }
         | MembershipEvent::Resumed { .. }
         | MembershipEvent::DeclaredDead { .. }
--- a/crates/gaparch-router/src/shell/ops/disks.rs
+++ b/crates/gaparch-router/src/shell/ops/disks.rs
@@ -1,7 +1,7 @@
 //! The disks on which a router keeps its state.
 
 use gaparch_config::Operations;
-use gaparch_store::{Disk, Folder, StoreError};
+use gaparch_store::{Disk, StateDirectory, StoreError};
 
 /// Where the state is kept. Tests give disks that fail.
 pub struct Disks {
@@ -40,7 +40,7 @@
     /// # Errors
     /// When it can't be created or read, or another router has it.
     pub fn open(settings: &Operations) -> Result<Disks, StoreError> {
-        let folder = Folder::open(&settings.state)?;
+        let folder = StateDirectory::open(&settings.state)?;
         let (events, endings) = (Box::new(folder.share()), Box::new(folder.share()));
         let fleet = FleetDisks::of(|| Box::new(folder.share()));
         Ok(Disks { fleet, intents: Box::new(folder), events, endings })
--- a/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
+++ b/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
@@ -6,13 +6,10 @@
 use super::subscribers::Subscribers;
 use super::{BroadcasterMessage, StatusReport};
 use gaparch_net::Clock;
-use gaparch_ops::book::{words, Book};
-use gaparch_ops::chronicle::Chronicle;
-use gaparch_ops::ledger::Ledger;
-use gaparch_ops::watch::Watch;
-use gaparch_protocol::ops::ending::{EndKind, Ending, Kept};
-use gaparch_protocol::ops::intent::{Change, Intent, Taken};
-use gaparch_protocol::ops::view::{Happening, Setting, Severity};
+use gaparch_ops::{change_text, EventLog, Monitor, OrderRegistry, OutcomeLog};
+use gaparch_protocol::ops::intent::{AcceptedChange, Change, Intent};
+use gaparch_protocol::ops::outcome::{OutcomeKind, RequestOutcome, StoredOutcome};
+use gaparch_protocol::ops::view::{Event, Setting, Severity};
 use gaparch_protocol::ops::{to_bytes, Update};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,12 +31,12 @@
 /// The state of the event broadcaster's task.
 pub(super) struct EventBroadcaster {
     pub(super) identity: Identity,
-    pub(super) orders: Book,
+    pub(super) orders: OrderRegistry,
     /// Orders up to this revision are on disk.
     stored_revision: u64,
-    pub(super) event_log: Chronicle,
-    pub(super) ledger: Ledger,
-    watch: Watch,
+    pub(super) event_log: EventLog,
+    pub(super) ledger: OutcomeLog,
+    watch: Monitor,
     pub(super) status: Option<Box<StatusReport>>,
     subscribers: Subscribers,
     /// What is not being stored, and why.
@@ -52,9 +49,9 @@
 impl EventBroadcaster {
     pub fn new(
         identity: Identity,
-        orders: Book,
-        event_log: Chronicle,
-        ledger: Ledger,
+        orders: OrderRegistry,
+        event_log: EventLog,
+        ledger: OutcomeLog,
         history: mpsc::Sender<Batch>,
     ) -> EventBroadcaster {
         EventBroadcaster {
@@ -63,7 +60,7 @@
             orders,
             event_log,
             ledger,
-            watch: Watch::default(),
+            watch: Monitor::default(),
             status: None,
             subscribers: Subscribers::default(),
             storage_failures: BTreeMap::new(),
@@ -81,9 +78,9 @@
     ) {
         let in_force = self.orders.intents(|_| true).len();
         let text = format!("the router has begun; {in_force} orders of operators are in force");
-        self.record_event(Happening { at: clock.now(), severity: Severity::Info, engine: None, text });
+        self.record_event(Event { at: clock.now(), severity: Severity::Info, engine: None, text });
         for text in locked_out {
-            self.record_event(Happening { at: clock.now(), severity: Severity::Trouble, engine: None, text });
+            self.record_event(Event { at: clock.now(), severity: Severity::Fault, engine: None, text });
         }
         let mut hand_over = interval(HAND_OVER_INTERVAL);
         hand_over.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -123,7 +120,7 @@
 
     fn on_status(&mut self, status: Box<StatusReport>) {
         let orders = &self.orders;
-        for event in self.watch.look(&status.figures, &status.engines, |engine| orders.hold(engine)) {
+        for event in self.watch.observe(&status.figures, &status.engines, |engine| orders.drain(engine)) {
             self.record_event(event);
         }
         self.report_dropped(status.dropped_messages, status.figures.at);
@@ -133,7 +130,7 @@
         let changed: Vec<_> =
             status.engines.iter().filter(|engine| !known.contains(engine)).cloned().collect();
         let figures = status.figures;
-        self.publish(|| Update::Figures { figures });
+        self.publish(|| Update::Metrics { metrics: figures });
         if !changed.is_empty() {
             self.publish(|| Update::Engines { engines: changed.clone() });
         }
@@ -146,28 +143,30 @@
             let count = dropped - self.reported_dropped;
             let text = format!("{count} things were not recorded: too much happened at once");
             self.reported_dropped = dropped;
-            self.record_event(Happening { at, severity: Severity::Warning, engine: None, text });
+            self.record_event(Event { at, severity: Severity::Warning, engine: None, text });
         }
     }
 
-    fn on_request_ended(&mut self, ending: Box<Ending>) {
-        if ending.kind != EndKind::Served {
-            self.publish(|| Update::Ended { ending: ending.clone() });
-            self.history.add_ending(to_bytes(&Kept::Ending { ending: ending.clone() }));
+    fn on_request_ended(&mut self, ending: Box<RequestOutcome>) {
+        if ending.kind != OutcomeKind::Served {
+            self.publish(|| Update::RequestEnded { outcome: ending.clone() });
+            self.history.add_ending(to_bytes(&StoredOutcome::Outcome { outcome: ending.clone() }));
         }
         for followed in self.ledger.add(*ending) {
-            let follow_up = Kept::FollowUp { request: followed.request, follow_up: followed.follow_up };
+            let follow_up =
+                StoredOutcome::FollowUp { request: followed.request, follow_up: followed.follow_up };
             self.history.add_ending(to_bytes(&follow_up));
         }
     }
 
-    fn on_order(&mut self, taken: Taken) {
+    fn on_order(&mut self, taken: AcceptedChange) {
         let engine = match &taken.change {
-            Change::Hold { engine, .. } | Change::Free { engine } => Some(engine.clone()),
+            Change::Drain { engine, .. } | Change::Undrain { engine } => Some(engine.clone()),
             _ => None,
         };
-        let text = format!("{} by {}: {}", words(&taken.change), taken.note.who, taken.note.why);
-        self.record_event(Happening { at: taken.note.at, severity: Severity::Info, engine, text });
+        let text =
+            format!("{} by {}: {}", change_text(&taken.change), taken.note.operator, taken.note.reason);
+        self.record_event(Event { at: taken.note.at, severity: Severity::Info, engine, text });
         self.orders.apply(taken);
         self.publish_intents();
     }
@@ -185,22 +184,22 @@
             None => self.storage_failures.remove(store),
         };
         let (severity, text) = match (before.is_some(), failure) {
-            (false, Some(why)) => (Severity::Trouble, format!("{store} can't be kept on disk: {why}")),
+            (false, Some(why)) => (Severity::Fault, format!("{store} can't be kept on disk: {why}")),
             (true, None) => (Severity::Info, format!("{store} are kept on disk again")),
             _ => return,
         };
-        self.record_event(Happening { at: now, severity, engine: None, text });
+        self.record_event(Event { at: now, severity, engine: None, text });
     }
 
     /// Logs an event, stores it and passes it on.
-    fn record_event(&mut self, event: Happening) {
+    fn record_event(&mut self, event: Event) {
         match event.severity {
             Severity::Info => tracing::info!(engine = event.engine, "{}", event.text),
             _ => tracing::warn!(engine = event.engine, "{}", event.text),
         }
         self.history.add_event(to_bytes(&event));
-        self.publish(|| Update::Happened { event: event.clone() });
-        self.event_log.add(event);
+        self.publish(|| Update::Event { event: event.clone() });
+        self.event_log.push(event);
     }
 
     /// Orders in force, and whether each is on disk.
--- a/crates/gaparch-router/src/shell/ops/handle.rs
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -5,9 +5,9 @@
 use crate::core::{retry_after_millis, Proposal};
 use gaparch_net::Clock;
 use gaparch_protocol::engine::RouterRun;
-use gaparch_protocol::ops::ending::{Cause, EndKind, Ending, RequestName};
 use gaparch_protocol::ops::intent::LimitView;
-use gaparch_protocol::ops::view::{EngineView, Figures, Happening, Severity};
+use gaparch_protocol::ops::outcome::{GlobalRequestId, OutcomeCause, OutcomeKind, RequestOutcome};
+use gaparch_protocol::ops::view::{EngineView, Event, RouterMetrics, Severity};
 use gaparch_scheduler::api::{Nanos, RequestId};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -35,13 +35,13 @@
     pub fn report(&self, id: RequestId, class: &str, tenant: &str, retry_after: Nanos, fingerprint: u64) {
         self.rejected.fetch_add(1, Ordering::Relaxed);
         let now = self.clock.now();
-        let request = RequestName { run: self.run.0, number: id.0 };
-        let ending = Ending {
+        let request = GlobalRequestId { run: self.run.0, number: id.0 };
+        let ending = RequestOutcome {
             class: class.to_owned(),
             tenant: tenant.to_owned(),
             retry_after_ms: retry_after_millis(retry_after),
             fingerprint,
-            ..Ending::bare(request, now, now, EndKind::Refused, Cause::TooMuchOpen)
+            ..RequestOutcome::bare(request, now, now, OutcomeKind::Rejected, OutcomeCause::TooManyOpen)
         };
         // The count is what must not be lost.
         let _ = self.messages.try_send(BroadcasterMessage::RequestEnded(Box::new(ending)));
@@ -76,10 +76,18 @@
     }
 
     /// Reports the router's state.
-    pub fn report_status(&mut self, figures: Figures, engines: Vec<EngineView>, limits: Vec<LimitView>) {
+    pub fn report_status(
+        &mut self,
+        figures: RouterMetrics,
+        engines: Vec<EngineView>,
+        limits: Vec<LimitView>,
+    ) {
         let rejected = self.rejections.rejected();
-        let figures =
-            Figures { requests: figures.requests + rejected, refused: figures.refused + rejected, ..figures };
+        let figures = RouterMetrics {
+            requests: figures.requests + rejected,
+            rejected: figures.rejected + rejected,
+            ..figures
+        };
         let status = StatusReport { figures, engines, limits, dropped_messages: self.dropped };
         self.send(BroadcasterMessage::Status(Box::new(status)));
     }
@@ -103,12 +111,7 @@
     /// Passes an operator's order to stop on to whoever runs the router.
     pub fn request_stop(&mut self, at: u64, who: &str, why: &str) {
         let text = format!("{who} stops the router: {why}");
-        self.send(BroadcasterMessage::Event(Happening {
-            at,
-            severity: Severity::Warning,
-            engine: None,
-            text,
-        }));
+        self.send(BroadcasterMessage::Event(Event { at, severity: Severity::Warning, engine: None, text }));
         self.stop.notify_one();
     }
 }
--- a/crates/gaparch-router/src/shell/ops/history_writer.rs
+++ b/crates/gaparch-router/src/shell/ops/history_writer.rs
@@ -2,11 +2,10 @@
 
 use super::BroadcasterMessage;
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter};
-use gaparch_ops::chronicle::Chronicle;
-use gaparch_ops::ledger::{self, Followed, Ledger};
-use gaparch_protocol::ops::ending::Kept;
+use gaparch_ops::{EventLog, ObservedFollowUp, OutcomeLog, OUTCOME_SCHEMA};
 use gaparch_protocol::ops::from_bytes;
-use gaparch_protocol::ops::view::Happening;
+use gaparch_protocol::ops::outcome::StoredOutcome;
+use gaparch_protocol::ops::view::Event;
 use gaparch_store::{Disk, History, HistoryLimits, StoreError};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -39,7 +38,7 @@
     fn write(&mut self, batch: &Batch) -> Result<(), StorageFailure> {
         self.push_and_flush(batch).map_err(|error| StorageFailure::History {
             error: Arc::new(error),
-            dropped: self.events.dropped() + self.endings.dropped(),
+            dropped: self.events.dropped_records() + self.endings.dropped_records(),
         })
     }
 
@@ -64,25 +63,26 @@
         events: Box<dyn Disk>,
         endings: Box<dyn Disk>,
         bytes: u64,
-        event_log: &mut Chronicle,
-        ledger: &mut Ledger,
+        event_log: &mut EventLog,
+        ledger: &mut OutcomeLog,
     ) -> Result<HistoryWriter, StoreError> {
-        let limits = |bytes: u64| HistoryLimits { segment: bytes / SEGMENTS as u64, segments: SEGMENTS };
+        let limits =
+            |bytes: u64| HistoryLimits { segment_bytes: bytes / SEGMENTS as u64, max_segments: SEGMENTS };
         let restore_event = |_, bytes: &[u8]| {
-            if let Some(event) = from_bytes::<Happening>(bytes) {
-                event_log.add(event);
+            if let Some(event) = from_bytes::<Event>(bytes) {
+                event_log.push(event);
             }
         };
         let events = History::open(events, "events", EVENT_SCHEMA, limits(bytes / 4), restore_event)?;
-        let restore_ending = |_, bytes: &[u8]| match from_bytes::<Kept>(bytes) {
-            Some(Kept::Ending { ending }) => ledger.restore(*ending),
-            Some(Kept::FollowUp { request, follow_up }) => {
-                ledger.restore_follow_up(Followed { request, follow_up });
+        let restore_ending = |_, bytes: &[u8]| match from_bytes::<StoredOutcome>(bytes) {
+            Some(StoredOutcome::Outcome { outcome }) => ledger.restore(*outcome),
+            Some(StoredOutcome::FollowUp { request, follow_up }) => {
+                ledger.restore_follow_up(ObservedFollowUp { request, follow_up });
             }
             None => {}
         };
         let endings =
-            History::open(endings, "endings", ledger::SCHEMA, limits(bytes / 4 * 3), restore_ending)?;
+            History::open(endings, "endings", OUTCOME_SCHEMA, limits(bytes / 4 * 3), restore_ending)?;
         Ok(HistoryWriter { histories: Histories { events, endings } })
     }
 
--- a/crates/gaparch-router/src/shell/ops/listener.rs
+++ b/crates/gaparch-router/src/shell/ops/listener.rs
@@ -2,7 +2,7 @@
 
 use super::session::{Session, SessionContext};
 use gaparch_net::FrameReader;
-use gaparch_protocol::ops::MAX_ASK;
+use gaparch_protocol::ops::MAX_QUERY_BYTES;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -55,6 +55,6 @@
         let Ok(_permit) = Arc::clone(&context.sessions).try_acquire_owned() else {
             return session.close("too many sessions are open").await;
         };
-        session.run(FrameReader::new(reader, MAX_ASK), local, &context).await;
+        session.run(FrameReader::new(reader, MAX_QUERY_BYTES), local, &context).await;
     });
 }
--- a/crates/gaparch-router/src/shell/ops/messages.rs
+++ b/crates/gaparch-router/src/shell/ops/messages.rs
@@ -1,16 +1,16 @@
 //! Messages between the owner, the sessions and the tasks of the operations side.
 
-use gaparch_ops::book::Denied;
-use gaparch_protocol::ops::ending::Ending;
-use gaparch_protocol::ops::intent::{LimitView, Taken};
-use gaparch_protocol::ops::view::{EngineView, Figures, Happening};
+use gaparch_ops::OrderDenied;
+use gaparch_protocol::ops::intent::{AcceptedChange, LimitView};
+use gaparch_protocol::ops::outcome::RequestOutcome;
+use gaparch_protocol::ops::view::{EngineView, Event, RouterMetrics};
 use gaparch_protocol::ops::{Answer, Query, Update};
 use tokio::sync::{mpsc, oneshot};
 
 /// The state of the router, as the owner reports it four times a second.
 #[derive(Clone, Debug)]
 pub(in crate::shell) struct StatusReport {
-    pub figures: Figures,
+    pub figures: RouterMetrics,
     pub engines: Vec<EngineView>,
     pub limits: Vec<LimitView>,
     /// Messages to the event broadcaster that found no room, since the start.
@@ -27,18 +27,18 @@
 }
 
 /// Where the outcome of an order goes.
-pub(in crate::shell) type OrderReply = oneshot::Sender<Result<OrderOutcome, Denied>>;
+pub(in crate::shell) type OrderReply = oneshot::Sender<Result<OrderOutcome, OrderDenied>>;
 
 /// A message to the event broadcaster.
 pub(in crate::shell) enum BroadcasterMessage {
     /// The owner's latest report.
     Status(Box<StatusReport>),
     /// A request has ended.
-    RequestEnded(Box<Ending>),
+    RequestEnded(Box<RequestOutcome>),
     /// An order by an operator is in force now; it may not be on disk yet.
-    OrderInForce(Taken),
+    OrderInForce(AcceptedChange),
     /// Something that operators should know of.
-    Event(Happening),
+    Event(Event),
     /// All orders up to that revision are on disk.
     OrdersStored(u64),
     /// Whether a store can be written.
--- a/crates/gaparch-router/src/shell/ops/mod.rs
+++ b/crates/gaparch-router/src/shell/ops/mod.rs
@@ -36,9 +36,7 @@
 use event_broadcaster::{EventBroadcaster, Identity};
 use gaparch_config::{Config, Operations};
 use gaparch_net::Clock;
-use gaparch_ops::book::Book;
-use gaparch_ops::chronicle::Chronicle;
-use gaparch_ops::ledger::{Bounds, Ledger};
+use gaparch_ops::{EventLog, OrderRegistry, OutcomeLog, OutcomeLogLimits};
 use gaparch_protocol::engine::RouterRun;
 use gaparch_protocol::ops::view::Setting;
 use gaparch_store::StoreError;
@@ -81,11 +79,11 @@
 
 /// The restored state, before anything runs.
 pub(super) struct Prepared {
-    pub orders: Book,
+    pub orders: OrderRegistry,
     order_store: OrderStore,
     history_writer: HistoryWriter,
-    event_log: Chronicle,
-    ledger: Ledger,
+    event_log: EventLog,
+    ledger: OutcomeLog,
     operators: Operators,
     settings: Operations,
     pub fleet: Option<FleetDisks>,
@@ -107,8 +105,8 @@
         None => Disks::open(&settings)?,
     };
     let (order_store, orders) = OrderStore::open(disks.intents)?;
-    let mut ledger = Ledger::new(Bounds { bytes: settings.refusals });
-    let mut event_log = Chronicle::default();
+    let mut ledger = OutcomeLog::new(OutcomeLogLimits { max_bytes: settings.refusals });
+    let mut event_log = EventLog::default();
     let history_writer = HistoryWriter::open(
         disks.events,
         disks.endings,
--- a/crates/gaparch-router/src/shell/ops/operators.rs
+++ b/crates/gaparch-router/src/shell/ops/operators.rs
@@ -2,7 +2,7 @@
 
 use gaparch_config::{KeySource, Operations};
 use gaparch_net::read_key;
-use gaparch_protocol::ops::OpsRole;
+use gaparch_protocol::ops::SessionRole;
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
@@ -10,7 +10,7 @@
 #[derive(Clone)]
 pub(super) struct KnownOperator {
     pub name: String,
-    pub role: OpsRole,
+    pub role: SessionRole,
     pub key: Vec<u8>,
 }
 
@@ -33,7 +33,7 @@
     pub fn read(settings: &Operations) -> Operators {
         let mut operators = Operators { known: Vec::new(), locked_out: Vec::new() };
         for operator in &settings.operators {
-            let role = if operator.may_change { OpsRole::Change } else { OpsRole::Watch };
+            let role = if operator.may_change { SessionRole::ReadWrite } else { SessionRole::ReadOnly };
             let name = operator.name.clone();
             match key_of(&operator.key) {
                 Ok(key) => operators.known.push(KnownOperator { name, role, key: key.into_bytes() }),
@@ -78,13 +78,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Identity {
     pub who: String,
-    pub role: OpsRole,
+    pub role: SessionRole,
 }
 
 /// What a client says in its hello.
 pub(super) struct Claim<'a> {
     pub key: Option<&'a str>,
-    pub role: OpsRole,
+    pub role: SessionRole,
     pub who: &'a str,
 }
 
@@ -102,7 +102,7 @@
             return Err(AuthenticationError::KeyRequired);
         }
         let who = if claim.who.is_empty() { "someone" } else { claim.who };
-        return Ok(Identity { who: who.to_owned(), role: claim.role.min(OpsRole::Change) });
+        return Ok(Identity { who: who.to_owned(), role: claim.role.min(SessionRole::ReadWrite) });
     };
     // All keys are compared, each in constant time: how long it takes tells nothing of a key.
     let mut found = None;
--- a/crates/gaparch-router/src/shell/ops/order_store.rs
+++ b/crates/gaparch-router/src/shell/ops/order_store.rs
@@ -4,8 +4,8 @@
 use crate::shell::storage::{
     run_blocking, BroadcasterEnded, StorageFailure, StorageReporter, RETRY_INTERVAL,
 };
-use gaparch_ops::book::{read_change, Book, Denied, SCHEMA};
-use gaparch_protocol::ops::intent::Taken;
+use gaparch_ops::{read_change, OrderDenied, OrderRegistry, CHANGE_SCHEMA};
+use gaparch_protocol::ops::intent::AcceptedChange;
 use gaparch_protocol::ops::{to_bytes, DenyCode};
 use gaparch_store::{Disk, Journal, StoreError};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 /// An order that is in force and is to be stored.
 pub struct StoreOrder {
     /// The order, as it is stored.
-    pub taken: Taken,
+    pub taken: AcceptedChange,
     /// What it does, for the operator.
     pub effect: String,
     /// Answered once the order is stored, or could not be.
@@ -33,17 +33,17 @@
 pub(super) struct OrderStore {
     /// `None` while a blocking thread has it.
     journal: Option<OrderJournal>,
-    orders: Book,
+    orders: OrderRegistry,
     /// Why the journal lacks orders: it is rewritten as soon as that succeeds.
     failure: Option<StorageFailure>,
 }
 
 impl OrderStore {
     /// Reads the stored orders. A disk that can't be written does not keep a router from starting.
-    pub fn open(disk: Box<dyn Disk>) -> Result<(OrderStore, Book), StoreError> {
-        let (mut journal, found) = Journal::open(disk, "intents", SCHEMA)?;
-        let schema = found.schema.unwrap_or(SCHEMA);
-        let mut orders = Book::default();
+    pub fn open(disk: Box<dyn Disk>) -> Result<(OrderStore, OrderRegistry), StoreError> {
+        let (mut journal, found) = Journal::open(disk, "intents", CHANGE_SCHEMA)?;
+        let schema = found.schema.unwrap_or(CHANGE_SCHEMA);
+        let mut orders = OrderRegistry::default();
         let mut unreadable = found.damaged;
         for record in &found.records {
             match read_change(schema, record, orders.revision() + 1) {
@@ -55,7 +55,7 @@
             tracing::error!(unreadable, "stored orders are damaged; the damaged file is preserved");
         }
         let mut failure = None;
-        if journal.is_broken() {
+        if journal.needs_rewrite() {
             let rewritten = journal.rewrite(orders.changes().iter().map(to_bytes));
             failure = rewritten.err().map(StorageFailure::from);
         }
@@ -133,12 +133,12 @@
         }
     }
 
-    fn outcome(&self, revision: u64, effect: String) -> Result<OrderOutcome, Denied> {
+    fn outcome(&self, revision: u64, effect: String) -> Result<OrderOutcome, OrderDenied> {
         match &self.failure {
             None => Ok(OrderOutcome { revision, effect }),
             Some(why) => {
                 let message = format!("in force, but not kept ({why}): a restart would forget it");
-                Err(Denied::new(DenyCode::NotKept, message))
+                Err(OrderDenied::new(DenyCode::NotPersisted, message))
             }
         }
     }
--- a/crates/gaparch-router/src/shell/ops/queries.rs
+++ b/crates/gaparch-router/src/shell/ops/queries.rs
@@ -1,8 +1,8 @@
 //! Answers to operators' queries from what the event broadcaster keeps in memory.
 
 use super::event_broadcaster::EventBroadcaster;
-use gaparch_protocol::ops::ending::Ending;
-use gaparch_protocol::ops::view::{LiveView, Phase, Snapshot};
+use gaparch_protocol::ops::outcome::RequestOutcome;
+use gaparch_protocol::ops::view::{Phase, RequestView, Snapshot};
 use gaparch_protocol::ops::{Answer, DenyCode, Query};
 
 /// Events of a snapshot.
@@ -20,7 +20,8 @@
         let mut tenants = self.ledger.tenants();
         for tenant in &mut tenants {
             let name = gaparch_ops::limits::tenant_limit(&tenant.name);
-            tenant.per_s = limits.iter().find(|limit| limit.name == name).map_or(0.0, |limit| limit.value);
+            tenant.quota_per_second =
+                limits.iter().find(|limit| limit.name == name).map_or(0.0, |limit| limit.value);
         }
         let not_kept: Vec<String> =
             self.storage_failures.iter().map(|(what, why)| format!("{what}: {why}")).collect();
@@ -28,15 +29,15 @@
             router: self.identity.router.clone(),
             run: self.identity.run,
             revision: self.orders.revision(),
-            began_at: self.identity.began_at,
-            figures: status.map(|status| status.figures).unwrap_or_default(),
+            started_at: self.identity.began_at,
+            metrics: status.map(|status| status.figures).unwrap_or_default(),
             engines: status.map(|status| status.engines.clone()).unwrap_or_default(),
             tenants,
             intents: self.intents(),
             limits,
-            events: self.event_log.list(None, 0, SNAPSHOT_EVENTS),
+            events: self.event_log.latest(None, 0, SNAPSHOT_EVENTS),
             settings: self.identity.settings.clone(),
-            not_kept: not_kept.join("; "),
+            storage_error: not_kept.join("; "),
         }
     }
 
@@ -44,27 +45,27 @@
     pub(super) fn answer(&self, query: Query) -> Answer {
         match query {
             Query::Snapshot {} => Answer::Snapshot { snapshot: Box::new(self.snapshot()) },
-            Query::Groups { filter } => {
+            Query::OutcomeGroups { filter } => {
                 let (groups, total) = self.ledger.groups(&filter);
-                Answer::Groups { groups, total }
+                Answer::OutcomeGroups { groups, total }
             }
-            Query::Endings { filter } => {
-                let (endings, total) = self.ledger.endings(&filter, MAX_ENDINGS);
-                Answer::Endings { endings, total }
+            Query::Outcomes { filter } => {
+                let (endings, total) = self.ledger.outcomes(&filter, MAX_ENDINGS);
+                Answer::Outcomes { outcomes: endings, total }
             }
-            Query::Story { request } => {
-                Answer::Story { ending: self.ledger.story(request).map(Box::new), live: None }
+            Query::RequestDetails { request } => {
+                Answer::RequestDetails { outcome: self.ledger.find(request).map(Box::new), open: None }
             }
             // The session puts the open ones before these.
-            Query::Live { most } => {
-                let recent: Vec<LiveView> =
-                    self.ledger.recent().rev().take(most as usize).map(ended_view).collect();
+            Query::OpenRequests { max: most } => {
+                let recent: Vec<RequestView> =
+                    self.ledger.served().rev().take(most as usize).map(ended_view).collect();
                 let total = recent.len() as u64;
-                Answer::Live { live: recent, total }
+                Answer::OpenRequests { requests: recent, total }
             }
-            Query::Events { engine, since, most } => {
+            Query::Events { engine, since, max: most } => {
                 let most = if most == 0 { MAX_EVENTS } else { MAX_EVENTS.min(most as usize) };
-                Answer::Events { events: self.event_log.list(engine.as_deref(), since, most) }
+                Answer::Events { events: self.event_log.latest(engine.as_deref(), since, most) }
             }
             Query::Limits {} => Answer::Limits {
                 limits: self.status.as_ref().map(|status| status.limits.clone()).unwrap_or_default(),
@@ -73,11 +74,11 @@
             Query::Subscribe {}
             | Query::Unsubscribe {}
             | Query::Order { .. }
-            | Query::OrderHere { .. }
-            | Query::Spread {}
+            | Query::LocalOrder { .. }
+            | Query::OrderReplication {}
             | Query::Audit { .. }
             | Query::Members {}
-            | Query::Versions {} => {
+            | Query::ListVersions {} => {
                 let message = "that is for the session to do".to_owned();
                 Answer::Denied { code: DenyCode::Invalid, message }
             }
@@ -86,17 +87,17 @@
 }
 
 /// A request that has ended, among those that are open.
-fn ended_view(ending: &Ending) -> LiveView {
-    LiveView {
+fn ended_view(ending: &RequestOutcome) -> RequestView {
+    RequestView {
         request: ending.request,
-        asked_at: ending.asked_at,
+        received_at: ending.received_at,
         class: ending.class.clone(),
         tenant: ending.tenant.clone(),
         phase: Phase::Ended,
         kind: Some(ending.kind),
-        engine: ending.steps.last().map(|s| s.engine.clone()).unwrap_or_default(),
+        engine: ending.attempts.last().map(|s| s.engine.clone()).unwrap_or_default(),
         tokens: ending.tokens,
-        took_us: ending.ended_at.saturating_sub(ending.asked_at) / 1000,
-        steps: ending.steps.clone(),
+        elapsed_us: ending.ended_at.saturating_sub(ending.received_at) / 1000,
+        attempts: ending.attempts.clone(),
     }
 }
--- a/crates/gaparch-router/src/shell/ops/session.rs
+++ b/crates/gaparch-router/src/shell/ops/session.rs
@@ -117,7 +117,7 @@
         context: &SessionContext,
     ) -> Result<Identity, SessionError> {
         match reader.read_one().await? {
-            OpsFrame::Hello { version: VERSION, key, role, who } => {
+            OpsFrame::Hello { version: VERSION, key, role, operator: who } => {
                 let claim = Claim { key: key.as_deref(), role, who: &who };
                 let identity = authenticate(&context.operators, local, &claim)?;
                 let welcome = OpsFrame::Welcome {
@@ -149,7 +149,7 @@
                 read = reader.read(&mut frames) => {
                     for frame in frames.drain(..) {
                         match frame {
-                            OpsFrame::Ask { seq, query } => {
+                            OpsFrame::Query { seq, query } => {
                                 let answer = answer(query, identity, session, &updates, context).await?;
                                 self.write(&OpsFrame::Answer { seq, answer }).await?;
                             }
--- a/crates/gaparch-router/src/shell/ops/session_queries.rs
+++ b/crates/gaparch-router/src/shell/ops/session_queries.rs
@@ -4,8 +4,8 @@
 use super::session::{SessionContext, SessionError};
 use super::BroadcasterMessage;
 use crate::shell::owner::{Control, OpenRequests};
-use gaparch_protocol::ops::ending::RequestName;
-use gaparch_protocol::ops::{Answer, DenyCode, OpsRole, Order, Query, Update};
+use gaparch_protocol::ops::outcome::GlobalRequestId;
+use gaparch_protocol::ops::{Answer, DenyCode, Order, Query, SessionRole, Update};
 use gaparch_protocol::versions::AuditFilter;
 use gaparch_scheduler::api::RequestId;
 use tokio::sync::{mpsc, oneshot};
@@ -35,13 +35,13 @@
             Ok(Answer::Unsubscribed {})
         }
         Query::Order { order } => carry_out(order, false, identity, context).await,
-        Query::OrderHere { order } => carry_out(order, true, identity, context).await,
-        Query::Spread {} => order_replication(context).await,
+        Query::LocalOrder { order } => carry_out(order, true, identity, context).await,
+        Query::OrderReplication {} => order_replication(context).await,
         Query::Members {} => members(context).await,
         Query::Audit { filter } => audit(filter, context).await,
-        Query::Versions {} => versions(context).await,
-        Query::Live { most } => recent_requests(most, context).await,
-        Query::Story { request } => request_history(request, context).await,
+        Query::ListVersions {} => versions(context).await,
+        Query::OpenRequests { max: most } => recent_requests(most, context).await,
+        Query::RequestDetails { request } => request_history(request, context).await,
         other => ask_broadcaster(other, context).await,
     }
 }
@@ -51,7 +51,9 @@
         Some(fleet) => fleet.order_replication().await.ok_or(SessionError::RouterEnded)?,
         None => None,
     };
-    Ok(view.map_or_else(no_list_replication, |spread| Answer::Spread { spread: Box::new(spread) }))
+    Ok(view.map_or_else(no_list_replication, |spread| Answer::OrderReplication {
+        replication: Box::new(spread),
+    }))
 }
 
 async fn members(context: &SessionContext) -> Result<Answer, SessionError> {
@@ -78,7 +80,8 @@
         Some(fleet) => fleet.list_versions().await.ok_or(SessionError::RouterEnded)?,
         None => None,
     };
-    Ok(view.map_or_else(no_list_replication, |versions| Answer::Versions { versions: Box::new(versions) }))
+    Ok(view
+        .map_or_else(no_list_replication, |versions| Answer::ListVersions { versions: Box::new(versions) }))
 }
 
 /// The answer of a router that shares lists and orders with no other.
@@ -94,23 +97,25 @@
     send_to_owner(Control::OpenRequests { most: most as usize, reply }, context).await?;
     let OpenRequests { mut views, mut total } = wait.await.map_err(|_| SessionError::RouterEnded)?;
     let left = most.saturating_sub(views.len() as u32);
-    let ended = ask_broadcaster(Query::Live { most: left }, context).await?;
-    if let Answer::Live { live, total: ended_total } = ended {
+    let ended = ask_broadcaster(Query::OpenRequests { max: left }, context).await?;
+    if let Answer::OpenRequests { requests: live, total: ended_total } = ended {
         views.extend(live);
         total += ended_total;
     }
-    Ok(Answer::Live { live: views, total })
+    Ok(Answer::OpenRequests { requests: views, total })
 }
 
-async fn request_history(request: RequestName, context: &SessionContext) -> Result<Answer, SessionError> {
+async fn request_history(request: GlobalRequestId, context: &SessionContext) -> Result<Answer, SessionError> {
     let (reply, wait) = oneshot::channel();
     let id = RequestId(request.number);
     send_to_owner(Control::OpenRequest { id, reply }, context).await?;
     let open = wait.await.map_err(|_| SessionError::RouterEnded)?;
     // Another run of the router has had the same number.
     let live = open.filter(|view| view.request == request).map(Box::new);
-    match ask_broadcaster(Query::Story { request }, context).await? {
-        Answer::Story { ending, .. } => Ok(Answer::Story { ending, live }),
+    match ask_broadcaster(Query::RequestDetails { request }, context).await? {
+        Answer::RequestDetails { outcome: ending, .. } => {
+            Ok(Answer::RequestDetails { outcome: ending, open: live })
+        }
         other => Ok(other),
     }
 }
@@ -121,9 +126,9 @@
     identity: &Identity,
     context: &SessionContext,
 ) -> Result<Answer, SessionError> {
-    if identity.role != OpsRole::Change {
+    if identity.role != SessionRole::ReadWrite {
         let message = format!("{} may look, and change nothing", identity.who);
-        return Ok(Answer::Denied { code: DenyCode::Role, message });
+        return Ok(Answer::Denied { code: DenyCode::ReadOnly, message });
     }
     let (reply, wait) = oneshot::channel();
     let who = identity.who.clone();
--- a/crates/gaparch-router/src/shell/ops/subscribers.rs
+++ b/crates/gaparch-router/src/shell/ops/subscribers.rs
@@ -1,7 +1,7 @@
 //! The sessions that are subscribed to updates. Each has a bounded queue; one that is too slow for it misses updates and is
 //! sent a fresh snapshot.
 
-use gaparch_ops::feed::{Feed, Offer};
+use gaparch_ops::{Delivery, SubscriberFeed};
 use gaparch_protocol::ops::view::Snapshot;
 use gaparch_protocol::ops::Update;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 struct Subscriber {
     updates: mpsc::Sender<Update>,
-    feed: Feed,
+    feed: SubscriberFeed,
 }
 
 /// All subscribed sessions, by session number.
@@ -25,8 +25,8 @@
 
     /// Adds a session. Its queue is empty: the first update is a snapshot.
     pub fn add(&mut self, session: u64, updates: mpsc::Sender<Update>, snapshot: Snapshot) {
-        let _ = updates.try_send(Update::Fresh { snapshot: Box::new(snapshot) });
-        self.by_session.insert(session, Subscriber { updates, feed: Feed::default() });
+        let _ = updates.try_send(Update::Resync { snapshot: Box::new(snapshot) });
+        self.by_session.insert(session, Subscriber { updates, feed: SubscriberFeed::default() });
     }
 
     pub fn remove(&mut self, session: u64) {
@@ -40,10 +40,10 @@
         self.by_session.retain(|session, subscriber| {
             let capacity = subscriber.updates.max_capacity();
             let queued = capacity - subscriber.updates.capacity();
-            match subscriber.feed.offer(queued, capacity) {
-                Offer::Send => drop(subscriber.updates.try_send(update())),
-                Offer::Skip => {}
-                Offer::Resync { missed } => {
+            match subscriber.feed.next(queued, capacity) {
+                Delivery::Send => drop(subscriber.updates.try_send(update())),
+                Delivery::Skip => {}
+                Delivery::Resync { missed } => {
                     drop(subscriber.updates.try_send(Update::Missed { updates: missed }));
                     need_snapshot.push(*session);
                 }
@@ -56,7 +56,7 @@
     /// Sends a session a fresh snapshot, if it is still there.
     pub fn resync(&self, session: u64, snapshot: Snapshot) {
         if let Some(subscriber) = self.by_session.get(&session) {
-            drop(subscriber.updates.try_send(Update::Fresh { snapshot: Box::new(snapshot) }));
+            drop(subscriber.updates.try_send(Update::Resync { snapshot: Box::new(snapshot) }));
         }
     }
 }
--- a/crates/gaparch-router/src/shell/owner/control.rs
+++ b/crates/gaparch-router/src/shell/owner/control.rs
@@ -4,9 +4,9 @@
 use crate::core::{Input, Output, Proposal};
 use crate::shell::fleet::{AdoptedList, LocalOrder};
 use crate::shell::ops::{BroadcasterMessage, OrderOutcome, OrderReply};
-use gaparch_ops::book::Denied;
-use gaparch_protocol::ops::intent::{Change, Note};
-use gaparch_protocol::ops::view::{Figures, Happening, Severity};
+use gaparch_ops::OrderDenied;
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
+use gaparch_protocol::ops::view::{Event, RouterMetrics, Severity};
 use gaparch_protocol::ops::{DenyCode, Order};
 use gaparch_protocol::versions::FleetOrder;
 use tokio::sync::oneshot;
@@ -53,19 +53,19 @@
             Err(denied) => return drop(reply.send(Err(denied))),
         };
         if proposal.taken.change == (Change::Stop {}) {
-            operations.request_stop(now, who, &order.why);
+            operations.request_stop(now, who, &order.reason);
             let outcome = OrderOutcome { revision: proposal.taken.revision - 1, effect: proposal.effect };
             return drop(reply.send(Ok(outcome)));
         }
         let Some(permit) = operations.reserve() else {
             let message = "too many orders wait to be kept; nothing was changed";
-            return drop(reply.send(Err(Denied::new(DenyCode::Busy, message))));
+            return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
         };
         let fleet = self.versions.as_ref().filter(|_| !here);
         if let Some(versions) = fleet {
             let Some(permit) = versions.reserve_order() else {
                 let message = "too many orders are on their way to the other routers; nothing was changed";
-                return drop(reply.send(Err(Denied::new(DenyCode::Busy, message))));
+                return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
             };
             let (change, note) = (proposal.taken.change.clone(), proposal.taken.note.clone());
             permit.send(LocalOrder { change, note });
@@ -82,15 +82,15 @@
     /// Puts an order of another router in force, and stores it as one given here; whether it is in force now.
     fn on_fleet_order(&mut self, order: &FleetOrder, out: &mut Vec<Output>) -> bool {
         let now = self.clock.now();
-        let who = format!("{} at {}", order.note.who, order.id.router);
-        let note = Note { who, ..order.note.clone() };
+        let who = format!("{} at {}", order.note.operator, order.id.router);
+        let note = ChangeNote { operator: who, ..order.note.clone() };
         let Some(operations) = &mut self.operations else { return false };
         let taken = match self.core.adopt_fleet_order(&order.change, &note) {
             Ok(None) => return true,
             Ok(Some(taken)) => taken,
             Err(denied) => {
                 let text = format!("an order of the fleet can't be in force here: {denied}");
-                let event = Happening { at: now, severity: Severity::Trouble, engine: None, text };
+                let event = Event { at: now, severity: Severity::Fault, engine: None, text };
                 operations.send(BroadcasterMessage::Event(event));
                 return false;
             }
@@ -112,7 +112,7 @@
         let Some(operations) = &mut self.operations else { return };
         let lag = std::mem::take(&mut self.status_lag);
         let lag_us = u64::try_from(lag.as_micros()).unwrap_or(u64::MAX);
-        let figures = Figures { at: self.clock.now(), lag_us, ..self.core.figures() };
+        let figures = RouterMetrics { at: self.clock.now(), lag_us, ..self.core.figures() };
         operations.report_status(figures, self.core.engine_views(), self.core.limits());
     }
 }
--- a/crates/gaparch-router/src/shell/owner/inputs.rs
+++ b/crates/gaparch-router/src/shell/owner/inputs.rs
@@ -6,7 +6,7 @@
 use crate::shell::fleet::UpdateAction;
 use crate::shell::list::ListMessage;
 use crate::shell::ops::BroadcasterMessage;
-use gaparch_protocol::ops::view::{Happening, Severity};
+use gaparch_protocol::ops::view::{Event, Severity};
 use gaparch_scheduler::api::ServerId;
 
 impl Owner {
@@ -59,7 +59,7 @@
         let Some(versions) = &mut self.versions else { return UpdateAction::Apply };
         let decision = versions.on_update(update, now);
         if let (Some(operations), Some(text)) = (&mut self.operations, decision.event) {
-            let event = Happening { at: now, severity: Severity::Warning, engine: None, text };
+            let event = Event { at: now, severity: Severity::Warning, engine: None, text };
             operations.send(BroadcasterMessage::Event(event));
         }
         decision.action
--- a/crates/gaparch-router/src/shell/owner/messages.rs
+++ b/crates/gaparch-router/src/shell/owner/messages.rs
@@ -3,7 +3,7 @@
 use crate::core::{AcceptedRequest, Counters, ResponseEvent};
 use crate::shell::fleet::AdoptedList;
 use crate::shell::ops::OrderReply;
-use gaparch_protocol::ops::view::LiveView;
+use gaparch_protocol::ops::view::RequestView;
 use gaparch_protocol::ops::Order;
 use gaparch_protocol::versions::FleetOrder;
 use gaparch_scheduler::api::RequestId;
@@ -19,7 +19,7 @@
 
 /// Some open requests, and how many there are.
 pub(in crate::shell) struct OpenRequests {
-    pub views: Vec<LiveView>,
+    pub views: Vec<RequestView>,
     pub total: u64,
 }
 
@@ -42,7 +42,7 @@
     /// The oldest open requests, at most so many.
     OpenRequests { most: usize, reply: oneshot::Sender<OpenRequests> },
     /// One request, if it is open.
-    OpenRequest { id: RequestId, reply: oneshot::Sender<Option<LiveView>> },
+    OpenRequest { id: RequestId, reply: oneshot::Sender<Option<RequestView>> },
     /// By how many routers limits are divided.
     RouterCount(u32),
     /// A list that another router has handed on.
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -6,7 +6,7 @@
 use gaparch_audit::{subject, FleetOrder};
 use gaparch_membership::{Membership, Output, Settings, SiteKey};
 use gaparch_net::Clock;
-use gaparch_protocol::ops::intent::{Change, Note};
+use gaparch_protocol::ops::intent::{Change, ChangeNote};
 use gaparch_protocol::ops::{from_bytes, to_bytes};
 use gaparch_protocol::versions::{Claim, ListVersion, OrderId, ReplicationMessage};
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
             }
             for (from, bytes) in talks {
                 match from_bytes::<ReplicationMessage>(&bytes) {
-                    Some(ReplicationMessage::ListStatus { held, .. }) => heard = held,
+                    Some(ReplicationMessage::ListStatus { version: held, .. }) => heard = held,
                     // Whoever believes it gets what nobody listed.
                     Some(ReplicationMessage::ListRequest { version, first: at }) => {
                         let page = ReplicationMessage::ListPage {
@@ -112,7 +112,7 @@
         let held = ListVersion { version: heard.version.saturating_add(FAR), ..heard };
         let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age_ms: 0 };
         ReplicationMessage::ListStatus {
-            held,
+            version: held,
             digest: 1,
             entries: 0,
             confirmed_ms_ago: Some(0),
@@ -122,10 +122,10 @@
 
     /// An order that would go before all others for ever.
     fn order(&self) -> ReplicationMessage {
-        let change = Change::Free { engine: "read-0".to_owned() };
+        let change = Change::Undrain { engine: "read-0".to_owned() };
         debug_assert!(subject(&change).is_some());
         let id = OrderId { number: FAR, restrictiveness: 0, router: self.name.clone(), incarnation: 1_000 };
-        let note = Note { who: "nobody".to_owned(), why: "a defect".to_owned(), at: 0 };
+        let note = ChangeNote { operator: "nobody".to_owned(), reason: "a defect".to_owned(), at: 0 };
         ReplicationMessage::Order { order: FleetOrder { id, replaces: None, change, note } }
     }
 }
