--- a/crates/gaparch-membership/src/local_health.rs
+++ b/crates/gaparch-membership/src/local_health.rs
@@ -5,24 +5,37 @@
 
 /// The greatest score of Lifeguard's local health multiplier.
 const MAX_SCORE: u32 = 8;
-/// Probe intervals without any answer, though others are heard, after which a router counts as unanswered.
+/// Probe intervals without any answer, though messages of others are received, after which a router counts as
+/// unanswered.
 const UNANSWERED_INTERVALS: u64 = 15;
 
-/// Whether this router is heard, hears others, and may judge them.
+/// How far this router's messages get out, and those of others come in.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Connectivity {
+    /// It receives messages of others, and its pings are answered; or it knows of no other router.
+    #[default]
+    Connected,
+    /// It receives messages from no other member, though there are others.
+    Isolated,
+    /// It receives messages from others, but none of them answers its pings.
+    Unanswered,
+}
+
+/// Whether this router's messages get out, whether it receives those of others, and how far it may judge
+/// them.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalHealth {
     /// Lifeguard's local health multiplier, less one.
     score: u32,
-    /// Set when the router resumes after a pause or isolation: the number of the last ping sent before. The router
-    /// suspects nobody until a later ping is answered. Pings are told apart by number, for on slow links an answer comes
-    /// while another member is being probed.
+    /// Set when the router resumes after a pause or isolation: the number of the last ping sent before. The
+    /// router suspects nobody until a later ping is answered. Pings are identified by number, for on slow
+    /// links an answer comes while another member is being probed.
     recovering_after: Option<u64>,
-    /// When any member was last heard.
+    /// When a message of any member was last received.
     last_received_at: Nanos,
     /// When any member last answered a ping.
     last_answered_at: Nanos,
-    is_isolated: bool,
-    is_unanswered: bool,
+    connectivity: Connectivity,
 }
 
 /// Which judgements have changed.
@@ -39,8 +52,7 @@
             recovering_after: None,
             last_received_at: now,
             last_answered_at: now,
-            is_isolated: false,
-            is_unanswered: false,
+            connectivity: Connectivity::default(),
         }
     }
 
@@ -49,14 +61,13 @@
         self.score
     }
 
-    /// Whether the router hears no other, though there are others.
-    pub fn is_isolated(&self) -> bool {
-        self.is_isolated
+    pub fn connectivity(&self) -> Connectivity {
+        self.connectivity
     }
 
-    /// Whether the router hears others, but none of them answers its pings.
-    pub fn is_unanswered(&self) -> bool {
-        self.is_unanswered
+    /// Whether the router receives messages from no other, though there are others.
+    pub fn is_isolated(&self) -> bool {
+        self.connectivity == Connectivity::Isolated
     }
 
     /// Whether the router waits for an answer after a pause or isolation.
@@ -106,21 +117,33 @@
         last_nonce: u64,
         now: Nanos,
     ) -> ConnectivityChange {
-        let isolated_at = self.last_received_at.saturating_add(settings.isolation_timeout());
-        let unanswered_timeout = settings.probe_interval * UNANSWERED_INTERVALS;
-        let unanswered_at = self.last_answered_at.saturating_add(unanswered_timeout);
-        let is_isolated = others > 0 && now >= isolated_at;
-        // A router that hears nobody can't know whether it is heard.
-        let is_unanswered = others > 0 && !is_isolated && now >= unanswered_at;
+        let before = self.connectivity;
+        self.connectivity = self.judge(others, settings, now);
+        let has_changed = |to: Connectivity| (before == to) != (self.connectivity == to);
         let change = ConnectivityChange {
-            isolation: is_isolated != self.is_isolated,
-            unanswered: is_unanswered != self.is_unanswered,
+            isolation: has_changed(Connectivity::Isolated),
+            unanswered: has_changed(Connectivity::Unanswered),
         };
-        if self.is_isolated && !is_isolated {
+        if change.isolation && before == Connectivity::Isolated {
             self.recovering_after = Some(last_nonce);
         }
-        self.is_isolated = is_isolated;
-        self.is_unanswered = is_unanswered;
         change
     }
+
+    fn judge(&self, others: usize, settings: &Settings, now: Nanos) -> Connectivity {
+        let isolated_at = self.last_received_at.saturating_add(settings.isolation_timeout());
+        let unanswered_timeout = settings.probe_interval * UNANSWERED_INTERVALS;
+        let unanswered_at = self.last_answered_at.saturating_add(unanswered_timeout);
+        if others == 0 {
+            return Connectivity::Connected;
+        }
+        if now >= isolated_at {
+            // A router that receives nothing can't know whether its messages get out.
+            return Connectivity::Isolated;
+        }
+        match now >= unanswered_at {
+            true => Connectivity::Unanswered,
+            false => Connectivity::Connected,
+        }
+    }
 }
--- a/crates/gaparch-router/src/shell/fleet/views.rs
+++ b/crates/gaparch-router/src/shell/fleet/views.rs
@@ -1,7 +1,7 @@
 //! Views of the fleet for operators, and how severe its events are.
 
 use gaparch_audit as audit;
-use gaparch_membership::{LinkFailure, MemberView, MembershipEvent, View};
+use gaparch_membership::{Connectivity, LinkFailure, MemberView, MembershipEvent, View};
 use gaparch_protocol::ops::view::{
     self, AuditView, FleetView, LinkFault, ListVersionRow, ListVersionsView, RouterAuditRow, Severity,
 };
@@ -26,8 +26,8 @@
         present: view.present,
         counted: view.counted,
         divisor: view.divisor,
-        receives_nothing: view.is_isolated,
-        is_unanswered: view.is_unanswered,
+        receives_nothing: view.connectivity == Connectivity::Isolated,
+        is_unanswered: view.connectivity == Connectivity::Unanswered,
         timeout_extension: view.local_health,
         members: view.members.into_iter().map(member_view).collect(),
         link_faults: view.failed_links.into_iter().map(link_fault).collect(),
