--- a/crates/gaparch-cli/src/commands/ctl/mod.rs
+++ b/crates/gaparch-cli/src/commands/ctl/mod.rs
@@ -6,7 +6,7 @@
 use crate::Outcome;
 use clap::{Args, Subcommand, ValueEnum};
 use gaparch_config::KeySource;
-use gaparch_net::{read_key, Credentials, Incoming, OpsClient, OpsError, Place};
+use gaparch_net::{read_key, Credentials, Incoming, OperationsAddress, OpsClient, OpsError};
 use gaparch_ops::limits::OPEN_REQUESTS;
 use gaparch_protocol::ops::intent::{Change, DrainMode};
 use gaparch_protocol::ops::outcome::{
@@ -55,18 +55,18 @@
 
 impl Target {
     /// The place and the credentials.
-    pub fn resolve(&self) -> Result<(Place, Credentials), String> {
+    pub fn resolve(&self) -> Result<(OperationsAddress, Credentials), String> {
         let key_in = |file: &PathBuf| read_key(file).map_err(|e| format!("key file {}: {e}", file.display()));
         let mut key = self.key_file.as_ref().map(key_in).transpose()?;
         let place = match (&self.socket, self.address) {
-            (Some(socket), _) => Place::Socket(socket.clone()),
-            (None, Some(address)) => Place::Address(address),
+            (Some(socket), _) => OperationsAddress::Socket(socket.clone()),
+            (None, Some(address)) => OperationsAddress::Tcp(address),
             (None, None) => {
                 let config = super::settings(&self.settings)?;
                 let file = self.settings.display();
                 let operations = config.operations.ok_or(format!("{file}: has no <operations>"))?;
                 match (operations.socket, operations.address) {
-                    (Some(socket), _) => Place::Socket(socket),
+                    (Some(socket), _) => OperationsAddress::Socket(socket),
                     (None, Some(address)) => {
                         if let Some(first) = operations.operators.first().filter(|_| key.is_none()) {
                             key = Some(match &first.key {
@@ -74,14 +74,14 @@
                                 KeySource::File(file) => key_in(file)?,
                             });
                         }
-                        Place::Address(address)
+                        OperationsAddress::Tcp(address)
                     }
                     (None, None) => return Err(format!("{file}: <operations> has no socket and no address")),
                 }
             }
         };
         let role = if self.watch_only { SessionRole::ReadOnly } else { SessionRole::ReadWrite };
-        Ok((place, Credentials { key, role, who: self.who.clone() }))
+        Ok((place, Credentials { key, role, operator: self.who.clone() }))
     }
 
     pub async fn connect(&self) -> Result<OpsClient, String> {
@@ -404,9 +404,9 @@
     if let Command::Follow = options.command {
         return follow(&mut client, options.json).await;
     }
-    let mut answer = client.ask(query).await?;
+    let mut answer = client.query(query).await?;
     if let Command::History { engine } = &options.command {
-        let Answer::Snapshot { snapshot } = client.ask(Query::Snapshot {}).await? else {
+        let Answer::Snapshot { snapshot } = client.query(Query::Snapshot {}).await? else {
             return Err(OpsError::Protocol.into());
         };
         if let Some(view) = snapshot.engines.iter().find(|e| e.name == *engine) {
@@ -464,7 +464,7 @@
     let until = tokio::time::Instant::now() + within;
     let mut shown = std::collections::BTreeSet::new();
     loop {
-        let answer = client.ask(Query::OrderReplication {}).await?;
+        let answer = client.query(Query::OrderReplication {}).await?;
         let Answer::OrderReplication { replication: spread } = &answer else {
             let Answer::Denied { message, .. } = &answer else { return Err(OpsError::Protocol.into()) };
             return Err(message.clone().into());
@@ -499,7 +499,7 @@
 }
 
 async fn follow(client: &mut OpsClient, json: bool) -> Outcome {
-    client.put(Query::Subscribe {}).await?;
+    client.send(Query::Subscribe {}).await?;
     let stop = super::asked_to_stop();
     tokio::pin!(stop);
     loop {
--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -220,7 +220,7 @@
             Some(Disks { intents: share(), events: share(), endings: share(), fleet })
         }
     };
-    super::serve::serve(config, disks, Clock::default().ahead(options.ahead)).await
+    super::serve::serve(config, disks, Clock::default().with_offset(options.ahead)).await
 }
 
 #[derive(Debug, Args)]
--- a/crates/gaparch-cli/src/commands/mod.rs
+++ b/crates/gaparch-cli/src/commands/mod.rs
@@ -36,7 +36,7 @@
 
 /// Waits for Ctrl-C or SIGTERM.
 pub async fn asked_to_stop() -> std::io::Result<&'static str> {
-    let signals = Signals::hear(&[Signal::Terminate, Signal::Interrupt])?;
+    let signals = Signals::install(&[Signal::Terminate, Signal::Interrupt])?;
     match signals.next().await {
         Signal::Interrupt => Ok("interrupted"),
         Signal::Terminate | Signal::Hangup => Ok("terminated"),
--- a/crates/gaparch-cli/tests/console.rs
+++ b/crates/gaparch-cli/tests/console.rs
@@ -1,6 +1,6 @@
 //! The console and `ctl` as a person and a script run them: the program itself, in a pseudo-terminal.
 
-use gaparch_net::{Credentials, OpsClient, Place};
+use gaparch_net::{Credentials, OperationsAddress, OpsClient};
 use gaparch_protocol::ops::intent::Change;
 use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
 use gaparch_testbed::demo::{play, Session};
@@ -211,8 +211,8 @@
         assert!(sent.is_ok_and(|s| s.success()));
     };
     followers.iter().for_each(|f| signal(f, "-STOP"));
-    let credentials = Credentials { key: None, role: SessionRole::ReadWrite, who: "test".to_owned() };
-    let mut client = OpsClient::connect(&Place::Socket(socket), &credentials).await.expect("in");
+    let credentials = Credentials { key: None, role: SessionRole::ReadWrite, operator: "test".to_owned() };
+    let mut client = OpsClient::connect(&OperationsAddress::Socket(socket), &credentials).await.expect("in");
     let mut before = 0;
     for n in 0..3000 {
         if n == 200 {
@@ -221,7 +221,7 @@
         let name = format!("tenant.{}.requests-per-second", ["app", "web"][n % 2]);
         let change = Change::SetLimit { name, value: Some(n as f64) };
         let order = Order { change, reason: "x".repeat(480), force: false, revision: None };
-        let answer = client.ask(Query::Order { order }).await.expect("answered");
+        let answer = client.query(Query::Order { order }).await.expect("answered");
         assert!(matches!(answer, Answer::Done { .. }), "{answer:?}");
     }
     let grown = router.resident_kib().saturating_sub(before);
--- a/crates/gaparch-console/src/shell.rs
+++ b/crates/gaparch-console/src/shell.rs
@@ -8,7 +8,7 @@
 use crate::screen::{draw, Theme};
 use crossterm::event::{Event, EventStream, KeyCode, KeyEvent, KeyEventKind, KeyModifiers};
 use futures_util::StreamExt;
-use gaparch_net::{Clock, Credentials, Incoming, OpsClient, OpsError, Place};
+use gaparch_net::{Clock, Credentials, Incoming, OperationsAddress, OpsClient, OpsError};
 use ratatui::DefaultTerminal;
 use std::collections::HashMap;
 use std::future::Future;
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 /// When there is no terminal.
-pub async fn run(place: Place, credentials: Credentials) -> io::Result<()> {
+pub async fn run(place: OperationsAddress, credentials: Credentials) -> io::Result<()> {
     let terminal = ratatui::try_init()?;
     let easel = Arc::new(Easel::default());
     let theme = Theme::by_environment();
@@ -96,7 +96,7 @@
     result
 }
 
-async fn operate(place: &Place, credentials: &Credentials, easel: &Easel) -> io::Result<()> {
+async fn operate(place: &OperationsAddress, credentials: &Credentials, easel: &Easel) -> io::Result<()> {
     let mut app = App::default();
     let mut keys = EventStream::new();
     let mut ticks = interval(TICK);
@@ -144,7 +144,7 @@
                     if asked.len() >= MOST_ASKED && !matches!(tag, Tag::Order(_)) {
                         continue;
                     }
-                    match client.put(*query).await {
+                    match client.send(*query).await {
                         Ok(seq) => drop(asked.insert(seq, tag)),
                         Err(error) => {
                             app.link_down(error.to_string());
@@ -174,7 +174,7 @@
 
 impl Link {
     /// What comes next; nothing is lost if the wait is given up.
-    async fn next(&mut self, place: &Place, credentials: &Credentials) -> Result<News, OpsError> {
+    async fn next(&mut self, place: &OperationsAddress, credentials: &Credentials) -> Result<News, OpsError> {
         if let Link::Waiting(until) = self {
             sleep_until(*until).await;
             let (place, credentials) = (place.clone(), credentials.clone());
--- a/crates/gaparch-net/src/clock.rs
+++ b/crates/gaparch-net/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time as the cores take it.
+//! The clock by which routers and engines measure time.
 
 use gaparch_scheduler::api::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -19,18 +19,21 @@
 }
 
 impl Clock {
-    /// The same clock with the wall's time off by so many seconds.
+    /// The same clock, ahead by so many seconds; behind, if they are negative.
     #[must_use]
-    pub fn ahead(self, seconds: i32) -> Clock {
-        let by = nanos(Duration::from_secs(u64::from(seconds.unsigned_abs())));
-        let nanos = if seconds < 0 { self.nanos.saturating_sub(by) } else { self.nanos.saturating_add(by) };
+    pub fn with_offset(self, seconds: i32) -> Clock {
+        let offset = nanos(Duration::from_secs(u64::from(seconds.unsigned_abs())));
+        let nanos =
+            if seconds < 0 { self.nanos.saturating_sub(offset) } else { self.nanos.saturating_add(offset) };
         Clock { nanos, ..self }
     }
 
+    /// The time now, in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
         self.at(Instant::now())
     }
 
+    /// The time that this clock shows at an instant.
     pub fn at(&self, instant: Instant) -> Nanos {
         self.nanos.saturating_add(nanos(instant.saturating_duration_since(self.instant)))
     }
--- a/crates/gaparch-net/src/framed.rs
+++ b/crates/gaparch-net/src/framed.rs
@@ -10,20 +10,23 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Room that is made for one read.
-const READ_ROOM: usize = 16 * 1024;
+/// Bytes reserved for one read.
+const READ_CAPACITY: usize = 16 * 1024;
 /// Frames written with one call.
 const BATCH: usize = 128;
-/// A write buffer larger than this is not kept.
-const KEEP: usize = 256 * 1024;
+/// A write buffer larger than this, in bytes, is freed after use.
+const MAX_KEPT_BUFFER: usize = 256 * 1024;
 
 /// Why no more frames come.
 #[derive(Debug, Error)]
 pub enum ReadError {
+    /// The peer closed the connection.
     #[error("closed by the peer")]
     Closed,
+    /// The socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// The bytes are no frames.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -36,7 +39,7 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// `max`: the most bytes of a frame.
+    /// A reader of frames of at most `max` bytes.
     pub fn new(socket: R, max: usize) -> Self {
         FrameReader { socket, decoder: FrameDecoder::new(max) }
     }
@@ -55,7 +58,7 @@
                 return Ok(());
             }
             let buffer = self.decoder.buffer();
-            buffer.reserve(READ_ROOM);
+            buffer.reserve(READ_CAPACITY);
             if self.socket.read_buf(buffer).await? == 0 {
                 return Err(ReadError::Closed);
             }
@@ -72,7 +75,7 @@
                 return Ok(frame);
             }
             let buffer = self.decoder.buffer();
-            buffer.reserve(READ_ROOM);
+            buffer.reserve(READ_CAPACITY);
             if self.socket.read_buf(buffer).await? == 0 {
                 return Err(ReadError::Closed);
             }
@@ -95,7 +98,7 @@
         waiting.drain(..).for_each(|frame| encode(&frame, &mut bytes));
         timeout(within, socket.write_all(&bytes)).await.map_err(|_| io::ErrorKind::TimedOut)??;
         bytes.clear();
-        if bytes.capacity() > KEEP {
+        if bytes.capacity() > MAX_KEPT_BUFFER {
             bytes = BytesMut::new();
         }
     }
--- a/crates/gaparch-net/src/key.rs
+++ b/crates/gaparch-net/src/key.rs
@@ -5,20 +5,26 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Bytes of a key at least.
-pub const LEAST_KEY: usize = 16;
+/// The length of the shortest key, in bytes.
+pub const MIN_KEY_BYTES: usize = 16;
 
-/// Why a file holds no key that can be used.
+/// Why a key file can't be used.
 #[derive(Debug, Error)]
 pub enum KeyError {
+    /// The file does not exist.
     #[error("there is no such file")]
     Missing,
+    /// The file can't be read.
     #[error(transparent)]
     Io(io::Error),
-    /// What others may read is no secret.
+    /// The file is readable by others, so that the key is no secret.
     #[error("others may read it (mode {mode:o}); chmod 600 it")]
-    Open { mode: u32 },
-    #[error("its first line is no key of {LEAST_KEY} bytes or more")]
+    Open {
+        /// The permission bits of the file.
+        mode: u32,
+    },
+    /// The first line is too short.
+    #[error("its first line is no key of {MIN_KEY_BYTES} bytes or more")]
     Short,
 }
 
@@ -42,7 +48,7 @@
     }
     let text = std::fs::read_to_string(file)?;
     let key = text.lines().next().unwrap_or_default().trim();
-    if key.len() < LEAST_KEY {
+    if key.len() < MIN_KEY_BYTES {
         return Err(KeyError::Short);
     }
     Ok(key.to_owned())
--- a/crates/gaparch-net/src/lib.rs
+++ b/crates/gaparch-net/src/lib.rs
@@ -1,5 +1,7 @@
-//! What the shells share: a clock that never goes back, signals, sockets that carry frames, operators' keys, and their side
-//! of the operations protocol.
+//! What the programs share that touch the system: a clock that never goes back, signals, sockets that carry frames, key
+//! files, and the operators' side of the operations protocol.
+
+#![warn(missing_docs)]
 
 mod clock;
 mod framed;
@@ -9,6 +11,6 @@
 
 pub use clock::Clock;
 pub use framed::{write_frames, FrameReader, ReadError};
-pub use key::{read_key, KeyError, LEAST_KEY};
-pub use operations::{Credentials, Incoming, OpsClient, OpsError, Place};
+pub use key::{read_key, KeyError, MIN_KEY_BYTES};
+pub use operations::{Credentials, Incoming, OperationsAddress, OpsClient, OpsError};
 pub use signals::{Signal, Signals};
--- a/crates/gaparch-net/src/operations.rs
+++ b/crates/gaparch-net/src/operations.rs
@@ -17,57 +17,78 @@
 /// Time for the connection and the welcome.
 const CONNECT_WITHIN: Duration = Duration::from_secs(5);
 
-/// Where a router's operators come in.
+/// Where a router accepts operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum OperationsAddress {
+    /// The local socket.
     Socket(PathBuf),
-    Address(SocketAddr),
+    /// An address over TCP.
+    Tcp(SocketAddr),
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for OperationsAddress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Socket(path) => write!(f, "{}", path.display()),
-            Place::Address(address) => write!(f, "{address}"),
+            OperationsAddress::Socket(path) => write!(f, "{}", path.display()),
+            OperationsAddress::Tcp(address) => write!(f, "{address}"),
         }
     }
 }
 
-/// Who comes in, and as what.
+/// Who opens a session, and in which role.
 #[derive(Clone)]
 pub struct Credentials {
+    /// The operator's key; none is needed on the local socket.
     pub key: Option<String>,
+    /// The role that is asked for.
     pub role: SessionRole,
-    /// A name, where no key says it.
-    pub who: String,
+    /// The operator's name, where no key says it.
+    pub operator: String,
 }
 
 impl fmt::Debug for Credentials {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // The key must not end up in logs.
-        write!(f, "{} ({})", self.who, self.role)
+        write!(f, "{} ({})", self.operator, self.role)
     }
 }
 
-/// Why a router's answer can't be had.
+/// Why a router does not answer.
 #[derive(Debug, Error)]
 pub enum OpsError {
-    #[error("no router answers at {place}: {source}")]
-    Connect { place: Place, source: std::io::Error },
+    /// Nothing accepts the connection in time.
+    #[error("no router answers at {address}: {source}")]
+    Connect {
+        /// Where the router should be.
+        address: OperationsAddress,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The router closed the session, for the reason given.
     #[error("the router says: {0}")]
-    SentAway(String),
+    Rejected(String),
+    /// No more frames come.
     #[error("the connection broke: {0}")]
-    Broke(#[from] ReadError),
+    Read(#[from] ReadError),
+    /// A frame could not be sent.
     #[error("the connection broke: {0}")]
     Write(#[from] std::io::Error),
+    /// The router sent a frame that it should not send.
     #[error("the router speaks another protocol")]
     Protocol,
 }
 
-/// What comes from a router.
+/// What a router sends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Incoming {
-    Answer { seq: u32, answer: Answer },
+    /// The answer to a question.
+    Answer {
+        /// The number of the question.
+        seq: u32,
+        /// The answer.
+        answer: Answer,
+    },
+    /// An update for a subscriber.
     Update(Update),
 }
 
@@ -75,36 +96,42 @@
 pub struct OpsClient {
     reader: FrameReader<Box<dyn AsyncRead + Send + Unpin>>,
     writer: Box<dyn AsyncWrite + Send + Unpin>,
-    /// Frames that came together with the last one taken.
-    came: VecDeque<OpsFrame>,
+    /// Frames received together with the last one taken.
+    received: VecDeque<OpsFrame>,
     next_seq: u32,
+    /// The name of the router.
     pub router: String,
+    /// The run of the router, which differs after each start.
     pub run: u64,
+    /// The role that the router granted.
     pub role: SessionRole,
 }
 
 impl OpsClient {
-    /// Connects and says hello.
+    /// Connects and authenticates.
     ///
     /// # Errors
-    /// When nobody listens there, or the router sends us away; its reason is in the error.
-    pub async fn connect(place: &Place, credentials: &Credentials) -> Result<OpsClient, OpsError> {
+    /// When nobody listens there, or the router rejects the session; its reason is in the error.
+    pub async fn connect(
+        address: &OperationsAddress,
+        credentials: &Credentials,
+    ) -> Result<OpsClient, OpsError> {
         let late =
-            |_| OpsError::Connect { place: place.clone(), source: std::io::ErrorKind::TimedOut.into() };
-        timeout(CONNECT_WITHIN, OpsClient::open(place, credentials)).await.map_err(late)?
+            |_| OpsError::Connect { address: address.clone(), source: std::io::ErrorKind::TimedOut.into() };
+        timeout(CONNECT_WITHIN, OpsClient::open(address, credentials)).await.map_err(late)?
     }
 
-    async fn open(place: &Place, credentials: &Credentials) -> Result<OpsClient, OpsError> {
-        let wrong = |source| OpsError::Connect { place: place.clone(), source };
+    async fn open(address: &OperationsAddress, credentials: &Credentials) -> Result<OpsClient, OpsError> {
+        let failed = |source| OpsError::Connect { address: address.clone(), source };
         type Halves = (Box<dyn AsyncRead + Send + Unpin>, Box<dyn AsyncWrite + Send + Unpin>);
-        let (reader, writer): Halves = match place {
-            Place::Socket(path) => {
-                let (reader, writer) = UnixStream::connect(path).await.map_err(wrong)?.into_split();
+        let (reader, writer): Halves = match address {
+            OperationsAddress::Socket(path) => {
+                let (reader, writer) = UnixStream::connect(path).await.map_err(failed)?.into_split();
                 (Box::new(reader), Box::new(writer))
             }
-            Place::Address(address) => {
-                let socket = TcpStream::connect(address).await.map_err(wrong)?;
-                socket.set_nodelay(true).map_err(wrong)?;
+            OperationsAddress::Tcp(address) => {
+                let socket = TcpStream::connect(address).await.map_err(failed)?;
+                socket.set_nodelay(true).map_err(failed)?;
                 let (reader, writer) = socket.into_split();
                 (Box::new(reader), Box::new(writer))
             }
@@ -112,20 +139,22 @@
         let mut client = OpsClient {
             reader: FrameReader::new(reader, MAX_ANSWER_BYTES),
             writer,
-            came: VecDeque::new(),
+            received: VecDeque::new(),
             next_seq: 1,
             router: String::new(),
             run: 0,
             role: SessionRole::ReadOnly,
         };
-        let Credentials { key, role, who } = credentials.clone();
-        client.write(&OpsFrame::Hello { version: VERSION, key, role, operator: who }).await?;
+        let Credentials { key, role, operator } = credentials.clone();
+        client.write(&OpsFrame::Hello { version: VERSION, key, role, operator }).await?;
         match client.reader.read_one().await? {
             OpsFrame::Welcome { version: VERSION, router, run, role } => {
-                (client.router, client.run, client.role) = (router, run, role);
+                client.router = router;
+                client.run = run;
+                client.role = role;
                 Ok(client)
             }
-            OpsFrame::Bye { reason } => Err(OpsError::SentAway(reason)),
+            OpsFrame::Bye { reason } => Err(OpsError::Rejected(reason)),
             _ => Err(OpsError::Protocol),
         }
     }
@@ -136,45 +165,45 @@
         Ok(self.writer.write_all(&bytes).await?)
     }
 
-    /// Puts a question; the number that its answer will have.
+    /// Sends a question and returns the number that its answer will have.
     ///
     /// # Errors
     /// When the connection is gone.
-    pub async fn put(&mut self, query: Query) -> Result<u32, OpsError> {
+    pub async fn send(&mut self, query: Query) -> Result<u32, OpsError> {
         let seq = self.next_seq;
         self.next_seq = self.next_seq.wrapping_add(1);
         self.write(&OpsFrame::Query { seq, query }).await?;
         Ok(seq)
     }
 
-    /// Waits for what comes next. Nothing is lost if the wait is given up.
+    /// Waits for what the router sends next. Cancelling the wait loses nothing.
     ///
     /// # Errors
     /// When the connection is gone.
     pub async fn next(&mut self) -> Result<Incoming, OpsError> {
         loop {
-            match self.came.pop_front() {
+            match self.received.pop_front() {
                 Some(OpsFrame::Answer { seq, answer }) => return Ok(Incoming::Answer { seq, answer }),
                 Some(OpsFrame::Update(update)) => return Ok(Incoming::Update(update)),
-                Some(OpsFrame::Bye { reason }) => return Err(OpsError::SentAway(reason)),
+                Some(OpsFrame::Bye { reason }) => return Err(OpsError::Rejected(reason)),
                 Some(_) => return Err(OpsError::Protocol),
                 None => {}
             }
             let mut frames = Vec::new();
             let read = self.reader.read(&mut frames).await;
-            self.came.extend(frames);
-            if self.came.is_empty() {
+            self.received.extend(frames);
+            if self.received.is_empty() {
                 read?;
             }
         }
     }
 
-    /// Puts a question and waits for its answer. Updates that come before it are dropped.
+    /// Sends a question and waits for its answer. Updates that come before it are dropped.
     ///
     /// # Errors
     /// When the connection is gone.
-    pub async fn ask(&mut self, query: Query) -> Result<Answer, OpsError> {
-        let wanted = self.put(query).await?;
+    pub async fn query(&mut self, query: Query) -> Result<Answer, OpsError> {
+        let wanted = self.send(query).await?;
         loop {
             match self.next().await? {
                 Incoming::Answer { seq, answer } if seq == wanted => return Ok(answer),
--- a/crates/gaparch-net/src/signals.rs
+++ b/crates/gaparch-net/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals of this process, heard also while system calls fail.
+//! Signals of this process, received also while system calls fail.
 //!
 //! A signal's handler sets a flag in memory and does nothing else: no call that could fail, and none that a library loaded
-//! into the process may have replaced by one that must not run in a handler. The flags are looked at by the clock.
+//! into the process may have replaced by one that must not run in a handler. The flags are polled.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
@@ -11,14 +11,17 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between two looks at the flags.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// Interval at which the flags are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A signal that a process may be told by.
+/// A signal that a process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
+    /// SIGTERM: shut down gracefully.
     Terminate,
+    /// SIGINT: as by Ctrl-C in a terminal.
     Interrupt,
+    /// SIGHUP: read the configuration again.
     Hangup,
 }
 
@@ -32,18 +35,18 @@
     }
 }
 
-/// Signals that are heard instead of ending the process, from when this was made.
+/// Signals that are handled instead of ending the process, from when this was installed.
 #[derive(Debug)]
 pub struct Signals {
     flags: Vec<(Signal, Arc<AtomicBool>)>,
 }
 
 impl Signals {
-    /// Hears these signals. Where several have come the first of this list is told first.
+    /// Handles these signals. Where several are pending the first of `signals` is reported first.
     ///
     /// # Errors
     /// When a handler can't be installed.
-    pub fn hear(signals: &[Signal]) -> io::Result<Signals> {
+    pub fn install(signals: &[Signal]) -> io::Result<Signals> {
         let mut flags = Vec::new();
         for signal in signals {
             let is_set = Arc::new(AtomicBool::new(false));
@@ -53,13 +56,13 @@
         Ok(Signals { flags })
     }
 
-    /// The next signal, some 25 ms after it has come at the latest. Of several of a kind that come at once one is told.
+    /// Waits for the next signal, which is reported within 25 ms. Several of a kind that come at once are reported once.
     pub async fn next(&self) -> Signal {
         loop {
             if let Some(signal) = self.take() {
                 return signal;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -70,19 +73,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use signal_hook::low_level::raise;
-    use tokio::time::timeout;
-
-    #[tokio::test]
-    async fn each_signal_is_told_once_in_the_order_of_the_list() {
-        let signals = Signals::hear(&[Signal::Terminate, Signal::Hangup]).expect("handlers");
-        for signal in [SIGHUP, SIGTERM, SIGHUP] {
-            raise(signal).expect("raised");
-        }
-        assert_eq!(signals.next().await, Signal::Terminate);
-        assert_eq!(signals.next().await, Signal::Hangup);
-        assert!(timeout(LOOK_EVERY * 8, signals.next()).await.is_err());
-    }
-}
+#[path = "signals_tests.rs"]
+mod tests;
--- a/crates/gaparch-platform-router/src/run/mod.rs
+++ b/crates/gaparch-platform-router/src/run/mod.rs
@@ -86,7 +86,7 @@
 /// When the file can't be used, an address can't be bound, or the scheduler task ends.
 pub async fn run(file: PathBuf) -> Result<(), RouterError> {
     // A signal must not end the process once anybody can see that this router is ready.
-    let signals = Signals::hear(&[Signal::Terminate, Signal::Hangup]).map_err(RouterError::Signals)?;
+    let signals = Signals::install(&[Signal::Terminate, Signal::Hangup]).map_err(RouterError::Signals)?;
     let (orders, receiver) = mpsc::channel(ORDER_QUEUE_LENGTH);
     tokio::spawn(async move {
         loop {
--- a/crates/gaparch-router/src/core/connection.rs
+++ b/crates/gaparch-router/src/core/connection.rs
@@ -1,15 +1,15 @@
-//! The one connection to each engine.
+//! The state of the connection to one engine, and what is in flight on it.
 
 use gaparch_config::Attempts;
 use gaparch_scheduler::api::{LoadReport, Nanos, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One connection that was asked for; the next one to the same engine has another number.
+/// Identifies a connection that was asked for; the next one to the same engine has another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionNumber(pub u64);
 
 impl ConnectionNumber {
-    /// Stands for all exchanges with an engine where there is no one connection.
+    /// Stands for all exchanges with an engine where each has a connection of its own.
     pub const EXCHANGES: ConnectionNumber = ConnectionNumber(0);
 }
 
@@ -25,18 +25,18 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct EngineConnection {
     state: State,
-    /// Tries that have failed one after the other.
+    /// Attempts to connect that have failed in a row.
     consecutive_failures: u32,
-    /// Requests with an attempt out there.
+    /// Requests with an attempt in flight there.
     pub in_flight: BTreeSet<RequestId>,
-    /// Probes out, by nonce, with when they were sent.
+    /// Probes in flight, by nonce, with when they were sent.
     pub outstanding_probes: BTreeMap<u64, Nanos>,
-    /// The last report that came by itself.
+    /// The last load report that came by itself and was not passed on.
     pub last_report: Option<LoadReport>,
     pub attempt_counters: AttemptCounters,
 }
 
-/// Attempts at an engine, counted from the start of the router.
+/// Attempts at an engine, counted since the start of the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AttemptCounters {
     pub attempts: u64,
@@ -52,7 +52,7 @@
 }
 
 impl EngineConnection {
-    /// The link to an engine that each attempt reaches by itself.
+    /// The state of an engine that each attempt connects to by itself.
     pub fn connectionless() -> EngineConnection {
         EngineConnection {
             state: State::Connected(ConnectionNumber::EXCHANGES),
@@ -72,7 +72,7 @@
         matches!(self.state, State::Connected(_))
     }
 
-    /// It may be up soon.
+    /// Whether it is being connected to, and has not failed before: it may be connected soon.
     pub fn is_connecting_first_time(&self) -> bool {
         matches!(self.state, State::Connecting(_)) && self.consecutive_failures == 0
     }
@@ -92,7 +92,7 @@
         self.state = State::Connecting(conn);
     }
 
-    /// Whether that is the connection that is waited for.
+    /// Records that a connection is established; whether it is the one that was asked for.
     pub fn on_connected(&mut self, conn: ConnectionNumber) -> bool {
         let expected = self.state == State::Connecting(conn);
         if expected {
@@ -102,7 +102,7 @@
         expected
     }
 
-    /// `None` if it is another connection that went down.
+    /// Records that a connection was lost; `None` if it is not the current one.
     pub fn on_disconnected(&mut self, conn: ConnectionNumber, settings: &Attempts) -> Option<LostConnection> {
         let was_up = self.is_current(conn);
         if self.number() != Some(conn) {
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The list of engines as this router knows it, from the settings, the list service and the engines' hellos.
+//! The endpoints as this router knows them, from the settings, the list service and the engines' hellos. It owns what is
+//! listed of each engine and when its process started.
 
 use super::wire_names::{listed_state, server_state};
 use super::{load_values, state_at, Counters};
@@ -16,11 +17,13 @@
 /// One update of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
+    /// Whether the entries are the full list or a change of it.
     pub scope: Scope,
     /// Grows with each change.
     pub version: u64,
     /// The version that changes are counted from.
     pub base_version: u64,
+    /// The entries that the update names.
     pub entries: Vec<ListEntry>,
 }
 
@@ -262,11 +265,11 @@
         }
     }
 
-    /// An engine has said when it started; the entry to tell of, if that is news.
+    /// An engine has said when it started; what the scheduler is to be told, if that is news.
     ///
     /// Its clock is another machine's, and may be hours off: a process that speaks has begun by now, and one that was
-    /// not there before began after the time at which it was not. Believed as it stands, a start told by a clock behind
-    /// ours makes a cold engine look warm, and one ahead of ours keeps it cold.
+    /// not there before began after the time at which it was not. Taken as it stands, a start by a clock behind
+    /// ours would end a slow start too early, and one by a clock ahead of ours would prolong it.
     pub fn on_reported_start(
         &mut self,
         server: ServerId,
@@ -304,11 +307,12 @@
         }
     }
 
-    /// Drops those that are gone and of which nothing is kept elsewhere.
-    pub fn forget_removed(&mut self, kept: impl Fn(ServerId) -> bool) {
-        self.known.retain(|id, known| known.endpoint.state != ServerState::Removed || kept(*id));
+    /// Forgets the removed endpoints that are not in use.
+    pub fn forget_removed(&mut self, is_in_use: impl Fn(ServerId) -> bool) {
+        self.known.retain(|id, known| known.endpoint.state != ServerState::Removed || is_in_use(*id));
     }
 
+    /// All endpoints that are not removed.
     pub fn present(&self) -> Vec<ServerId> {
         self.known
             .iter()
@@ -317,34 +321,38 @@
             .collect()
     }
 
-    /// It is to be connected to.
+    /// Whether an engine is listed and not removed.
     pub fn is_present(&self, server: ServerId) -> bool {
         self.known.get(&server).is_some_and(|known| known.endpoint.state != ServerState::Removed)
     }
 
+    /// Whether an engine may be sent new requests.
     pub fn is_ready(&self, server: ServerId) -> bool {
         self.known.get(&server).is_some_and(|known| known.endpoint.state == ServerState::Ready)
     }
 
+    /// The role of an engine by its kind.
     pub fn role(&self, server: ServerId, settings: &Settings) -> Option<Role> {
         self.known.get(&server).and_then(|known| Some(settings.kind(known.endpoint.kind)?.0))
     }
 
-    /// The zone and the cell that an engine is listed in.
+    /// The zone and the cell in which an engine is listed.
     pub fn location(&self, server: ServerId) -> (Option<ZoneId>, Option<CellId>) {
         self.known.get(&server).map_or((None, None), |known| (known.endpoint.zone, known.endpoint.cell))
     }
 
+    /// The name and the address of an engine that is to be connected to.
     pub fn connect_target(&self, server: ServerId) -> Option<(String, String)> {
         let known = self.known.get(&server).filter(|known| known.endpoint.state != ServerState::Removed)?;
         Some((known.listed.engine.clone(), known.listed.address.clone()))
     }
 
-    /// Where an engine is, and when its process began; 0: long ago.
+    /// The address of an engine, and when its process started; 0: long ago.
     pub fn process(&self, server: ServerId) -> Option<(SocketAddr, Nanos)> {
         self.known.get(&server).map(|known| (known.address, known.endpoint.started_at.unwrap_or(0)))
     }
 
+    /// Where a decode worker fetches a KV cache of this engine from.
     pub fn kv_source(&self, server: ServerId) -> Option<StateAt> {
         self.known.get(&server).map(|known| state_at(&known.listed.engine, &known.listed.address))
     }
--- a/crates/gaparch-router/src/core/endpoint_updates.rs
+++ b/crates/gaparch-router/src/core/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The list, and the engines that it makes the router connect to.
+//! Changes of the endpoint list, and the connections that follow from them.
 
 use super::attempts::AttemptResult;
 use super::connection::{ConnectionNumber, EngineConnection};
@@ -11,7 +11,7 @@
 
 impl Core {
     pub(super) fn on_list_service_up(&mut self, out: &mut Vec<Output>) {
-        // Where it must be asked, the module asks.
+        // Where the list service must be polled, the scheduler polls it.
         if !self.config.module.poll_endpoints {
             out.push(Output::WatchEndpoints(true));
         }
@@ -30,7 +30,7 @@
         let told =
             self.endpoints.apply_update(update, &self.config, &self.orders, self.now, &mut self.counters);
         let Some((kind, entries)) = told else {
-            // A change was missed: the whole list tells.
+            // A change was missed: the full list is needed.
             return out.push(Output::FetchEndpoints);
         };
         let changed =
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Connects to what is listed anew, and lets go of what is gone.
+    /// Connects to endpoints that were added, and disconnects from those that were removed.
     pub(super) fn follow_all_endpoints(&mut self, out: &mut Vec<Output>) {
         let mut all: BTreeSet<ServerId> = self.connections.keys().copied().collect();
         all.extend(self.endpoints.present());
@@ -63,13 +63,13 @@
             self.follow_endpoint(engine, out);
         }
         if self.config.links == Links::Exchanges {
-            // New engines come under new names all day: what is gone must not stay in the books.
+            // New engines come under new names all day: removed ones must not accumulate.
             let engines = &self.connections;
             self.endpoints.forget_removed(|engine| engines.contains_key(&engine));
         }
     }
 
-    /// Sends that wait for a connection are not to go out after the drain.
+    /// Attempts that wait for a connection must not be sent after a drain.
     fn fail_waiting_attempts(&mut self) {
         let roster = &self.endpoints;
         let waits = |tracked: &TrackedRequest| {
@@ -93,15 +93,15 @@
         }
     }
 
-    /// Something of ours has ended at an engine: if it is not wanted any more, that may have been the last.
+    /// Something has ended at an engine: if the engine is no longer listed, that may have been the last.
     pub(super) fn queue_disconnect_check(&mut self, engine: ServerId) {
         if !self.endpoints.is_present(engine) && !self.disconnect_candidates.contains(&engine) {
             self.disconnect_candidates.push(engine);
         }
     }
 
-    /// Closes the connection to an engine that is not wanted any more, once nothing of ours runs or waits there: a
-    /// state that is still to be fetched would go with it.
+    /// Closes the connection to an engine that is no longer listed once nothing is in flight or held there: a KV cache that
+    /// is still to be fetched would be lost with it.
     pub(super) fn disconnect_if_idle(&mut self, engine: ServerId, out: &mut Vec<Output>) {
         let Some(connection) = self.connections.get(&engine).filter(|_| !self.endpoints.is_present(engine))
         else {
--- a/crates/gaparch-router/src/core/kv_cache.rs
+++ b/crates/gaparch-router/src/core/kv_cache.rs
@@ -8,8 +8,8 @@
 use gaparch_scheduler::policy::kv_release::may_release_beside_decode;
 
 impl Core {
-    /// Lets go of all that is held for the request. A state that a write is out for stays booked: the write may have
-    /// arrived, and then it waits for it.
+    /// Releases everything that is held for the request. A KV cache for which a decode is in flight stays recorded: the decode may
+    /// have arrived, and then it fetches it.
     pub(super) fn release_kv(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         let write = tracked.attempt.filter(|attempt| attempt.stage == Stage::Decode);
--- a/crates/gaparch-router/src/core/load_values.rs
+++ b/crates/gaparch-router/src/core/load_values.rs
@@ -1,32 +1,33 @@
-//! Figures of engines and of the list: what no one should send is dropped and counted.
+//! Checks of numbers that engines and the list service send: those out of range are ignored and counted.
 
 use super::Counters;
 use gaparch_scheduler::api::LoadReport;
 
-/// No figure of a report or a weight makes sense above this.
+/// The largest valid number in a load report or a weight.
 const MAX_VALUE: f64 = 1e9;
 
-pub(super) fn is_valid(figure: f64) -> bool {
-    figure.is_finite() && (0.0..=MAX_VALUE).contains(&figure)
+/// Whether a number is finite and in range.
+pub(super) fn is_valid(value: f64) -> bool {
+    value.is_finite() && (0.0..=MAX_VALUE).contains(&value)
 }
 
-/// The report without its figures that make no sense; `None` if none is left.
+/// The report without its invalid values; `None` if no value is left.
 pub(super) fn without_invalid_values(
     report: Option<LoadReport>,
-    counts: &mut Counters,
+    counters: &mut Counters,
 ) -> Option<LoadReport> {
     let mut report = report?;
-    let figures = [
+    let values = [
         &mut report.in_flight,
         &mut report.queued,
         &mut report.slot_utilization,
         &mut report.memory_utilization,
         &mut report.pending_prefill_kilotokens,
     ];
-    for figure in figures {
-        if figure.is_some_and(|f| !is_valid(f)) {
-            *figure = None;
-            counts.ignored_values += 1;
+    for value in values {
+        if value.is_some_and(|value| !is_valid(value)) {
+            *value = None;
+            counters.ignored_values += 1;
         }
     }
     (report != LoadReport::default()).then_some(report)
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -1,4 +1,5 @@
-//! A router without I/O: what it is told, what it does, and the module that decides between the two.
+//! The router without I/O: inputs and outputs, and the scheduler that decides between the two. [`Core`] owns all state of
+//! requests, connections and endpoints.
 
 mod actions;
 mod attempts;
@@ -17,8 +18,8 @@
 mod probes;
 mod reason_counters;
 mod request;
-mod request_endings;
 mod request_lifecycle;
+mod request_outcomes;
 mod sending;
 mod streams;
 mod timeouts;
@@ -48,7 +49,7 @@
 use std::net::SocketAddr;
 use timers::Timers;
 
-/// One router.
+/// The state of one router.
 pub struct Core {
     config: Config,
     run: RouterRun,
@@ -61,25 +62,25 @@
     timers: Timers,
     counters: Counters,
     reasons_by_kind: ReasonsByKind,
-    /// From when on nothing new is taken.
+    /// From when on no new requests are accepted.
     stop_at: Option<Nanos>,
-    /// The operators' orders.
+    /// Orders of operators that are in force.
     orders: OrderRegistry,
-    /// Requests whose final answer is owed.
+    /// How many requests have no final answer yet.
     unanswered: usize,
-    /// How the engines looked a moment ago, for requests that are given up in one go.
+    /// How the engines looked a moment ago, for requests that are given up together.
     evidence: Option<(Nanos, Vec<EngineEvidence>)>,
-    /// Engines that may have nothing more of ours, and are no longer listed or set aside.
+    /// Engines that are no longer listed, or detached by an operator, and on which nothing may be in flight any more.
     disconnect_candidates: Vec<ServerId>,
-    /// Frames to hand over at the end of the action.
+    /// Frames to send at the end of the action.
     pending_frames: Vec<Output>,
     next_conn: u64,
     next_nonce: u64,
 }
 
 impl Core {
-    /// A router that starts now, with what its operators have ordered before. `run` must differ from that of
-    /// any earlier run.
+    /// A router that starts now, with the orders that its operators gave before. `run` must differ from that of any earlier
+    /// run.
     pub fn new(
         config: Config,
         book: OrderRegistry,
@@ -117,60 +118,62 @@
         core
     }
 
+    /// What was counted since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
+    /// The run of this router, which engines know its requests by.
     pub fn run(&self) -> RouterRun {
         self.run
     }
 
-    /// Requests whose final answer is still owed.
+    /// How many requests have no final answer yet.
     pub fn open_requests(&self) -> usize {
         self.unanswered
     }
 
-    /// Where a request is, if it is still known.
+    /// How far a request has got, if it is still known.
     pub fn phase(&self, id: RequestId) -> Option<Phase> {
         self.requests.get(&id).map(TrackedRequest::phase)
     }
 
-    /// When the last byte of a request's attempt has to be written; what can't be by then is not sent.
+    /// When the last byte of a request's attempt must be written at the latest; an attempt that can't be by then is not sent.
     pub fn send_by(&self, id: RequestId) -> Nanos {
         self.requests.get(&id).map_or(Nanos::MAX, |tracked| tracked.send_by)
     }
 
-    /// When the client of a request stops waiting for its first token; the present where it is not known any more.
+    /// When the client of a request stops waiting for its first token; now, if the request is not known any more.
     pub fn deadline_at(&self, id: RequestId) -> Nanos {
         self.requests.get(&id).map_or(self.now, |tracked| tracked.deadline_at)
     }
 
-    /// When a request came; the present where it is not known any more.
+    /// When a request arrived; now, if it is not known any more.
     pub fn arrived_at(&self, id: RequestId) -> Nanos {
         self.requests.get(&id).map_or(self.now, |tracked| tracked.arrived_at)
     }
 
-    /// Where a listed engine is, and when its process began; 0: long ago.
+    /// The address of a listed engine, and when its process started; 0: long ago.
     pub fn endpoint_process(&self, engine: ServerId) -> Option<(SocketAddr, Nanos)> {
         self.endpoints.process(engine)
     }
 
-    /// The engines that are listed and not gone.
+    /// The engines that are listed and not removed.
     pub fn listed_engines(&self) -> impl Iterator<Item = ServerId> {
         self.endpoints.present().into_iter()
     }
 
-    /// Timers that are set, and would be kept for as long as they run.
+    /// How many timers are set.
     pub fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
-    /// When [`on_time`](Core::on_time) has something to do.
+    /// When [`on_timers_due`](Core::on_timers_due) has something to do.
     pub fn next_timer_at(&self) -> Option<Nanos> {
         self.timers.next_at()
     }
 
-    /// Does what has fallen due. Time never goes back.
+    /// Handles all timers that are due. Time never goes back.
     pub fn on_timers_due(&mut self, now: Nanos, out: &mut Vec<Output>) {
         self.now = now.max(self.now);
         while let Some(timer) = self.timers.pop_due(self.now) {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Takes one input.
+    /// Handles one input, and lets the scheduler decide on it.
     pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Output>) {
         self.now = now.max(self.now);
         match input {
@@ -211,7 +214,7 @@
         self.stop_at = Some(self.stop_at.map_or(at, |before| before.min(at)));
     }
 
-    /// Lets the module decide on all that has happened, and on what comes of its own actions.
+    /// Lets the scheduler decide on all pending events, and on those that its own actions cause.
     fn run_scheduler(&mut self, out: &mut Vec<Output>) {
         loop {
             while let Some(event) = self.scheduler_events.pop_front() {
@@ -221,7 +224,7 @@
             }
             out.append(&mut self.pending_frames);
             match self.disconnect_candidates.pop() {
-                // The module hears of what that does, too.
+                // The scheduler learns what that causes, too.
                 Some(engine) => self.disconnect_if_idle(engine, out),
                 None => return,
             }
@@ -229,7 +232,7 @@
     }
 }
 
-/// Where a state waits, as a writer has to know it.
+/// Where a KV cache is, as a decode worker has to know it.
 fn state_at(engine: &str, address: &str) -> StateAt {
     StateAt { engine: engine.to_owned(), address: address.to_owned() }
 }
--- a/crates/gaparch-router/src/core/operator_orders.rs
+++ b/crates/gaparch-router/src/core/operator_orders.rs
@@ -56,11 +56,11 @@
             awaiting_first_token: view.awaiting_first_token,
             streaming: view.streaming,
         };
-        let figures = self.figures();
+        let metrics = self.metrics();
         SiteStatus {
             engines: self.engine_views().into_iter().map(standing).collect(),
-            queued: figures.queued,
-            prefilling: figures.prefilling,
+            queued: metrics.queued,
+            prefilling: metrics.prefilling,
             decode_workers_can_prefill: self.config.module.decode_workers_can_prefill,
             limits: self.limits(),
         }
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -1,4 +1,4 @@
-//! The router as operators see it: engines, requests, figures and settings.
+//! The router as operators see it: engines, requests, metrics and settings.
 
 use super::connection::EngineConnection;
 use super::endpoint_table::KnownEndpoint;
@@ -86,10 +86,10 @@
         }
     }
 
-    /// The router's own figures; the owner's lag is for the shell to fill in.
-    pub fn figures(&self) -> RouterMetrics {
+    /// The router's own metrics; the owner's lag is for the shell to fill in.
+    pub fn metrics(&self) -> RouterMetrics {
         let counters = self.counters;
-        let mut figures = RouterMetrics {
+        let mut metrics = RouterMetrics {
             at: self.now,
             requests: counters.requests,
             served: counters.served,
@@ -103,15 +103,15 @@
         };
         for tracked in self.requests.values() {
             match tracked.phase() {
-                Phase::Queued => figures.queued += 1,
-                Phase::Prefilling => figures.prefilling += 1,
-                Phase::Prefilled => figures.prefilled += 1,
-                Phase::Decoding => figures.decoding += 1,
-                Phase::Streaming => figures.streaming += 1,
+                Phase::Queued => metrics.queued += 1,
+                Phase::Prefilling => metrics.prefilling += 1,
+                Phase::Prefilled => metrics.prefilled += 1,
+                Phase::Decoding => metrics.decoding += 1,
+                Phase::Streaming => metrics.streaming += 1,
                 Phase::Ended => {}
             }
         }
-        figures
+        metrics
     }
 
     /// The oldest open requests, at most so many.
--- a/crates/gaparch-router/src/core/reason_counters.rs
+++ b/crates/gaparch-router/src/core/reason_counters.rs
@@ -25,27 +25,29 @@
     }
 }
 
-/// Reasons of all that has ended since the start.
+/// The reasons of everything that has ended since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReasonsByKind {
-    /// Requests that were refused, by their cause.
+    /// Requests that were rejected, by their cause.
     pub rejected: ReasonCounters,
     /// Requests that failed, by their cause.
     pub failed: ReasonCounters,
     /// Attempts that did not do what they were sent for, by their status.
     pub attempts: ReasonCounters,
-    /// Attempts after another of the same request, by the status of the one before.
+    /// Retries, by the status of the attempt before.
     pub retries: ReasonCounters,
 }
 
-/// What was read for a request and that no writer is known to have fetched.
+/// The KV cache of a request that no decode worker is known to have fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldKvCache {
+    /// The request that it belongs to.
     pub request: RequestId,
+    /// The engine that holds it.
     pub prefill_worker: ServerId,
-    /// When its read ended.
+    /// When its prefill ended.
     pub since: Nanos,
-    /// Where a write for it is out that has not been answered.
+    /// The engine of a decode attempt that has not been answered.
     pub unanswered_at: Option<ServerId>,
 }
 
@@ -60,7 +62,7 @@
         self.requests.get(&id)?.last_status
     }
 
-    /// What is held for requests whose answer has not begun.
+    /// The KV caches of requests whose response has not started.
     pub fn held_kv_caches(&self) -> impl Iterator<Item = HeldKvCache> + '_ {
         self.requests.iter().filter_map(|(request, tracked)| {
             let (reader, since) = (tracked.kv_cache_at?, tracked.kv_cache_since?);
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -1,4 +1,4 @@
-//! A request from its acceptance to its one final answer.
+//! A request from its arrival to its one final answer, and the attempt in flight for it.
 
 use super::timers::TimerKey;
 use gaparch_config::ClassTimes;
@@ -11,45 +11,54 @@
 };
 use gaparch_scheduler::state::MayHaveRun;
 
-/// A request whose names have been looked up.
+/// A request whose class, tenant and keys are resolved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedRequest {
+    /// Its traffic class.
     pub class: ClassId,
+    /// Its tenant, where tenants are known by keys.
     pub tenant: Option<TenantId>,
+    /// The conversation that it belongs to.
     pub session: Option<AffinityKey>,
+    /// The shared prefix of its prompt.
     pub prefix: Option<AffinityKey>,
-    /// Tokens; 0 where not told.
+    /// Tokens of the prompt; 0 if not known.
     pub prompt_tokens: u32,
+    /// Tokens of the shared prefix; 0 if not known.
     pub prefix_tokens: u32,
+    /// Tokens that may be generated at most.
     pub max_output_tokens: u32,
-    /// Rough length of the answer in tokens.
+    /// Estimate of the tokens that will be generated.
     pub expected_output_tokens: Option<u32>,
+    /// Whether the client says that it has sent this request before.
     pub client_retry: bool,
-    /// It asks for the rest of a stream that broke.
+    /// Whether the client asks for the rest of a stream that broke.
     pub client_reconnect: bool,
-    /// When its client leaves, where it says so itself.
+    /// When the client stops waiting, in nanoseconds since the Unix epoch, where it says so itself.
     pub deadline_at: Option<Nanos>,
+    /// The text of the prompt.
     pub prompt: String,
-    /// The same for the same question of the same client, as far as can be told.
+    /// A hash that is the same for the same prompt in the same session, by which retries are recognized.
     pub fingerprint: u64,
 }
 
 impl AcceptedRequest {
-    /// How soon its first token is wanted, by what its client has told.
+    /// The time within which its first token should come.
     pub(super) fn latency_objective(&self, settings: &Settings) -> Nanos {
         let class = settings.classes.get(self.class.0);
-        let (aim, per_token) =
+        let (objective, per_token) =
             class.map_or((0, 0.0), |c| (c.latency_objective, c.latency_objective_per_prompt_token));
-        aim.saturating_add((per_token * f64::from(self.prompt_tokens)) as Nanos)
+        objective.saturating_add((per_token * f64::from(self.prompt_tokens)) as Nanos)
     }
 
-    /// As the module is told of it. Where the client does not say, the deadline grows twice as much with the prompt as the aim does.
+    /// The request as the scheduler sees it. Where the client states no deadline, it grows twice as much with the prompt as the
+    /// latency objective does.
     pub(super) fn to_scheduler_request(&self, id: RequestId, settings: &Settings, now: Nanos) -> Request {
         let class = settings.classes.get(self.class.0);
-        let (deadline, per_token, token_aim) = class.map_or((0, 0.0, 0), |c| {
+        let (deadline, per_token, per_output_token) = class.map_or((0, 0.0, 0), |c| {
             (c.deadline, c.latency_objective_per_prompt_token, c.token_latency_objective)
         });
-        let longer = 2.0 * per_token * f64::from(self.prompt_tokens);
+        let prompt_allowance = 2.0 * per_token * f64::from(self.prompt_tokens);
         Request {
             id,
             class: self.class,
@@ -61,24 +70,25 @@
             max_output_tokens: f64::from(self.max_output_tokens),
             expected_duration: self
                 .expected_output_tokens
-                .map(|tokens| Nanos::from(tokens).saturating_mul(token_aim))
-                .filter(|h| *h > 0),
+                .map(|tokens| Nanos::from(tokens).saturating_mul(per_output_token))
+                .filter(|duration| *duration > 0),
             deadline_at: self
                 .deadline_at
-                .unwrap_or_else(|| now.saturating_add(deadline).saturating_add(longer as Nanos)),
+                .unwrap_or_else(|| now.saturating_add(deadline).saturating_add(prompt_allowance as Nanos)),
             client_retry: self.client_retry,
             client_reconnect: self.client_reconnect,
         }
     }
 
-    pub(super) fn job(&self, id: RequestId, no: AttemptNumber, give_up_at: Nanos, now: Nanos) -> Job {
-        let patience_ms = give_up_at.saturating_sub(now) / 1_000_000;
+    /// The job that is sent to an engine for one attempt.
+    pub(super) fn job(&self, id: RequestId, number: AttemptNumber, deadline_at: Nanos, now: Nanos) -> Job {
+        let patience_ms = deadline_at.saturating_sub(now) / 1_000_000;
         Job {
-            key: AttemptKey { request: id.0, attempt: no.0 },
+            key: AttemptKey { request: id.0, attempt: number.0 },
             class: u16::try_from(self.class.0).unwrap_or(u16::MAX),
-            tenant: self.tenant.and_then(|t| u16::try_from(t.0).ok()),
-            session: self.session.map(|k| k.0),
-            prefix: self.prefix.map(|k| k.0),
+            tenant: self.tenant.and_then(|tenant| u16::try_from(tenant.0).ok()),
+            session: self.session.map(|key| key.0),
+            prefix: self.prefix.map(|key| key.0),
             prompt_len: self.prompt_tokens,
             prefix_len: self.prefix_tokens,
             max_out: self.max_output_tokens,
@@ -88,6 +98,7 @@
     }
 }
 
+/// The half of a request that an attempt serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Prefill,
@@ -130,35 +141,42 @@
 /// How far a request has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
+    /// No attempt is in flight, and there is no KV cache.
     Queued,
+    /// A prefill is in flight.
     Prefilling,
+    /// Its KV cache waits for a decode.
     Prefilled,
+    /// A decode is in flight and has no token yet.
     Decoding,
+    /// Its response has started.
     Streaming,
+    /// Its final answer was given.
     Ended,
 }
 
+/// A request as the core tracks it.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedRequest {
     pub request: AcceptedRequest,
     pub deadline_at: Nanos,
     pub next_attempt: u32,
-    /// When the last byte of the attempt that is out has to be written.
+    /// When the last byte of the attempt in flight must be written at the latest.
     pub send_by: Nanos,
-    /// Falls due where the module has not answered in the client's time.
+    /// Due if the scheduler has not answered by the client's deadline.
     pub overdue_timer: Option<TimerKey>,
     pub attempt: Option<Attempt>,
-    /// Its first write that may have run.
+    /// Its first decode that may have run.
     pub may_have_run: Option<MayHaveRun>,
-    /// The reader whose state a writer is to fetch.
+    /// The prefill worker that has its KV cache.
     pub kv_cache_at: Option<ServerId>,
-    /// When the read of that state ended.
+    /// When the prefill of that KV cache ended.
     pub kv_cache_since: Option<Nanos>,
     /// How its last attempt ended.
     pub last_status: Option<AttemptStatus>,
-    /// Engines that hold something for it.
+    /// Engines that hold its KV cache, or room reserved for it.
     pub kv_held_at: Vec<ServerId>,
-    /// The final answer is given: only the books are still open.
+    /// The final answer was given; what engines hold is still to be released.
     pub answered: bool,
     pub usage: Usage,
     pub streaming_since: Nanos,
@@ -169,7 +187,7 @@
     pub attempt_records: Vec<AttemptRecord>,
 }
 
-/// An attempt, for whoever asks what became of the request.
+/// An attempt, for operators who ask what became of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptRecord {
     pub server: ServerId,
@@ -203,7 +221,7 @@
         }
     }
 
-    /// Notes an attempt that begins.
+    /// Records that an attempt starts.
     pub fn record_attempt_start(&mut self, server: ServerId, stage: Stage, now: Nanos) {
         if self.attempt_records.len() < MAX_ATTEMPTS {
             self.attempt_records.push(AttemptRecord {
@@ -216,7 +234,7 @@
         }
     }
 
-    /// Notes how the last attempt ended.
+    /// Records how the last attempt ended.
     pub fn record_attempt_end(&mut self, status: AttemptStatus, now: Nanos) {
         let out = self.attempt_records.last_mut().filter(|s| s.end == AttemptEnd::InFlight);
         if let Some(step) = out {
@@ -244,7 +262,7 @@
         }
     }
 
-    /// Answered, with nothing out and nothing held.
+    /// Whether it is answered, with nothing in flight and nothing held.
     pub fn can_be_forgotten(&self) -> bool {
         self.answered && self.attempt.is_none() && self.kv_held_at.is_empty()
     }
@@ -255,7 +273,7 @@
         }
     }
 
-    /// When a begun stream has taken too long, as things stand.
+    /// When its stream is over its limits, if no further token comes.
     pub fn stream_deadline(&self, times: &[ClassTimes]) -> Nanos {
         let times = times.get(self.request.class.0).copied();
         let times = times.unwrap_or(ClassTimes { stream: Nanos::MAX, silence: Nanos::MAX });
--- a/crates/gaparch-router/src/core/request_lifecycle.rs
+++ b/crates/gaparch-router/src/core/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Requests come in, and get their one final answer.
+//! How requests arrive, and get their one final answer.
 
 use super::attempts::AttemptResult;
 use super::request::{AcceptedRequest, TrackedRequest};
@@ -25,7 +25,7 @@
         };
         self.unanswered += 1;
         if let Some(cause) = closed {
-            // The module never hears of it: it is not accepted.
+            // The scheduler never learns of it: it is not accepted.
             self.requests.insert(id, TrackedRequest::new(ask, request.deadline_at, self.now));
             self.answer(id, self.rejection(cause), out);
             return self.forget_if_done(id);
@@ -37,7 +37,7 @@
         self.scheduler_events.push_back(Event::RequestArrived(request));
     }
 
-    /// The refusal of what is not accepted.
+    /// The rejection of a request that is not accepted.
     pub(super) fn rejection(&self, cause: OutcomeCause) -> ResponseEvent {
         let retry_after = self.config.module.advertised_retry_after();
         ResponseEvent::Rejected { retry_after, cause, waited_for: None }
@@ -48,11 +48,11 @@
         tracked.answered = true;
         self.unanswered -= 1;
         self.counters.client_disconnected += 1;
-        self.report_ending(id, None, out);
+        self.report_outcome(id, None, out);
         let Some(tracked) = self.requests.get(&id) else { return };
         let begun = tracked.attempt.filter(|attempt| attempt.is_streaming());
         self.scheduler_events.push_back(Event::ClientDisconnected(id));
-        // Nobody reads the stream: it ends, and the module hears of its attempt.
+        // Nobody reads the stream: it ends, and the scheduler learns of its attempt.
         if let Some(attempt) = begun {
             self.send_cancel(id, attempt);
             self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::Cancelled));
@@ -60,7 +60,7 @@
         self.forget_if_done(id);
     }
 
-    /// The one final answer. Whatever comes second is dropped.
+    /// Gives a request its final answer. A second one is dropped and counted.
     pub(super) fn answer(&mut self, id: RequestId, event: ResponseEvent, out: &mut Vec<Output>) {
         let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| !tracked.answered) else {
             return self.counters.duplicate_answers += 1;
@@ -80,7 +80,7 @@
             ResponseEvent::Started { .. } | ResponseEvent::Text { .. } => self.counters.failed += 1,
         }
         self.counters.within_objective += u64::from(self.met_latency_objective(id, &event));
-        self.report_ending(id, Some(&event), out);
+        self.report_outcome(id, Some(&event), out);
         out.push(Output::Client { id, event });
     }
 
@@ -98,7 +98,7 @@
         let open: Vec<RequestId> =
             self.requests.iter().filter(|(_, tracked)| !tracked.answered).map(|(id, _)| *id).collect();
         for id in open {
-            // What was never sent anywhere is harmless to repeat; of the rest nothing is promised.
+            // A request that was never sent anywhere is safe to repeat; of the others nothing is promised.
             let untouched = self.requests.get(&id).is_some_and(|tracked| tracked.next_attempt == 0);
             let answer = match untouched {
                 true => self.rejection(OutcomeCause::Stopping),
--- a/crates/gaparch-router/src/core/request_endings.rs
+++ b/crates/gaparch-router/src/core/request_outcomes.rs
@@ -22,7 +22,7 @@
 
     /// Hands over how a request ended, where there is an operations side that records it. `event` is its final answer;
     /// `None`: its client disconnected.
-    pub(super) fn report_ending(
+    pub(super) fn report_outcome(
         &mut self,
         id: RequestId,
         event: Option<&ResponseEvent>,
--- a/crates/gaparch-router/src/core/timers.rs
+++ b/crates/gaparch-router/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the core, in order of time and then of setting.
+//! Timers of the core, in the order of their time and then of when they were set.
 
 use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId, ServerId, TimerToken};
 use std::collections::BTreeMap;
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     Scheduler(TimerToken),
-    /// An attempt's time-out.
+    /// An attempt has no token yet.
     AttemptTimeout(RequestId, AttemptNumber),
-    /// An attempt that waits for its connection.
+    /// An attempt still waits for its connection.
     ConnectTimeout(RequestId, AttemptNumber),
-    /// The client's time is up.
+    /// The client's deadline is over.
     RequestOverdue(RequestId),
-    /// A begun stream may have gone on or been silent for too long.
+    /// A stream may have gone on or been silent for too long.
     StreamLimit(RequestId),
     ProbeTimeout(ServerId, u64),
     Reconnect(ServerId),
 }
 
-/// Stands for a timer that was set.
+/// Identifies a timer that was set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
     at: Nanos,
@@ -41,7 +41,7 @@
         key
     }
 
-    /// One that has fallen due or was cancelled before is none any more.
+    /// Cancels a timer; one that was due or cancelled before is not there any more.
     pub fn cancel(&mut self, key: TimerKey) {
         self.due.remove(&key);
     }
--- a/crates/gaparch-router/src/shell/client.rs
+++ b/crates/gaparch-router/src/shell/client.rs
@@ -435,7 +435,7 @@
         for _ in 0..COALESCE {
             match this.ticket.events.poll_recv(cx) {
                 Poll::Ready(Some(event)) => this.put(event, &mut out),
-                // The owner let go of it: this client read too slowly, or the router ended.
+                // The owner released it: this client read too slowly, or the router ended.
                 Poll::Ready(None) => {
                     this.ticket.over = true;
                     return Poll::Ready(Some(Err(BrokenOff)));
--- a/crates/gaparch-router/src/shell/lag.rs
+++ b/crates/gaparch-router/src/shell/lag.rs
@@ -14,12 +14,14 @@
     rounds: AtomicU64,
 }
 
-/// What was seen since the last look.
+/// The lag since it was last asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LagSummary {
+    /// The longest lag.
     pub most: Duration,
     /// Rounds that were late by over 10 ms.
     pub late: u64,
+    /// All rounds.
     pub rounds: u64,
 }
 
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -4,13 +4,13 @@
 //!
 //! | queue | bound | full |
 //! | --- | --- | --- |
-//! | requests to the owner | `limits/inbox` | the request is refused at once, before it is accepted |
+//! | requests to the owner | `limits/inbox` | the request is rejected at once |
 //! | engines' frames to the owner | 1,024 batches | engines' connections are not read from |
-//! | clients that left, to the owner | open requests | can't be: one message a request |
-//! | events to one client | `limits/stream-buffer` | the client reads too slowly: its request ends as if it had left |
+//! | disconnected clients, to the owner | open requests | can't be: one message a request |
+//! | events to one client | `limits/stream-buffer` | the client reads too slowly: its request ends as if it had disconnected |
 //! | frames to one engine | 16,384 | the connection is closed, its attempts are reset |
 //! | datagrams of other routers | the socket's own buffer | lost, as any may be |
-//! | open requests, connections | `limits` | refused; closed |
+//! | open requests, connections | `limits` | rejected; closed |
 
 mod client;
 mod engine;
@@ -54,10 +54,18 @@
 /// Why a router can't start.
 #[derive(Debug, Error)]
 pub enum ServeError {
+    /// An address for clients can't be bound.
     #[error("can't listen at {address}: {source}")]
-    Listen { address: SocketAddr, source: std::io::Error },
+    Listen {
+        /// The address of the settings.
+        address: SocketAddr,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The operations side can't start.
     #[error("operations: {0}")]
     Operations(#[from] OperationsError),
+    /// The fleet can't start.
     #[error("fleet: {0}")]
     Fleet(#[from] FleetError),
 }
@@ -78,17 +86,17 @@
 }
 
 impl RouterHandle {
-    /// Where it listens, in the order of the settings.
+    /// The addresses for clients, in the order of the settings.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Where operators come in over TCP.
+    /// The address for operators, if there is one.
     pub fn operations_address(&self) -> Option<SocketAddr> {
         self.operations.as_ref().and_then(|o| o.address)
     }
 
-    /// Where operators come in locally.
+    /// The local socket for operators, if there is one.
     pub fn operations_socket(&self) -> Option<&Path> {
         self.operations.as_ref().and_then(|o| o.socket.as_deref())
     }
@@ -106,7 +114,7 @@
         }
     }
 
-    /// What was counted so far; `None` once it has ended.
+    /// What was counted so far; `None` once the router has ended.
     pub async fn counts(&self) -> Option<Counters> {
         let (answer, wait) = oneshot::channel();
         self.control.send(Control::Counters(answer)).await.ok()?;
@@ -118,8 +126,8 @@
         self.lag.take()
     }
 
-    /// Ends in good order: nothing new is taken, what runs has the stated time, what is left then is
-    /// answered for. Returns what was counted.
+    /// Shuts down gracefully: no new requests are accepted, open ones have the time of the settings, and those that are left
+    /// then are failed or rejected. Returns what was counted.
     pub async fn stop(self) -> Option<Counters> {
         self.accepting.iter().for_each(JoinHandle::abort);
         self.control.send(Control::Stop).await.ok()?;
@@ -168,12 +176,12 @@
 /// Starts a router.
 ///
 /// # Errors
-/// When an address can't be listened at, or the state folder can't be had.
+/// When an address can't be listened at, or the state folder can't be opened.
 pub async fn serve(config: Config) -> Result<RouterHandle, ServeError> {
     serve_on(config, None, Clock::default()).await
 }
 
-/// Starts a router whose state is kept on other disks than the settings' folder, or whose clock is off, for tests.
+/// Starts a router whose state is on other disks than the folder of the settings, or whose clock is wrong, for tests.
 ///
 /// # Errors
 /// As for [`serve`].
@@ -182,12 +190,12 @@
     disks: Option<Disks>,
     clock: Clock,
 ) -> Result<RouterHandle, ServeError> {
-    // What operators have ordered holds before the first request can come.
+    // Orders of operators are in force before the first request can arrive.
     let prepared = match &config.operations {
         Some(settings) => Some(ops::prepare(settings.clone(), disks).await?),
         None => None,
     };
-    // Later runs have a later number: an engine must not take one run's states for another's.
+    // Runs have different numbers: an engine must not take the KV caches of one run for those of another.
     let run = RouterRun(clock.now() ^ (u64::from(std::process::id()) << 32) ^ run_number());
     let mut listeners = Vec::new();
     for listener in &config.listeners {
--- a/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
+++ b/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
@@ -120,17 +120,17 @@
 
     fn on_status(&mut self, status: Box<StatusReport>) {
         let orders = &self.orders;
-        for event in self.watch.observe(&status.figures, &status.engines, |engine| orders.drain(engine)) {
+        for event in self.watch.observe(&status.metrics, &status.engines, |engine| orders.drain(engine)) {
             self.record_event(event);
         }
-        self.report_dropped(status.dropped_messages, status.figures.at);
+        self.report_dropped(status.dropped_messages, status.metrics.at);
         let before = self.status.replace(status);
         let Some(status) = &self.status else { return };
         let known = before.as_ref().map_or(&[][..], |before| &before.engines);
         let changed: Vec<_> =
             status.engines.iter().filter(|engine| !known.contains(engine)).cloned().collect();
-        let figures = status.figures;
-        self.publish(|| Update::Metrics { metrics: figures });
+        let metrics = status.metrics;
+        self.publish(|| Update::Metrics { metrics });
         if !changed.is_empty() {
             self.publish(|| Update::Engines { engines: changed.clone() });
         }
@@ -150,12 +150,12 @@
     fn on_request_ended(&mut self, ending: Box<RequestOutcome>) {
         if ending.kind != OutcomeKind::Served {
             self.publish(|| Update::RequestEnded { outcome: ending.clone() });
-            self.history.add_ending(to_bytes(&StoredOutcome::Outcome { outcome: ending.clone() }));
+            self.history.add_outcome(to_bytes(&StoredOutcome::Outcome { outcome: ending.clone() }));
         }
         for followed in self.ledger.add(*ending) {
             let follow_up =
                 StoredOutcome::FollowUp { request: followed.request, follow_up: followed.follow_up };
-            self.history.add_ending(to_bytes(&follow_up));
+            self.history.add_outcome(to_bytes(&follow_up));
         }
     }
 
--- a/crates/gaparch-router/src/shell/ops/handle.rs
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -78,17 +78,17 @@
     /// Reports the router's state.
     pub fn report_status(
         &mut self,
-        figures: RouterMetrics,
+        metrics: RouterMetrics,
         engines: Vec<EngineView>,
         limits: Vec<LimitView>,
     ) {
         let rejected = self.rejections.rejected();
-        let figures = RouterMetrics {
-            requests: figures.requests + rejected,
-            rejected: figures.rejected + rejected,
-            ..figures
+        let metrics = RouterMetrics {
+            requests: metrics.requests + rejected,
+            rejected: metrics.rejected + rejected,
+            ..metrics
         };
-        let status = StatusReport { figures, engines, limits, dropped_messages: self.dropped };
+        let status = StatusReport { metrics, engines, limits, dropped_messages: self.dropped };
         self.send(BroadcasterMessage::Status(Box::new(status)));
     }
 
--- a/crates/gaparch-router/src/shell/ops/messages.rs
+++ b/crates/gaparch-router/src/shell/ops/messages.rs
@@ -10,7 +10,7 @@
 /// The state of the router, as the owner reports it four times a second.
 #[derive(Clone, Debug)]
 pub(in crate::shell) struct StatusReport {
-    pub figures: RouterMetrics,
+    pub metrics: RouterMetrics,
     pub engines: Vec<EngineView>,
     pub limits: Vec<LimitView>,
     /// Messages to the event broadcaster that found no room, since the start.
--- a/crates/gaparch-router/src/shell/ops/pending_history.rs
+++ b/crates/gaparch-router/src/shell/ops/pending_history.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    pub fn add_ending(&mut self, record: Vec<u8>) {
+    pub fn add_outcome(&mut self, record: Vec<u8>) {
         if self.reserve(record.len()) {
             self.batch.endings.push(record);
         }
--- a/crates/gaparch-router/src/shell/ops/queries.rs
+++ b/crates/gaparch-router/src/shell/ops/queries.rs
@@ -8,7 +8,7 @@
 /// Events of a snapshot.
 const SNAPSHOT_EVENTS: usize = 60;
 /// Endings of one answer.
-const MAX_ENDINGS: usize = 2000;
+const MAX_OUTCOMES: usize = 2000;
 /// Events of one answer.
 const MAX_EVENTS: usize = 2000;
 
@@ -30,7 +30,7 @@
             run: self.identity.run,
             revision: self.orders.revision(),
             started_at: self.identity.began_at,
-            metrics: status.map(|status| status.figures).unwrap_or_default(),
+            metrics: status.map(|status| status.metrics).unwrap_or_default(),
             engines: status.map(|status| status.engines.clone()).unwrap_or_default(),
             tenants,
             intents: self.intents(),
@@ -50,7 +50,7 @@
                 Answer::OutcomeGroups { groups, total }
             }
             Query::Outcomes { filter } => {
-                let (endings, total) = self.ledger.outcomes(&filter, MAX_ENDINGS);
+                let (endings, total) = self.ledger.outcomes(&filter, MAX_OUTCOMES);
                 Answer::Outcomes { outcomes: endings, total }
             }
             Query::RequestDetails { request } => {
@@ -59,7 +59,7 @@
             // The session puts the open ones before these.
             Query::OpenRequests { max: most } => {
                 let recent: Vec<RequestView> =
-                    self.ledger.served().rev().take(most as usize).map(ended_view).collect();
+                    self.ledger.served().rev().take(most as usize).map(ended_request_view).collect();
                 let total = recent.len() as u64;
                 Answer::OpenRequests { requests: recent, total }
             }
@@ -87,7 +87,7 @@
 }
 
 /// A request that has ended, among those that are open.
-fn ended_view(ending: &RequestOutcome) -> RequestView {
+fn ended_request_view(ending: &RequestOutcome) -> RequestView {
     RequestView {
         request: ending.request,
         received_at: ending.received_at,
--- a/crates/gaparch-router/src/shell/owner/control.rs
+++ b/crates/gaparch-router/src/shell/owner/control.rs
@@ -112,7 +112,7 @@
         let Some(operations) = &mut self.operations else { return };
         let lag = std::mem::take(&mut self.status_lag);
         let lag_us = u64::try_from(lag.as_micros()).unwrap_or(u64::MAX);
-        let figures = RouterMetrics { at: self.clock.now(), lag_us, ..self.core.figures() };
-        operations.report_status(figures, self.core.engine_views(), self.core.limits());
+        let metrics = RouterMetrics { at: self.clock.now(), lag_us, ..self.core.metrics() };
+        operations.report_status(metrics, self.core.engine_views(), self.core.limits());
     }
 }
--- a/crates/gaparch-router/tests/pinned_state.rs
+++ b/crates/gaparch-router/tests/pinned_state.rs
@@ -2,7 +2,7 @@
 //! commit bdb4937, and read again by this one.
 
 use gaparch_config::Config;
-use gaparch_net::{Clock, Credentials, OpsClient, Place};
+use gaparch_net::{Clock, Credentials, OperationsAddress, OpsClient};
 use gaparch_protocol::ops::intent::{Change, DrainMode};
 use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
 use gaparch_router::shell::{serve_on, Disks, FleetDisks, RouterHandle};
@@ -40,7 +40,7 @@
 /// Waits until the engines are shown: what an order changes of them is an event from then on.
 async fn until_shown(operator: &mut OpsClient) {
     for _ in 0..500 {
-        let answer = operator.ask(Query::Snapshot {}).await.expect("an answer");
+        let answer = operator.query(Query::Snapshot {}).await.expect("an answer");
         if matches!(&answer, Answer::Snapshot { snapshot } if !snapshot.engines.is_empty()) {
             return;
         }
@@ -118,8 +118,9 @@
     }
 
     async fn operator(&self) -> OpsClient {
-        let place = Place::Socket(self.folder.join("ops.sock"));
-        let credentials = Credentials { key: None, role: SessionRole::ReadWrite, who: "office".to_owned() };
+        let place = OperationsAddress::Socket(self.folder.join("ops.sock"));
+        let credentials =
+            Credentials { key: None, role: SessionRole::ReadWrite, operator: "office".to_owned() };
         OpsClient::connect(&place, &credentials).await.expect("welcome")
     }
 
@@ -148,7 +149,7 @@
     until_shown(&mut operator).await;
     let change = Change::Drain { engine: "read-1".to_owned(), mode: DrainMode::Drain };
     let order = Order { change, reason: "a test".to_owned(), force: true, revision: None };
-    let done = operator.ask(Query::Order { order }).await.expect("an answer");
+    let done = operator.query(Query::Order { order }).await.expect("an answer");
     assert!(matches!(done, Answer::Done { revision: 1, .. }), "{done:?}");
     state.until_kept("fleet-orders").await;
     assert_eq!(state.records("incarnation"), [INCARNATION]);
@@ -156,7 +157,7 @@
     let [order] = &orders[..] else { panic!("one order: {orders:?}") };
     let (head, time) = order.split_at(order.len() - 8);
     assert_eq!((hex(head).as_str(), time.len()), (FLEET_ORDER, 8));
-    let events = operator.ask(Query::Events { engine: None, since: 0, max: 100 }).await.expect("an answer");
+    let events = operator.query(Query::Events { engine: None, since: 0, max: 100 }).await.expect("an answer");
     assert_eq!(events_without_times(&events, &state.folder), EVENTS);
     router.stop().await.expect("it ran");
     let marks = state.records("audit-mark");
@@ -177,11 +178,11 @@
     }
     let router = state.start().await;
     let mut operator = state.operator().await;
-    let Answer::Members { fleet } = operator.ask(Query::Members {}).await.expect("an answer") else {
+    let Answer::Members { fleet } = operator.query(Query::Members {}).await.expect("an answer") else {
         panic!("it is in a fleet");
     };
     assert_eq!(fleet.incarnation, 2);
-    let spread = operator.ask(Query::OrderReplication {}).await.expect("an answer");
+    let spread = operator.query(Query::OrderReplication {}).await.expect("an answer");
     let spread = serde_json::to_value(&spread).expect("JSON");
     let expected = serde_json::json!([{
         "id": {"number": 1, "care": 2, "router": "north-1", "incarnation": 1},
--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -212,7 +212,7 @@
         entries: vec![change],
     }));
     let mut seen = lines(&router.core.engine_views());
-    seen += &lines(&[router.core.figures()]);
+    seen += &lines(&[router.core.metrics()]);
     seen += &lines(&router.core.open_request_views(10));
     router.pass(10 * SECOND);
     router.input(Input::StopNow);
@@ -220,7 +220,7 @@
     let reasons = router.core.reasons_by_kind();
     let counts = [&reasons.rejected, &reasons.failed, &reasons.attempts, &reasons.retries];
     seen += &counts.map(|count| format!("{count}\n")).concat();
-    seen += &lines(&[router.core.figures()]);
+    seen += &lines(&[router.core.metrics()]);
     assert_eq!(seen, include_str!("pinned/views.jsonl"));
 }
 
--- a/crates/gaparch-testbed/examples/operations.rs
+++ b/crates/gaparch-testbed/examples/operations.rs
@@ -46,7 +46,7 @@
 /// A subscriber that reads all it is told.
 async fn subscriber(site: &Site) -> tokio::task::JoinHandle<u64> {
     let mut client: OpsClient = site.operator(0).await.expect("in").client;
-    client.put(Query::Subscribe {}).await.expect("asked");
+    client.send(Query::Subscribe {}).await.expect("asked");
     tokio::spawn(async move {
         let mut updates = 0;
         while let Ok(Incoming::Update(_) | Incoming::Answer { .. }) = client.next().await {
--- a/crates/gaparch-testbed/src/fleet/rig.rs
+++ b/crates/gaparch-testbed/src/fleet/rig.rs
@@ -21,7 +21,7 @@
 use crate::record::{Ask, Record, What};
 use crate::site::{self, Plan, Site, SiteError, OFFICE_KEY};
 use gaparch_engine::ConnId;
-use gaparch_net::{Credentials, OpsClient, Place};
+use gaparch_net::{Credentials, OperationsAddress, OpsClient};
 use gaparch_protocol::ops::intent::{Change, DrainMode, Intent, Subject};
 use gaparch_protocol::ops::view::{Event, FleetView};
 use gaparch_protocol::ops::{Answer, Order, Query, SessionRole};
@@ -147,7 +147,7 @@
     let mut tasks = JoinSet::new();
     let began_at = rig.site.clock.now();
     for router in 0..rig.day.routers {
-        let place = Place::Socket(rig.site.state_folder(router).with_extension("sock"));
+        let place = OperationsAddress::Socket(rig.site.state_folder(router).with_extension("sock"));
         let eye = Eye {
             router,
             began: rig.began,
@@ -332,7 +332,9 @@
                 };
                 if let Some(router) = deed.routers(of).first().copied() {
                     let operator = Operator {
-                        place: Place::Socket(self.site.state_folder(router).with_extension("sock")),
+                        place: OperationsAddress::Socket(
+                            self.site.state_folder(router).with_extension("sock"),
+                        ),
                         router,
                         routers: of,
                         witness: Witness { clock: self.site.clock, record: self.site.record.clone() },
@@ -425,15 +427,15 @@
     /// What the records of all routers say, by the first one that answers.
     async fn ask_records(&self) {
         for router in (0..self.day.routers).filter(|r| self.day.confirm_of(*r).is_some()) {
-            let place = Place::Socket(self.site.state_folder(router).with_extension("sock"));
+            let place = OperationsAddress::Socket(self.site.state_folder(router).with_extension("sock"));
             let office = Credentials {
                 key: Some(OFFICE_KEY.to_owned()),
                 role: SessionRole::ReadOnly,
-                who: "rig".to_owned(),
+                operator: "rig".to_owned(),
             };
             let ask = async {
                 let mut client = OpsClient::connect(&place, &office).await.ok()?;
-                match client.ask(Query::Audit { filter: AuditFilter::default() }).await.ok()? {
+                match client.query(Query::Audit { filter: AuditFilter::default() }).await.ok()? {
                     Answer::Audit { audit } => Some(*audit),
                     _ => None,
                 }
@@ -583,7 +585,7 @@
 
 /// Somebody who gives an order at one router, and waits until all keep it.
 struct Operator {
-    place: Place,
+    place: OperationsAddress,
     router: usize,
     routers: usize,
     witness: Witness,
@@ -617,7 +619,7 @@
         let office = Credentials {
             key: Some(OFFICE_KEY.to_owned()),
             role: SessionRole::ReadWrite,
-            who: "rig".to_owned(),
+            operator: "rig".to_owned(),
         };
         let Ok(mut client) = OpsClient::connect(&self.place, &office).await else { return };
         let order = Order {
@@ -626,7 +628,7 @@
             force: true,
             revision: None,
         };
-        let answer = client.ask(Query::Order { order }).await;
+        let answer = client.query(Query::Order { order }).await;
         let done = matches!(answer, Ok(Answer::Done { .. }));
         {
             let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
@@ -640,7 +642,7 @@
             note(None, &mut std::iter::once(self.router));
         }
         loop {
-            match client.ask(Query::OrderReplication {}).await {
+            match client.query(Query::OrderReplication {}).await {
                 Ok(Answer::OrderReplication { replication: spread }) if spread.complete => break,
                 Ok(_) => sleep(SPREAD_EVERY).await,
                 Err(_) => return,
@@ -696,12 +698,12 @@
 
 impl Eye {
     /// Asks the router for its view, all the time, and what it told of.
-    async fn look(self, place: Place) {
+    async fn look(self, place: OperationsAddress) {
         let Eye { router, began, began_at, follows, seen, lives } = self;
         let office = Credentials {
             key: Some(OFFICE_KEY.to_owned()),
             role: SessionRole::ReadOnly,
-            who: "rig".to_owned(),
+            operator: "rig".to_owned(),
         };
         let mut client: Option<OpsClient> = None;
         loop {
@@ -714,23 +716,23 @@
                     client = OpsClient::connect(&place, &office).await.ok();
                 }
                 let client = client.as_mut()?;
-                let view: FleetView = match client.ask(Query::Members {}).await.ok()? {
+                let view: FleetView = match client.query(Query::Members {}).await.ok()? {
                     Answer::Members { fleet } => *fleet,
                     _ => return None,
                 };
                 let events: Vec<Event> =
-                    match client.ask(Query::Events { engine: None, since, max: EVENTS }).await.ok()? {
+                    match client.query(Query::Events { engine: None, since, max: EVENTS }).await.ok()? {
                         Answer::Events { events } => events,
                         _ => return None,
                     };
                 let versions = match follows {
-                    true => match client.ask(Query::ListVersions {}).await.ok()? {
+                    true => match client.query(Query::ListVersions {}).await.ok()? {
                         Answer::ListVersions { versions } => Some(*versions),
                         _ => return None,
                     },
                     false => None,
                 };
-                let held = match client.ask(Query::Intents {}).await.ok()? {
+                let held = match client.query(Query::Intents {}).await.ok()? {
                     Answer::Intents { intents } => intents.into_iter().filter_map(held_engine).collect(),
                     _ => return None,
                 };
--- a/crates/gaparch-testbed/src/site.rs
+++ b/crates/gaparch-testbed/src/site.rs
@@ -11,7 +11,7 @@
 use gaparch_config::{Config, Problem};
 use gaparch_engine::server::{self, EngineHandle, EngineOptions};
 use gaparch_engine::{EngineSpec, Fault};
-use gaparch_net::{Clock, Credentials, OpsClient, OpsError, Place};
+use gaparch_net::{Clock, Credentials, OperationsAddress, OpsClient, OpsError};
 use gaparch_protocol::client::Dialect;
 use gaparch_protocol::list::ListEntry;
 use gaparch_protocol::ops::intent::{Change, DrainMode};
@@ -375,8 +375,8 @@
     }
 
     /// Where a router's operators come in.
-    pub fn operations(&self, router: usize) -> Option<Place> {
-        self.router(router)?.operations_address().map(Place::Address)
+    pub fn operations(&self, router: usize) -> Option<OperationsAddress> {
+        self.router(router)?.operations_address().map(OperationsAddress::Tcp)
     }
 
     /// Comes in at a router as one who may change things.
@@ -388,7 +388,7 @@
         let office = Credentials {
             key: Some(OFFICE_KEY.to_owned()),
             role: SessionRole::ReadWrite,
-            who: String::new(),
+            operator: String::new(),
         };
         let client = OpsClient::connect(&place, &office).await?;
         let router = Site::router_name(router);
@@ -436,7 +436,7 @@
         let freed = hold.clone().filter(|(_, drained)| !drained);
         freed.into_iter().for_each(|freed| note(at, freed));
         let order = Order { change, reason: "an operator's test".to_owned(), force, revision: None };
-        let answer = self.client.ask(Query::Order { order }).await?;
+        let answer = self.client.query(Query::Order { order }).await?;
         if matches!(answer, Answer::Done { .. }) {
             hold.filter(|(_, drained)| *drained).into_iter().for_each(|drained| note(at, drained));
         }
@@ -464,7 +464,7 @@
     /// # Errors
     /// When the connection is gone, or the router answers something else.
     pub async fn snapshot(&mut self) -> Result<Snapshot, OpsError> {
-        match self.client.ask(Query::Snapshot {}).await? {
+        match self.client.query(Query::Snapshot {}).await? {
             Answer::Snapshot { snapshot } => Ok(*snapshot),
             _ => Err(OpsError::Protocol),
         }
--- a/crates/gaparch-testbed/tests/appliance.rs
+++ b/crates/gaparch-testbed/tests/appliance.rs
@@ -2,7 +2,7 @@
 
 use gaparch_engine::observe::Way;
 use gaparch_engine::Fault;
-use gaparch_net::{Credentials, Incoming, OpsClient, OpsError, Place};
+use gaparch_net::{Credentials, Incoming, OperationsAddress, OpsClient, OpsError};
 use gaparch_protocol::ops::intent::{Change, DrainMode, Subject};
 use gaparch_protocol::ops::outcome::{OutcomeCause, OutcomeFilter, OutcomeKind, QueueingReason};
 use gaparch_protocol::ops::view::Event;
@@ -52,14 +52,14 @@
 }
 
 async fn come_in(site: &Site, key: &str, role: SessionRole) -> Result<OpsClient, OpsError> {
-    let credentials = Credentials { key: Some(key.to_owned()), role, who: String::new() };
-    OpsClient::connect(&Place::Address(address(site)), &credentials).await
+    let credentials = Credentials { key: Some(key.to_owned()), role, operator: String::new() };
+    OpsClient::connect(&OperationsAddress::Tcp(address(site)), &credentials).await
 }
 
 /// A console that subscribes, and reads nothing any more.
 async fn stopped_console(site: &Site) -> OpsClient {
     let mut console = come_in(site, WALL_KEY, SessionRole::ReadOnly).await.expect("it comes in");
-    console.put(Query::Subscribe {}).await.expect("asked");
+    console.send(Query::Subscribe {}).await.expect("asked");
     console
 }
 
@@ -77,7 +77,7 @@
 
 async fn events(site: &Site) -> Vec<Event> {
     let mut operator = site.operator(0).await.expect("in");
-    match operator.client.ask(Query::Events { engine: None, since: 0, max: 0 }).await {
+    match operator.client.query(Query::Events { engine: None, since: 0, max: 0 }).await {
         Ok(Answer::Events { events }) => events,
         other => panic!("{other:?}"),
     }
@@ -159,7 +159,7 @@
                 stopped.push(stopped_console(&site).await);
                 // One that is gone in the middle of a question, and one in the middle of a frame.
                 let mut gone = come_in(&site, OFFICE_KEY, SessionRole::ReadWrite).await.expect("in");
-                gone.put(Query::OpenRequests { max: 500 }).await.expect("asked");
+                gone.send(Query::OpenRequests { max: 500 }).await.expect("asked");
                 drop(gone);
                 let mut torn = TcpStream::connect(address(&site)).await.expect("connected");
                 torn.write_all(&[0, 0, 0, 90, 1, 0]).await.expect("written");
@@ -195,7 +195,7 @@
         let name = format!("tenant.{}.requests-per-second", names[n % 8]);
         let change = Change::SetLimit { name, value: Some(n as f64) };
         let order = Order { change, reason: "x".repeat(480), force: false, revision: None };
-        let answer = operator.client.ask(Query::Order { order }).await.expect("answered");
+        let answer = operator.client.query(Query::Order { order }).await.expect("answered");
         assert!(done(&answer), "{answer:?}");
     }
     let mut missed = 0;
@@ -350,15 +350,15 @@
 async fn who_may_not_come_in_is_told_so_and_who_may_look_changes_nothing() {
     let site = site(plan(1, 1)).await;
     let sent_away = |result: Result<OpsClient, OpsError>| match result {
-        Err(OpsError::SentAway(reason)) => reason,
+        Err(OpsError::Rejected(reason)) => reason,
         Err(other) => panic!("{other}"),
         Ok(_) => panic!("it came in"),
     };
     assert!(
         sent_away(come_in(&site, "office-key-0000002", SessionRole::ReadOnly).await).contains("not known")
     );
-    let nobody = Credentials { key: None, role: SessionRole::ReadOnly, who: "someone".to_owned() };
-    let result = OpsClient::connect(&Place::Address(address(&site)), &nobody).await;
+    let nobody = Credentials { key: None, role: SessionRole::ReadOnly, operator: "someone".to_owned() };
+    let result = OpsClient::connect(&OperationsAddress::Tcp(address(&site)), &nobody).await;
     assert!(sent_away(result).contains("a key is required"));
     // Raw bytes: garbage, a frame of 1 GiB, another version.
     for (bytes, word) in [
@@ -377,7 +377,7 @@
     let mut wall = come_in(&site, WALL_KEY, SessionRole::ReadWrite).await.expect("in");
     assert_eq!(wall.role, SessionRole::ReadOnly);
     let order = Order { change: Change::Pause {}, reason: "no".to_owned(), force: true, revision: None };
-    let answer = wall.ask(Query::Order { order }).await.expect("answered");
+    let answer = wall.query(Query::Order { order }).await.expect("answered");
     assert_eq!(code(&answer), Some(DenyCode::ReadOnly));
     let answers = site.ask_all(vec![site.question(1, 5)], ms(1)).await;
     assert_eq!(served(&answers), 1);
@@ -419,9 +419,9 @@
         revision: Some(seen),
     };
     let aside = Change::Drain { engine: "write-0".to_owned(), mode: DrainMode::Detach };
-    let answer = one.client.ask(Query::Order { order: change(aside.clone()) }).await.expect("answered");
+    let answer = one.client.query(Query::Order { order: change(aside.clone()) }).await.expect("answered");
     assert!(done(&answer), "{answer:?}");
-    let answer = other.client.ask(Query::Order { order: change(aside) }).await.expect("answered");
+    let answer = other.client.query(Query::Order { order: change(aside) }).await.expect("answered");
     assert_eq!(code(&answer), Some(DenyCode::Conflict), "{answer:?}");
     let answers = site.ask_all((0..10).map(|n| site.question(n, 5)).collect(), ms(10)).await;
     assert_eq!(served(&answers), 10);
@@ -445,7 +445,7 @@
     let mut operator = site.operator(0).await.expect("in");
     let filter = OutcomeFilter { kind: Some(OutcomeKind::Rejected), ..OutcomeFilter::default() };
     let Ok(Answer::OutcomeGroups { groups, total }) =
-        operator.client.ask(Query::OutcomeGroups { filter }).await
+        operator.client.query(Query::OutcomeGroups { filter }).await
     else {
         panic!("groups are wanted")
     };
@@ -455,7 +455,7 @@
         .iter()
         .find(|g| g.cause == OutcomeCause::ObjectiveMissed || g.cause == OutcomeCause::AttemptsExhausted);
     let group = group.unwrap_or_else(|| panic!("{groups:?}"));
-    let story = operator.client.ask(Query::RequestDetails { request: group.example }).await;
+    let story = operator.client.query(Query::RequestDetails { request: group.example }).await;
     let Ok(Answer::RequestDetails { outcome: Some(ending), .. }) = story else { panic!("{story:?}") };
     assert!(ending.evidence.iter().any(|e| e.engine.starts_with("write-") && !e.avoid_reason.is_empty()));
     assert!(ending.queueing_reason.is_none_or(|w| w != QueueingReason::OverQuota));
@@ -465,7 +465,7 @@
     site.kill_router(0);
     site.start_again(0).await.expect("it starts");
     let mut operator = site.operator(0).await.expect("in");
-    let story = operator.client.ask(Query::RequestDetails { request: group.example }).await;
+    let story = operator.client.query(Query::RequestDetails { request: group.example }).await;
     assert_eq!(story.ok(), Some(Answer::RequestDetails { outcome: Some(ending), open: None }));
 }
 
@@ -479,7 +479,7 @@
     let filter = OutcomeFilter { cause: Some(OutcomeCause::TooManyOpen), ..OutcomeFilter::default() };
     let until = Instant::now() + Duration::from_secs(10);
     loop {
-        let answer = operator.client.ask(Query::OutcomeGroups { filter: filter.clone() }).await;
+        let answer = operator.client.query(Query::OutcomeGroups { filter: filter.clone() }).await;
         let Ok(Answer::OutcomeGroups { total, .. }) = answer else { panic!("{answer:?}") };
         let counted = operator.snapshot().await.expect("shown").metrics.rejected;
         if (total, counted) == (refused, refused) {
