--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -2,10 +2,10 @@
 //! listed of each engine and when its process started.
 
 use super::wire_names::{listed_state, server_state};
-use super::{load_values, state_at, Counters};
+use super::{kv_cache_location, load_values, Counters};
 use gaparch_config::{server_id, Config, Links};
 use gaparch_ops::{effective_state, OrderRegistry};
-use gaparch_protocol::engine::{EngineFacts, StateAt};
+use gaparch_protocol::engine::{EngineFacts, KvCacheLocation};
 use gaparch_protocol::list::{ListEntry, Scope};
 use gaparch_scheduler::api::{
     CellId, Endpoint, EndpointUpdate, Nanos, Role, ServerId, ServerState, Settings, ZoneId,
@@ -353,7 +353,7 @@
     }
 
     /// Where a decode worker fetches a KV cache of this engine from.
-    pub fn kv_source(&self, server: ServerId) -> Option<StateAt> {
-        self.known.get(&server).map(|known| state_at(&known.listed.engine, &known.listed.address))
+    pub fn kv_source(&self, server: ServerId) -> Option<KvCacheLocation> {
+        self.known.get(&server).map(|known| kv_cache_location(&known.listed.engine, &known.listed.address))
     }
 }
--- a/crates/gaparch-router/src/core/engine_frames.rs
+++ b/crates/gaparch-router/src/core/engine_frames.rs
@@ -35,7 +35,7 @@
                     self.report_probe(engine, self.now.saturating_sub(sent), AttemptStatus::Ok, report);
                 }
             }
-            EngineFrame::Report(report) => {
+            EngineFrame::LoadReport(report) => {
                 let report = without_invalid_values(Some(report), &mut self.counters);
                 if let Some(connection) = self.connections.get_mut(&engine) {
                     connection.last_report = report;
@@ -60,14 +60,13 @@
         if tracked.is_some_and(|l| number.0 >= l.next_attempt) {
             return self.on_protocol_violation(engine, "an attempt that was never made", out);
         }
-        if let EngineFrame::Reserved { held, .. } = frame {
+        if let EngineFrame::Reserved { reserved, .. } = frame {
             // It comes from the decode worker with the reservation, not from the one of the prefill.
             let was_asked = tracked.is_some_and(|tracked| tracked.kv_held_at.contains(&engine));
             let in_flight =
                 tracked.and_then(|tracked| tracked.attempt).is_some_and(|attempt| attempt.number == number);
             if was_asked && in_flight {
-                let answered =
-                    Event::ReservationAnswered { id, attempt: number, server: engine, reserved: held };
+                let answered = Event::ReservationAnswered { id, attempt: number, server: engine, reserved };
                 self.scheduler_events.push_back(answered);
             } else {
                 self.counters.late_frames += 1;
@@ -82,23 +81,29 @@
             return self.counters.late_frames += 1;
         };
         match frame {
-            EngineFrame::ReadDone { kept, report, .. } if attempt.stage == Stage::Prefill => {
+            EngineFrame::PrefillDone { cached_prompt_tokens, report, .. }
+                if attempt.stage == Stage::Prefill =>
+            {
                 let report = self.load_report_of(engine, report);
                 if let Some(tracked) = self.requests.get_mut(&id) {
-                    tracked.usage.cached_prompt_tokens = kept;
+                    tracked.usage.cached_prompt_tokens = cached_prompt_tokens;
                 }
                 self.finish_attempt(
                     id,
                     attempt,
-                    AttemptResult { status: AttemptStatus::Prefilled, note: u64::from(kept), report },
+                    AttemptResult {
+                        status: AttemptStatus::Prefilled,
+                        note: u64::from(cached_prompt_tokens),
+                        report,
+                    },
                 );
             }
-            EngineFrame::Tokens { from, count, text, .. } if attempt.stage == Stage::Decode => {
-                self.on_tokens(id, attempt, from, count, text, out);
+            EngineFrame::Tokens { sent_before, count, text, .. } if attempt.stage == Stage::Decode => {
+                self.on_tokens(id, attempt, sent_before, count, text, out);
             }
-            EngineFrame::Outcome { status, note, produced, report, .. } => {
+            EngineFrame::Outcome { status, note, produced_tokens, report, .. } => {
                 let result = AttemptResult { status, note, report };
-                self.on_outcome(id, attempt, result, produced, out);
+                self.on_outcome(id, attempt, result, produced_tokens, out);
             }
             _ => self.on_protocol_violation(engine, "a frame out of order", out),
         }
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -82,17 +82,17 @@
 
     /// The job that is sent to an engine for one attempt.
     pub(super) fn job(&self, id: RequestId, number: AttemptNumber, deadline_at: Nanos, now: Nanos) -> Job {
-        let patience_ms = deadline_at.saturating_sub(now) / 1_000_000;
+        let timeout_ms = deadline_at.saturating_sub(now) / 1_000_000;
         Job {
             key: AttemptKey { request: id.0, attempt: number.0 },
             class: u16::try_from(self.class.0).unwrap_or(u16::MAX),
             tenant: self.tenant.and_then(|tenant| u16::try_from(tenant.0).ok()),
             session: self.session.map(|key| key.0),
             prefix: self.prefix.map(|key| key.0),
-            prompt_len: self.prompt_tokens,
-            prefix_len: self.prefix_tokens,
-            max_out: self.max_output_tokens,
-            patience_ms: u32::try_from(patience_ms.max(1)).unwrap_or(u32::MAX),
+            prompt_tokens: self.prompt_tokens,
+            prefix_tokens: self.prefix_tokens,
+            max_output_tokens: self.max_output_tokens,
+            timeout_ms: u32::try_from(timeout_ms.max(1)).unwrap_or(u32::MAX),
             prompt: self.prompt.clone(),
         }
     }
--- a/crates/gaparch-router/src/core/streams.rs
+++ b/crates/gaparch-router/src/core/streams.rs
@@ -13,22 +13,22 @@
 const STREAM_BROKE_OFF: &str = "the answer broke off";
 
 impl Core {
-    /// An engine has produced tokens; `from` counts those before them.
+    /// An engine has produced tokens; `sent_before` counts those before them.
     pub(super) fn on_tokens(
         &mut self,
         id: RequestId,
         attempt: Attempt,
-        from: u32,
+        sent_before: u32,
         count: u16,
         text: String,
         out: &mut Vec<Output>,
     ) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         let received = tracked.usage.output_tokens;
-        if from > received {
+        if sent_before > received {
             return self.on_protocol_violation(attempt.server, "tokens are missing", out);
         }
-        if from < received {
+        if sent_before < received {
             return self.counters.late_frames += 1;
         }
         tracked.usage.output_tokens = received.saturating_add(u32::from(count));
@@ -78,7 +78,7 @@
         id: RequestId,
         attempt: Attempt,
         result: AttemptResult,
-        produced: u32,
+        produced_tokens: u32,
         out: &mut Vec<Output>,
     ) {
         let AttemptResult { status, note, report } = result;
@@ -94,7 +94,7 @@
             }
             return self.finish_attempt(id, attempt, AttemptResult { status, note, report });
         }
-        if produced != tracked.usage.output_tokens {
+        if produced_tokens != tracked.usage.output_tokens {
             return self.on_protocol_violation(
                 attempt.server,
                 "an answer whose tokens did not all come",
--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -19,8 +19,8 @@
 /// What the audit record notes of a frame, if it notes it.
 fn recorded_send(frame: &EngineFrame) -> Option<(SendKind, AttemptKey)> {
     match frame {
-        EngineFrame::Read(job) => Some((SendKind::Prefill, job.key)),
-        EngineFrame::Write { job, .. } => Some((SendKind::Decode, job.key)),
+        EngineFrame::Prefill(job) => Some((SendKind::Prefill, job.key)),
+        EngineFrame::Decode { job, .. } => Some((SendKind::Decode, job.key)),
         EngineFrame::Probe { .. } => Some((SendKind::Probe, NO_ATTEMPT)),
         _ => None,
     }
