--- a/crates/gaparch-router/src/core/sending.rs
+++ b/crates/gaparch-router/src/core/sending.rs
@@ -133,10 +133,10 @@
         attempt.state = AttemptState::AwaitingFirstToken;
         let attempt = *attempt;
         let job = tracked.request.job(id, attempt.number, tracked.deadline_at, self.now);
-        let state = tracked.kv_cache_at.and_then(|server| self.endpoints.kv_source(server));
+        let kv_cache = tracked.kv_cache_at.and_then(|server| self.endpoints.kv_source(server));
         let frame = match attempt.stage {
             Stage::Prefill => EngineFrame::Prefill(job),
-            Stage::Decode => EngineFrame::Decode { job, kv_cache: state },
+            Stage::Decode => EngineFrame::Decode { job, kv_cache },
         };
         if let Some(connection) = self.connections.get_mut(&attempt.server) {
             self.pending_frames.push(Output::Engine { engine: attempt.server, frame });
