--- a/crates/gaparch-audit/src/orders/event.rs
+++ b/crates/gaparch-audit/src/orders/event.rs
@@ -37,7 +37,7 @@
 
 fn command(change: &Change) -> String {
     match change {
-        Change::Drain { engine, mode: hold } => format!("{hold} {engine}"),
+        Change::Drain { engine, mode } => format!("{mode} {engine}"),
         Change::Undrain { engine } => format!("undrain {engine}"),
         Change::Pause {} => "pause".to_owned(),
         Change::Resume {} => "resume".to_owned(),
--- a/crates/gaparch-audit/src/orders/replication.rs
+++ b/crates/gaparch-audit/src/orders/replication.rs
@@ -35,9 +35,9 @@
 /// A number so far ahead of any known is a defect, and would precede all further orders.
 const MAX_NUMBERS_AHEAD: u64 = 1 << 32;
 /// The number of characters of an operator's name that fit into a datagram.
-const MAX_WHO_CHARS: usize = 60;
+const MAX_OPERATOR_CHARS: usize = 60;
 /// The number of characters of a reason that fit into a datagram.
-const MAX_WHY_CHARS: usize = 240;
+const MAX_REASON_CHARS: usize = 240;
 
 /// What another router last reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -161,8 +161,8 @@
             incarnation: self.incarnation,
         };
         let note = ChangeNote {
-            operator: truncated(&note.operator, MAX_WHO_CHARS),
-            reason: truncated(&note.reason, MAX_WHY_CHARS),
+            operator: truncated(&note.operator, MAX_OPERATOR_CHARS),
+            reason: truncated(&note.reason, MAX_REASON_CHARS),
             at: note.at,
         };
         let replaces = self.table.get(subject).map(|order| order.id.clone());
