--- a/crates/gaparch-platform-router/src/owner/responses.rs
+++ b/crates/gaparch-platform-router/src/owner/responses.rs
@@ -40,7 +40,7 @@
                     request = id.0,
                     txn,
                     ?cause,
-                    message,
+                    detail = message,
                     "request failed"
                 );
                 ClientResponse::Failed
--- a/crates/gaparch-platform-router/tests/exchange_log.rs
+++ b/crates/gaparch-platform-router/tests/exchange_log.rs
@@ -4,6 +4,7 @@
 
 use common::{begun, Site};
 use gaparch_testbed::platform::{ask, until, Platform, Step};
+use serde_json::json;
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 use tracing_subscriber::fmt::MakeWriter;
@@ -96,5 +97,12 @@
 
     site.tell(Platform::without_writers(&Platform::list(&site.readers, &site.writers)));
     assert_eq!(ask(site.listen, "rejected").status, 503);
-    log.wait_for_line(&["request rejected", "txn=\"rejected\"", "cause="]);
+    log.wait_for_line(&["request rejected", "txn=\"rejected\"", "cause=", "waited_for=Some("]);
+
+    let once = Site::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
+    once.next_write(&[Step::Close]);
+    assert_eq!(ask(once.listen, "failed").status, 500);
+    log.wait_for_line(&["request failed", "txn=\"failed\"", "cause=", "detail="]);
+    log.wait_for_line(&["KV cache released", "txn=\"failed\"", "prefill_worker="]);
+    log.wait_for_line(&["release attempted", "txn=\"failed\"", "status=Some(204)"]);
 }
