--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -6,7 +6,7 @@
 use gaparch_router::shell::{Disks, FleetDisks};
 use gaparch_store::StateDirectory;
 use gaparch_testbed::fleet::day::Day;
-use gaparch_testbed::fleet::lying::{Lie, LyingDisk};
+use gaparch_testbed::fleet::faulty_directory::{DiskFault, FaultyDirectory};
 use gaparch_testbed::fleet::{days, picture, process, rig};
 use gaparch_testbed::scale::{self, Row};
 use gaparch_testbed::soak;
@@ -73,7 +73,7 @@
 struct Serve {
     /// How its disk lies: forget, torn, flip, swapped, stale, full, broken, read-only, slow
     #[arg(long)]
-    disk: Option<Lie>,
+    disk: Option<DiskFault>,
     /// Seconds that its wall clock is ahead, or behind if negative
     #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
     ahead: i32,
@@ -210,11 +210,11 @@
     let config = super::settings(&options.file)?;
     let disks = match options.disk {
         None => None,
-        Some(lie) => {
+        Some(fault) => {
             let operations = config.operations.as_ref();
             let operations =
                 operations.ok_or("its settings have no <operations>: it keeps nothing on disk")?;
-            let disk = LyingDisk::new(StateDirectory::open(&operations.state)?, lie)?;
+            let disk = FaultyDirectory::new(StateDirectory::open(&operations.state)?, fault)?;
             let share = || Box::new(disk.clone());
             let fleet = FleetDisks::of(|| share());
             Some(Disks { intents: share(), events: share(), endings: share(), fleet })
--- a/crates/gaparch-testbed/src/fleet/mod.rs
+++ b/crates/gaparch-testbed/src/fleet/mod.rs
@@ -4,14 +4,14 @@
 //! program: [`day`] says what is done when and what has to be seen by when, [`relay`] stands between any two routers and
 //! [`streams`] between a router and all else, as [`faults`] says; [`process`] starts, stops and kills them, and [`rig`]
 //! plays a day. [`observations`] are what was seen of it, [`invariants`] judges them, and [`report`] says what came of
-//! it. [`lying`] is a disk that lies, [`liar`] a router that does, [`picture`] draws who thought what of whom.
+//! it. [`faulty_directory`] is a disk with a fault, [`liar`] a router that does, [`picture`] draws who thought what of whom.
 
 pub mod day;
 pub mod days;
 pub mod faults;
+pub mod faulty_directory;
 pub mod invariants;
 pub mod liar;
-pub mod lying;
 pub mod observations;
 pub mod picture;
 pub mod process;
--- a/crates/gaparch-testbed/tests/membership.rs
+++ b/crates/gaparch-testbed/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership core in virtual time: kills, pauses, lost messages, one-sided cuts, splits, lying disks.
+//! The membership core in virtual time: kills, pauses, lost messages, one-sided cuts, splits, faulty disks.
 
 use gaparch_membership::{Connectivity, MembershipEvent};
 use gaparch_protocol::fleet::MemberState::{Alive, Dead, Left, Suspect};
