--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -9,12 +9,13 @@
 fn decisions(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request event");
     group.sample_size(20);
-    for (count, held) in [(14, 0), (110, 0), (400, 0), (14, 500), (14, 5000)] {
-        let mut day = Simulation::with_held(count, held);
-        let id = BenchmarkId::from_parameter(format!("{count} engines, {held} held"));
+    for (count, queued) in [(14, 0), (110, 0), (400, 0), (14, 500), (14, 5000)] {
+        let mut simulation = Simulation::with_queued(count, queued);
+        let id = BenchmarkId::from_parameter(format!("{count} engines, {queued} held"));
         // The time until the next request passes in between: only the event itself is measured.
         group.bench_function(id, |bencher| {
-            bencher.iter_custom(|turns| Duration::from_nanos((0..turns).map(|_| day.turn(count)).sum()));
+            bencher
+                .iter_custom(|turns| Duration::from_nanos((0..turns).map(|_| simulation.step(count)).sum()));
         });
     }
     group.finish();
--- a/benches/driver/mod.rs
+++ b/benches/driver/mod.rs
@@ -1,4 +1,4 @@
-//! A made-up world around one module: engines that answer, requests at even gaps. Shared by the criterion bench and
+//! A simulation around one module: engines that answer, requests at even gaps. Shared by the criterion bench and
 //! by `examples/decisions.rs`.
 
 use gaparch_scheduler::api::*;
@@ -71,7 +71,7 @@
 impl Simulation {
     /// So many engines, half prefill workers and half decode workers; in overload their answers never end.
     fn new(count: u32, overload: bool) -> Simulation {
-        let mut day = Simulation {
+        let mut simulation = Simulation {
             policy: Policy::new(settings()),
             now: 100 * S,
             id: 0,
@@ -80,8 +80,11 @@
             attempts: Default::default(),
             overload,
         };
-        day.event(Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: engines(count).into() });
-        day
+        simulation.event(Event::EndpointsChanged {
+            update: EndpointUpdate::Full,
+            endpoints: engines(count).into(),
+        });
+        simulation
     }
 
     fn later(&mut self, after: Nanos, event: Event) {
@@ -129,7 +132,7 @@
             self.later(30 * MS, outcome(AttemptStatus::Prefilled, 30 * MS));
         } else {
             self.later(20 * MS, Event::FirstToken { id, attempt, server, latency: 20 * MS });
-            // In overload the answers last longer than the day: what is held stays held.
+            // In overload the answers last longer than the simulation: what is queued stays queued.
             let length = if self.overload { 3000 * S } else { 2 * S };
             self.later(length, outcome(AttemptStatus::Ok, length));
         }
@@ -147,7 +150,7 @@
     }
 
     /// One request; the nanoseconds that the module took.
-    fn ask(&mut self) -> Nanos {
+    fn send_request(&mut self) -> Nanos {
         self.id += 1;
         let mixed = self.id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let class = ClassId((mixed >> 60) as usize % 2);
@@ -170,24 +173,24 @@
 }
 
 impl Simulation {
-    /// A day on which so many requests are held; with none, one at light load.
-    pub fn with_held(count: u32, held: usize) -> Simulation {
-        let mut day = Simulation::new(count, held > 0);
-        if held > 0 {
-            // Fills the decode workers and then what is held.
-            for n in 0..count as usize / 2 * 140 + held {
-                day.ask();
+    /// A simulation in which so many requests are queued; with none, one at light load.
+    pub fn with_queued(count: u32, queued: usize) -> Simulation {
+        let mut simulation = Simulation::new(count, queued > 0);
+        if queued > 0 {
+            // Fills the decode workers and then what is queued.
+            for n in 0..count as usize / 2 * 140 + queued {
+                simulation.send_request();
                 if n % 8 == 0 {
-                    day.pass(MS);
+                    simulation.pass(MS);
                 }
             }
         }
-        day
+        simulation
     }
 
     /// One request and the time until the next one.
-    pub fn turn(&mut self, count: u32) -> Nanos {
-        let took = self.ask();
+    pub fn step(&mut self, count: u32) -> Nanos {
+        let took = self.send_request();
         self.pass(if self.overload { MS / 2 } else { 40 * MS * 14 / Nanos::from(count) });
         took
     }
--- a/examples/decisions.rs
+++ b/examples/decisions.rs
@@ -1,5 +1,5 @@
 //! Times `Policy::handle` on request events: mean, median and 99th percentile in microseconds, by engines and
-//! by requests held. Figures of one machine mean little; the ratios to the first row are what counts.
+//! by requests queued. Figures of one machine mean little; the ratios to the first row are what counts.
 //!
 //! `cargo run --release --example decisions`
 
@@ -8,9 +8,9 @@
 
 use driver::Simulation;
 
-fn run(count: u32, held: usize, samples: usize) -> (f64, f64, f64) {
-    let mut day = Simulation::with_held(count, held);
-    let mut times: Vec<u64> = (0..samples).map(|_| day.turn(count)).collect();
+fn run(count: u32, queued: usize, samples: usize) -> (f64, f64, f64) {
+    let mut simulation = Simulation::with_queued(count, queued);
+    let mut times: Vec<u64> = (0..samples).map(|_| simulation.step(count)).collect();
     times.sort_unstable();
     let mean = times.iter().sum::<u64>() as f64 / samples as f64;
     (mean / 1e3, times[samples / 2] as f64 / 1e3, times[samples * 99 / 100] as f64 / 1e3)
@@ -19,14 +19,14 @@
 fn main() {
     println!(
         "{:>8} {:>8} {:>10} {:>10} {:>10} {:>8}",
-        "engines", "held", "mean us", "median us", "99% us", "ratio"
+        "engines", "queued", "mean us", "median us", "99% us", "ratio"
     );
     let mut first = None;
     let rows =
         [(14, 0, 4000), (110, 0, 4000), (400, 0, 2000), (14, 500, 600), (14, 5000, 200), (110, 5000, 200)];
-    for (count, held, samples) in rows {
-        let (mean, median, high) = run(count, held, samples);
+    for (count, queued, samples) in rows {
+        let (mean, median, high) = run(count, queued, samples);
         let base = *first.get_or_insert(mean);
-        println!("{count:>8} {held:>8} {mean:>10.1} {median:>10.1} {high:>10.1} {:>8.1}", mean / base);
+        println!("{count:>8} {queued:>8} {mean:>10.1} {median:>10.1} {high:>10.1} {:>8.1}", mean / base);
     }
 }
--- a/src/policy/decode_capacity.rs
+++ b/src/policy/decode_capacity.rs
@@ -69,7 +69,7 @@
 
     /// Whether decode workers have capacity for a request beside what is being prefilled for them
     /// already.
-    pub(crate) fn decode_workers_have_capacity(&self, request: &InFlightRequest) -> bool {
+    pub(super) fn decode_workers_have_capacity(&self, request: &InFlightRequest) -> bool {
         let workers = self.candidates(WorkerPool::Decode, request);
         self.have_joint_capacity(&workers, request.expected_kv_tokens())
     }
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -11,7 +11,7 @@
 
 /// What servers are wanted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WorkerPool {
+pub(super) enum WorkerPool {
     /// To prefill.
     Prefill,
     /// To decode.
@@ -21,7 +21,7 @@
 impl Policy {
     /// The servers that a request may be sent to now, without unhealthy ones while enough others
     /// are left.
-    pub(crate) fn candidates(&self, pool: WorkerPool, request: &InFlightRequest) -> Vec<&Server> {
+    pub(super) fn candidates(&self, pool: WorkerPool, request: &InFlightRequest) -> Vec<&Server> {
         let neighborhood = self.neighborhood(Some(request));
         self.eligible_servers(&neighborhood.servers, pool, Some(request), Some(request.traffic()))
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -56,7 +56,6 @@
 mod slow_start;
 pub mod unanswered_decode;
 
-pub(crate) use eligibility::WorkerPool;
 pub(crate) use health::is_unhealthy;
 pub(crate) use slow_start::{is_warming_up, slow_start_allows};
 
--- a/src/policy/request_end.rs
+++ b/src/policy/request_end.rs
@@ -1,8 +1,9 @@
 //! The end of a request: rejected where a retry is harmless, else failed; no KV cache stays held.
 
+use super::eligibility::WorkerPool;
 use super::send_guards::may_reject;
 use super::Policy;
-use crate::api::{Action, GiveUpCause, GiveUpReason, RequestId};
+use crate::api::{Action, GiveUpCause, GiveUpReason, QueueingReason, RequestId};
 use crate::state::{Attempt, InFlightRequest, Stage};
 
 impl Policy {
@@ -21,6 +22,26 @@
         self.end_request(id, Some(answer));
     }
 
+    /// What has kept a request waiting that has no attempt in flight, as far as it can be told now.
+    fn queueing_reason(&self, request: &InFlightRequest, reason: GiveUpReason) -> Option<QueueingReason> {
+        if request.attempt.is_some() || !reason.ends_a_wait() {
+            return None;
+        }
+        let has_none = |pool| self.candidates(pool, request).is_empty();
+        let needs_prefill_worker = request.kv_cache.is_none() && !self.settings.decode_workers_can_prefill;
+        Some(if has_none(WorkerPool::Decode) {
+            QueueingReason::NoDecodeWorker
+        } else if needs_prefill_worker && has_none(WorkerPool::Prefill) {
+            QueueingReason::NoPrefillWorker
+        } else if request.facts.over_quota {
+            QueueingReason::OverQuota
+        } else if !self.decode_workers_have_capacity(request) {
+            QueueingReason::DecodeWorkersSaturated
+        } else {
+            QueueingReason::PrefillWorkersSaturated
+        })
+    }
+
     /// An attempt may have run, or may yet. A prefill has no effect, but one that can't be
     /// cancelled may go on.
     fn may_run(&self, request: &InFlightRequest) -> bool {
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,9 +1,8 @@
-//! What the module thinks of each server, and what kept a request waiting, for operators: nothing
-//! here changes state.
+//! What the module thinks of each server, for operators: nothing here changes state.
 
-use crate::api::{ClassId, GiveUpReason, Nanos, QueueingReason, Role, ServerId, TenantId};
-use crate::policy::{is_unhealthy, is_warming_up, slow_start_allows, Policy, WorkerPool};
-use crate::state::{InFlightRequest, Server, TrafficClassKey};
+use crate::api::{ClassId, Nanos, Role, ServerId, TenantId};
+use crate::policy::{is_unhealthy, is_warming_up, slow_start_allows, Policy};
+use crate::state::{Server, TrafficClassKey};
 
 /// Why a server gets nothing new, or less than its peers, the strongest reason first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,30 +64,6 @@
 }
 
 impl Policy {
-    /// What has kept a request waiting that has no attempt in flight, as far as it can be told now.
-    pub(crate) fn queueing_reason(
-        &self,
-        request: &InFlightRequest,
-        reason: GiveUpReason,
-    ) -> Option<QueueingReason> {
-        if request.attempt.is_some() || !reason.ends_a_wait() {
-            return None;
-        }
-        let has_none = |pool| self.candidates(pool, request).is_empty();
-        let needs_prefill_worker = request.kv_cache.is_none() && !self.settings.decode_workers_can_prefill;
-        Some(if has_none(WorkerPool::Decode) {
-            QueueingReason::NoDecodeWorker
-        } else if needs_prefill_worker && has_none(WorkerPool::Prefill) {
-            QueueingReason::NoPrefillWorker
-        } else if request.facts.over_quota {
-            QueueingReason::OverQuota
-        } else if !self.decode_workers_have_capacity(request) {
-            QueueingReason::DecodeWorkersSaturated
-        } else {
-            QueueingReason::PrefillWorkersSaturated
-        })
-    }
-
     /// Whether a server has answered something that was sent after that time.
     pub fn has_run_since(&self, server: ServerId, at: Nanos) -> bool {
         self.servers.get(server).is_some_and(|server| server.liveness.ran_since(at))
