--- /dev/null
+++ b/crates/gaparch-router/src/shell/client/mod.rs
@@ -0,0 +1,178 @@
+//! The client side: HTTP/1.1, with one JSON body or a stream of events as the response.
+
+mod admission;
+mod error_response;
+mod event_stream;
+mod pending_response;
+
+use super::ops::RejectionReporter;
+use super::owner::NewRequest;
+use super::stall::Stall;
+use crate::core::AcceptedRequest;
+use admission::{accepted, class, tenant};
+use bytes::Bytes;
+use error_response::{json, ErrorResponse};
+use event_stream::{event_stream, EventStreamBody, StreamBroken};
+use gaparch_config::Config;
+use gaparch_protocol::client::{parse_request, ClientEvent, Dialect};
+use gaparch_protocol::engine::RouterRun;
+use gaparch_protocol::ops::outcome::GlobalRequestId;
+use gaparch_scheduler::api::{Nanos, RequestId};
+use http_body_util::combinators::UnsyncBoxBody;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::service::service_fn;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use pending_response::{collect, first, submit};
+use std::convert::Infallible;
+use std::sync::atomic::AtomicU64;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, Semaphore};
+use tokio::time::{sleep, timeout};
+
+/// Bytes of a request's head, and of a connection's read buffer.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The header that names an accepted request in every response to it.
+const REQUEST_ID_HEADER: &str = "x-gaparch-request-id";
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The longest time for which a client's socket may take no bytes.
+const MAX_WRITE_STALL: Duration = Duration::from_secs(86_400);
+
+type AnyBody = UnsyncBoxBody<Bytes, StreamBroken>;
+
+/// What all client connections share.
+pub(super) struct ClientContext {
+    pub run: RouterRun,
+    pub config: Config,
+    pub requests: mpsc::Sender<NewRequest>,
+    /// Tells the owner of clients that disconnect.
+    pub disconnected: mpsc::UnboundedSender<RequestId>,
+    /// The number of the next request.
+    pub next_id: AtomicU64,
+    /// Bounds the requests that are open at once.
+    pub open_requests: Arc<Semaphore>,
+    /// Bounds the connections.
+    pub connections: Arc<Semaphore>,
+    /// Reports rejections to operators, where there is an operations side.
+    pub rejections: Option<Arc<RejectionReporter>>,
+}
+
+impl ClientContext {
+    /// Rejects a request that the owner never sees.
+    fn reject(&self, id: RequestId, request: &AcceptedRequest) -> ErrorResponse {
+        let retry_after = self.config.module.advertised_retry_after();
+        if let Some(rejections) = &self.rejections {
+            let names = &self.config.names;
+            let class = names.classes.get(request.class.0).map_or("", String::as_str);
+            let tenant =
+                request.tenant.and_then(|tenant| names.tenants.get(tenant.0)).map_or("", String::as_str);
+            rejections.report(id, class, tenant, retry_after, request.fingerprint);
+        }
+        ErrorResponse::busy(retry_after, "too much is open here; nothing was done")
+    }
+}
+
+/// Accepts connections until it is aborted.
+pub(super) async fn accept(listener: TcpListener, dialect: Arc<Dialect>, context: Arc<ClientContext>) {
+    // A client that reads nothing for as long as an engine may be silent is gone.
+    let silence = context.config.class_times.iter().map(|times| times.silence).max().unwrap_or(Nanos::MAX);
+    let silence = Duration::from_nanos(silence).min(MAX_WRITE_STALL);
+    loop {
+        let socket = match listener.accept().await {
+            Ok((socket, _)) => socket,
+            Err(error) => {
+                tracing::warn!(%error, "accepting a client's connection failed");
+                sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
+            }
+        };
+        // Past the bound a connection is closed at once: there is nothing to answer it with.
+        let Ok(permit) = Arc::clone(&context.connections).try_acquire_owned() else { continue };
+        let _ = socket.set_nodelay(true);
+        let (dialect, context) = (Arc::clone(&dialect), Arc::clone(&context));
+        tokio::spawn(async move {
+            let head_time = context.config.limits.head_time.duration();
+            let service = service_fn(|request| answer(request, &dialect, &context));
+            let served = hyper::server::conn::http1::Builder::new()
+                .timer(TokioTimer::new())
+                .header_read_timeout(head_time)
+                .max_buf_size(MAX_HEAD_BYTES)
+                .serve_connection(TokioIo::new(Stall::new(socket, silence)), service)
+                .await;
+            if let Err(error) = served {
+                tracing::debug!(%error, "client connection ended");
+            }
+            drop(permit);
+        });
+    }
+}
+
+async fn answer(
+    request: Request<Incoming>,
+    dialect: &Arc<Dialect>,
+    context: &Arc<ClientContext>,
+) -> Result<Response<AnyBody>, Infallible> {
+    let response = handle(request, dialect, context).await;
+    Ok(response.unwrap_or_else(|error| error.response(dialect)))
+}
+
+/// Serves one request.
+async fn handle(
+    request: Request<Incoming>,
+    dialect: &Arc<Dialect>,
+    context: &Arc<ClientContext>,
+) -> Result<Response<AnyBody>, ErrorResponse> {
+    if request.uri().path() != "/v1/messages" {
+        return Err(ErrorResponse::invalid(StatusCode::NOT_FOUND, "there is /v1/messages here"));
+    }
+    if request.method() != Method::POST {
+        return Err(ErrorResponse::invalid(StatusCode::METHOD_NOT_ALLOWED, "POST is wanted"));
+    }
+    let (head, body) = request.into_parts();
+    let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
+    let tenant = tenant(context, header)?;
+    let limits = &context.config.limits;
+    let body = timeout(limits.body_time.duration(), Limited::new(body, limits.body).collect()).await;
+    let body = match body {
+        Ok(Ok(body)) => body.to_bytes(),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            let message = format!("a body has at most {} bytes here", limits.body);
+            return Err(ErrorResponse::invalid(StatusCode::PAYLOAD_TOO_LARGE, message));
+        }
+        Ok(Err(_)) => return Err(ErrorResponse::invalid(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => {
+            return Err(ErrorResponse::invalid(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"))
+        }
+    };
+    let request = parse_request(dialect, &body, header)
+        .map_err(|error| ErrorResponse::invalid(StatusCode::BAD_REQUEST, error.to_string()))?;
+    drop(body);
+    let class = class(context, &request)?;
+    let (model, stream) = (request.model.clone(), request.stream);
+    let mut pending = submit(context, accepted(context, request, class, tenant))?;
+    let id = GlobalRequestId { run: context.run.0, number: pending.id.0 }.to_string();
+    let mut response = match first(&mut pending).await {
+        Err(error) => error.response(dialect),
+        Ok(usage) if stream => {
+            let opened = ClientEvent::MessageStart { id: id.clone(), model, usage };
+            event_stream(EventStreamBody::new(
+                pending,
+                Arc::clone(dialect),
+                opened,
+                limits.keep_alive.duration(),
+            ))
+        }
+        Ok(_) => match collect(pending, id.clone(), model).await {
+            Ok(answer) => json(StatusCode::OK, dialect.encode_answer(&answer).freeze()),
+            Err(error) => error.response(dialect),
+        },
+    };
+    if let Ok(id) = id.parse() {
+        response.headers_mut().insert(REQUEST_ID_HEADER, id);
+    }
+    Ok(response)
+}
--- /dev/null
+++ b/crates/gaparch-router/src/shell/client/pending_response.rs
@@ -0,0 +1,103 @@
+//! Requests that were handed to the owner, and the responses to them.
+
+use super::error_response::ErrorResponse;
+use super::ClientContext;
+use crate::core::{AcceptedRequest, ResponseEvent};
+use crate::shell::owner::NewRequest;
+use gaparch_protocol::client::{Answer, Usage};
+use gaparch_protocol::ops::outcome::QueueingReason;
+use gaparch_scheduler::api::RequestId;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use tokio::sync::mpsc::error::TrySendError;
+use tokio::sync::{mpsc, OwnedSemaphorePermit};
+
+/// The response to a request that the owner has, or will have. If this is dropped before the last event, the client has
+/// disconnected.
+pub(super) struct PendingResponse {
+    pub(super) id: RequestId,
+    pub(super) events: mpsc::Receiver<ResponseEvent>,
+    disconnected: mpsc::UnboundedSender<RequestId>,
+    /// The last event has come.
+    pub(super) is_over: bool,
+    _open: OwnedSemaphorePermit,
+}
+
+impl Drop for PendingResponse {
+    fn drop(&mut self) {
+        if !self.is_over {
+            // The owner may have ended: then it need not know.
+            let _ = self.disconnected.send(self.id);
+        }
+    }
+}
+
+/// Hands a request to the owner.
+pub(super) fn submit(
+    context: &ClientContext,
+    request: AcceptedRequest,
+) -> Result<PendingResponse, ErrorResponse> {
+    let id = RequestId(context.next_id.fetch_add(1, Ordering::Relaxed));
+    let Ok(open) = Arc::clone(&context.open_requests).try_acquire_owned() else {
+        return Err(context.reject(id, &request));
+    };
+    let (response, events) = mpsc::channel(context.config.limits.stream_buffer);
+    let sent = context.requests.try_send(NewRequest { id, request, response });
+    if let Err(TrySendError::Full(request) | TrySendError::Closed(request)) = sent {
+        return Err(context.reject(id, &request.request));
+    }
+    Ok(PendingResponse {
+        id,
+        events,
+        disconnected: context.disconnected.clone(),
+        is_over: false,
+        _open: open,
+    })
+}
+
+/// Waits until the response starts, or it is clear that it will not.
+pub(super) async fn first(pending: &mut PendingResponse) -> Result<Usage, ErrorResponse> {
+    let first = pending.events.recv().await;
+    pending.is_over = first.as_ref().is_none_or(ResponseEvent::is_last);
+    match first {
+        Some(ResponseEvent::Started { usage }) => Ok(usage),
+        Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
+            let why = waited_for.map_or(cause.name(), QueueingReason::name);
+            let message = format!("nothing was done; a retry is harmless ({why})");
+            // Its own quota is exhausted, or else the site is busy.
+            Err(match waited_for {
+                Some(QueueingReason::OverQuota) => ErrorResponse::over_quota(retry_after, &message),
+                _ => ErrorResponse::busy(retry_after, &message),
+            })
+        }
+        Some(ResponseEvent::Failed { message, cause }) => Err(ErrorResponse::failed_for(cause, message)),
+        _ => Err(ErrorResponse::failed("the router has ended")),
+    }
+}
+
+/// Collects the whole response.
+pub(super) async fn collect(
+    mut pending: PendingResponse,
+    id: String,
+    model: String,
+) -> Result<Answer, ErrorResponse> {
+    let mut text = String::new();
+    loop {
+        match pending.events.recv().await {
+            Some(ResponseEvent::Text { text: more }) => text.push_str(&more),
+            Some(ResponseEvent::Finished { usage, reason }) => {
+                pending.is_over = true;
+                return Ok(Answer { id, model, text, usage, reason });
+            }
+            Some(ResponseEvent::Started { .. }) => {}
+            Some(ResponseEvent::Failed { message, cause }) => {
+                pending.is_over = true;
+                return Err(ErrorResponse::failed_for(cause, message));
+            }
+            Some(ResponseEvent::Rejected { .. }) | None => {
+                pending.is_over = true;
+                return Err(ErrorResponse::failed("the answer broke off"));
+            }
+        }
+    }
+}
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -226,7 +226,7 @@
         }
         None => (None, None),
     };
-    let shared = Arc::new(client::Shared {
+    let context = Arc::new(client::ClientContext {
         run,
         requests,
         disconnected,
@@ -243,7 +243,7 @@
     let addresses = listeners.iter().map(|(address, ..)| *address).collect();
     let accepting = listeners
         .into_iter()
-        .map(|(_, socket, dialect)| tokio::spawn(client::accept(socket, dialect, Arc::clone(&shared))))
+        .map(|(_, socket, dialect)| tokio::spawn(client::accept(socket, dialect, Arc::clone(&context))))
         .collect();
     let shutdown = config.limits.shutdown.duration();
     Ok(RouterHandle {
