--- a/crates/gaparch-platform-router/tests/common/mod.rs
+++ b/crates/gaparch-platform-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router's shell on a thread of its own, on the scripted platform. Each test file uses a part of it.
+//! A router on a thread of its own, on the scripted platform. Each test file uses a part of it.
 #![allow(dead_code)]
 
 use gaparch_platform_router::{serve, Order, RouterError};
@@ -11,13 +11,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-pub struct Site {
+/// A router that runs, with the platform around it.
+pub struct RunningRouter {
     platform: Platform,
     orders: mpsc::Sender<Order>,
-    router: JoinHandle<Result<(), RouterError>>,
+    thread: JoinHandle<Result<(), RouterError>>,
 }
 
-impl Deref for Site {
+impl Deref for RunningRouter {
     type Target = Platform;
 
     fn deref(&self) -> &Platform {
@@ -25,28 +26,28 @@
     }
 }
 
-impl Site {
-    pub fn with(change: impl FnOnce(&mut Value)) -> Site {
+impl RunningRouter {
+    pub fn with(change: impl FnOnce(&mut Value)) -> RunningRouter {
         let platform = Platform::new(change);
         let (orders, taken) = mpsc::channel(4);
         let file = platform.file.clone();
-        let router = std::thread::spawn(move || {
+        let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             runtime.expect("a runtime").block_on(serve(file, taken))
         });
-        let site = Site { platform, orders, router };
-        until("the router is ready", || site.health() == 200);
-        site
+        let router = RunningRouter { platform, orders, thread };
+        until("the router is ready", || router.health() == 200);
+        router
     }
 
     pub fn order(&self, order: Order) {
         self.orders.blocking_send(order).expect("it runs");
     }
 
-    /// It has been ordered to end, and did.
-    pub fn ended(self) {
-        until("the router has ended", || self.router.is_finished());
-        self.router.join().expect("no panic").expect("no error");
+    /// Waits until it has shut down, as it was ordered to.
+    pub fn wait_for_shutdown(self) {
+        until("the router has ended", || self.thread.is_finished());
+        self.thread.join().expect("no panic").expect("no error");
     }
 }
 
@@ -54,9 +55,9 @@
     Duration::from_millis(n)
 }
 
-/// A client whose answer has begun: all but its first byte is still to be read.
-pub fn begun(site: &Site, txn: &str) -> TcpStream {
-    let mut client = TcpStream::connect(site.listen).expect("it listens");
+/// A client whose response has begun: all but its first byte is still to be read.
+pub fn started_stream(router: &RunningRouter, txn: &str) -> TcpStream {
+    let mut client = TcpStream::connect(router.listen).expect("it listens");
     client.write_all(&head_and_body(txn, "{}")).expect("written");
     client.set_read_timeout(Some(LONG)).expect("set");
     client.read_exact(&mut [0; 1]).expect("its answer begins");
--- a/crates/gaparch-platform-router/tests/exchange_log.rs
+++ b/crates/gaparch-platform-router/tests/exchange_log.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{begun, Site};
+use common::{started_stream, RunningRouter};
 use gaparch_testbed::platform::{ask, until, Platform, Step};
 use serde_json::json;
 use std::io::{self, Write};
@@ -59,9 +59,9 @@
 #[test]
 fn each_line_of_an_exchange_names_its_reason() {
     let log = Log::capture();
-    let site = Site::with(|_| {});
+    let router = RunningRouter::with(|_| {});
 
-    assert_eq!(ask(site.listen, "served").status, 200);
+    assert_eq!(ask(router.listen, "served").status, 200);
     log.wait_for_line(&["attempt sent", "txn=\"served\"", "stage=\"prefill\"", "previous_status=None"]);
     log.wait_for_line(&["exchange ended", "txn=\"served\"", "end=Prefilled { cached_prompt_tokens: "]);
     log.wait_for_line(&[
@@ -73,33 +73,34 @@
     log.wait_for_line(&["exchange ended", "txn=\"served\"", "end=Ended(AttemptEnd { status: Ok, "]);
 
     let saturated = "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-    site.next_write(&[common::put(saturated)]);
-    assert_eq!(ask(site.listen, "retried").status, 200);
+    router.next_write(&[common::put(saturated)]);
+    assert_eq!(ask(router.listen, "retried").status, 200);
     log.wait_for_line(&["exchange ended", "txn=\"retried\"", "end=Ended(AttemptEnd { status: Rejected, "]);
     log.wait_for_line(&["attempt sent", "txn=\"retried\"", "previous_status=Some(Rejected)"]);
 
     let missing = "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-    site.next_write(&[common::put(missing)]);
-    assert_eq!(ask(site.listen, "missing").status, 200);
+    router.next_write(&[common::put(missing)]);
+    assert_eq!(ask(router.listen, "missing").status, 200);
     log.wait_for_line(&["exchange ended", "txn=\"missing\"", "status: Rejected, kv_cache_missing: true"]);
 
-    site.next_write(&[Step::Close]);
-    assert_eq!(ask(site.listen, "reset").status, 200);
+    router.next_write(&[Step::Close]);
+    assert_eq!(ask(router.listen, "reset").status, 200);
     log.wait_for_line(&["exchange ended", "txn=\"reset\"", "status: Reset, "]);
 
     // The client of a stream that has begun disconnects.
     let first_event = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\ndata: {}\n\n\r\n";
-    site.next_write(&[common::put(first_event), Step::Hang]);
-    drop(begun(&site, "left"));
+    router.next_write(&[common::put(first_event), Step::Hang]);
+    drop(started_stream(&router, "left"));
     log.wait_for_line(&["attempt cancelled", "txn=\"left\""]);
     log.wait_for_line(&["exchange ended", "txn=\"left\"", "end=Cancelled"]);
     log.wait_for_line(&["connection closed", "reason=ClientDisconnected"]);
 
-    site.tell(Platform::without_writers(&Platform::list(&site.readers, &site.writers)));
-    assert_eq!(ask(site.listen, "rejected").status, 503);
+    router.tell(Platform::without_writers(&Platform::list(&router.readers, &router.writers)));
+    assert_eq!(ask(router.listen, "rejected").status, 503);
     log.wait_for_line(&["request rejected", "txn=\"rejected\"", "cause=", "waited_for=Some("]);
 
-    let once = Site::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
+    let once =
+        RunningRouter::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
     once.next_write(&[Step::Close]);
     assert_eq!(ask(once.listen, "failed").status, 500);
     log.wait_for_line(&["request failed", "txn=\"failed\"", "cause=", "detail="]);
--- a/crates/gaparch-platform-router/tests/faults_by_stage.rs
+++ b/crates/gaparch-platform-router/tests/faults_by_stage.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{put, Site};
+use common::{put, RunningRouter};
 use gaparch_platform_router::Order;
 use gaparch_testbed::platform::{
     ask, events, head_and_body, judge, read, stream, until, Facts, Platform, Step, LONG,
@@ -55,37 +55,37 @@
 }
 
 /// Brings a request to that stage.
-fn bring(site: &Site, stage: Stage) -> TcpStream {
-    let list = Platform::list(&site.readers, &site.writers);
+fn bring(router: &RunningRouter, stage: Stage) -> TcpStream {
+    let list = Platform::list(&router.readers, &router.writers);
     let whole = stream(&events());
     match stage {
-        Queued => site.tell(Platform::without_writers(&list)),
-        Prefilling => site.readers[0].then(vec![Step::Hang]),
-        Prefilled => site.readers[0].then(vec![
+        Queued => router.tell(Platform::without_writers(&list)),
+        Prefilling => router.readers[0].then(vec![Step::Hang]),
+        Prefilled => router.readers[0].then(vec![
             Step::Wait(Duration::from_millis(300)),
             put("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"),
         ]),
-        Decoding => site.next_write(&[Step::Hang]),
+        Decoding => router.next_write(&[Step::Hang]),
         Streaming => {
             let Step::Put(first) = first_event() else { unreachable!("it is put") };
             let head = whole.windows(6).position(|w| w == b"data: ").expect("an event");
             let second = head + whole[head..].windows(2).position(|w| w == b"\n\n").expect("its end") + 4;
             let rest = Step::Put(whole[second..].to_vec());
-            site.next_write(&[Step::Put(first), Step::Wait(Duration::from_millis(700)), rest]);
+            router.next_write(&[Step::Put(first), Step::Wait(Duration::from_millis(700)), rest]);
         }
         Connecting | Head | Body | Idle => {}
     }
-    let mut client = TcpStream::connect(site.listen).expect("it listens");
+    let mut client = TcpStream::connect(router.listen).expect("it listens");
     client.write_all(&written(stage)).expect("written");
     let asked =
-        |of: &str| site.floor.asked().iter().any(|(worker, txn)| worker.starts_with(of) && txn == TXN);
+        |of: &str| router.floor.asked().iter().any(|(worker, txn)| worker.starts_with(of) && txn == TXN);
     match stage {
         Connecting | Head | Body => {}
         Queued => std::thread::sleep(Duration::from_millis(50)),
         Prefilling => until("it is being prefilled", || asked("r-")),
         Prefilled => {
             until("it is being prefilled", || asked("r-"));
-            site.tell(Platform::without_writers(&list));
+            router.tell(Platform::without_writers(&list));
             std::thread::sleep(Duration::from_millis(50));
         }
         Decoding => until("it is being decoded", || asked("w-")),
@@ -103,21 +103,21 @@
     std::thread::scope(|all| {
         for stage in STAGES {
             all.spawn(move || {
-                let site = Site::with(|_| {});
-                let client = bring(&site, stage);
+                let router = RunningRouter::with(|_| {});
+                let client = bring(&router, stage);
                 let mut facts = Facts::default();
                 go(client);
                 // A client that has had its response may send another request.
                 facts.left.extend((stage != Idle).then(|| (TXN.to_owned(), Instant::now())));
                 std::thread::sleep(gaparch_testbed::platform::LEFT + AFTERWARDS);
-                site.tell(Platform::list(&site.readers, &site.writers));
-                assert_eq!(ask(site.listen, "next").status, 200, "{stage:?}");
+                router.tell(Platform::list(&router.readers, &router.writers));
+                assert_eq!(ask(router.listen, "next").status, 200, "{stage:?}");
                 if matches!(stage, Prefilling | Prefilled | Decoding) {
-                    until("what workers hold for it is released", || site.released(TXN));
+                    until("what workers hold for it is released", || router.released(TXN));
                 }
-                assert_eq!(judge(&site.floor.log(), &facts), Vec::<String>::new(), "{stage:?}");
+                assert_eq!(judge(&router.floor.log(), &facts), Vec::<String>::new(), "{stage:?}");
                 // Its id is free again.
-                until("its id is free", || ask(site.listen, TXN).status == 200);
+                until("its id is free", || ask(router.listen, TXN).status == 200);
             });
         }
     });
@@ -155,14 +155,14 @@
 }
 
 /// The client stays connected: it gets one complete response and nothing after it, whatever is done to its router.
-fn stays(ends: bool, fault: fn(&Site, &mut Facts)) {
+fn stays(ends: bool, fault: fn(&RunningRouter, &mut Facts)) {
     std::thread::scope(|all| {
         for stage in STAGES {
             all.spawn(move || {
-                let site = Site::with(|_| {});
-                let mut client = bring(&site, stage);
+                let router = RunningRouter::with(|_| {});
+                let mut client = bring(&router, stage);
                 let mut facts = Facts::default();
-                fault(&site, &mut facts);
+                fault(&router, &mut facts);
                 let whole = head_and_body(TXN, "{\"stream\":true}");
                 let rest = &whole[written(stage).len()..];
                 client.write_all(rest).expect("it is open");
@@ -185,10 +185,10 @@
                 let after = client.read(&mut [0; 64]).map_err(|error| error.kind());
                 let none = matches!(after, Ok(0) | Err(ErrorKind::WouldBlock | ErrorKind::TimedOut));
                 assert!(none, "{stage:?}: something after the answer: {after:?}");
-                assert_eq!(judge(&site.floor.log(), &facts), Vec::<String>::new(), "{stage:?}");
+                assert_eq!(judge(&router.floor.log(), &facts), Vec::<String>::new(), "{stage:?}");
                 match ends {
-                    true => site.ended(),
-                    false => assert_eq!(ask(site.listen, "next").status, 200, "{stage:?}"),
+                    true => router.wait_for_shutdown(),
+                    false => assert_eq!(ask(router.listen, "next").status, 200, "{stage:?}"),
                 }
             });
         }
@@ -209,31 +209,31 @@
 
 #[test]
 fn a_shutdown_ordered_at_any_stage() {
-    stays(true, |site, _| {
-        site.order(Order::Shutdown);
-        until("it is shutting down", || site.health() != 200);
-        site.catalogue.set(Platform::list(&site.readers, &site.writers));
+    stays(true, |router, _| {
+        router.order(Order::Shutdown);
+        until("it is shutting down", || router.health() != 200);
+        router.catalogue.set(Platform::list(&router.readers, &router.writers));
     });
 }
 
 #[test]
 fn a_configuration_read_again_at_any_stage() {
-    stays(false, |site, _| {
-        std::fs::write(&site.file, "{").expect("written");
-        site.order(Order::Reload);
+    stays(false, |router, _| {
+        std::fs::write(&router.file, "{").expect("written");
+        router.order(Order::Reload);
         std::thread::sleep(Duration::from_millis(50));
-        std::fs::write(&site.file, site.config.to_string()).expect("written");
-        site.order(Order::Reload);
-        site.catalogue.set(Platform::list(&site.readers, &site.writers));
+        std::fs::write(&router.file, router.config.to_string()).expect("written");
+        router.order(Order::Reload);
+        router.catalogue.set(Platform::list(&router.readers, &router.writers));
     });
 }
 
 #[test]
 fn a_drain_listed_at_any_stage() {
-    stays(false, |site, facts| {
-        let mut list = Platform::list(&site.readers, &site.writers);
+    stays(false, |router, facts| {
+        let mut list = Platform::list(&router.readers, &router.writers);
         (list[0]["lifecycle"], list[2]["lifecycle"]) = (json!("draining"), json!("draining"));
-        site.tell(list);
+        router.tell(list);
         let end = Instant::now() + GRACE;
         facts.drained.extend([("r-1".to_owned(), end), ("w-1".to_owned(), end)]);
     });
@@ -241,11 +241,11 @@
 
 #[test]
 fn a_silent_discovery_service_at_any_stage() {
-    stays(false, |site, _| {
-        site.catalogue.set(Platform::list(&site.readers, &site.writers));
+    stays(false, |router, _| {
+        router.catalogue.set(Platform::list(&router.readers, &router.writers));
         std::thread::sleep(Duration::from_millis(50));
-        site.catalogue.silent(true);
+        router.catalogue.silent(true);
         std::thread::sleep(Duration::from_millis(200));
-        site.catalogue.silent(false);
+        router.catalogue.silent(false);
     });
 }
--- a/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
+++ b/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::Site;
+use common::RunningRouter;
 use gaparch_testbed::platform::{ask, head_and_body, instance, until, Got, HangingRelay, Platform, Seen};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -16,29 +16,29 @@
 const RELEASE_WITHIN: Duration = Duration::from_millis(500 + 300);
 
 /// A platform whose only decode workers are its first, each behind a relay that may hang.
-struct HangingSite {
-    site: Site,
+struct HangingPlatform {
+    router: RunningRouter,
     relays: Vec<HangingRelay>,
 }
 
-impl HangingSite {
-    fn with(writers: usize, change: impl FnOnce(&mut Value)) -> HangingSite {
-        let site = Site::with(change);
+impl HangingPlatform {
+    fn with(writers: usize, change: impl FnOnce(&mut Value)) -> HangingPlatform {
+        let router = RunningRouter::with(change);
         let relays: Vec<HangingRelay> =
-            site.writers.iter().take(writers).map(|writer| HangingRelay::start(writer.address)).collect();
-        let mut list = Platform::without_writers(&Platform::list(&site.readers, &site.writers));
-        for (writer, relay) in site.writers.iter().zip(&relays) {
+            router.writers.iter().take(writers).map(|writer| HangingRelay::start(writer.address)).collect();
+        let mut list = Platform::without_writers(&Platform::list(&router.readers, &router.writers));
+        for (writer, relay) in router.writers.iter().zip(&relays) {
             let mut entry = instance(writer, "decode", "ready");
             entry["hostPort"] = json!(relay.address.to_string());
             list.retain(|other| other["instanceId"] != entry["instanceId"]);
             list.push(entry);
         }
-        site.tell(list);
-        HangingSite { site, relays }
+        router.tell(list);
+        HangingPlatform { router, relays }
     }
 
     fn asks(&self, txn: &str) -> JoinHandle<Got> {
-        let (listen, txn) = (self.site.listen, txn.to_owned());
+        let (listen, txn) = (self.router.listen, txn.to_owned());
         std::thread::spawn(move || ask(listen, &txn))
     }
 
@@ -50,7 +50,7 @@
     }
 
     fn first(&self, fits: &dyn Fn(&Seen) -> bool) -> Option<Instant> {
-        self.site.floor.log().into_iter().find(|(_, seen)| fits(seen)).map(|(at, _)| at)
+        self.router.floor.log().into_iter().find(|(_, seen)| fits(seen)).map(|(at, _)| at)
     }
 
     /// Its KV cache is fetched by a running decode worker, or released, in time.
@@ -84,7 +84,7 @@
         for effect in ["free", "guarded", "single_shot"] {
             for (cancel, probes) in [(true, true), (true, false), (false, true), (false, false)] {
                 all.spawn(move || {
-                    let hanging = HangingSite::with(1, |config| {
+                    let hanging = HangingPlatform::with(1, |config| {
                         class_of(effect)(config);
                         config["settings"]["caps"]["cancel"] = json!(cancel);
                         config["settings"]["caps"]["probes"] = json!(probes);
@@ -94,7 +94,7 @@
                     hanging.is_not_pinned("held");
                     let status = asked.join().expect("no panic").status;
                     assert_ne!(status, 0, "{effect}, cancel {cancel}, probes {probes}: no answer");
-                    hanging.site.no_second_copies();
+                    hanging.router.no_second_copies();
                 });
             }
         }
@@ -104,8 +104,8 @@
 /// One of two decode workers hangs: a request that may be retried is served by the other one.
 #[test]
 fn the_kv_cache_is_fetched_by_another_decode_worker_while_one_hangs() {
-    let hanging = HangingSite::with(2, |_| {});
-    assert_eq!(ask(hanging.site.listen, "before").status, 200);
+    let hanging = HangingPlatform::with(2, |_| {});
+    assert_eq!(ask(hanging.router.listen, "before").status, 200);
     hanging.relays[0].hang();
     let names: Vec<String> = (0..12).map(|number| format!("held-{number}")).collect();
     let asked: BTreeMap<&str, JoinHandle<Got>> =
@@ -114,45 +114,45 @@
         assert_eq!(answer.join().expect("no panic").status, 200, "{name}");
         hanging.is_not_pinned(name);
     }
-    hanging.site.no_second_copies();
+    hanging.router.no_second_copies();
 }
 
 /// A decode request whose KV cache was released is rejected once its worker resumes, so that it has not run: it is prefilled
 /// again and served, also if it may run only once.
 #[test]
 fn a_decode_worker_that_resumes_rejects_the_request_and_it_is_prefilled_again() {
-    let hanging = HangingSite::with(1, class_of("single_shot"));
+    let hanging = HangingPlatform::with(1, class_of("single_shot"));
     let gone = "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-    hanging.site.next_write(&[common::put(gone)]);
+    hanging.router.next_write(&[common::put(gone)]);
     hanging.relays[0].hang();
     let asked = hanging.asks("again");
     hanging.is_not_pinned("again");
-    until("it is released", || hanging.site.released("again"));
+    until("it is released", || hanging.router.released("again"));
     hanging.relays[0].resume();
     let answer = asked.join().expect("no panic");
     assert_eq!(answer.status, 200, "{}", answer.head);
-    assert_eq!(hanging.site.writes("again"), 2);
-    hanging.site.no_second_copies();
+    assert_eq!(hanging.router.writes("again"), 2);
+    hanging.router.no_second_copies();
 }
 
 /// A client disconnects while its decode request hangs and can't be cancelled, or the router is ordered to shut down just then.
 #[test]
 fn the_kv_cache_is_released_though_its_client_disconnects_or_its_router_shuts_down() {
-    let left = HangingSite::with(1, |config| config["settings"]["caps"]["cancel"] = json!(false));
+    let left = HangingPlatform::with(1, |config| config["settings"]["caps"]["cancel"] = json!(false));
     left.relays[0].hang();
-    let mut client = TcpStream::connect(left.site.listen).expect("it listens");
+    let mut client = TcpStream::connect(left.router.listen).expect("it listens");
     client.write_all(&head_and_body("leaves", "{}")).expect("written");
     left.read_at("leaves");
     std::thread::sleep(Duration::from_millis(50));
     drop(client);
     left.is_not_pinned("leaves");
 
-    let ending = HangingSite::with(1, |_| {});
+    let ending = HangingPlatform::with(1, |_| {});
     ending.relays[0].hang();
     let asked = ending.asks("ends");
     ending.read_at("ends");
-    ending.site.order(gaparch_platform_router::Order::Shutdown);
+    ending.router.order(gaparch_platform_router::Order::Shutdown);
     ending.is_not_pinned("ends");
     assert_ne!(asked.join().expect("no panic").status, 0);
-    ending.site.ended();
+    ending.router.wait_for_shutdown();
 }
--- a/crates/gaparch-platform-router/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-router/tests/pinned_bytes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{put, Site};
+use common::{put, RunningRouter};
 use gaparch_platform_router::Order;
 use gaparch_testbed::platform::{events, head_and_body, instance, raw, until, Platform, Step, LONG};
 use serde_json::{json, Value};
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 /// All that comes back for these bytes, up to the end of the connection.
-fn answer_to(site: &Site, request: &[u8]) -> String {
-    let mut client = TcpStream::connect(site.listen).expect("it listens");
+fn answer_to(router: &RunningRouter, request: &[u8]) -> String {
+    let mut client = TcpStream::connect(router.listen).expect("it listens");
     client.write_all(request).expect("written");
     client.set_read_timeout(Some(LONG)).expect("set");
     let mut bytes = Vec::new();
@@ -40,11 +40,11 @@
 
 #[test]
 fn health_and_messages_that_are_rejected() {
-    let site = Site::with(|_| {});
+    let router = RunningRouter::with(|_| {});
     let health =
         "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let asked = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    assert_eq!(answer_to(&site, asked), health);
+    assert_eq!(answer_to(&router, asked), health);
 
     let post = "POST /v1/chat/completions HTTP/1.1\r\n";
     let sound = "X-Txn: a\r\nX-Lane: chat\r\nX-Remaining-Ms: 100\r\n";
@@ -98,47 +98,47 @@
         (post.to_owned(), "408 Request Timeout", "the request did not come in time"),
     ];
     for (request, status, text) in cases {
-        assert_eq!(answer_to(&site, request.as_bytes()), closing(status, text), "{request:.200}");
+        assert_eq!(answer_to(&router, request.as_bytes()), closing(status, text), "{request:.200}");
     }
 }
 
 #[test]
 fn a_stream_and_one_that_breaks() {
-    let site = Site::with(|_| {});
+    let router = RunningRouter::with(|_| {});
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\
         Connection: close\r\n\r\n";
     let all = events().concat();
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-    site.next_write(&[put(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{all}", all.len()))]);
+    router.next_write(&[put(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{all}", all.len()))]);
     let expected = format!("{head}{}0\r\n\r\n", chunk(&all));
-    assert_eq!(answer_to(&site, &last_request("complete", 5000)), expected);
+    assert_eq!(answer_to(&router, &last_request("complete", 5000)), expected);
 
     let first = &events()[0];
     let begun = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(first));
-    site.next_write(&[put(&begun), Step::Wait(Duration::from_millis(200)), Step::Close]);
-    assert_eq!(answer_to(&site, &last_request("broken", 5000)), format!("{head}{}", chunk(first)));
+    router.next_write(&[put(&begun), Step::Wait(Duration::from_millis(200)), Step::Close]);
+    assert_eq!(answer_to(&router, &last_request("broken", 5000)), format!("{head}{}", chunk(first)));
 }
 
 #[test]
 fn rejected_failed_and_conflicting_requests() {
-    let site = Site::with(|config| {
+    let router = RunningRouter::with(|config| {
         config["settings"]["services"][0]["idempotency"] = json!("single_shot");
         config["settings"]["caps"]["retryAfter"] = json!(false);
     });
-    site.next_write(&[Step::Wait(Duration::from_millis(100)), Step::Close]);
+    router.next_write(&[Step::Wait(Duration::from_millis(100)), Step::Close]);
     let failed = closing("500 Internal Server Error", "not answered; it may have run");
-    assert_eq!(answer_to(&site, &last_request("failed", 5000)), failed);
+    assert_eq!(answer_to(&router, &last_request("failed", 5000)), failed);
 
-    let list = Platform::list(&site.readers, &site.writers);
-    site.tell(Platform::without_writers(&list));
-    let mut open = TcpStream::connect(site.listen).expect("it listens");
+    let list = Platform::list(&router.readers, &router.writers);
+    router.tell(Platform::without_writers(&list));
+    let mut open = TcpStream::connect(router.listen).expect("it listens");
     open.write_all(&head_and_body("open", "{}")).expect("written");
     std::thread::sleep(Duration::from_millis(100));
     let conflict = closing("409 Conflict", "a request of this id is open");
-    assert_eq!(answer_to(&site, &last_request("open", 5000)), conflict);
+    assert_eq!(answer_to(&router, &last_request("open", 5000)), conflict);
 
     let rejected = closing("503 Service Unavailable", "not done; a retry is harmless");
-    assert_eq!(answer_to(&site, &last_request("rejected", 300)), rejected);
+    assert_eq!(answer_to(&router, &last_request("rejected", 300)), rejected);
 }
 
 /// A worker that records each message byte by byte, and answers all of them well.
@@ -173,8 +173,8 @@
         }
     }
 
-    fn entry(&self, site: &Site, name: &str, kind: &str) -> Value {
-        let mut entry = instance(&site.readers[0], kind, "ready");
+    fn entry(&self, router: &RunningRouter, name: &str, kind: &str) -> Value {
+        let mut entry = instance(&router.readers[0], kind, "ready");
         entry["instanceId"] = json!(name);
         entry["hostPort"] = json!(self.address);
         entry
@@ -188,12 +188,12 @@
 }
 
 /// Lists these two, and the workers of the platform as gone.
-fn list_only(site: &Site, prefill: &Recorder, decode: &Recorder) {
-    let mut list = Platform::list(&site.readers, &site.writers);
+fn list_only(router: &RunningRouter, prefill: &Recorder, decode: &Recorder) {
+    let mut list = Platform::list(&router.readers, &router.writers);
     list.iter_mut().for_each(|entry| entry["lifecycle"] = json!("gone"));
-    list.push(prefill.entry(site, "p", "prefill"));
-    list.push(decode.entry(site, "d", "decode"));
-    site.tell(list);
+    list.push(prefill.entry(router, "p", "prefill"));
+    list.push(decode.entry(router, "d", "decode"));
+    router.tell(list);
 }
 
 /// A message with its body, whose length the head states; `None` at the end of the connection.
@@ -226,11 +226,11 @@
 
 #[test]
 fn messages_as_workers_get_them() {
-    let site = Site::with(|_| {});
+    let router = RunningRouter::with(|_| {});
     let prefill = Recorder::start("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}");
     let decode = Recorder::start("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\ndata: [DONE]\n\n");
-    list_only(&site, &prefill, &decode);
-    assert_eq!(raw(site.listen, &head_and_body("bytes", "{}"), LONG).status, 200);
+    list_only(&router, &prefill, &decode);
+    assert_eq!(raw(router.listen, &head_and_body("bytes", "{}"), LONG).status, 200);
     for worker in [&prefill, &decode] {
         let host = &worker.address;
         let expected = format!(
@@ -250,11 +250,12 @@
 /// What was prefilled is released where the decode worker has failed it.
 #[test]
 fn a_release_as_workers_get_it() {
-    let site = Site::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
+    let router =
+        RunningRouter::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
     let prefill = Recorder::start("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}");
     let decode = Recorder::start("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n");
-    list_only(&site, &prefill, &decode);
-    assert_eq!(raw(site.listen, &head_and_body("bytes", "{}"), LONG).status, 500);
+    list_only(&router, &prefill, &decode);
+    assert_eq!(raw(router.listen, &head_and_body("bytes", "{}"), LONG).status, 500);
     let released = || [prefill.recorded("DELETE"), decode.recorded("DELETE")].concat();
     until("it is released", || !released().is_empty());
     let expected = |worker: &Recorder| {
@@ -265,15 +266,15 @@
 
 #[test]
 fn health_of_a_router_that_shuts_down() {
-    let site = Site::with(|_| {});
-    site.order(Order::Shutdown);
-    until("it says so", || site.health() == 503);
+    let router = RunningRouter::with(|_| {});
+    router.order(Order::Shutdown);
+    until("it says so", || router.health() == 503);
     let expected = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 0\r\n\
         Connection: close\r\n\r\n";
-    let mut client = TcpStream::connect(site.listen).expect("it still accepts");
+    let mut client = TcpStream::connect(router.listen).expect("it still accepts");
     client.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
     let mut text = String::new();
     client.read_to_string(&mut text).expect("its end");
     assert_eq!(text, expected);
-    site.ended();
+    router.wait_for_shutdown();
 }
--- a/crates/gaparch-platform-router/tests/shutdown.rs
+++ b/crates/gaparch-platform-router/tests/shutdown.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{begun, ms, Site};
+use common::{ms, started_stream, RunningRouter};
 use gaparch_platform_router::Order;
 use gaparch_testbed::platform::{events, head_and_body, read, stream, Step, LONG};
 use serde_json::json;
@@ -20,8 +20,12 @@
 }
 
 /// Connections that come from then on for so long and begin a request each: none of them can be closed for another.
-fn burst(site: &Site, from: Instant, for_how_long: Duration) -> std::thread::JoinHandle<Vec<TcpStream>> {
-    let listen = site.listen;
+fn burst(
+    router: &RunningRouter,
+    from: Instant,
+    for_how_long: Duration,
+) -> std::thread::JoinHandle<Vec<TcpStream>> {
+    let listen = router.listen;
     std::thread::spawn(move || {
         std::thread::sleep(from.saturating_duration_since(Instant::now()));
         let mut all = Vec::new();
@@ -38,36 +42,36 @@
 /// accept what comes on an open one all the same.
 #[test]
 fn what_comes_late_on_an_open_connection_is_rejected_during_a_burst_of_connections() {
-    let site = Site::with(|config| config["limits"]["sockets"] = json!(64));
-    site.next_write(&slow_stream(ms(850)));
-    let mut client = begun(&site, "early");
+    let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(64));
+    router.next_write(&slow_stream(ms(850)));
+    let mut client = started_stream(&router, "early");
     let ordered_at = Instant::now();
-    site.order(Order::Shutdown);
-    let burst = burst(&site, ordered_at + ms(350), ms(500));
+    router.order(Order::Shutdown);
+    let burst = burst(&router, ordered_at + ms(350), ms(500));
     // Its response did not say that the connection would close: the client goes on with it.
     assert!(read(&mut client, LONG).whole, "its answer is cut off");
     let _ = client.write_all(&head_and_body("late", "{}"));
     assert!(ordered_at.elapsed() > ms(700), "the machine is faster than the test");
     let answer = read(&mut client, LONG);
     assert_ne!(answer.status, 200, "taken {:?} after the order", ordered_at.elapsed());
-    assert!(site.floor.asked().iter().all(|(_, txn)| txn != "late"));
+    assert!(router.floor.asked().iter().all(|(_, txn)| txn != "late"));
     drop(burst.join().expect("no panic"));
     drop(client);
-    site.ended();
+    router.wait_for_shutdown();
 }
 
 /// Nothing of this takes long: a late request is rejected within a moment, for as long as the router has open connections.
 #[test]
 fn what_comes_on_open_connections_is_rejected_at_once_until_the_last_stream_ends() {
-    let site = Site::with(|config| config["limits"]["sockets"] = json!(256));
+    let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(256));
     let clients: Vec<TcpStream> = (0..6)
         .map(|number| {
-            site.next_write(&slow_stream(ms(500 + 400 * number)));
-            begun(&site, &format!("early-{number}"))
+            router.next_write(&slow_stream(ms(500 + 400 * number)));
+            started_stream(&router, &format!("early-{number}"))
         })
         .collect();
     let ordered_at = Instant::now();
-    site.order(Order::Shutdown);
+    router.order(Order::Shutdown);
     let mut late_requests = 0;
     for (number, mut client) in clients.into_iter().enumerate() {
         assert!(read(&mut client, LONG).whole, "early-{number} is cut off");
@@ -78,9 +82,9 @@
         let answer = read(&mut client, LONG);
         assert!(!late || [0, 503].contains(&answer.status), "{}", answer.status);
         assert!(!late || asked.elapsed() < ms(500), "rejected after {:?}", asked.elapsed());
-        let was_forwarded = site.floor.asked().iter().any(|(_, txn)| *txn == format!("late-{number}"));
+        let was_forwarded = router.floor.asked().iter().any(|(_, txn)| *txn == format!("late-{number}"));
         assert!(!late || !was_forwarded, "late-{number} was forwarded");
     }
     assert!(late_requests >= 4, "{late_requests} came late");
-    site.ended();
+    router.wait_for_shutdown();
 }
