--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of the router. The interface (settings, events, actions) is in `src/api.rs`, the
+//! Every decision of the router. The interface (settings, events, actions) is in `src/api/`, the
 //! tables are in `src/state/`, the reasons at length in `docs/design.md`.
 //!
 //! Read it along a request's path: it arrives and is queued while all decode workers look
--- a/src/policy/process_start.rs
+++ b/src/policy/process_start.rs
@@ -5,7 +5,7 @@
 //! from it alone:
 //!
 //! - A process that a change of the list names first, or under another start than before, started
-//!   now, or at its listed start where that was [a moment](MAX_TRUSTED_AGE) ago by the own clock,
+//!   now, or at its listed start where that was a moment (`MAX_TRUSTED_AGE`) ago by the own clock,
 //!   as it is where both clocks are right and the list was not late. It is taken for younger than
 //!   it is by the delay of the list, for older by that moment at most.
 //! - In a full list the newest of the processes not listed before started likewise, the others as
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -56,7 +56,7 @@
         assert!(text(&root().join(&module)).starts_with("//! "), "{module} has no module doc");
     }
     let first = text(&root().join("src/policy/mod.rs"));
-    assert!(first.lines().take(3).any(|line| line.contains("src/api.rs")));
+    assert!(first.lines().take(3).any(|line| line.contains("src/api/")));
 }
 
 #[test]
