--- /dev/null
+++ b/crates/gaparch-cli/src/logging_tests.rs
@@ -0,0 +1,16 @@
+//! Filters that name the targets of renamed crates.
+
+use super::with_current_targets;
+
+#[test]
+fn a_filter_that_names_a_renamed_crate_names_its_current_target() {
+    for (given, current) in [
+        ("info", "info"),
+        ("gaparch_node=info", "gaparch_platform_router=info"),
+        ("warn,gaparch_node::wire=debug", "warn,gaparch_platform_router::wire=debug"),
+        ("gaparch_platform_router=info", "gaparch_platform_router=info"),
+        ("gaparch_lab,gaparch_nodes=info", "gaparch_testbed,gaparch_nodes=info"),
+    ] {
+        assert_eq!(with_current_targets(given), current);
+    }
+}
