--- a/crates/gaparch-audit/src/endpoint_list/event.rs
+++ b/crates/gaparch-audit/src/endpoint_list/event.rs
@@ -106,7 +106,7 @@
             ),
             ListEvent::FetchedFromPeer { by, version, after } => write!(
                 f,
-                "list {} was fetched from router {by}, {:.1} s after others had it",
+                "fetched list {} from router {by}, {:.1} s after others had it",
                 ShortVersion(version),
                 seconds(*after)
             ),
