--- a/crates/gaparch-platform-settings/src/diagnostics.rs
+++ b/crates/gaparch-platform-settings/src/diagnostics.rs
@@ -177,7 +177,7 @@
 
     /// Checks limits against the rest of the settings.
     fn check_limits(&mut self, object: &Value, settings: &Settings) {
-        let has_mixed_kind = settings.kinds.iter().any(|kind| kind.role == Some(Role::Mixed));
+        let has_mixed_kind = settings.kinds.iter().any(|kind| kind.role.unwrap_or_default() == Role::Mixed);
         let one_worker_serves = settings.decode_workers_can_prefill || has_mixed_kind;
         let too_few = whole_number(&object["caps"]["maxAttempts"]).is_some_and(|attempts| attempts < 2);
         if too_few && !one_worker_serves {
--- a/crates/gaparch-platform-settings/src/diagnostics_tests.rs
+++ b/crates/gaparch-platform-settings/src/diagnostics_tests.rs
@@ -54,3 +54,13 @@
     let many: Vec<Value> = (0..500).map(|_| json!({})).collect();
     assert_eq!(diagnostics(&json!({ "services": many })).len(), 32);
 }
+
+/// A kind of unknown role is no proof that a prefill and a decode take two attempts.
+#[test]
+fn one_attempt_is_not_named_beside_a_kind_of_unknown_role() {
+    let mut object = sound();
+    object["caps"]["maxAttempts"] = json!(1);
+    object["familyInfo"]["roleByKind"] = json!(["read", "encode"]);
+    let lines = diagnostics(&object);
+    assert!(lines.iter().all(|line| !line.contains("caps.maxAttempts")), "{lines:?}");
+}
