--- a/src/policy/unanswered_decode.rs
+++ b/src/policy/unanswered_decode.rs
@@ -191,6 +191,8 @@
             }
             (unchanged, _) => unchanged,
         };
-        self.requests.update(outcome.id, |request| request.kv_cache = settled);
+        if settled != request.kv_cache {
+            self.requests.update(outcome.id, |request| request.kv_cache = settled);
+        }
     }
 }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -26,6 +26,26 @@
     request: InFlightRequest,
     /// What it adds to the sum, in fractions of a token.
     decode_demand: i64,
+    /// It is among the active ones.
+    is_active: bool,
+}
+
+impl Entry {
+    /// Brings up to date what is kept of all requests, after a change of this one.
+    fn refresh(&mut self, id: RequestId, active: &mut BTreeSet<RequestId>, total_demand: &mut i64) {
+        let demand = decode_demand(&self.request);
+        *total_demand += demand - std::mem::replace(&mut self.decode_demand, demand);
+        let is_active = is_active(&self.request);
+        if is_active == self.is_active {
+            return;
+        }
+        self.is_active = is_active;
+        if is_active {
+            active.insert(id);
+        } else {
+            active.remove(&id);
+        }
+    }
 }
 
 impl RequestTable {
@@ -34,11 +54,11 @@
         self.entries.get(&id).map(|entry| &entry.request)
     }
 
-    /// Changes a request, and then brings up to date what is kept of all; `None` without such a
-    /// request.
+    /// Changes a request, and then brings up to date what is kept of all; `None` without such a request.
     pub fn update<T>(&mut self, id: RequestId, change: impl FnOnce(&mut InFlightRequest) -> T) -> Option<T> {
-        let changed = change(&mut self.entries.get_mut(&id)?.request);
-        self.refresh(id);
+        let entry = self.entries.get_mut(&id)?;
+        let changed = change(&mut entry.request);
+        entry.refresh(id, &mut self.active, &mut self.decode_demand);
         Some(changed)
     }
 
@@ -55,23 +75,16 @@
     /// Adds a request, in place of one with the same id.
     pub fn insert(&mut self, id: RequestId, request: InFlightRequest) {
         self.remove(id);
-        self.entries.insert(id, Entry { request, decode_demand: 0 });
-        self.refresh(id);
+        let mut entry = Entry { request, decode_demand: 0, is_active: false };
+        entry.refresh(id, &mut self.active, &mut self.decode_demand);
+        self.entries.insert(id, entry);
     }
 
     /// Drops a request.
     pub fn remove(&mut self, id: RequestId) {
-        self.active.remove(&id);
-        self.decode_demand -= self.entries.remove(&id).map_or(0, |entry| entry.decode_demand);
-    }
-
-    fn refresh(&mut self, id: RequestId) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
-        let demand = decode_demand(&entry.request);
-        self.decode_demand += demand - std::mem::replace(&mut entry.decode_demand, demand);
-        if is_active(&entry.request) {
-            self.active.insert(id);
-        } else {
+        let Some(entry) = self.entries.remove(&id) else { return };
+        self.decode_demand -= entry.decode_demand;
+        if entry.is_active {
             self.active.remove(&id);
         }
     }
