--- a/src/policy/unanswered_decode.rs
+++ b/src/policy/unanswered_decode.rs
@@ -87,24 +87,28 @@
 
 /// What has become of a KV cache with the end of a decode attempt that was to fetch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KvCacheFate {
+pub enum KvCacheAfterAttempt {
     /// It is held, and its release time runs on.
     Held,
     /// It is held, and its release time begins anew: the server had the attempt.
-    HeldAnew,
+    HeldFromNow,
     /// It was released.
     Released,
 }
 
 /// `was_released`: a release was sent beside the attempt. `server_runs`: the server has answered
 /// something that was sent after the attempt, and so had it: the KV cache stayed for it.
-pub fn kv_cache_fate(status: AttemptStatus, was_released: bool, server_runs: bool) -> KvCacheFate {
+pub fn kv_cache_after_attempt(
+    status: AttemptStatus,
+    was_released: bool,
+    server_runs: bool,
+) -> KvCacheAfterAttempt {
     if status.is_answer() || was_released && server_runs {
-        KvCacheFate::HeldAnew
+        KvCacheAfterAttempt::HeldFromNow
     } else if was_released && !status.was_never_sent() {
-        KvCacheFate::Released
+        KvCacheAfterAttempt::Released
     } else {
-        KvCacheFate::Held
+        KvCacheAfterAttempt::Held
     }
 }
 
@@ -179,11 +183,11 @@
         let server = self.servers.get(outcome.server);
         let server_runs = server.is_some_and(|server| server.liveness.ran_since(attempt.sent_at));
         let anew = |server| Some(KvCacheLocation { server, held_since: self.now });
-        let fate = kv_cache_fate(outcome.status, attempt.kv_released, server_runs);
+        let fate = kv_cache_after_attempt(outcome.status, attempt.kv_released, server_runs);
         let settled = match (request.kv_cache, fate) {
             (None, _) if outcome.status == AttemptStatus::Prefilled => anew(outcome.server),
-            (Some(kv_cache), KvCacheFate::HeldAnew) => anew(kv_cache.server),
-            (Some(_), KvCacheFate::Released) => {
+            (Some(kv_cache), KvCacheAfterAttempt::HeldFromNow) => anew(kv_cache.server),
+            (Some(_), KvCacheAfterAttempt::Released) => {
                 // At the end of a request everything is released anyway.
                 let release = (!request.finished).then_some(Action::ReleaseKv(outcome.id));
                 self.actions.extend(release);
--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -2,7 +2,9 @@
 
 use super::state::*;
 use gaparch_scheduler::api::*;
-use gaparch_scheduler::policy::unanswered_decode::{kv_cache_fate, KvCacheFate, NextStep, UnansweredDecode};
+use gaparch_scheduler::policy::unanswered_decode::{
+    kv_cache_after_attempt, KvCacheAfterAttempt, NextStep, UnansweredDecode,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Nanos = 1_000_000;
@@ -980,16 +982,16 @@
     fn update_kv_cache(&mut self, o: &AttemptOutcome, attempt: &Attempt) {
         let runs = self.servers.get(&o.server).is_some_and(|s| s.running_at > attempt.sent_at);
         let Some(request) = self.requests.get_mut(&o.id) else { return };
-        match kv_cache_fate(o.status, attempt.kv_released, runs) {
+        match kv_cache_after_attempt(o.status, attempt.kv_released, runs) {
             _ if o.status == AttemptStatus::Prefilled => request.kv_cache = Some((o.server, self.now)),
-            KvCacheFate::HeldAnew => {
+            KvCacheAfterAttempt::HeldFromNow => {
                 request.kv_cache = request.kv_cache.map(|(reader, _)| (reader, self.now))
             }
-            KvCacheFate::Released if request.kv_cache.is_some() && !request.finished => {
+            KvCacheAfterAttempt::Released if request.kv_cache.is_some() && !request.finished => {
                 request.kv_cache = None;
                 self.actions.push(Action::ReleaseKv(o.id));
             }
-            KvCacheFate::Released | KvCacheFate::Held => {}
+            KvCacheAfterAttempt::Released | KvCacheAfterAttempt::Held => {}
         }
     }
 
