--- a/crates/gaparch-router/src/core/operator_orders.rs
+++ b/crates/gaparch-router/src/core/operator_orders.rs
@@ -15,8 +15,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
     /// The change, as it is stored.
-    pub taken: AcceptedChange,
-    /// What it does to the requests at hand, in words.
+    pub accepted: AcceptedChange,
+    /// What it does to the requests in flight, in words.
     pub effect: String,
 }
 
@@ -27,7 +27,7 @@
     /// When it may not; the message says why.
     pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, OrderDenied> {
         let proposed = self.orders.propose(order, who, now, &self.site_state())?;
-        Ok(Proposal { taken: proposed.change, effect: proposed.effect })
+        Ok(Proposal { accepted: proposed.change, effect: proposed.effect })
     }
 
     /// The number of the last change by an operator.
--- a/crates/gaparch-router/src/shell/ops/handle.rs
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -104,8 +104,8 @@
         proposal: Proposal,
         reply: OrderReply,
     ) {
-        self.send(BroadcasterMessage::OrderInForce(proposal.taken.clone()));
-        permit.send(StoreOrder { taken: proposal.taken, effect: proposal.effect, reply });
+        self.send(BroadcasterMessage::OrderInForce(proposal.accepted.clone()));
+        permit.send(StoreOrder { taken: proposal.accepted, effect: proposal.effect, reply });
     }
 
     /// Passes an operator's order to stop on to whoever runs the router.
--- a/crates/gaparch-router/src/shell/owner/control.rs
+++ b/crates/gaparch-router/src/shell/owner/control.rs
@@ -52,9 +52,9 @@
             // Here and below: the operator may have disconnected.
             Err(denied) => return drop(reply.send(Err(denied))),
         };
-        if proposal.taken.change == (Change::Stop {}) {
+        if proposal.accepted.change == (Change::Stop {}) {
             operations.request_stop(now, who, &order.reason);
-            let outcome = OrderOutcome { revision: proposal.taken.revision - 1, effect: proposal.effect };
+            let outcome = OrderOutcome { revision: proposal.accepted.revision - 1, effect: proposal.effect };
             return drop(reply.send(Ok(outcome)));
         }
         let Some(permit) = operations.reserve() else {
@@ -67,11 +67,11 @@
                 let message = "too many orders are on their way to the other routers; nothing was changed";
                 return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
             };
-            let (change, note) = (proposal.taken.change.clone(), proposal.taken.note.clone());
+            let (change, note) = (proposal.accepted.change.clone(), proposal.accepted.note.clone());
             permit.send(LocalOrder { change, note });
         }
         self.hand_over_sends();
-        self.core.handle(now, Input::OperatorChange(proposal.taken.clone()), out);
+        self.core.handle(now, Input::OperatorChange(proposal.accepted.clone()), out);
         // Whoever asks after the acknowledgement sees what it did.
         self.report_status();
         if let Some(operations) = &mut self.operations {
@@ -102,7 +102,7 @@
         if let Some(operations) = &mut self.operations {
             // Nobody waits for this copy: the fleet's own record of the order is what is acknowledged.
             let (reply, _) = oneshot::channel();
-            operations.store_order(permit, Proposal { taken, effect: String::new() }, reply);
+            operations.store_order(permit, Proposal { accepted: taken, effect: String::new() }, reply);
         }
         true
     }
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -413,7 +413,7 @@
 
     fn order(&mut self, change: Change) -> Vec<Output> {
         let proposal = self.core.propose(self.now, &order(change), "someone").expect("allowed");
-        self.input(Input::OperatorChange(proposal.taken))
+        self.input(Input::OperatorChange(proposal.accepted))
     }
 
     fn endings(&self) -> Vec<&RequestOutcome> {
--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -149,7 +149,7 @@
         match self.core.propose(self.now, &order, "office") {
             Ok(proposal) => {
                 let effect = proposal.effect.clone();
-                self.input(Input::OperatorChange(proposal.taken));
+                self.input(Input::OperatorChange(proposal.accepted));
                 format!("{effect}\n")
             }
             Err(denied) => format!("denied: {denied}\n"),
