--- a/tests/all.sh
+++ b/tests/all.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Everything that must hold before a change lands: format, lints, release build, tests.
-# The tests include the size and line-length limits of the decision modules.
+# All checks that have to pass before a change is merged: format, lints, release build, tests.
+# The tests include the limits on size and line length of the decision modules.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo fmt --all --check
 cargo clippy --workspace --all-targets --locked -- -D warnings
 cargo build --release --locked
-# All tests run, also after a failure; reds pass only where KNOWN-RED.txt lists them.
+# All tests run, even after a failure; a failing test is accepted only if KNOWN-RED.txt lists it.
 log=$(mktemp)
 trap 'rm -f "$log"' EXIT
 status=0
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,32 +1,35 @@
-//! Bytes and names that others read, held as they are: messages between routers, and the names in logs and counters.
+//! Fixes bytes and names that are read outside this crate: gossip messages between routers, and the names in logs and
+//! counters.
 
 use gaparch_scheduler::api::{AttemptStatus, ServerId};
 use gaparch_scheduler::policy::send_guards::{Denial, Denials};
 use gaparch_scheduler::state::{decode_gossip, encode_gossip};
 use std::collections::BTreeMap;
 
-/// Servers 1, 2 and 0x01020304 with 16, 1000 and more tokens than fit; amounts are in units of 16 tokens.
+/// Servers 1, 2 and 0x01020304 with 16 tokens, 1000 tokens and more tokens than an entry can hold. Amounts are in units
+/// of 16 tokens.
 const MESSAGE: [u8; 18] = [1, 0, 0, 0, 1, 0, 2, 0, 0, 0, 62, 0, 4, 3, 2, 1, 0xff, 0xff];
 
 #[test]
-fn messages_between_routers_keep_their_bytes() {
-    let held = [(1, 16.0), (2, 1000.0), (3, 15.9), (0x0102_0304, 1e12)];
-    let bytes = encode_gossip(held.into_iter().map(|(server, tokens)| (ServerId(server), tokens)));
+fn gossip_messages_are_encoded_to_the_same_bytes() {
+    let tokens_by_server = [(1, 16.0), (2, 1000.0), (3, 15.9), (0x0102_0304, 1e12)];
+    let bytes =
+        encode_gossip(tokens_by_server.into_iter().map(|(server, tokens)| (ServerId(server), tokens)));
     assert_eq!(bytes, MESSAGE);
 }
 
 #[test]
-fn messages_between_routers_are_read_as_before() {
-    let read =
+fn gossip_messages_are_decoded_to_the_same_amounts() {
+    let decoded =
         BTreeMap::from([(ServerId(1), 16.0), (ServerId(2), 992.0), (ServerId(0x0102_0304), 1_048_560.0)]);
-    assert_eq!(decode_gossip(&MESSAGE), read);
-    // What is left of an entry that was cut off is no entry.
+    assert_eq!(decode_gossip(&MESSAGE), decoded);
+    // A truncated entry at the end is ignored.
     assert_eq!(decode_gossip(&MESSAGE[..17]).len(), 2);
     assert!(decode_gossip(&[]).is_empty());
 }
 
 #[test]
-fn a_message_holds_no_more_than_42_servers() {
+fn a_gossip_message_holds_at_most_42_servers() {
     let bytes = encode_gossip((0..100).map(|server| (ServerId(server), 32.0)));
     assert_eq!(bytes.len(), 252);
 }
--- a/tests/send_guards.rs
+++ b/tests/send_guards.rs
@@ -1,4 +1,4 @@
-//! The rules as one place decides them, one after the other.
+//! Tests of the send guards, one rule after the other.
 
 use gaparch_scheduler::api::{
     AttemptStatus, CellId, DeduplicationScope, Idempotency, Nanos, TrafficClass, ZoneId,
@@ -8,10 +8,10 @@
 
 const NOW: Nanos = 1_000_000;
 
-fn class(effect: Idempotency, group: DeduplicationScope) -> TrafficClass {
+fn class(idempotency: Idempotency, scope: DeduplicationScope) -> TrafficClass {
     TrafficClass {
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope: scope,
         deduplication_window: 500,
         latency_objective: 0,
         latency_objective_per_prompt_token: 0.0,
@@ -23,7 +23,7 @@
     }
 }
 
-fn allowed() -> SendFacts<'static> {
+fn allowed_send() -> SendFacts<'static> {
     SendFacts {
         now: NOW,
         deadline_at: NOW + 1,
@@ -39,71 +39,71 @@
 
 #[test]
 fn each_rule_denies_a_send_by_itself() {
-    assert_eq!(may_send(&allowed()), Ok(()));
+    assert_eq!(may_send(&allowed_send()), Ok(()));
     let denied = [
-        (SendFacts { answered: true, ..allowed() }, Denial::Answered),
-        (SendFacts { client_disconnected: true, ..allowed() }, Denial::ClientDisconnected),
-        (SendFacts { deadline_at: NOW, ..allowed() }, Denial::DeadlineExceeded),
-        (SendFacts { attempt_in_flight: true, ..allowed() }, Denial::AttemptInFlight),
-        (SendFacts { attempts_exhausted: true, ..allowed() }, Denial::AttemptsExhausted),
-        (SendFacts { send_by: NOW, ..allowed() }, Denial::TooLate),
-        (SendFacts { server_ready: false, ..allowed() }, Denial::ServerNotReady),
+        (SendFacts { answered: true, ..allowed_send() }, Denial::Answered),
+        (SendFacts { client_disconnected: true, ..allowed_send() }, Denial::ClientDisconnected),
+        (SendFacts { deadline_at: NOW, ..allowed_send() }, Denial::DeadlineExceeded),
+        (SendFacts { attempt_in_flight: true, ..allowed_send() }, Denial::AttemptInFlight),
+        (SendFacts { attempts_exhausted: true, ..allowed_send() }, Denial::AttemptsExhausted),
+        (SendFacts { send_by: NOW, ..allowed_send() }, Denial::TooLate),
+        (SendFacts { server_ready: false, ..allowed_send() }, Denial::ServerNotReady),
     ];
     for (facts, denial) in denied {
         assert_eq!(may_send(&facts), Err(denial));
-        // A drained worker is no reason to end the request, the others are.
+        // A server that is not ready does not end the request; every other denial does.
         assert_eq!(denial.status() == AttemptStatus::ConnectFailed, denial == Denial::ServerNotReady);
     }
 }
 
 #[test]
-fn a_repeat_goes_only_where_and_while_it_is_dropped() {
+fn a_repeat_is_allowed_only_in_the_deduplication_domain_and_within_the_window() {
     let ran = MayHaveRun { zone: Some(ZoneId(1)), cell: Some(CellId(7)), at: NOW - 100 };
-    let goes = |effect, group, zone: usize, cell: u64, passed: Nanos| {
-        let class = class(effect, group);
+    let may_repeat_in = |idempotency, scope, zone: usize, cell: u64, age: Nanos| {
+        let class = class(idempotency, scope);
         let (zone, cell) = (Some(ZoneId(zone)), Some(CellId(cell)));
-        let ran = MayHaveRun { at: NOW - passed, ..ran };
+        let ran = MayHaveRun { at: NOW - age, ..ran };
         let repeat = Some(Repeat { class: &class, ran, zone, cell });
-        may_send(&SendFacts { repeat, ..allowed() }).is_ok()
+        may_send(&SendFacts { repeat, ..allowed_send() }).is_ok()
     };
-    assert!(goes(Idempotency::Idempotent, DeduplicationScope::Cell, 2, 8, 10_000));
-    assert!(!goes(Idempotency::NotIdempotent, DeduplicationScope::All, 1, 7, 0));
+    assert!(may_repeat_in(Idempotency::Idempotent, DeduplicationScope::Cell, 2, 8, 10_000));
+    assert!(!may_repeat_in(Idempotency::NotIdempotent, DeduplicationScope::All, 1, 7, 0));
     assert!(
-        goes(Idempotency::WithKey, DeduplicationScope::All, 2, 8, 499)
-            && !goes(Idempotency::WithKey, DeduplicationScope::All, 1, 7, 500)
+        may_repeat_in(Idempotency::WithKey, DeduplicationScope::All, 2, 8, 499)
+            && !may_repeat_in(Idempotency::WithKey, DeduplicationScope::All, 1, 7, 500)
     );
     assert!(
-        goes(Idempotency::WithKey, DeduplicationScope::Zone, 1, 8, 0)
-            && !goes(Idempotency::WithKey, DeduplicationScope::Zone, 2, 7, 0)
+        may_repeat_in(Idempotency::WithKey, DeduplicationScope::Zone, 1, 8, 0)
+            && !may_repeat_in(Idempotency::WithKey, DeduplicationScope::Zone, 2, 7, 0)
     );
     assert!(
-        goes(Idempotency::WithKey, DeduplicationScope::Cell, 2, 7, 0)
-            && !goes(Idempotency::WithKey, DeduplicationScope::Cell, 1, 8, 0)
+        may_repeat_in(Idempotency::WithKey, DeduplicationScope::Cell, 2, 7, 0)
+            && !may_repeat_in(Idempotency::WithKey, DeduplicationScope::Cell, 1, 8, 0)
     );
-    // Nobody knows which group it ran in.
+    // The deduplication domain that it ran in is not known.
     let class = class(Idempotency::WithKey, DeduplicationScope::Cell);
     let ran = MayHaveRun { cell: None, ..ran };
     let repeat = Some(Repeat { class: &class, ran, zone: None, cell: None });
-    assert_eq!(may_send(&SendFacts { repeat, ..allowed() }), Err(Denial::MayHaveRun));
+    assert_eq!(may_send(&SendFacts { repeat, ..allowed_send() }), Err(Denial::MayHaveRun));
 }
 
 #[test]
-fn a_rejection_promises_only_what_holds() {
-    for (effect, group, harmless_after_a_run) in [
+fn a_request_is_rejected_only_if_a_retry_is_harmless() {
+    for (idempotency, scope, is_harmless_after_a_run) in [
         (Idempotency::Idempotent, DeduplicationScope::Cell, true),
         (Idempotency::WithKey, DeduplicationScope::All, true),
         (Idempotency::WithKey, DeduplicationScope::Zone, false),
         (Idempotency::WithKey, DeduplicationScope::Cell, false),
         (Idempotency::NotIdempotent, DeduplicationScope::All, false),
     ] {
-        let class = class(effect, group);
+        let class = class(idempotency, scope);
         assert!(may_reject(&class, false).is_ok());
-        assert_eq!(may_reject(&class, true).is_ok(), harmless_after_a_run, "{effect:?} {group:?}");
+        assert_eq!(may_reject(&class, true).is_ok(), is_harmless_after_a_run, "{idempotency:?} {scope:?}");
     }
 }
 
 #[test]
-fn denials_are_counted_by_reason_and_told_by_name() {
+fn denials_are_counted_by_reason_and_printed_by_name() {
     let mut denials = Denials::default();
     assert_eq!(denials.to_string(), "");
     denials.count(Denial::ServerNotReady);
