--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::draws::Draws;
-use common::{class, entry, kinds, settings, MS, S};
+use common::random::SplitMix64;
+use common::{class, endpoint, kinds, settings, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
@@ -63,7 +63,7 @@
 
 struct Fleet {
     day: Simulation,
-    draws: Draws,
+    rng: SplitMix64,
     routers: Vec<Policy>,
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
     what: BTreeMap<u64, What>,
@@ -94,9 +94,9 @@
 
 fn list(cold: bool, lost: u32) -> Vec<Endpoint> {
     let kinds = (lost..PREFILL_WORKERS).map(|s| (s, 0)).chain((lost..DECODE_WORKERS).map(|s| (100 + s, 1)));
-    let mut all: Vec<Endpoint> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 3))).collect();
+    let mut all: Vec<Endpoint> = kinds.map(|(s, kind)| endpoint(s, kind, u64::from(s % 3))).collect();
     for (server, kind) in COLD.into_iter().zip(0..).filter(|_| cold) {
-        all.push(Endpoint { started_at: Some(START), ..entry(server, kind, 0) });
+        all.push(Endpoint { started_at: Some(START), ..endpoint(server, kind, 0) });
     }
     all
 }
@@ -105,7 +105,7 @@
     fn new(day: Simulation, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             day,
-            draws: Draws(seed),
+            rng: SplitMix64(seed),
             routers: (0..day.routers).map(|me| Policy::new(site(day.routers, me))).collect(),
             queue: BinaryHeap::new(),
             what: BTreeMap::new(),
@@ -121,7 +121,7 @@
             let known =
                 Event::EndpointsChanged { update: EndpointUpdate::Cached, endpoints: list(false, 0).into() };
             fleet.at(S, router, What::Tell(known));
-            let late = (fleet.draws.next() * day.told_late as f64) as Nanos;
+            let late = (fleet.rng.next_unit() * day.told_late as f64) as Nanos;
             let news =
                 Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: list(true, 0).into() };
             fleet.at(START + late, router, What::Tell(news));
@@ -142,8 +142,8 @@
 
     fn share_out(&mut self) {
         let skew = self.day.skew;
-        let share = |draws: &mut Draws| draws.next().max(1e-3).powf(skew);
-        let shares: Vec<f64> = (0..self.day.routers).map(|_| share(&mut self.draws)).collect();
+        let share = |rng: &mut SplitMix64| rng.next_unit().max(1e-3).powf(skew);
+        let shares: Vec<f64> = (0..self.day.routers).map(|_| share(&mut self.rng)).collect();
         let all: f64 = shares.iter().sum();
         self.shares = shares.into_iter().map(|s| s / all).collect();
     }
@@ -180,9 +180,9 @@
     fn ask(&mut self, now: Nanos) {
         let (from, times) = self.day.rises;
         let rate = self.day.rate * if now >= START + from { times } else { 1.0 };
-        let gap = -self.draws.next().max(1e-12).ln() / rate;
+        let gap = -self.rng.next_unit().max(1e-12).ln() / rate;
         self.at(now + (gap * 1e9) as Nanos, 0, What::Ask);
-        let mut lot = self.draws.next();
+        let mut lot = self.rng.next_unit();
         let router = self.shares.iter().position(|share| {
             lot -= share;
             lot < 0.0
@@ -190,10 +190,10 @@
         let router = router.unwrap_or(0);
         self.asked += 1;
         let id = self.asked;
-        let heavy = self.draws.next() < 0.3;
+        let heavy = self.rng.next_unit() < 0.3;
         let prompt = if heavy { 4000.0 } else { 800.0 };
         // Popularity falls with the rank.
-        let rank = (self.draws.next() * self.day.prefixes.ln()).exp() as u64;
+        let rank = (self.rng.next_unit() * self.day.prefixes.ln()).exp() as u64;
         self.prompts.insert((router, id), prompt);
         let request = Request {
             id: RequestId(id),
@@ -241,7 +241,7 @@
         let reads = server.0 < 100;
         let work = if reads { prompt / 1760.0 } else { 1.0 };
         self.sent.entry(server.0).or_default().push((now, work));
-        let spread = 0.7 + 0.6 * self.draws.next();
+        let spread = 0.7 + 0.6 * self.rng.next_unit();
         let took = ((20.0 + if reads { prompt / 40.0 } else { 10.0 }) * spread) as Nanos * MS;
         if reads {
             let read = outcome(id, attempt, server, AttemptStatus::Prefilled, took);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A router with a small site, and short words for the events and actions of the tests.
+//! A test harness: a router with a small site, and helpers for the events that it gets and the actions it returns.
 #![allow(dead_code)]
 
-pub mod draws;
+pub mod random;
 
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
@@ -9,10 +9,10 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Idempotency, group: DeduplicationScope) -> TrafficClass {
+pub fn class(idempotency: Idempotency, scope: DeduplicationScope) -> TrafficClass {
     TrafficClass {
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope: scope,
         deduplication_window: 2 * S,
         latency_objective: S,
         latency_objective_per_prompt_token: 0.0,
@@ -24,7 +24,7 @@
     }
 }
 
-/// A prefill, a decode and a mixed kind, with their KV capacities in tokens.
+/// One kind each of prefill, decode and mixed servers, with these KV capacities in tokens.
 pub fn kinds(capacities: [f64; 3]) -> Vec<ServerKind> {
     let roles = [Role::Prefill, Role::Decode, Role::Mixed];
     let kind = |(role, kv_capacity_tokens)| ServerKind { role: Some(role), kv_capacity_tokens };
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn entry(server: u32, kind: usize, cell: u64) -> Endpoint {
+pub fn endpoint(server: u32, kind: usize, cell: u64) -> Endpoint {
     Endpoint {
         server: ServerId(server),
         zone: Some(ZoneId(cell as usize)),
@@ -63,68 +63,70 @@
     }
 }
 
-/// Prefill workers 1 and 2, decode workers 11 and 12, a cell for each pair.
-pub fn pairs() -> Vec<Endpoint> {
-    vec![entry(1, 0, 0), entry(2, 0, 1), entry(11, 1, 0), entry(12, 1, 1)]
+/// Two cells with a prefill and a decode worker each: servers 1 and 11, and servers 2 and 12.
+pub fn two_cells() -> Vec<Endpoint> {
+    vec![endpoint(1, 0, 0), endpoint(2, 0, 1), endpoint(11, 1, 0), endpoint(12, 1, 1)]
 }
 
 pub struct Router {
     pub policy: Policy,
     pub now: Nanos,
-    pub attempts: std::collections::BTreeMap<u64, u32>,
-    pub log: Vec<Action>,
+    /// The number of attempts sent, by request.
+    pub attempt_counts: std::collections::BTreeMap<u64, u32>,
+    /// All actions so far, without timers.
+    pub actions: Vec<Action>,
     timers: Vec<(Nanos, TimerToken)>,
-    /// Timers come due at whole steps only, as where a site's batches are that far apart.
+    /// Timers fire only at multiples of this step, as at a site that handles events in batches that far apart.
     pub step: Nanos,
 }
 
 impl Router {
-    pub fn new(settings: Settings, entries: Vec<Endpoint>) -> Router {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Router {
         let mut router = Router {
             policy: Policy::new(settings),
             now: 100 * S,
-            attempts: Default::default(),
-            log: Vec::new(),
+            attempt_counts: Default::default(),
+            actions: Vec::new(),
             timers: Vec::new(),
             step: 1,
         };
-        router.members(EndpointUpdate::Cached, entries);
+        router.update_endpoints(EndpointUpdate::Cached, endpoints);
         router
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let actions = self.policy.handle(self.now, event);
         for action in &actions {
             match action {
                 Action::SetTimer { token, delay } => {
                     self.timers.push(((self.now + delay).next_multiple_of(self.step), *token))
                 }
-                Action::Send { id, .. } => *self.attempts.entry(id.0).or_default() += 1,
+                Action::Send { id, .. } => *self.attempt_counts.entry(id.0).or_default() += 1,
                 _ => {}
             }
         }
-        let rest: Vec<Action> =
+        let other_actions: Vec<Action> =
             actions.into_iter().filter(|a| !matches!(a, Action::SetTimer { .. })).collect();
-        self.log.extend(rest.iter().cloned());
-        rest
+        self.actions.extend(other_actions.iter().cloned());
+        other_actions
     }
 
-    pub fn members(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointsChanged { update: kind, endpoints: entries.into() })
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.handle(Event::EndpointsChanged { update, endpoints: endpoints.into() })
     }
 
-    /// Lets time pass, with the timers that fall due; returns what was done.
-    pub fn pass(&mut self, span: Nanos) -> Vec<Action> {
+    /// Advances the time, and fires the timers that are due; returns the actions that follow.
+    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let until = self.now + span;
-        let mut done = Vec::new();
+        let mut actions = Vec::new();
         while let Some(at) = self.timers.iter().map(|t| t.0).filter(|at| *at <= until).min() {
             let index = self.timers.iter().position(|t| t.0 == at).unwrap_or(0);
             let (at, token) = self.timers.remove(index);
             self.now = at;
-            done.extend(self.event(Event::TimerFired(token)));
+            actions.extend(self.handle(Event::TimerFired(token)));
         }
         self.now = until;
-        done
+        actions
     }
 
     pub fn request(&self, id: u64) -> Request {
@@ -144,14 +146,22 @@
         }
     }
 
-    pub fn ask(&mut self, id: u64) -> Vec<Action> {
+    /// Lets a request with default values arrive.
+    pub fn submit(&mut self, id: u64) -> Vec<Action> {
         let request = self.request(id);
-        self.event(Event::RequestArrived(request))
+        self.handle(Event::RequestArrived(request))
     }
 
-    pub fn outcome_with(&mut self, id: u64, server: u32, status: AttemptStatus, note: u64) -> Vec<Action> {
-        let attempt = AttemptNumber(self.attempts.get(&id).map_or(0, |n| n - 1));
-        self.event(Event::AttemptFinished(AttemptOutcome {
+    /// Ends the latest attempt of a request.
+    pub fn finish_attempt_with_note(
+        &mut self,
+        id: u64,
+        server: u32,
+        status: AttemptStatus,
+        note: u64,
+    ) -> Vec<Action> {
+        let attempt = AttemptNumber(self.attempt_counts.get(&id).map_or(0, |n| n - 1));
+        self.handle(Event::AttemptFinished(AttemptOutcome {
             id: RequestId(id),
             attempt,
             server: ServerId(server),
@@ -164,51 +174,52 @@
         }))
     }
 
-    pub fn outcome(&mut self, id: u64, server: u32, status: AttemptStatus) -> Vec<Action> {
-        self.outcome_with(id, server, status, 0)
+    pub fn finish_attempt(&mut self, id: u64, server: u32, status: AttemptStatus) -> Vec<Action> {
+        self.finish_attempt_with_note(id, server, status, 0)
     }
 
-    pub fn first(&mut self, id: u64, server: u32) -> Vec<Action> {
-        self.first_after(id, server, 20 * MS)
+    pub fn first_token(&mut self, id: u64, server: u32) -> Vec<Action> {
+        self.first_token_after(id, server, 20 * MS)
     }
 
-    pub fn first_after(&mut self, id: u64, server: u32, latency: Nanos) -> Vec<Action> {
-        let attempt = AttemptNumber(self.attempts.get(&id).map_or(0, |n| n - 1));
-        self.event(Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), latency })
+    pub fn first_token_after(&mut self, id: u64, server: u32, latency: Nanos) -> Vec<Action> {
+        let attempt = AttemptNumber(self.attempt_counts.get(&id).map_or(0, |n| n - 1));
+        self.handle(Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), latency })
     }
 
-    /// The same where probes come first; they are answered at once.
-    pub fn stream_after_probes(&mut self, id: u64) -> (u32, u32) {
-        let mut done = self.ask(id);
+    /// Like [`Router::start_stream`] where the prefill may wait for load probes, which are answered after 2 ms.
+    pub fn start_stream_with_probes(&mut self, id: u64) -> (u32, u32) {
+        let mut actions = self.submit(id);
         for _ in 0..20 {
-            let probed = |a: &Action| match a {
+            let probed_server = |a: &Action| match a {
                 Action::Probe(server) => Some(*server),
                 _ => None,
             };
-            let probes: Vec<ServerId> = done.iter().filter_map(probed).collect();
-            let prefill_worker = sent_to(&done);
-            done = self.pass(2 * MS);
-            for server in probes {
+            let probed: Vec<ServerId> = actions.iter().filter_map(probed_server).collect();
+            let prefill_worker = sent_to(&actions);
+            actions = self.advance(2 * MS);
+            for server in probed {
                 let ok =
                     Event::ProbeFinished { server, status: AttemptStatus::Ok, latency: 2 * MS, report: None };
-                done.extend(self.event(ok));
+                actions.extend(self.handle(ok));
             }
             if let Some(prefill_worker) = prefill_worker {
                 let decode_worker =
-                    sent_to(&self.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
-                self.first(id, decode_worker);
+                    sent_to(&self.finish_attempt(id, prefill_worker, AttemptStatus::Prefilled))
+                        .expect("a decode is sent");
+                self.first_token(id, decode_worker);
                 return (prefill_worker, decode_worker);
             }
         }
-        panic!("no read")
+        panic!("no prefill is sent")
     }
 
-    /// Asks, reads and begins to write; returns the prefill worker and the decode worker.
-    pub fn stream(&mut self, id: u64) -> (u32, u32) {
-        let prefill_worker = sent_to(&self.ask(id)).expect("a read");
-        let decode_worker =
-            sent_to(&self.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
-        self.first(id, decode_worker);
+    /// Lets a request arrive, be prefilled and start streaming; returns its prefill worker and its decode worker.
+    pub fn start_stream(&mut self, id: u64) -> (u32, u32) {
+        let prefill_worker = sent_to(&self.submit(id)).expect("a prefill is sent");
+        let decode_worker = sent_to(&self.finish_attempt(id, prefill_worker, AttemptStatus::Prefilled))
+            .expect("a decode is sent");
+        self.first_token(id, decode_worker);
         (prefill_worker, decode_worker)
     }
 }
@@ -221,32 +232,31 @@
     })
 }
 
-pub fn answers(actions: &[Action], id: u64) -> usize {
-    let of = |a: &&Action| match a {
+/// The number of final answers for that request among the actions.
+pub fn final_answers(actions: &[Action], id: u64) -> usize {
+    let is_answer = |a: &&Action| match a {
         Action::Reject { id: i, .. } | Action::Fail { id: i, .. } => i.0 == id,
         _ => false,
     };
-    actions.iter().filter(of).count()
+    actions.iter().filter(is_answer).count()
 }
 
-pub fn released(actions: &[Action], id: u64) -> bool {
+pub fn releases_kv(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::ReleaseKv(RequestId(id)))
 }
 
-pub fn failed(actions: &[Action], id: u64) -> bool {
+pub fn is_failed(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if i.0 == id))
 }
 
-pub fn rejected(actions: &[Action], id: u64) -> bool {
+pub fn is_rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
 /// Why that request was rejected or failed.
-pub fn why(actions: &[Action], id: u64) -> Option<GiveUpCause> {
+pub fn give_up_cause(actions: &[Action], id: u64) -> Option<GiveUpCause> {
     actions.iter().find_map(|a| match a {
-        Action::Reject { id: i, cause: why, .. } | Action::Fail { id: i, cause: why } if i.0 == id => {
-            Some(*why)
-        }
+        Action::Reject { id: i, cause, .. } | Action::Fail { id: i, cause } if i.0 == id => Some(*cause),
         _ => None,
     })
 }
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::draws::Draws;
-use common::{class, entry, kinds, settings, MS, S};
+use common::random::SplitMix64;
+use common::{class, endpoint, kinds, settings, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
@@ -60,7 +60,7 @@
 
 struct World {
     day: Simulation,
-    draws: Draws,
+    rng: SplitMix64,
     policy: Policy,
     now: Nanos,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
@@ -104,7 +104,7 @@
     fn play(day: Simulation, seed: u64, change: impl FnOnce(&mut Settings)) -> Vec<Asked> {
         let mut world = World {
             day,
-            draws: Draws(seed),
+            rng: SplitMix64(seed),
             policy: Policy::new(site(change)),
             now: 100 * S,
             queue: BinaryHeap::new(),
@@ -117,7 +117,7 @@
         };
         let kinds =
             (0..PREFILL_WORKERS).map(|s| (s, 0)).chain((0..DECODE_WORKERS).map(|s| (FIRST_WRITER + s, 1)));
-        let entries: Vec<Endpoint> = kinds.map(|(s, kind)| entry(s, kind, u64::from(s % 2))).collect();
+        let entries: Vec<Endpoint> = kinds.map(|(s, kind)| endpoint(s, kind, u64::from(s % 2))).collect();
         world.tell(Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: entries.into() });
         world.after(MS, What::Ask);
         while let Some(Reverse((at, number))) = world.queue.pop() {
@@ -147,14 +147,14 @@
             return;
         }
         let burst = if third(self.since_start()) == 1 { self.day.burst } else { 1.0 };
-        let gap = self.draws.gap(self.day.rate * burst);
+        let gap = self.rng.exponential_interval(self.day.rate * burst);
         self.after((gap * 1e9) as Nanos, What::Ask);
         let id = RequestId(self.asked.len() as u64 + 1);
-        let second = self.draws.next() < self.day.second_class;
+        let second = self.rng.next_unit() < self.day.second_class;
         // From 200 to 4,000 tokens, many short ones; nothing ties the length to the class.
-        let prompt = (200.0 * (self.draws.next() * 3.0).exp()).floor();
-        let tenant = usize::from(self.draws.next() * (self.day.flood + 1.0) >= self.day.flood);
-        let session = (self.draws.next() * 150.0) as u64;
+        let prompt = (200.0 * (self.rng.next_unit() * 3.0).exp()).floor();
+        let tenant = usize::from(self.rng.next_unit() * (self.day.flood + 1.0) >= self.day.flood);
+        let session = (self.rng.next_unit() * 150.0) as u64;
         let request = Request {
             id,
             class: ClassId(usize::from(second)),
--- a/tests/give_up_causes.rs
+++ b/tests/give_up_causes.rs
@@ -1,4 +1,4 @@
-//! Why a request is given up, and how the module shows what it thinks of a server.
+//! The reported cause when a request is given up, and the reported reason why a server is avoided.
 
 mod common;
 
@@ -6,42 +6,45 @@
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::view::AvoidReason;
 
-fn held(reason: GiveUpReason, by: QueueingReason) -> Option<GiveUpCause> {
-    Some(GiveUpCause { reason, queueing_reason: Some(by) })
+fn while_queued(reason: GiveUpReason, queueing_reason: QueueingReason) -> Option<GiveUpCause> {
+    Some(GiveUpCause { reason, queueing_reason: Some(queueing_reason) })
 }
 
 #[test]
-fn a_queued_request_says_what_it_waited_for() {
-    for (engines, by) in [
-        (vec![entry(1, 0, 0)], QueueingReason::NoDecodeWorker),
-        (vec![entry(11, 1, 0)], QueueingReason::NoPrefillWorker),
+fn a_queued_request_is_given_up_with_its_queueing_reason() {
+    for (endpoints, queueing_reason) in [
+        (vec![endpoint(1, 0, 0)], QueueingReason::NoDecodeWorker),
+        (vec![endpoint(11, 1, 0)], QueueingReason::NoPrefillWorker),
     ] {
-        let mut r = Router::new(settings(), engines);
-        r.ask(1);
-        assert_eq!(why(&r.pass(1100 * MS), 1), held(GiveUpReason::ObjectiveMissed, by));
+        let mut r = Router::new(settings(), endpoints);
+        r.submit(1);
+        assert_eq!(
+            give_up_cause(&r.advance(1100 * MS), 1),
+            while_queued(GiveUpReason::ObjectiveMissed, queueing_reason)
+        );
     }
-    // Its decode worker says that it is full, again and again.
-    let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0)]);
+    // The only decode worker reported that its KV cache is nearly full.
+    let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     let report = LoadReport { memory_utilization: Some(0.99), ..LoadReport::default() };
-    r.event(Event::ProbeFinished {
+    r.handle(Event::ProbeFinished {
         server: ServerId(11),
         status: AttemptStatus::Ok,
         latency: MS,
         report: Some(report),
     });
-    r.ask(1);
+    r.submit(1);
     assert_eq!(
-        why(&r.pass(1100 * MS), 1),
-        held(GiveUpReason::ObjectiveMissed, QueueingReason::DecodeWorkersSaturated)
+        give_up_cause(&r.advance(1100 * MS), 1),
+        while_queued(GiveUpReason::ObjectiveMissed, QueueingReason::DecodeWorkersSaturated)
     );
 }
 
 #[test]
-fn one_over_its_share_says_so_where_there_is_no_capacity_for_all() {
+fn a_request_over_quota_is_given_up_as_over_quota_where_decode_workers_are_saturated() {
     let tenants = vec![Tenant { quota_share: 1.0, quota_per_second: 1.0 }];
-    let mut r = Router::new(Settings { tenants, ..settings() }, vec![entry(1, 0, 0), entry(11, 1, 0)]);
+    let mut r = Router::new(Settings { tenants, ..settings() }, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     let report = LoadReport { memory_utilization: Some(0.99), ..LoadReport::default() };
-    r.event(Event::ProbeFinished {
+    r.handle(Event::ProbeFinished {
         server: ServerId(11),
         status: AttemptStatus::Ok,
         latency: MS,
@@ -49,96 +52,113 @@
     });
     for id in 1..6 {
         let request = Request { tenant: Some(TenantId(0)), ..r.request(id) };
-        r.event(Event::RequestArrived(request));
+        r.handle(Event::RequestArrived(request));
     }
-    let done = r.pass(1100 * MS);
-    assert_eq!(why(&done, 1), held(GiveUpReason::ObjectiveMissed, QueueingReason::DecodeWorkersSaturated));
-    assert_eq!(why(&done, 5), held(GiveUpReason::ObjectiveMissed, QueueingReason::OverQuota));
+    let actions = r.advance(1100 * MS);
+    assert_eq!(
+        give_up_cause(&actions, 1),
+        while_queued(GiveUpReason::ObjectiveMissed, QueueingReason::DecodeWorkersSaturated)
+    );
+    assert_eq!(
+        give_up_cause(&actions, 5),
+        while_queued(GiveUpReason::ObjectiveMissed, QueueingReason::OverQuota)
+    );
 }
 
 #[test]
-fn a_quota_told_later_counts_from_then_on() {
+fn a_changed_quota_applies_from_then_on() {
     let tenants = vec![Tenant { quota_share: 1.0, quota_per_second: 0.5 }];
-    let mut r = Router::new(Settings { tenants, ..settings() }, vec![entry(1, 0, 0), entry(11, 1, 0)]);
+    let mut r = Router::new(Settings { tenants, ..settings() }, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     let report = LoadReport { memory_utilization: Some(0.99), ..LoadReport::default() };
-    r.event(Event::ProbeFinished {
+    r.handle(Event::ProbeFinished {
         server: ServerId(11),
         status: AttemptStatus::Ok,
         latency: MS,
         report: Some(report),
     });
-    r.event(Event::QuotaChanged { tenant: TenantId(0), quota_per_second: 1000.0 });
-    r.event(Event::QuotaChanged { tenant: TenantId(0), quota_per_second: f64::NAN });
+    r.handle(Event::QuotaChanged { tenant: TenantId(0), quota_per_second: 1000.0 });
+    r.handle(Event::QuotaChanged { tenant: TenantId(0), quota_per_second: f64::NAN });
     for id in 1..6 {
         let request = Request { tenant: Some(TenantId(0)), ..r.request(id) };
-        r.event(Event::RequestArrived(request));
+        r.handle(Event::RequestArrived(request));
     }
-    // By the old one it would be over its share.
+    // It would be over the old quota; the quota that is not a number was ignored.
     assert_eq!(
-        why(&r.pass(1100 * MS), 5),
-        held(GiveUpReason::ObjectiveMissed, QueueingReason::DecodeWorkersSaturated)
+        give_up_cause(&r.advance(1100 * MS), 5),
+        while_queued(GiveUpReason::ObjectiveMissed, QueueingReason::DecodeWorkersSaturated)
     );
 }
 
 #[test]
-fn a_tenants_part_follows_the_number_of_routers_told_last() {
+fn a_tenants_part_of_the_quota_follows_the_last_announced_number_of_routers() {
     let tenants = vec![Tenant { quota_share: 1.0, quota_per_second: 10.0 }];
-    for (told, by) in [
+    for (announced_counts, queueing_reason) in [
         (vec![], QueueingReason::DecodeWorkersSaturated),
         (vec![100], QueueingReason::OverQuota),
         (vec![100, 1], QueueingReason::DecodeWorkersSaturated),
     ] {
         let mut r = Router::new(
             Settings { tenants: tenants.clone(), ..settings() },
-            vec![entry(1, 0, 0), entry(11, 1, 0)],
+            vec![endpoint(1, 0, 0), endpoint(11, 1, 0)],
         );
         let report = LoadReport { memory_utilization: Some(0.99), ..LoadReport::default() };
-        r.event(Event::ProbeFinished {
+        r.handle(Event::ProbeFinished {
             server: ServerId(11),
             status: AttemptStatus::Ok,
             latency: MS,
             report: Some(report),
         });
-        told.into_iter().for_each(|routers| drop(r.event(Event::RouterCountChanged(routers))));
+        announced_counts.into_iter().for_each(|routers| drop(r.handle(Event::RouterCountChanged(routers))));
         for id in 1..6 {
             let request = Request { tenant: Some(TenantId(0)), ..r.request(id) };
-            r.event(Event::RequestArrived(request));
+            r.handle(Event::RequestArrived(request));
         }
-        assert_eq!(why(&r.pass(1100 * MS), 5), held(GiveUpReason::ObjectiveMissed, by));
+        assert_eq!(
+            give_up_cause(&r.advance(1100 * MS), 5),
+            while_queued(GiveUpReason::ObjectiveMissed, queueing_reason)
+        );
     }
 }
 
 #[test]
-fn attempts_used_up_and_effects_that_may_have_been_are_told_apart() {
+fn exhausted_attempts_and_a_request_that_may_have_run_have_different_reasons() {
     let settings = Settings { max_attempts: 2, ..settings() };
-    let mut r = Router::new(settings.clone(), pairs());
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    let done = r.outcome(1, prefill_worker, AttemptStatus::Error);
-    assert_eq!(why(&done, 1), Some(GiveUpReason::AttemptsExhausted.into()));
+    let mut r = Router::new(settings.clone(), two_cells());
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    let actions = r.finish_attempt(1, prefill_worker, AttemptStatus::Error);
+    assert_eq!(give_up_cause(&actions, 1), Some(GiveUpReason::AttemptsExhausted.into()));
     let classes = vec![class(Idempotency::NotIdempotent, DeduplicationScope::All)];
-    let mut r = Router::new(Settings { classes, ..settings }, pairs());
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
-    let done = r.outcome(1, decode_worker, AttemptStatus::Error);
-    assert!(failed(&done, 1));
-    assert_eq!(why(&done, 1), Some(GiveUpReason::MayHaveRun.into()));
+    let mut r = Router::new(Settings { classes, ..settings }, two_cells());
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    let decode_worker =
+        sent_to(&r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled)).expect("a decode is sent");
+    let actions = r.finish_attempt(1, decode_worker, AttemptStatus::Error);
+    assert!(is_failed(&actions, 1));
+    assert_eq!(give_up_cause(&actions, 1), Some(GiveUpReason::MayHaveRun.into()));
 }
 
 #[test]
-fn a_server_shows_why_it_is_avoided() {
-    let mut r = Router::new(settings(), pairs());
-    let seen = |r: &Router, id| r.policy.views().find(|v| v.server == ServerId(id)).expect("known");
-    assert_eq!(seen(&r, 1).avoid_reason, None);
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    assert_eq!(seen(&r, prefill_worker).awaiting_first_token, 1);
-    r.outcome(1, prefill_worker, AttemptStatus::Error);
-    assert!(matches!(seen(&r, prefill_worker).avoid_reason, Some(AvoidReason::Ejected { .. })));
-    r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..entry(11, 1, 0) }]);
-    assert_eq!(seen(&r, 11).avoid_reason, Some(AvoidReason::NotReady));
-    let prefill_worker = sent_to(&r.ask(2)).expect("a read");
-    r.outcome(2, prefill_worker, AttemptStatus::ConnectFailed);
-    assert_eq!(seen(&r, prefill_worker).avoid_reason, Some(AvoidReason::Unreachable));
-    r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..entry(12, 1, 1) }]);
-    assert_eq!(seen(&r, 12).avoid_reason, Some(AvoidReason::WarmingUp));
-    assert!(seen(&r, 12).slow_start_budget.is_some_and(|left| left < 0.0));
+fn a_view_states_why_a_server_is_avoided() {
+    let mut r = Router::new(settings(), two_cells());
+    let view =
+        |r: &Router, id| r.policy.views().find(|v| v.server == ServerId(id)).expect("the server is listed");
+    assert_eq!(view(&r, 1).avoid_reason, None);
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    assert_eq!(view(&r, prefill_worker).awaiting_first_token, 1);
+    r.finish_attempt(1, prefill_worker, AttemptStatus::Error);
+    assert!(matches!(view(&r, prefill_worker).avoid_reason, Some(AvoidReason::Ejected { .. })));
+    r.update_endpoints(
+        EndpointUpdate::Delta,
+        vec![Endpoint { state: ServerState::Draining, ..endpoint(11, 1, 0) }],
+    );
+    assert_eq!(view(&r, 11).avoid_reason, Some(AvoidReason::NotReady));
+    let prefill_worker = sent_to(&r.submit(2)).expect("a prefill is sent");
+    r.finish_attempt(2, prefill_worker, AttemptStatus::ConnectFailed);
+    assert_eq!(view(&r, prefill_worker).avoid_reason, Some(AvoidReason::Unreachable));
+    r.update_endpoints(
+        EndpointUpdate::Delta,
+        vec![Endpoint { started_at: Some(r.now), ..endpoint(12, 1, 1) }],
+    );
+    assert_eq!(view(&r, 12).avoid_reason, Some(AvoidReason::WarmingUp));
+    assert!(view(&r, 12).slow_start_budget.is_some_and(|left| left < 0.0));
 }
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -267,8 +267,8 @@
     ] {
         let mut router = Router::new(site(), list);
         let request = Request { prefix: Some(AffinityKey(5)), ..router.request(1) };
-        let mut actions = router.event(Event::RequestArrived(request));
-        actions.extend(router.pass(300 * MS));
+        let mut actions = router.handle(Event::RequestArrived(request));
+        actions.extend(router.advance(300 * MS));
         let server = sent(&actions).expect("it is sent");
         assert!(!near[PREFILL].contains(&server), "{server:?} is near");
         assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })));
@@ -328,8 +328,8 @@
     for id in 1..=20 {
         let mut router = Router::new(site.clone(), list.clone());
         let request = Request { prefix: Some(AffinityKey(id * 977)), ..router.request(id) };
-        let mut actions = router.event(Event::RequestArrived(request));
-        actions.extend(router.pass(S));
+        let mut actions = router.handle(Event::RequestArrived(request));
+        actions.extend(router.advance(S));
         let server = sent(&actions).expect("it is sent");
         let cell = entries.iter().find(|e| e.server == server).and_then(|e| e.cell);
         assert_eq!(cell, Some(left), "{id}");
@@ -376,7 +376,7 @@
     let mut prefill_workers = BTreeSet::new();
     for id in 1..=2_000 {
         let request = Request { prefix: Some(AffinityKey(5)), ..router.request(id) };
-        prefill_workers.extend(sends(&router.event(Event::RequestArrived(request))));
+        prefill_workers.extend(sends(&router.handle(Event::RequestArrived(request))));
     }
     assert!(prefill_workers.len() > 3 * NEAR, "{} prefill workers", prefill_workers.len());
 }
@@ -390,7 +390,7 @@
     let mut sent = 0;
     for id in 1..=REQUESTS {
         let request = Request { prefix: Some(AffinityKey(id * 977)), ..router.request(id) };
-        sent += sends(&router.event(Event::RequestArrived(request))).len() as u64;
+        sent += sends(&router.handle(Event::RequestArrived(request))).len() as u64;
     }
     assert_eq!(sent, REQUESTS, "none is held while all decode workers together have capacity");
 }
@@ -406,19 +406,22 @@
     let mut ids = 1..=50;
     while written.len() < 5 {
         let id = ids.next().expect("each decode worker gets one");
-        let read = sends(&router.event(Event::RequestArrived(router.request(id))))[0];
+        let read = sends(&router.handle(Event::RequestArrived(router.request(id))))[0];
         let write =
-            sends(&router.event(Event::AttemptFinished(outcome(id, 0, read, AttemptStatus::Prefilled))))[0];
+            sends(&router.handle(Event::AttemptFinished(outcome(id, 0, read, AttemptStatus::Prefilled))))[0];
         written.insert(write);
         let (id, attempt) = (RequestId(id), AttemptNumber(1));
-        router.event(Event::FirstToken { id, attempt, server: write, latency: MS });
+        router.handle(Event::FirstToken { id, attempt, server: write, latency: MS });
     }
     for id in 100..130 {
         let large = Request { prompt_tokens: 95_000.0, ..router.request(id) };
-        assert!(sends(&router.event(Event::RequestArrived(large))).is_empty(), "there is no capacity for it");
+        assert!(
+            sends(&router.handle(Event::RequestArrived(large))).is_empty(),
+            "there is no capacity for it"
+        );
     }
-    let mut actions = router.event(Event::RequestArrived(router.request(500)));
-    actions.extend(router.pass(200 * MS));
+    let mut actions = router.handle(Event::RequestArrived(router.request(500)));
+    actions.extend(router.advance(200 * MS));
     assert_eq!(sends(&actions).len(), 1, "the small one is sent");
 }
 
@@ -433,25 +436,25 @@
     let site = Settings { classes: vec![class], kv_release_within: 3 * S, ..site() };
     // A prefill worker and two decode workers a cell.
     let mut router = Router::new(site, fleet(10_000, 3));
-    let read = sends(&router.event(Event::RequestArrived(router.request(1))))[0];
+    let read = sends(&router.handle(Event::RequestArrived(router.request(1))))[0];
     let cell = |of: ServerId| (0..10_000).find(|n| server(*n, 0, 0).server == of).expect("it is one") / 3;
     let own = (0..3).map(|n| 3 * cell(read) + n).filter(|n| n % 3 != 0);
     let drained = |n| Endpoint { state: ServerState::Draining, ..server(n, DECODE, cell(read)) };
-    router.members(EndpointUpdate::Delta, own.map(drained).collect());
+    router.update_endpoints(EndpointUpdate::Delta, own.map(drained).collect());
     let mut at =
-        sends(&router.event(Event::AttemptFinished(outcome(1, 0, read, AttemptStatus::Prefilled))))[0];
+        sends(&router.handle(Event::AttemptFinished(outcome(1, 0, read, AttemptStatus::Prefilled))))[0];
     let ran = cell(at);
     for (attempt, status) in
         [(1, AttemptStatus::Error), (2, AttemptStatus::Rejected), (3, AttemptStatus::Rejected)]
     {
-        let actions = router.event(Event::AttemptFinished(outcome(1, attempt, at, status)));
+        let actions = router.handle(Event::AttemptFinished(outcome(1, attempt, at, status)));
         if attempt < 3 {
             at = sends(&actions)[0];
             assert_eq!(cell(at), ran, "attempt {attempt}");
         }
     }
-    assert!(sends(&router.pass(900 * MS)).is_empty(), "a server that was full is left alone for a second");
-    let again = sends(&router.pass(150 * MS));
+    assert!(sends(&router.advance(900 * MS)).is_empty(), "a server that was full is left alone for a second");
+    let again = sends(&router.advance(150 * MS));
     assert_eq!(again.iter().map(|at| cell(*at)).collect::<Vec<_>>(), [ran]);
 }
 
@@ -461,15 +464,15 @@
     let mut router = Router::new(site(), fleet(300, 12));
     let slow = server(0, PREFILL, 0).server;
     for id in 1..=1_500 {
-        let read = sends(&router.event(Event::RequestArrived(router.request(id))))[0];
+        let read = sends(&router.handle(Event::RequestArrived(router.request(id))))[0];
         let latency = if read == slow { 100 * MS } else { 10 * MS };
         let done = AttemptOutcome { latency, ..outcome(id, 0, read, AttemptStatus::Prefilled) };
-        let write = sends(&router.event(Event::AttemptFinished(done)))[0];
-        router.event(Event::AttemptFinished(AttemptOutcome {
+        let write = sends(&router.handle(Event::AttemptFinished(done)))[0];
+        router.handle(Event::AttemptFinished(AttemptOutcome {
             request_finished: true,
             ..outcome(id, 1, write, AttemptStatus::Ok)
         }));
-        router.pass(MS);
+        router.advance(MS);
     }
     let pace = |of: ServerId| {
         router.policy.views().find(|view| view.server == of).expect("it is known").latency_ratio
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -10,14 +10,14 @@
     for step in [20 * MS, 40 * MS, 150 * MS] {
         let set = Settings { step, can_cancel: false, ..settings() };
         let slack = set.answer_grace;
-        let mut r = Router::new(set, pairs());
+        let mut r = Router::new(set, two_cells());
         r.step = step;
         let give_up_at = r.now + 5 * S + step * 3 / 4;
         let request = Request { deadline_at: give_up_at, ..r.request(1) };
-        r.event(Event::RequestArrived(request));
+        r.handle(Event::RequestArrived(request));
         let mut answered_at = None;
         while r.now < give_up_at + S {
-            if answers(&r.pass(step), 1) > 0 {
+            if final_answers(&r.advance(step), 1) > 0 {
                 answered_at.get_or_insert(r.now);
             }
         }
@@ -25,20 +25,23 @@
             answered_at.is_some_and(|at| at <= give_up_at + slack),
             "{step} {answered_at:?} {give_up_at}"
         );
-        assert_eq!(answers(&r.log, 1), 1);
+        assert_eq!(final_answers(&r.actions, 1), 1);
     }
 }
 
 #[test]
 fn where_time_comes_in_coarse_steps_a_kv_cache_is_still_let_go_in_time() {
     let set = Settings { step: 100 * MS, kv_release_within: 90 * MS, ..settings() };
-    let mut r = Router::new(set, vec![entry(1, 0, 0), entry(11, 1, 0)]);
+    let mut r = Router::new(set, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     r.step = 100 * MS;
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Removed, ..entry(11, 1, 0) }]);
-    r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
-    r.pass(90 * MS);
-    assert!(released(&r.log, 1));
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    r.update_endpoints(
+        EndpointUpdate::Delta,
+        vec![Endpoint { state: ServerState::Removed, ..endpoint(11, 1, 0) }],
+    );
+    r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
+    r.advance(90 * MS);
+    assert!(releases_kv(&r.actions, 1));
 }
 
 /// Found by reading: a small server that starts was given its part of what large peers of its role carry.
@@ -48,24 +51,27 @@
     for (small, weight) in [(2, None), (1, Some(0.1))] {
         let mut kinds = kinds([100_000.0, 100_000.0, if small == 2 { 10_000.0 } else { 100_000.0 }]);
         kinds[2].role = Some(Role::Decode);
-        let mut r = Router::new(Settings { kinds, ..settings() }, vec![entry(1, 0, 0)]);
-        let large = |id| Endpoint { weight: weight.map(|_| 1.0), ..entry(id, 1, 0) };
-        let little = |id| Endpoint { weight, ..entry(id, small, 0) };
-        r.members(EndpointUpdate::Delta, vec![large(11), large(12), large(13), little(14)]);
+        let mut r = Router::new(Settings { kinds, ..settings() }, vec![endpoint(1, 0, 0)]);
+        let large = |id| Endpoint { weight: weight.map(|_| 1.0), ..endpoint(id, 1, 0) };
+        let little = |id| Endpoint { weight, ..endpoint(id, small, 0) };
+        r.update_endpoints(EndpointUpdate::Delta, vec![large(11), large(12), large(13), little(14)]);
         let (mut warm, mut cold, mut wrote) = (0, 0, Vec::new());
         for id in 1..1200 {
             if id == 600 {
-                r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..little(15) }]);
+                r.update_endpoints(
+                    EndpointUpdate::Delta,
+                    vec![Endpoint { started_at: Some(r.now), ..little(15) }],
+                );
             }
             let short = Request { prompt_tokens: 300.0, ..r.request(id) };
-            let prefill_worker = sent_to(&r.event(Event::RequestArrived(short))).expect("a read");
-            let decode_worker =
-                sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
-            r.first(id, decode_worker);
-            r.pass(10 * MS);
+            let prefill_worker = sent_to(&r.handle(Event::RequestArrived(short))).expect("a prefill is sent");
+            let decode_worker = sent_to(&r.finish_attempt(id, prefill_worker, AttemptStatus::Prefilled))
+                .expect("a decode is sent");
+            r.first_token(id, decode_worker);
+            r.advance(10 * MS);
             wrote.push(decode_worker);
             if id > 20 {
-                r.outcome(id - 20, wrote[id as usize - 21], AttemptStatus::Ok);
+                r.finish_attempt(id - 20, wrote[id as usize - 21], AttemptStatus::Ok);
             }
             if id >= 600 {
                 (warm, cold) = (warm + u32::from(decode_worker == 14), cold + u32::from(decode_worker == 15));
@@ -80,11 +86,11 @@
 /// nothing.
 #[test]
 fn a_mixed_server_is_home_to_its_share_whatever_stands_in_its_cell() {
-    let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(21, 2, 1)]);
+    let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0), endpoint(21, 2, 1)]);
     let whole = (1..200).filter(|id| {
-        let server = sent_to(&r.ask(*id)).expect("a send");
-        r.first(*id, server);
-        r.outcome(*id, server, AttemptStatus::Ok);
+        let server = sent_to(&r.submit(*id)).expect("an attempt is sent");
+        r.first_token(*id, server);
+        r.finish_attempt(*id, server, AttemptStatus::Ok);
         server == 21
     });
     let whole = whole.count();
@@ -93,13 +99,19 @@
 
 #[test]
 fn where_mixed_servers_write_homes_follow_them() {
-    let entries = vec![entry(1, 0, 0), entry(2, 0, 1), entry(21, 2, 0), entry(22, 2, 0), entry(23, 2, 0)];
+    let entries = vec![
+        endpoint(1, 0, 0),
+        endpoint(2, 0, 1),
+        endpoint(21, 2, 0),
+        endpoint(22, 2, 0),
+        endpoint(23, 2, 0),
+    ];
     let mut r = Router::new(settings(), entries);
     let reads: Vec<u32> = (1..300)
         .map(|id| {
-            let server = sent_to(&r.ask(id)).expect("a send");
-            r.event(Event::ClientDisconnected(RequestId(id)));
-            r.outcome(id, server, AttemptStatus::Cancelled);
+            let server = sent_to(&r.submit(id)).expect("an attempt is sent");
+            r.handle(Event::ClientDisconnected(RequestId(id)));
+            r.finish_attempt(id, server, AttemptStatus::Cancelled);
             server
         })
         .collect();
@@ -111,26 +123,26 @@
 fn a_server_that_neither_reads_nor_writes_is_sent_nothing() {
     let mut set = settings();
     set.kinds[2].role = None;
-    let mut r = Router::new(set, [pairs(), vec![entry(21, 2, 0), entry(22, 2, 1)]].concat());
+    let mut r = Router::new(set, [two_cells(), vec![endpoint(21, 2, 0), endpoint(22, 2, 1)]].concat());
     for id in 1..50 {
-        let (prefill_worker, decode_worker) = r.stream(id);
+        let (prefill_worker, decode_worker) = r.start_stream(id);
         assert!(prefill_worker < 3 && (11..13).contains(&decode_worker));
     }
     let others: Vec<Endpoint> =
-        pairs().into_iter().map(|e| Endpoint { state: ServerState::Removed, ..e }).collect();
-    r.members(EndpointUpdate::Delta, others);
-    assert_eq!(sent_to(&r.ask(100)), None);
+        two_cells().into_iter().map(|e| Endpoint { state: ServerState::Removed, ..e }).collect();
+    r.update_endpoints(EndpointUpdate::Delta, others);
+    assert_eq!(sent_to(&r.submit(100)), None);
 }
 
 /// Found by reading: an id that came back as another kind kept the role of its first life.
 #[test]
 fn a_server_that_comes_back_as_another_kind_does_what_that_does() {
-    let mut r = Router::new(settings(), pairs());
-    r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(1), ..entry(11, 0, 1) }]);
+    let mut r = Router::new(settings(), two_cells());
+    r.update_endpoints(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(1), ..endpoint(11, 0, 1) }]);
     let reads = (1..60).filter(|id| {
-        let (prefill_worker, decode_worker) = r.stream(*id);
+        let (prefill_worker, decode_worker) = r.start_stream(*id);
         assert_eq!(decode_worker, 12);
-        r.outcome(*id, decode_worker, AttemptStatus::Ok);
+        r.finish_attempt(*id, decode_worker, AttemptStatus::Ok);
         prefill_worker == 11
     });
     assert!(reads.count() > 0);
@@ -140,21 +152,22 @@
 fn a_class_without_an_objective_is_served_while_its_client_waits() {
     let class =
         TrafficClass { latency_objective: 0, ..class(Idempotency::Idempotent, DeduplicationScope::All) };
-    let mut r = Router::new(Settings { classes: vec![class], ..settings() }, pairs());
+    let mut r = Router::new(Settings { classes: vec![class], ..settings() }, two_cells());
     // All decode workers drain for a second: it waits, and is served when one is back.
-    let state = |state| vec![Endpoint { state, ..entry(11, 1, 0) }, Endpoint { state, ..entry(12, 1, 1) }];
-    r.members(EndpointUpdate::Delta, state(ServerState::Draining));
-    r.ask(1);
-    assert_eq!(answers(&r.pass(S), 1), 0);
-    assert!(sent_to(&r.members(EndpointUpdate::Delta, state(ServerState::Ready))).is_some());
+    let state =
+        |state| vec![Endpoint { state, ..endpoint(11, 1, 0) }, Endpoint { state, ..endpoint(12, 1, 1) }];
+    r.update_endpoints(EndpointUpdate::Delta, state(ServerState::Draining));
+    r.submit(1);
+    assert_eq!(final_answers(&r.advance(S), 1), 0);
+    assert!(sent_to(&r.update_endpoints(EndpointUpdate::Delta, state(ServerState::Ready))).is_some());
 }
 
 #[test]
 fn where_no_number_of_attempts_is_told_a_read_and_a_write_are_made() {
     let mut r =
-        Router::new(Settings { max_attempts: Settings::default().max_attempts, ..settings() }, pairs());
-    r.stream(1);
-    assert_eq!(answers(&r.log, 1), 0);
+        Router::new(Settings { max_attempts: Settings::default().max_attempts, ..settings() }, two_cells());
+    r.start_stream(1);
+    assert_eq!(final_answers(&r.actions, 1), 0);
 }
 
 /// Found by reading: where attempts can't be cancelled each read got 1.5 s, whatever reads take at a site.
@@ -165,18 +178,18 @@
         deadline: 60 * S,
         ..class(Idempotency::Idempotent, DeduplicationScope::All)
     };
-    let mut r = Router::new(Settings { can_cancel: false, classes: vec![class], ..settings() }, pairs());
+    let mut r = Router::new(Settings { can_cancel: false, classes: vec![class], ..settings() }, two_cells());
     let mut last = 0;
     for id in 1..20 {
         let request = Request { deadline_at: r.now + 60 * S, prompt_tokens: 60_000.0, ..r.request(id) };
-        let done = r.event(Event::RequestArrived(request));
+        let done = r.handle(Event::RequestArrived(request));
         let Some(Action::Send { server, timeout, .. }) =
             done.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
         else {
             panic!("no read")
         };
         last = timeout;
-        r.pass(3 * S);
+        r.advance(3 * S);
         let (status, latency, attempt) = (AttemptStatus::Prefilled, 3 * S, AttemptNumber(0));
         let report = None;
         let id = RequestId(id);
@@ -191,9 +204,9 @@
             kv_cache_missing: false,
             report,
         };
-        let decode_worker = sent_to(&r.event(Event::AttemptFinished(read))).expect("a write");
-        r.outcome(id.0, decode_worker, AttemptStatus::Ok);
-        r.pass(S);
+        let decode_worker = sent_to(&r.handle(Event::AttemptFinished(read))).expect("a decode is sent");
+        r.finish_attempt(id.0, decode_worker, AttemptStatus::Ok);
+        r.advance(S);
     }
     assert!(last > 3 * S, "{last}");
 }
@@ -211,27 +224,27 @@
         };
         Router::new(Settings { classes: vec![class], ..settings() }, entries)
     };
-    let mixed = vec![entry(21, 2, 0), entry(22, 2, 1)];
+    let mixed = vec![endpoint(21, 2, 0), endpoint(22, 2, 1)];
     // No zones or cells are told here.
     let bare: Vec<Endpoint> =
         mixed.iter().map(|e| Endpoint { zone: None, cell: None, ..e.clone() }).collect();
     for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let mut r = site(group, 2 * S, bare.clone());
-        let server = sent_to(&r.ask(1)).expect("a send");
-        assert!(failed(&r.outcome(1, server, AttemptStatus::Error), 1), "{group:?}");
+        let server = sent_to(&r.submit(1)).expect("an attempt is sent");
+        assert!(is_failed(&r.finish_attempt(1, server, AttemptStatus::Error), 1), "{group:?}");
     }
     // Its window ends while it is out, or while it waits for the only other one of its group.
     let mut r = site(DeduplicationScope::Cell, 2 * S, mixed.clone());
-    let server = sent_to(&r.ask(1)).expect("a send");
-    r.pass(2 * S);
-    assert!(failed(&r.outcome(1, server, AttemptStatus::Error), 1));
+    let server = sent_to(&r.submit(1)).expect("an attempt is sent");
+    r.advance(2 * S);
+    assert!(is_failed(&r.finish_attempt(1, server, AttemptStatus::Error), 1));
     let mut r = site(DeduplicationScope::Cell, 2 * S, mixed);
-    let server = sent_to(&r.ask(1)).expect("a send");
-    let gone = entry(server, 2, u64::from(server - 21));
-    r.members(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..gone }]);
-    assert_eq!(answers(&r.outcome(1, server, AttemptStatus::Error), 1), 0);
-    let done = r.pass(2 * S + 50 * MS);
-    assert!(failed(&done, 1), "{done:?}");
+    let server = sent_to(&r.submit(1)).expect("an attempt is sent");
+    let gone = endpoint(server, 2, u64::from(server - 21));
+    r.update_endpoints(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..gone }]);
+    assert_eq!(final_answers(&r.finish_attempt(1, server, AttemptStatus::Error), 1), 0);
+    let done = r.advance(2 * S + 50 * MS);
+    assert!(is_failed(&done, 1), "{done:?}");
 }
 
 /// Whatever a request is given up for, the answer is there with the event that settles it, or with the tick at
@@ -242,7 +255,7 @@
         let classes = vec![TrafficClass { latency_objective: 2 * S, ..class }];
         let set =
             Settings { classes, max_attempts, can_send_retry_after: true, max_retry_after: S, ..settings() };
-        Router::new(set, pairs())
+        Router::new(set, two_cells())
     };
     let safe = class(Idempotency::Idempotent, DeduplicationScope::All);
     let told = |done: &[Action], reason: GiveUpReason| {
@@ -251,29 +264,30 @@
     };
     // The last attempt has failed.
     let mut r = site(safe.clone(), 2);
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    let decode_worker = sent_to(&r.outcome(1, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
-    told(&r.outcome(1, decode_worker, AttemptStatus::Error), GiveUpReason::AttemptsExhausted);
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    let decode_worker =
+        sent_to(&r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled)).expect("a decode is sent");
+    told(&r.finish_attempt(1, decode_worker, AttemptStatus::Error), GiveUpReason::AttemptsExhausted);
     // No decode worker is left: the objective ends the wait, three seconds before the client leaves.
     let mut r = site(safe.clone(), 5);
-    r.members(EndpointUpdate::Full, vec![entry(1, 0, 0)]);
+    r.update_endpoints(EndpointUpdate::Full, vec![endpoint(1, 0, 0)]);
     let asked = r.now;
-    r.ask(1);
-    while answers(&r.log, 1) == 0 && r.now < asked + 5 * S {
-        r.pass(10 * MS);
+    r.submit(1);
+    while final_answers(&r.actions, 1) == 0 && r.now < asked + 5 * S {
+        r.advance(10 * MS);
     }
-    told(&r.log, GiveUpReason::ObjectiveMissed);
+    told(&r.actions, GiveUpReason::ObjectiveMissed);
     assert!(r.now <= asked + 2 * S + 20 * MS, "{}", r.now - asked);
     // The KV cache can't wait any longer.
     let mut r = site(safe.clone(), 5);
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    r.members(EndpointUpdate::Full, vec![entry(1, 0, 0), entry(2, 0, 1)]);
-    r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
-    told(&r.pass(400 * MS), GiveUpReason::KvReleaseTimeout);
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    r.update_endpoints(EndpointUpdate::Full, vec![endpoint(1, 0, 0), endpoint(2, 0, 1)]);
+    r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
+    told(&r.advance(400 * MS), GiveUpReason::KvReleaseTimeout);
     // A send that was too late.
     let mut r = site(safe, 5);
-    let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-    told(&r.outcome(1, prefill_worker, AttemptStatus::Expired), GiveUpReason::TooLate);
+    let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+    told(&r.finish_attempt(1, prefill_worker, AttemptStatus::Expired), GiveUpReason::TooLate);
 }
 
 // Servers that do both.
@@ -281,12 +295,12 @@
 /// Found by reading: nothing was learnt of what mixed servers take, and a slow one counted as any other.
 #[test]
 fn a_slow_mixed_server_counts_as_smaller() {
-    let mut r = Router::new(settings(), vec![entry(21, 2, 0), entry(22, 2, 1), entry(23, 2, 1)]);
+    let mut r = Router::new(settings(), vec![endpoint(21, 2, 0), endpoint(22, 2, 1), endpoint(23, 2, 1)]);
     for id in 1..60 {
-        let server = sent_to(&r.ask(id)).expect("a send");
-        r.first_after(id, server, if server == 21 { 300 * MS } else { 30 * MS });
-        r.outcome(id, server, AttemptStatus::Ok);
-        r.pass(S);
+        let server = sent_to(&r.submit(id)).expect("an attempt is sent");
+        r.first_token_after(id, server, if server == 21 { 300 * MS } else { 30 * MS });
+        r.finish_attempt(id, server, AttemptStatus::Ok);
+        r.advance(S);
     }
     let pace = |id| r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.latency_ratio);
     assert!(pace(21) > 3.0 && pace(22) < 2.0, "{} {}", pace(21), pace(22));
@@ -295,37 +309,38 @@
 /// Found by reading: while all decode workers looked full everything was held, also beside mixed servers with capacity.
 #[test]
 fn while_decode_workers_look_full_mixed_servers_with_capacity_take_requests_whole() {
-    let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(21, 2, 0)]);
+    let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0), endpoint(21, 2, 0)]);
     let mut id = 0;
     // A request that was read: its decode worker answers full.
     loop {
         id += 1;
-        let server = sent_to(&r.ask(id)).expect("a send");
+        let server = sent_to(&r.submit(id)).expect("an attempt is sent");
         if server == 1 {
-            let decode_worker = sent_to(&r.outcome(id, 1, AttemptStatus::Prefilled)).expect("a write");
-            r.outcome(id, decode_worker, AttemptStatus::Rejected);
+            let decode_worker =
+                sent_to(&r.finish_attempt(id, 1, AttemptStatus::Prefilled)).expect("a decode is sent");
+            r.finish_attempt(id, decode_worker, AttemptStatus::Rejected);
             break;
         }
-        r.first(id, server);
-        r.outcome(id, server, AttemptStatus::Ok);
+        r.first_token(id, server);
+        r.finish_attempt(id, server, AttemptStatus::Ok);
     }
     for next in id + 1..id + 20 {
-        assert_eq!(sent_to(&r.ask(next)), Some(21));
-        r.first(next, 21);
-        r.outcome(next, 21, AttemptStatus::Ok);
+        assert_eq!(sent_to(&r.submit(next)), Some(21));
+        r.first_token(next, 21);
+        r.finish_attempt(next, 21, AttemptStatus::Ok);
     }
     // One without capacity holds them as before.
-    r.event(Event::RequestArrived(Request { max_output_tokens: 190_000.0, ..r.request(900) }));
-    r.first(900, 21);
-    assert_eq!(sent_to(&r.ask(901)), None);
+    r.handle(Event::RequestArrived(Request { max_output_tokens: 190_000.0, ..r.request(900) }));
+    r.first_token(900, 21);
+    assert_eq!(sent_to(&r.submit(901)), None);
 }
 
 #[test]
 fn a_kv_cache_goes_to_a_mixed_server_where_no_decode_worker_is_left() {
-    let mut r = Router::new(settings(), vec![entry(1, 0, 0), entry(11, 1, 0), entry(21, 2, 0)]);
-    let id = (1..).find(|id| sent_to(&r.ask(*id)) == Some(1)).expect("a read");
-    r.outcome(id, 1, AttemptStatus::Prefilled);
-    assert_eq!(sent_to(&r.outcome(id, 11, AttemptStatus::ConnectFailed)), Some(21));
+    let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0), endpoint(21, 2, 0)]);
+    let id = (1..).find(|id| sent_to(&r.submit(*id)) == Some(1)).expect("a prefill is sent");
+    r.finish_attempt(id, 1, AttemptStatus::Prefilled);
+    assert_eq!(sent_to(&r.finish_attempt(id, 11, AttemptStatus::ConnectFailed)), Some(21));
 }
 
 // Signals that never come.
@@ -336,15 +351,15 @@
     for cancel in [true, false] {
         let classes =
             vec![TrafficClass { streamed: false, ..class(Idempotency::Idempotent, DeduplicationScope::All) }];
-        let mut r = Router::new(Settings { classes, can_cancel: cancel, ..settings() }, pairs());
-        let prefill_worker = sent_to(&r.ask(1)).expect("a read");
-        let done = r.outcome(1, prefill_worker, AttemptStatus::Prefilled);
+        let mut r = Router::new(Settings { classes, can_cancel: cancel, ..settings() }, two_cells());
+        let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
+        let done = r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
         let Some(Action::Send { server, timeout: 0, .. }) = done.first().cloned() else { panic!("{done:?}") };
-        assert!(r.pass(3 * S).iter().all(|a| !matches!(a, Action::Cancel { .. })));
+        assert!(r.advance(3 * S).iter().all(|a| !matches!(a, Action::Cancel { .. })));
         let view = r.policy.views().find(|v| v.server == server).expect("it is listed");
         assert_eq!(view.avoid_reason, None);
         // Its end is still due in time.
-        assert_eq!(answers(&r.pass(2 * S), 1), 1);
+        assert_eq!(final_answers(&r.advance(2 * S), 1), 1);
     }
 }
 
@@ -352,25 +367,25 @@
 #[test]
 fn a_probe_that_is_never_answered_is_forgotten() {
     let set = Settings { can_probe: true, ..settings() };
-    let mut r = Router::new(set, vec![entry(1, 0, 0), entry(11, 1, 0)]);
+    let mut r = Router::new(set, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     let mut served = 0;
     for id in 1..200 {
-        let mut done = r.ask(id);
-        done.extend(r.pass(150 * MS));
+        let mut done = r.submit(id);
+        done.extend(r.advance(150 * MS));
         done.retain(|a| matches!(a, Action::Send { .. }));
         // Whatever is sent is answered, whenever it was asked for: only probes are not.
         while let Some(Action::Send { id, server, .. }) = done.pop() {
             if server == ServerId(1) {
-                done.extend(r.outcome(id.0, 1, AttemptStatus::Prefilled));
+                done.extend(r.finish_attempt(id.0, 1, AttemptStatus::Prefilled));
             } else {
-                r.first(id.0, server.0);
-                r.outcome(id.0, server.0, AttemptStatus::Ok);
+                r.first_token(id.0, server.0);
+                r.finish_attempt(id.0, server.0, AttemptStatus::Ok);
                 served += u32::from(r.now > 105 * S);
             }
             done.retain(|a| matches!(a, Action::Send { .. }));
         }
     }
-    assert!(r.log.contains(&Action::Probe(ServerId(11))));
+    assert!(r.actions.contains(&Action::Probe(ServerId(11))));
     // Each probe may cost it some time; all together don't cost it all.
     assert!(served > 20, "{served}");
 }
@@ -379,24 +394,25 @@
 #[test]
 fn a_message_names_the_servers_where_most_is_held() {
     let set = Settings { can_gossip: true, gossip_cost: 0.0, ..settings() };
-    let decode_workers = (100..160).map(|id| entry(id, 1, 0));
-    let mut r = Router::new(set, [vec![entry(1, 0, 0)], decode_workers.collect()].concat());
+    let decode_workers = (100..160).map(|id| endpoint(id, 1, 0));
+    let mut r = Router::new(set, [vec![endpoint(1, 0, 0)], decode_workers.collect()].concat());
     for id in 1..61 {
-        let prefill_worker = sent_to(&r.ask(id)).expect("a read");
-        let decode_worker =
-            sent_to(&r.outcome(id, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
-        r.first(id, decode_worker);
+        let prefill_worker = sent_to(&r.submit(id)).expect("a prefill is sent");
+        let decode_worker = sent_to(&r.finish_attempt(id, prefill_worker, AttemptStatus::Prefilled))
+            .expect("a decode is sent");
+        r.first_token(id, decode_worker);
     }
     let held = |r: &Router, id| {
         r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.memory_utilization)
     };
     let heavy = Request { max_output_tokens: 100_000.0, ..r.request(61) };
-    let prefill_worker = sent_to(&r.event(Event::RequestArrived(heavy))).expect("a read");
-    let decode_worker = sent_to(&r.outcome(61, prefill_worker, AttemptStatus::Prefilled)).expect("a write");
+    let prefill_worker = sent_to(&r.handle(Event::RequestArrived(heavy))).expect("a prefill is sent");
+    let decode_worker =
+        sent_to(&r.finish_attempt(61, prefill_worker, AttemptStatus::Prefilled)).expect("a decode is sent");
     assert!(held(&r, decode_worker) > 0.4);
-    r.log.clear();
-    r.pass(S);
-    let told = r.log.iter().rev().find_map(|a| match a {
+    r.actions.clear();
+    r.advance(S);
+    let told = r.actions.iter().rev().find_map(|a| match a {
         Action::SendGossip { data, .. } => Some(data.clone()),
         _ => None,
     });
@@ -411,13 +427,13 @@
 #[test]
 fn a_router_that_holds_nothing_tells_nothing() {
     let set = Settings { can_gossip: true, gossip_cost: 0.0, can_cancel: false, ..settings() };
-    let mut r = Router::new(set, pairs());
+    let mut r = Router::new(set, two_cells());
     // Its read is out, and nothing is written yet.
-    r.ask(1);
-    let done = r.pass(3 * S);
+    r.submit(1);
+    let done = r.advance(3 * S);
     assert!(done.iter().all(|a| !matches!(a, Action::SendGossip { .. })), "{done:?}");
-    r.stream(2);
-    assert!(r.pass(S).iter().any(|a| matches!(a, Action::SendGossip { data, .. } if !data.is_empty())));
+    r.start_stream(2);
+    assert!(r.advance(S).iter().any(|a| matches!(a, Action::SendGossip { data, .. } if !data.is_empty())));
 }
 
 /// Found on the full fleet: while most prefill workers were new, they stood idle beside the jammed old ones, since each router
@@ -425,13 +441,17 @@
 #[test]
 fn beside_its_home_a_warming_up_prefill_worker_that_may_be_asked_is_looked_at() {
     let set = Settings { can_probe: true, router_count: 300, ..settings() };
-    let mut r = Router::new(set, [pairs(), (3..9).map(|id| entry(id, 0, u64::from(id))).collect()].concat());
+    let mut r =
+        Router::new(set, [two_cells(), (3..9).map(|id| endpoint(id, 0, u64::from(id))).collect()].concat());
     for id in 1..40 {
-        let (_, decode_worker) = r.stream_after_probes(id);
-        r.outcome(id, decode_worker, AttemptStatus::Ok);
-        r.pass(50 * MS);
+        let (_, decode_worker) = r.start_stream_with_probes(id);
+        r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
+        r.advance(50 * MS);
     }
-    r.members(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(r.now), ..entry(20, 0, 1) }]);
+    r.update_endpoints(
+        EndpointUpdate::Delta,
+        vec![Endpoint { started_at: Some(r.now), ..endpoint(20, 0, 1) }],
+    );
     // Its budget, which begins in debt, is paid off some time before it is warm.
     let mut looked = 0;
     for id in 100..180 {
@@ -439,14 +459,14 @@
             .policy
             .views()
             .any(|v| v.server == ServerId(20) && v.slow_start_budget.is_some_and(|b| b >= 0.0));
-        r.log.clear();
-        let (prefill_worker, decode_worker) = r.stream_after_probes(id);
+        r.actions.clear();
+        let (prefill_worker, decode_worker) = r.start_stream_with_probes(id);
         if allowed && prefill_worker != 20 {
             looked += 1;
-            assert!(r.log.contains(&Action::Probe(ServerId(20))), "{:?}", r.log);
+            assert!(r.actions.contains(&Action::Probe(ServerId(20))), "{:?}", r.actions);
         }
-        r.outcome(id, decode_worker, AttemptStatus::Ok);
-        r.pass(1100 * MS);
+        r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
+        r.advance(1100 * MS);
         if r.policy.views().any(|v| v.server == ServerId(20) && v.slow_start_budget.is_none()) {
             break;
         }
