--- a/tests/any_events.rs
+++ b/tests/any_events.rs
@@ -1,5 +1,5 @@
-//! Any sequence of events at all, with numbers that no one should send and outcomes for attempts never made: the
-//! module does not panic (sums of times overflow in a debug build), and what it can be held to it keeps.
+//! Any sequence of events at all, with numbers that no one should send and outcomes for attempts never made:
+//! the module does not panic (sums of times overflow in a debug build), and what it can be held to it keeps.
 
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,5 +1,5 @@
-//! Rule 4 over a whole fleet: as many modules side by side as a site has routers, and what a server that has just
-//! started gets from all of them together. No sockets; the same seed gives the same day.
+//! Rule 4 over a whole fleet: as many modules side by side as a site has routers, and what a server that has
+//! just started gets from all of them together. No sockets; the same seed gives the same day.
 
 mod common;
 
@@ -296,8 +296,8 @@
     used: f64,
 }
 
-/// What a server in slow start bears in a window in which so many calls of mean work are its budget: chance may add to
-/// it, and to a small one by more.
+/// What a server in slow start bears in a window in which so many calls of mean work are its budget: chance
+/// may add to it, and to a small one by more.
 fn bound(budget: f64) -> f64 {
     match budget {
         small if small < SMALL_BUDGET => small + 3.0 * small.sqrt() + 3.0,
@@ -398,11 +398,13 @@
         ("30 routers, little traffic", quiet(30)),
     ];
     judge(&days, [0.005, 0.02]);
-    // A router of so many comes to either server once in four minutes: what a cold one gets is left to chance.
+    // A router of so many comes to either server once in four minutes: what a cold one gets is left to
+    // chance.
     judge(&[("1300 routers, little traffic", quiet(1300))], [0.0, 0.0]);
 }
 
-/// Traffic rises while a server is cold, or its peers are lost: what each router may send has piled up by then.
+/// Traffic rises while a server is cold, or its peers are lost: what each router may send has piled up by
+/// then.
 #[test]
 fn a_rise_of_the_traffic_keeps_it_too_and_finds_the_warming_up_servers() {
     let rise = |routers, at| Simulation { routers, rises: (at, 2.0), ..PLAIN };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A test harness: a router with a small site, and helpers for the events that it gets and the actions it returns.
+//! A test harness: a router with a small site, and helpers for the events that it gets and the actions it
+//! returns.
 #![allow(dead_code)]
 
 pub mod random;
@@ -76,7 +77,8 @@
     /// All actions so far, without timers.
     pub actions: Vec<Action>,
     timers: Vec<(Nanos, TimerToken)>,
-    /// Timers fire only at multiples of this step, as at a site that handles events in batches that far apart.
+    /// Timers fire only at multiples of this step, as at a site that handles events in batches that far
+    /// apart.
     pub step: Nanos,
 }
 
@@ -187,7 +189,8 @@
         self.handle(Event::FirstToken { id: RequestId(id), attempt, server: ServerId(server), latency })
     }
 
-    /// Like [`Router::start_stream`] where the prefill may wait for load probes, which are answered after 2 ms.
+    /// Like [`Router::start_stream`] where the prefill may wait for load probes, which are answered after 2
+    /// ms.
     pub fn start_stream_with_probes(&mut self, id: u64) -> (u32, u32) {
         let mut actions = self.submit(id);
         for _ in 0..20 {
@@ -214,7 +217,8 @@
         panic!("no prefill is sent")
     }
 
-    /// Lets a request arrive, be prefilled and start streaming; returns its prefill worker and its decode worker.
+    /// Lets a request arrive, be prefilled and start streaming; returns its prefill worker and its decode
+    /// worker.
     pub fn start_stream(&mut self, id: u64) -> (u32, u32) {
         let prefill_worker = sent_to(&self.submit(id)).expect("a prefill is sent");
         let decode_worker = sent_to(&self.finish_attempt(id, prefill_worker, AttemptStatus::Prefilled))
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -1,5 +1,6 @@
-//! Nobody is starved: what of each class, tenant, prompt length, session and third of a day is answered, on a small
-//! model of prefill workers that read one prompt after the other and decode workers whose memory is bounded.
+//! Nobody is starved: what of each class, tenant, prompt length, session and third of a day is answered, on a
+//! small model of prefill workers that read one prompt after the other and decode workers whose memory is
+//! bounded.
 
 mod common;
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits on the decision modules: their number of lines, the length of their lines and where they are. After an outage
-//! they are read aloud, so each has to be short enough to be read at once.
+//! Limits on the decision modules: their number of lines, the length of their lines and where they are. After
+//! an outage they are read aloud, so each has to be short enough to be read at once.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,8 @@
     assert_eq!(listed, decision_modules());
 }
 
-/// Only the view, which shows the state and does not change it, may implement `Policy` outside the decision modules.
+/// Only the view, which shows the state and does not change it, may implement `Policy` outside the decision
+/// modules.
 #[test]
 fn no_other_module_adds_to_the_policy() {
     let mut found = Vec::new();
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -167,7 +167,8 @@
     }
 }
 
-/// No prefill worker is home to more than its even share, by more than chance gives and the ring's own spread.
+/// No prefill worker is home to more than its even share, by more than chance gives and the ring's own
+/// spread.
 #[test]
 fn homes_are_spread_evenly() {
     for servers in [600u32, 3_000] {
@@ -275,7 +276,8 @@
     }
 }
 
-/// Where nothing near a key has capacity, the way on goes past every server, and in no more looks than that takes.
+/// Where nothing near a key has capacity, the way on goes past every server, and in no more looks than that
+/// takes.
 #[test]
 fn the_way_on_goes_past_every_server_once() {
     for (servers, cell) in [(600, 12), (3_000, 12), (2_000, 7)] {
@@ -308,7 +310,8 @@
     }
 }
 
-/// Of a whole fleet only one cell's servers have capacity: wherever that is, a request finds it before its time is up.
+/// Of a whole fleet only one cell's servers have capacity: wherever that is, a request finds it before its
+/// time is up.
 #[test]
 fn the_last_capacity_of_a_fleet_is_found() {
     let entries = fleet(1_200, 12);
@@ -381,7 +384,8 @@
     assert!(prefill_workers.len() > 3 * NEAR, "{} prefill workers", prefill_workers.len());
 }
 
-/// What is being read is for decode workers everywhere: those near one key are not to have capacity for all of it.
+/// What is being read is for decode workers everywhere: those near one key are not to have capacity for all
+/// of it.
 #[test]
 fn what_is_being_read_is_set_against_the_capacity_of_all_decode_workers() {
     let mut router = Router::new(site(), fleet(300, 12));
@@ -425,7 +429,8 @@
     assert_eq!(sends(&actions).len(), 1, "the small one is sent");
 }
 
-/// What may have run in one cell may be repeated there alone: it does not wait until the way on comes past that cell.
+/// What may have run in one cell may be repeated there alone: it does not wait until the way on comes past
+/// that cell.
 #[test]
 fn a_repeat_that_is_bound_to_a_cell_goes_there_as_soon_as_that_has_capacity() {
     let class = TrafficClass {
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -1,38 +1,40 @@
-//! What a deployment that is put together differently may lack, or have in another shape.
+//! Sites that differ from the usual one: coarse time steps, mixed servers, missing settings or missing
+//! signals.
 
 mod common;
 use common::*;
 use gaparch_scheduler::api::*;
 
-/// Found by reading: an answer was due two ticks before its client leaves, however far apart a site's steps are.
+/// An answer used to be due two ticks before the client's deadline, however far apart the steps of a site
+/// are.
 #[test]
-fn where_time_comes_in_coarse_steps_the_answer_still_comes_in_time() {
+fn with_coarse_time_steps_the_answer_still_comes_in_time() {
     for step in [20 * MS, 40 * MS, 150 * MS] {
-        let set = Settings { step, can_cancel: false, ..settings() };
-        let slack = set.answer_grace;
-        let mut r = Router::new(set, two_cells());
+        let settings = Settings { step, can_cancel: false, ..settings() };
+        let answer_grace = settings.answer_grace;
+        let mut r = Router::new(settings, two_cells());
         r.step = step;
-        let give_up_at = r.now + 5 * S + step * 3 / 4;
-        let request = Request { deadline_at: give_up_at, ..r.request(1) };
+        let deadline_at = r.now + 5 * S + step * 3 / 4;
+        let request = Request { deadline_at, ..r.request(1) };
         r.handle(Event::RequestArrived(request));
         let mut answered_at = None;
-        while r.now < give_up_at + S {
+        while r.now < deadline_at + S {
             if final_answers(&r.advance(step), 1) > 0 {
                 answered_at.get_or_insert(r.now);
             }
         }
         assert!(
-            answered_at.is_some_and(|at| at <= give_up_at + slack),
-            "{step} {answered_at:?} {give_up_at}"
+            answered_at.is_some_and(|at| at <= deadline_at + answer_grace),
+            "{step} {answered_at:?} {deadline_at}"
         );
         assert_eq!(final_answers(&r.actions, 1), 1);
     }
 }
 
 #[test]
-fn where_time_comes_in_coarse_steps_a_kv_cache_is_still_let_go_in_time() {
-    let set = Settings { step: 100 * MS, kv_release_within: 90 * MS, ..settings() };
-    let mut r = Router::new(set, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
+fn with_coarse_time_steps_a_kv_cache_is_still_released_in_time() {
+    let settings = Settings { step: 100 * MS, kv_release_within: 90 * MS, ..settings() };
+    let mut r = Router::new(settings, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     r.step = 100 * MS;
     let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
     r.update_endpoints(
@@ -44,23 +46,23 @@
     assert!(releases_kv(&r.actions, 1));
 }
 
-/// Found by reading: a small server that starts was given its part of what large peers of its role carry.
+/// A small server that was warming up used to get its share of what large servers of its role are sent.
 #[test]
-fn a_warming_up_server_is_measured_by_servers_of_its_own_size() {
-    // Told by their kinds, or by their weights where the kind is the same.
-    for (small, weight) in [(2, None), (1, Some(0.1))] {
-        let mut kinds = kinds([100_000.0, 100_000.0, if small == 2 { 10_000.0 } else { 100_000.0 }]);
+fn a_warming_up_server_is_compared_with_servers_of_its_own_size() {
+    // Sizes differ by kind, or by weight within one kind.
+    for (small_kind, weight) in [(2, None), (1, Some(0.1))] {
+        let mut kinds = kinds([100_000.0, 100_000.0, if small_kind == 2 { 10_000.0 } else { 100_000.0 }]);
         kinds[2].role = Some(Role::Decode);
         let mut r = Router::new(Settings { kinds, ..settings() }, vec![endpoint(1, 0, 0)]);
         let large = |id| Endpoint { weight: weight.map(|_| 1.0), ..endpoint(id, 1, 0) };
-        let little = |id| Endpoint { weight, ..endpoint(id, small, 0) };
-        r.update_endpoints(EndpointUpdate::Delta, vec![large(11), large(12), large(13), little(14)]);
-        let (mut warm, mut cold, mut wrote) = (0, 0, Vec::new());
+        let small = |id| Endpoint { weight, ..endpoint(id, small_kind, 0) };
+        r.update_endpoints(EndpointUpdate::Delta, vec![large(11), large(12), large(13), small(14)]);
+        let (mut warm, mut cold, mut decode_workers) = (0, 0, Vec::new());
         for id in 1..1200 {
             if id == 600 {
                 r.update_endpoints(
                     EndpointUpdate::Delta,
-                    vec![Endpoint { started_at: Some(r.now), ..little(15) }],
+                    vec![Endpoint { started_at: Some(r.now), ..small(15) }],
                 );
             }
             let short = Request { prompt_tokens: 300.0, ..r.request(id) };
@@ -69,45 +71,48 @@
                 .expect("a decode is sent");
             r.first_token(id, decode_worker);
             r.advance(10 * MS);
-            wrote.push(decode_worker);
+            decode_workers.push(decode_worker);
             if id > 20 {
-                r.finish_attempt(id - 20, wrote[id as usize - 21], AttemptStatus::Ok);
+                r.finish_attempt(id - 20, decode_workers[id as usize - 21], AttemptStatus::Ok);
             }
             if id >= 600 {
                 (warm, cold) = (warm + u32::from(decode_worker == 14), cold + u32::from(decode_worker == 15));
             }
         }
-        // 2.5 x 0.3 of what one of its size carries is the limit.
-        assert!(cold > 0 && f64::from(cold) <= 0.8 * f64::from(warm), "{small}: {cold} against {warm}");
+        // The limit is 2.5 x 0.3 of the load of a warm server of its size.
+        assert!(
+            cold > 0 && f64::from(cold) <= 0.8 * f64::from(warm),
+            "kind {small_kind}: {cold} against {warm}"
+        );
     }
 }
 
-/// Found by reading: the part of a cell's decode workers weighed mixed servers too, and one with no decode worker near was home to
-/// nothing.
+/// The affinity weight by the share of decode workers in the cell used to apply to mixed servers too, so that
+/// one with no decode worker in its cell was preferred by no request.
 #[test]
-fn a_mixed_server_is_home_to_its_share_whatever_stands_in_its_cell() {
+fn a_mixed_server_gets_its_share_of_affinity_whatever_its_cell_has() {
     let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0), endpoint(21, 2, 1)]);
-    let whole = (1..200).filter(|id| {
+    let served_whole = (1..200).filter(|id| {
         let server = sent_to(&r.submit(*id)).expect("an attempt is sent");
         r.first_token(*id, server);
         r.finish_attempt(*id, server, AttemptStatus::Ok);
         server == 21
     });
-    let whole = whole.count();
-    assert!((60..140).contains(&whole), "{whole} of 199");
+    let served_whole = served_whole.count();
+    assert!((60..140).contains(&served_whole), "{served_whole} of 199");
 }
 
 #[test]
-fn where_mixed_servers_write_homes_follow_them() {
-    let entries = vec![
+fn where_mixed_servers_decode_affinity_follows_them() {
+    let endpoints = vec![
         endpoint(1, 0, 0),
         endpoint(2, 0, 1),
         endpoint(21, 2, 0),
         endpoint(22, 2, 0),
         endpoint(23, 2, 0),
     ];
-    let mut r = Router::new(settings(), entries);
-    let reads: Vec<u32> = (1..300)
+    let mut r = Router::new(settings(), endpoints);
+    let prefill_workers: Vec<u32> = (1..300)
         .map(|id| {
             let server = sent_to(&r.submit(id)).expect("an attempt is sent");
             r.handle(Event::ClientDisconnected(RequestId(id)));
@@ -115,15 +120,19 @@
             server
         })
         .collect();
-    let of = |server| reads.iter().filter(|s| **s == server).count();
-    assert!(of(1) > 10 * of(2), "{} in the cell with decode workers, {} in the other", of(1), of(2));
+    let sent_to_worker = |server| prefill_workers.iter().filter(|s| **s == server).count();
+    let (with_decode, without_decode) = (sent_to_worker(1), sent_to_worker(2));
+    assert!(
+        with_decode > 10 * without_decode,
+        "{with_decode} in the cell that can decode, {without_decode} in the other"
+    );
 }
 
 #[test]
-fn a_server_that_neither_reads_nor_writes_is_sent_nothing() {
-    let mut set = settings();
-    set.kinds[2].role = None;
-    let mut r = Router::new(set, [two_cells(), vec![endpoint(21, 2, 0), endpoint(22, 2, 1)]].concat());
+fn a_server_that_runs_neither_stage_is_sent_nothing() {
+    let mut settings = settings();
+    settings.kinds[2].role = None;
+    let mut r = Router::new(settings, [two_cells(), vec![endpoint(21, 2, 0), endpoint(22, 2, 1)]].concat());
     for id in 1..50 {
         let (prefill_worker, decode_worker) = r.start_stream(id);
         assert!(prefill_worker < 3 && (11..13).contains(&decode_worker));
@@ -134,66 +143,68 @@
     assert_eq!(sent_to(&r.submit(100)), None);
 }
 
-/// Found by reading: an id that came back as another kind kept the role of its first life.
+/// A server id that was listed again with another kind used to keep its old role.
 #[test]
-fn a_server_that_comes_back_as_another_kind_does_what_that_does() {
+fn a_server_that_comes_back_as_another_kind_takes_the_role_of_that_kind() {
     let mut r = Router::new(settings(), two_cells());
     r.update_endpoints(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(1), ..endpoint(11, 0, 1) }]);
-    let reads = (1..60).filter(|id| {
+    let prefills = (1..60).filter(|id| {
         let (prefill_worker, decode_worker) = r.start_stream(*id);
         assert_eq!(decode_worker, 12);
         r.finish_attempt(*id, decode_worker, AttemptStatus::Ok);
         prefill_worker == 11
     });
-    assert!(reads.count() > 0);
+    assert!(prefills.count() > 0);
 }
 
 #[test]
-fn a_class_without_an_objective_is_served_while_its_client_waits() {
+fn a_class_without_a_latency_objective_is_served_until_its_deadline() {
     let class =
         TrafficClass { latency_objective: 0, ..class(Idempotency::Idempotent, DeduplicationScope::All) };
     let mut r = Router::new(Settings { classes: vec![class], ..settings() }, two_cells());
-    // All decode workers drain for a second: it waits, and is served when one is back.
-    let state =
+    // All decode workers drain for a second: the request is queued, and served when one is ready again.
+    let decode_workers =
         |state| vec![Endpoint { state, ..endpoint(11, 1, 0) }, Endpoint { state, ..endpoint(12, 1, 1) }];
-    r.update_endpoints(EndpointUpdate::Delta, state(ServerState::Draining));
+    r.update_endpoints(EndpointUpdate::Delta, decode_workers(ServerState::Draining));
     r.submit(1);
     assert_eq!(final_answers(&r.advance(S), 1), 0);
-    assert!(sent_to(&r.update_endpoints(EndpointUpdate::Delta, state(ServerState::Ready))).is_some());
+    let actions = r.update_endpoints(EndpointUpdate::Delta, decode_workers(ServerState::Ready));
+    assert!(sent_to(&actions).is_some());
 }
 
 #[test]
-fn where_no_number_of_attempts_is_told_a_read_and_a_write_are_made() {
+fn the_default_number_of_attempts_allows_a_prefill_and_a_decode() {
     let mut r =
         Router::new(Settings { max_attempts: Settings::default().max_attempts, ..settings() }, two_cells());
     r.start_stream(1);
     assert_eq!(final_answers(&r.actions, 1), 0);
 }
 
-/// Found by reading: where attempts can't be cancelled each read got 1.5 s, whatever reads take at a site.
+/// Where attempts can't be cancelled, each prefill used to get a timeout of 1.5 s, however long prefills take
+/// at a site.
 #[test]
-fn where_nothing_can_be_cancelled_an_attempt_gets_the_time_that_they_take_there() {
+fn without_cancellation_the_timeout_follows_the_learnt_prefill_time() {
     let class = TrafficClass {
         latency_objective: 20 * S,
         deadline: 60 * S,
         ..class(Idempotency::Idempotent, DeduplicationScope::All)
     };
     let mut r = Router::new(Settings { can_cancel: false, classes: vec![class], ..settings() }, two_cells());
-    let mut last = 0;
+    let mut last_timeout = 0;
     for id in 1..20 {
         let request = Request { deadline_at: r.now + 60 * S, prompt_tokens: 60_000.0, ..r.request(id) };
-        let done = r.handle(Event::RequestArrived(request));
+        let actions = r.handle(Event::RequestArrived(request));
         let Some(Action::Send { server, timeout, .. }) =
-            done.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
+            actions.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
         else {
-            panic!("no read")
+            panic!("no prefill is sent")
         };
-        last = timeout;
+        last_timeout = timeout;
         r.advance(3 * S);
         let (status, latency, attempt) = (AttemptStatus::Prefilled, 3 * S, AttemptNumber(0));
         let report = None;
         let id = RequestId(id);
-        let read = AttemptOutcome {
+        let prefilled = AttemptOutcome {
             id,
             attempt,
             server,
@@ -204,97 +215,104 @@
             kv_cache_missing: false,
             report,
         };
-        let decode_worker = sent_to(&r.handle(Event::AttemptFinished(read))).expect("a decode is sent");
+        let decode_worker = sent_to(&r.handle(Event::AttemptFinished(prefilled))).expect("a decode is sent");
         r.finish_attempt(id.0, decode_worker, AttemptStatus::Ok);
         r.advance(S);
     }
-    assert!(last > 3 * S, "{last}");
+    assert!(last_timeout > 3 * S, "{last_timeout}");
 }
 
-// What is given up gets its final answer at once.
+// A request that is given up gets its final answer at once.
 
-/// Found by reading: past its window, or with no group known to stay in, it was held until its objective was lost.
+/// A request with a key whose deduplication window was over, or whose deduplication domain was not known,
+/// used to stay queued until it missed its objective.
 #[test]
-fn a_keyed_request_that_can_go_nowhere_any_more_fails_at_once() {
-    let site = |group, window, entries: Vec<Endpoint>| {
+fn a_request_with_a_key_that_may_not_be_repeated_anywhere_fails_at_once() {
+    let router = |scope, window, endpoints: Vec<Endpoint>| {
         let class = TrafficClass {
             latency_objective: 4 * S,
             deduplication_window: window,
-            ..class(Idempotency::WithKey, group)
+            ..class(Idempotency::WithKey, scope)
         };
-        Router::new(Settings { classes: vec![class], ..settings() }, entries)
+        Router::new(Settings { classes: vec![class], ..settings() }, endpoints)
     };
     let mixed = vec![endpoint(21, 2, 0), endpoint(22, 2, 1)];
-    // No zones or cells are told here.
-    let bare: Vec<Endpoint> =
+    // Endpoints listed without zone and cell.
+    let without_location: Vec<Endpoint> =
         mixed.iter().map(|e| Endpoint { zone: None, cell: None, ..e.clone() }).collect();
-    for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
-        let mut r = site(group, 2 * S, bare.clone());
+    for scope in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
+        let mut r = router(scope, 2 * S, without_location.clone());
         let server = sent_to(&r.submit(1)).expect("an attempt is sent");
-        assert!(is_failed(&r.finish_attempt(1, server, AttemptStatus::Error), 1), "{group:?}");
+        assert!(is_failed(&r.finish_attempt(1, server, AttemptStatus::Error), 1), "{scope:?}");
     }
-    // Its window ends while it is out, or while it waits for the only other one of its group.
-    let mut r = site(DeduplicationScope::Cell, 2 * S, mixed.clone());
+    // The window ends while the attempt is in flight, or while the request waits for the only server of its
+    // domain.
+    let mut r = router(DeduplicationScope::Cell, 2 * S, mixed.clone());
     let server = sent_to(&r.submit(1)).expect("an attempt is sent");
     r.advance(2 * S);
     assert!(is_failed(&r.finish_attempt(1, server, AttemptStatus::Error), 1));
-    let mut r = site(DeduplicationScope::Cell, 2 * S, mixed);
+    let mut r = router(DeduplicationScope::Cell, 2 * S, mixed);
     let server = sent_to(&r.submit(1)).expect("an attempt is sent");
-    let gone = endpoint(server, 2, u64::from(server - 21));
-    r.update_endpoints(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..gone }]);
+    let draining = endpoint(server, 2, u64::from(server - 21));
+    r.update_endpoints(EndpointUpdate::Delta, vec![Endpoint { state: ServerState::Draining, ..draining }]);
     assert_eq!(final_answers(&r.finish_attempt(1, server, AttemptStatus::Error), 1), 0);
-    let done = r.advance(2 * S + 50 * MS);
-    assert!(is_failed(&done, 1), "{done:?}");
+    let actions = r.advance(2 * S + 50 * MS);
+    assert!(is_failed(&actions, 1), "{actions:?}");
 }
 
-/// Whatever a request is given up for, the answer is there with the event that settles it, or with the tick at
-/// which it is settled: a client that may come back is not kept, and is told when.
+/// Whatever the reason, the answer comes with the event or the tick at which the request is given up, so that
+/// a client that may retry is not kept waiting, and it has a Retry-After.
 #[test]
-fn what_is_given_up_is_answered_at_once_and_told_when_to_come_back() {
-    let site = |class: TrafficClass, max_attempts| {
+fn a_request_that_is_given_up_is_rejected_at_once_with_a_retry_after() {
+    let router = |class: TrafficClass, max_attempts| {
         let classes = vec![TrafficClass { latency_objective: 2 * S, ..class }];
-        let set =
+        let settings =
             Settings { classes, max_attempts, can_send_retry_after: true, max_retry_after: S, ..settings() };
-        Router::new(set, two_cells())
+        Router::new(settings, two_cells())
     };
-    let safe = class(Idempotency::Idempotent, DeduplicationScope::All);
-    let told = |done: &[Action], reason: GiveUpReason| {
-        let refusal = |a: &Action| matches!(a, Action::Reject { retry_after: S, cause: why, .. } if why.reason == reason);
-        assert!(done.iter().any(refusal), "{reason:?}: {done:?}");
+    let idempotent = class(Idempotency::Idempotent, DeduplicationScope::All);
+    let assert_rejected = |actions: &[Action], reason: GiveUpReason| {
+        let is_expected =
+            |a: &Action| matches!(a, Action::Reject { retry_after: S, cause, .. } if cause.reason == reason);
+        assert!(actions.iter().any(is_expected), "{reason:?}: {actions:?}");
     };
     // The last attempt has failed.
-    let mut r = site(safe.clone(), 2);
+    let mut r = router(idempotent.clone(), 2);
     let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
     let decode_worker =
         sent_to(&r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled)).expect("a decode is sent");
-    told(&r.finish_attempt(1, decode_worker, AttemptStatus::Error), GiveUpReason::AttemptsExhausted);
-    // No decode worker is left: the objective ends the wait, three seconds before the client leaves.
-    let mut r = site(safe.clone(), 5);
+    assert_rejected(
+        &r.finish_attempt(1, decode_worker, AttemptStatus::Error),
+        GiveUpReason::AttemptsExhausted,
+    );
+    // No decode worker is left: the latency objective ends the wait, three seconds before the client's
+    // deadline.
+    let mut r = router(idempotent.clone(), 5);
     r.update_endpoints(EndpointUpdate::Full, vec![endpoint(1, 0, 0)]);
-    let asked = r.now;
+    let arrived_at = r.now;
     r.submit(1);
-    while final_answers(&r.actions, 1) == 0 && r.now < asked + 5 * S {
+    while final_answers(&r.actions, 1) == 0 && r.now < arrived_at + 5 * S {
         r.advance(10 * MS);
     }
-    told(&r.actions, GiveUpReason::ObjectiveMissed);
-    assert!(r.now <= asked + 2 * S + 20 * MS, "{}", r.now - asked);
-    // The KV cache can't wait any longer.
-    let mut r = site(safe.clone(), 5);
+    assert_rejected(&r.actions, GiveUpReason::ObjectiveMissed);
+    assert!(r.now <= arrived_at + 2 * S + 20 * MS, "{}", r.now - arrived_at);
+    // The KV cache may not be held any longer.
+    let mut r = router(idempotent.clone(), 5);
     let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
     r.update_endpoints(EndpointUpdate::Full, vec![endpoint(1, 0, 0), endpoint(2, 0, 1)]);
     r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
-    told(&r.advance(400 * MS), GiveUpReason::KvReleaseTimeout);
-    // A send that was too late.
-    let mut r = site(safe, 5);
+    assert_rejected(&r.advance(400 * MS), GiveUpReason::KvReleaseTimeout);
+    // The router found the send too late.
+    let mut r = router(idempotent, 5);
     let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
-    told(&r.finish_attempt(1, prefill_worker, AttemptStatus::Expired), GiveUpReason::TooLate);
+    assert_rejected(&r.finish_attempt(1, prefill_worker, AttemptStatus::Expired), GiveUpReason::TooLate);
 }
 
-// Servers that do both.
+// Mixed servers.
 
-/// Found by reading: nothing was learnt of what mixed servers take, and a slow one counted as any other.
+/// The latency of mixed servers used to be ignored, so that a slow one counted as any other.
 #[test]
-fn a_slow_mixed_server_counts_as_smaller() {
+fn a_slow_mixed_server_has_a_high_latency_ratio() {
     let mut r = Router::new(settings(), vec![endpoint(21, 2, 0), endpoint(22, 2, 1), endpoint(23, 2, 1)]);
     for id in 1..60 {
         let server = sent_to(&r.submit(id)).expect("an attempt is sent");
@@ -302,16 +320,23 @@
         r.finish_attempt(id, server, AttemptStatus::Ok);
         r.advance(S);
     }
-    let pace = |id| r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.latency_ratio);
-    assert!(pace(21) > 3.0 && pace(22) < 2.0, "{} {}", pace(21), pace(22));
+    let latency_ratio =
+        |id| r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.latency_ratio);
+    assert!(
+        latency_ratio(21) > 3.0 && latency_ratio(22) < 2.0,
+        "{} {}",
+        latency_ratio(21),
+        latency_ratio(22)
+    );
 }
 
-/// Found by reading: while all decode workers looked full everything was held, also beside mixed servers with capacity.
+/// While all decode workers looked saturated every request used to be queued, even beside mixed servers with
+/// capacity.
 #[test]
-fn while_decode_workers_look_full_mixed_servers_with_capacity_take_requests_whole() {
+fn while_decode_workers_look_saturated_mixed_servers_with_capacity_serve_requests_whole() {
     let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0), endpoint(21, 2, 0)]);
     let mut id = 0;
-    // A request that was read: its decode worker answers full.
+    // Until a request is prefilled at the prefill worker, and its decode worker rejects it.
     loop {
         id += 1;
         let server = sent_to(&r.submit(id)).expect("an attempt is sent");
@@ -329,120 +354,125 @@
         r.first_token(next, 21);
         r.finish_attempt(next, 21, AttemptStatus::Ok);
     }
-    // One without capacity holds them as before.
+    // Once the mixed server has no capacity either, requests are queued.
     r.handle(Event::RequestArrived(Request { max_output_tokens: 190_000.0, ..r.request(900) }));
     r.first_token(900, 21);
     assert_eq!(sent_to(&r.submit(901)), None);
 }
 
 #[test]
-fn a_kv_cache_goes_to_a_mixed_server_where_no_decode_worker_is_left() {
+fn a_kv_cache_is_sent_to_a_mixed_server_where_no_decode_worker_is_left() {
     let mut r = Router::new(settings(), vec![endpoint(1, 0, 0), endpoint(11, 1, 0), endpoint(21, 2, 0)]);
     let id = (1..).find(|id| sent_to(&r.submit(*id)) == Some(1)).expect("a prefill is sent");
     r.finish_attempt(id, 1, AttemptStatus::Prefilled);
     assert_eq!(sent_to(&r.finish_attempt(id, 11, AttemptStatus::ConnectFailed)), Some(21));
 }
 
-// Signals that never come.
+// Missing signals.
 
-/// Found by reading: an answer that does not stream looked late after 0.4 s, and was cancelled after 0.9.
+/// The worker of an answer that is not streamed used to count as saturated after 0.4 s, and the attempt was
+/// cancelled after 0.9 s.
 #[test]
-fn where_answers_do_not_stream_a_silent_decode_worker_is_no_late_one() {
-    for cancel in [true, false] {
+fn a_decode_worker_of_an_answer_that_is_not_streamed_may_be_silent() {
+    for can_cancel in [true, false] {
         let classes =
             vec![TrafficClass { streamed: false, ..class(Idempotency::Idempotent, DeduplicationScope::All) }];
-        let mut r = Router::new(Settings { classes, can_cancel: cancel, ..settings() }, two_cells());
+        let mut r = Router::new(Settings { classes, can_cancel, ..settings() }, two_cells());
         let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
-        let done = r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
-        let Some(Action::Send { server, timeout: 0, .. }) = done.first().cloned() else { panic!("{done:?}") };
+        let actions = r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
+        let Some(Action::Send { server, timeout: 0, .. }) = actions.first().cloned() else {
+            panic!("{actions:?}")
+        };
         assert!(r.advance(3 * S).iter().all(|a| !matches!(a, Action::Cancel { .. })));
         let view = r.policy.views().find(|v| v.server == server).expect("it is listed");
         assert_eq!(view.avoid_reason, None);
-        // Its end is still due in time.
+        // The answer is still due in time.
         assert_eq!(final_answers(&r.advance(2 * S), 1), 1);
     }
 }
 
-/// Found by reading: a decode worker whose probe was never answered looked full for ever.
+/// A decode worker whose probe was never answered used to count as saturated for ever.
 #[test]
 fn a_probe_that_is_never_answered_is_forgotten() {
-    let set = Settings { can_probe: true, ..settings() };
-    let mut r = Router::new(set, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
+    let settings = Settings { can_probe: true, ..settings() };
+    let mut r = Router::new(settings, vec![endpoint(1, 0, 0), endpoint(11, 1, 0)]);
     let mut served = 0;
     for id in 1..200 {
-        let mut done = r.submit(id);
-        done.extend(r.advance(150 * MS));
-        done.retain(|a| matches!(a, Action::Send { .. }));
-        // Whatever is sent is answered, whenever it was asked for: only probes are not.
-        while let Some(Action::Send { id, server, .. }) = done.pop() {
+        let mut actions = r.submit(id);
+        actions.extend(r.advance(150 * MS));
+        actions.retain(|a| matches!(a, Action::Send { .. }));
+        // Every attempt is answered, also those of earlier requests; only probes are not.
+        while let Some(Action::Send { id, server, .. }) = actions.pop() {
             if server == ServerId(1) {
-                done.extend(r.finish_attempt(id.0, 1, AttemptStatus::Prefilled));
+                actions.extend(r.finish_attempt(id.0, 1, AttemptStatus::Prefilled));
             } else {
                 r.first_token(id.0, server.0);
                 r.finish_attempt(id.0, server.0, AttemptStatus::Ok);
                 served += u32::from(r.now > 105 * S);
             }
-            done.retain(|a| matches!(a, Action::Send { .. }));
+            actions.retain(|a| matches!(a, Action::Send { .. }));
         }
     }
     assert!(r.actions.contains(&Action::Probe(ServerId(11))));
-    // Each probe may cost it some time; all together don't cost it all.
+    // Each unanswered probe may keep requests away for some time, but not all the time.
     assert!(served > 20, "{served}");
 }
 
-/// Found by reading: a message has capacity for 42 servers, and named those of the lowest ids.
+/// A gossip message has space for 42 servers, and used to name those with the lowest ids.
 #[test]
-fn a_message_names_the_servers_where_most_is_held() {
-    let set = Settings { can_gossip: true, gossip_cost: 0.0, ..settings() };
+fn a_gossip_message_names_the_servers_where_the_router_holds_most() {
+    let settings = Settings { can_gossip: true, gossip_cost: 0.0, ..settings() };
     let decode_workers = (100..160).map(|id| endpoint(id, 1, 0));
-    let mut r = Router::new(set, [vec![endpoint(1, 0, 0)], decode_workers.collect()].concat());
+    let mut r = Router::new(settings, [vec![endpoint(1, 0, 0)], decode_workers.collect()].concat());
     for id in 1..61 {
         let prefill_worker = sent_to(&r.submit(id)).expect("a prefill is sent");
         let decode_worker = sent_to(&r.finish_attempt(id, prefill_worker, AttemptStatus::Prefilled))
             .expect("a decode is sent");
         r.first_token(id, decode_worker);
     }
-    let held = |r: &Router, id| {
+    let utilization = |r: &Router, id| {
         r.policy.views().find(|v| v.server == ServerId(id)).map_or(0.0, |v| v.memory_utilization)
     };
-    let heavy = Request { max_output_tokens: 100_000.0, ..r.request(61) };
-    let prefill_worker = sent_to(&r.handle(Event::RequestArrived(heavy))).expect("a prefill is sent");
+    let large = Request { max_output_tokens: 100_000.0, ..r.request(61) };
+    let prefill_worker = sent_to(&r.handle(Event::RequestArrived(large))).expect("a prefill is sent");
     let decode_worker =
         sent_to(&r.finish_attempt(61, prefill_worker, AttemptStatus::Prefilled)).expect("a decode is sent");
-    assert!(held(&r, decode_worker) > 0.4);
+    assert!(utilization(&r, decode_worker) > 0.4);
     r.actions.clear();
     r.advance(S);
-    let told = r.actions.iter().rev().find_map(|a| match a {
+    let message = r.actions.iter().rev().find_map(|a| match a {
         Action::SendGossip { data, .. } => Some(data.clone()),
         _ => None,
     });
-    let told = told.expect("a message");
-    let first = u32::from_le_bytes([told[0], told[1], told[2], told[3]]);
-    assert!(told.len() <= 256 && first == decode_worker, "{first}, not {decode_worker}");
+    let message = message.expect("a gossip message is sent");
+    let first = u32::from_le_bytes([message[0], message[1], message[2], message[3]]);
+    assert!(message.len() <= 256 && first == decode_worker, "{first}, not {decode_worker}");
 }
 
-// What does no harm in one router, and does in hundreds.
+// Behaviour that does harm only with hundreds of routers.
 
-/// Found on the full fleet: two of three messages said nothing, and were paid for all the same.
+/// In a run of the full fleet, two of three gossip messages were empty, and cost as much as the others.
 #[test]
-fn a_router_that_holds_nothing_tells_nothing() {
-    let set = Settings { can_gossip: true, gossip_cost: 0.0, can_cancel: false, ..settings() };
-    let mut r = Router::new(set, two_cells());
-    // Its read is out, and nothing is written yet.
+fn a_router_that_holds_no_kv_cache_tokens_sends_no_gossip() {
+    let settings = Settings { can_gossip: true, gossip_cost: 0.0, can_cancel: false, ..settings() };
+    let mut r = Router::new(settings, two_cells());
+    // Its prefill is in flight, and nothing is decoded yet.
     r.submit(1);
-    let done = r.advance(3 * S);
-    assert!(done.iter().all(|a| !matches!(a, Action::SendGossip { .. })), "{done:?}");
+    let actions = r.advance(3 * S);
+    assert!(actions.iter().all(|a| !matches!(a, Action::SendGossip { .. })), "{actions:?}");
     r.start_stream(2);
     assert!(r.advance(S).iter().any(|a| matches!(a, Action::SendGossip { data, .. } if !data.is_empty())));
 }
 
-/// Found on the full fleet: while most prefill workers were new, they stood idle beside the jammed old ones, since each router
-/// seldom met one of the few that it might ask.
+/// In a run of the full fleet, most prefill workers were warming up and stayed idle beside the overloaded old
+/// ones, since each router seldom came across one of the few that it was allowed to send to.
 #[test]
-fn beside_its_home_a_warming_up_prefill_worker_that_may_be_asked_is_looked_at() {
-    let set = Settings { can_probe: true, router_count: 300, ..settings() };
-    let mut r =
-        Router::new(set, [two_cells(), (3..9).map(|id| endpoint(id, 0, u64::from(id))).collect()].concat());
+fn a_warming_up_prefill_worker_with_budget_is_probed_beside_the_preferred_one() {
+    let settings = Settings { can_probe: true, router_count: 300, ..settings() };
+    let mut r = Router::new(
+        settings,
+        [two_cells(), (3..9).map(|id| endpoint(id, 0, u64::from(id))).collect()].concat(),
+    );
     for id in 1..40 {
         let (_, decode_worker) = r.start_stream_with_probes(id);
         r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
@@ -452,8 +482,8 @@
         EndpointUpdate::Delta,
         vec![Endpoint { started_at: Some(r.now), ..endpoint(20, 0, 1) }],
     );
-    // Its budget, which begins in debt, is paid off some time before it is warm.
-    let mut looked = 0;
+    // Its budget begins in debt, which is paid off some time before it is warm.
+    let mut probed = 0;
     for id in 100..180 {
         let allowed = r
             .policy
@@ -462,7 +492,7 @@
         r.actions.clear();
         let (prefill_worker, decode_worker) = r.start_stream_with_probes(id);
         if allowed && prefill_worker != 20 {
-            looked += 1;
+            probed += 1;
             assert!(r.actions.contains(&Action::Probe(ServerId(20))), "{:?}", r.actions);
         }
         r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
@@ -471,5 +501,5 @@
             break;
         }
     }
-    assert!(looked > 0);
+    assert!(probed > 0);
 }
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,13 +1,13 @@
-//! Fixes bytes and names that are read outside this crate: gossip messages between routers, and the names in logs and
-//! counters.
+//! Fixes bytes and names that are read outside this crate: gossip messages between routers, and the names in
+//! logs and counters.
 
 use gaparch_scheduler::api::{AttemptStatus, ServerId};
 use gaparch_scheduler::policy::send_guards::{Denial, Denials};
 use gaparch_scheduler::state::{decode_gossip, encode_gossip};
 use std::collections::BTreeMap;
 
-/// Servers 1, 2 and 0x01020304 with 16 tokens, 1000 tokens and more tokens than an entry can hold. Amounts are in units
-/// of 16 tokens.
+/// Servers 1, 2 and 0x01020304 with 16 tokens, 1000 tokens and more tokens than an entry can hold. Amounts
+/// are in units of 16 tokens.
 const MESSAGE: [u8; 18] = [1, 0, 0, 0, 1, 0, 2, 0, 0, 0, 62, 0, 4, 3, 2, 1, 0xff, 0xff];
 
 #[test]
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -1,5 +1,5 @@
-//! The module's books change nothing that it does: on the same events it acts to the letter as the plain way of
-//! computing does, which is kept in `tests/plain`.
+//! The module's books change nothing that it does: on the same events it acts to the letter as the plain way
+//! of computing does, which is kept in `tests/plain`.
 
 mod plain;
 
