--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,8 +1,8 @@
-//! What the scheduler tells a router to do.
+//! Actions: what the scheduler instructs a router to do.
 
 use super::{AttemptNumber, GiveUpCause, Nanos, RequestId, ServerId, TimerToken};
 
-/// Something that the router is to do.
+/// An instruction of the scheduler to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends an attempt of a request to a server.
@@ -11,9 +11,10 @@
         id: RequestId,
         /// The server.
         server: ServerId,
-        /// How long the attempt may take; 0: until the client's deadline.
+        /// Timeout of the attempt; 0: until the client's deadline.
         timeout: Nanos,
-        /// When the request's last byte has to be written. If that can't be met nothing is sent, and the attempt ends as
+        /// Time by which the last byte of the request has to be written. If that is not possible,
+        /// nothing is sent and the attempt ends as
         /// [`AttemptStatus::Expired`](super::AttemptStatus::Expired).
         send_by: Nanos,
     },
@@ -24,32 +25,32 @@
         /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Rejects a request: a retry by the client is harmless.
+    /// Rejects a request: the client may safely retry it.
     Reject {
         /// The request.
         id: RequestId,
-        /// The Retry-After for the client; 0: none.
+        /// Retry-After sent to the client; 0: none.
         retry_after: Nanos,
-        /// Why.
+        /// Why the request was given up.
         cause: GiveUpCause,
     },
-    /// Fails a request, which may have had an effect.
+    /// Fails a request that may have had an effect.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// Why the request was given up.
         cause: GiveUpCause,
     },
     /// Releases all KV caches and reservations of a request.
     ReleaseKv(RequestId),
-    /// Reserves a place at a decode server while the prefill is still running.
+    /// Reserves capacity at a decode server while the prefill is still running.
     ReserveKv {
         /// The request.
         id: RequestId,
         /// The decode server.
         server: ServerId,
     },
-    /// Migrates a stream: its client is asked to reconnect elsewhere.
+    /// Migrates a stream: asks its client to reconnect, to be served elsewhere.
     Migrate(RequestId),
     /// Probes a server.
     Probe(ServerId),
@@ -57,16 +58,16 @@
     CloseConnections(ServerId),
     /// Sets a timer.
     SetTimer {
-        /// Its token, given back when it fires.
+        /// The token that the event of the timer carries.
         token: TimerToken,
-        /// When it fires, from now.
+        /// Time from now until the timer fires.
         delay: Nanos,
     },
     /// Sends a gossip message.
     SendGossip {
-        /// Index of the router to send it to; `None`: all.
+        /// Index of the receiving router; `None`: all routers.
         peer: Option<u32>,
-        /// The message.
+        /// The encoded message.
         data: Vec<u8>,
     },
     /// Starts or stops watching the endpoint list.
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What a router reports to the scheduler.
+//! Events: what a router reports to the scheduler.
 
 use super::{
     AttemptNumber, AttemptOutcome, AttemptStatus, Endpoint, EndpointUpdate, LoadReport, Nanos, Request,
@@ -6,12 +6,12 @@
 };
 use std::sync::Arc;
 
-/// Something that has happened at the router.
+/// An event at the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list has changed.
     EndpointsChanged {
-        /// How it relates to the list before.
+        /// How the update relates to the previous list.
         update: EndpointUpdate,
         /// The servers of the update.
         endpoints: Arc<[Endpoint]>,
@@ -22,9 +22,9 @@
     TimerFired(TimerToken),
     /// Another router has sent a gossip message.
     GossipReceived {
-        /// Index of the router that sent it.
+        /// Index of the sending router.
         from: u32,
-        /// The message.
+        /// The encoded message.
         data: Vec<u8>,
     },
     /// An attempt has produced its first token.
@@ -33,12 +33,12 @@
         id: RequestId,
         /// The number of the attempt.
         attempt: AttemptNumber,
-        /// The server that it was sent to.
+        /// The server that the attempt was sent to.
         server: ServerId,
-        /// Time from its send to the first token.
+        /// Time from the send of the attempt to the first token.
         latency: Nanos,
     },
-    /// A server has answered a reservation.
+    /// A server has answered a reservation request.
     ReservationAnswered {
         /// The request.
         id: RequestId,
@@ -46,7 +46,7 @@
         attempt: AttemptNumber,
         /// The server that was asked.
         server: ServerId,
-        /// Whether the place is reserved.
+        /// Whether the capacity is reserved.
         reserved: bool,
     },
     /// The client of a request has disconnected.
@@ -55,22 +55,22 @@
     ProbeFinished {
         /// The server that was probed.
         server: ServerId,
-        /// How it ended.
+        /// The result of the probe.
         status: AttemptStatus,
-        /// Time from its send to its end.
+        /// Time from the send of the probe to its end.
         latency: Nanos,
-        /// The server's load, if it came with the answer.
+        /// The load report in the answer, if any.
         report: Option<LoadReport>,
     },
-    /// A tenant's quota is another from now on.
+    /// The quota of a tenant has changed.
     QuotaChanged {
         /// The tenant.
         tenant: TenantId,
-        /// Requests per second within the quota, all routers together.
+        /// The new quota in requests per second, for all routers together.
         quota_per_second: f64,
     },
-    /// The number of routers at work is another from now on, this one included. Without this event the number of the
-    /// settings holds.
+    /// The number of active routers, this one included, has changed. Until the first such event the
+    /// number in the settings applies.
     RouterCountChanged(u32),
     /// An attempt has ended.
     AttemptFinished(AttemptOutcome),
--- a/src/api/give_up.rs
+++ b/src/api/give_up.rs
@@ -1,27 +1,27 @@
-//! Why a request is given up.
+//! Reasons for giving up a request.
 
 /// Why a request was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GiveUpReason {
-    /// Its class is not one of the settings.
+    /// The settings do not define its class.
     UnknownClass,
-    /// Its client's deadline is over.
+    /// The client's deadline has passed, or is so close that the answer has to be sent now.
     DeadlineExceeded,
-    /// It was queued for so long that it can't meet its latency objective any more.
+    /// It was queued for so long that it can no longer meet its latency objective.
     ObjectiveMissed,
-    /// Its KV cache may not be held any longer, and there is no decode server to send it to.
+    /// Its KV cache has to be released, and no decode server is available.
     KvReleaseTimeout,
-    /// The attempts that are left are too few to end in an answer.
+    /// The remaining attempts are too few to complete it.
     AttemptsExhausted,
     /// An attempt may have run, and the request may not be repeated.
     MayHaveRun,
-    /// The router found a send too late to be made.
+    /// An attempt expired before it could be sent.
     TooLate,
 }
 
 impl GiveUpReason {
-    /// Whether it ended a wait, so that there is a [`QueueingReason`].
-    pub fn ends_a_wait(self) -> bool {
+    /// Whether the request was given up while it waited, so that there is a [`QueueingReason`].
+    pub fn ends_queueing(self) -> bool {
         matches!(
             self,
             GiveUpReason::DeadlineExceeded | GiveUpReason::ObjectiveMissed | GiveUpReason::KvReleaseTimeout
@@ -29,27 +29,27 @@
     }
 }
 
-/// What a request waited for when it was given up.
+/// Why a request was still waiting when it was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QueueingReason {
-    /// There was no decode server that it could be sent to.
+    /// No decode server was eligible.
     NoDecodeWorker,
-    /// There was no prefill server that it could be sent to.
+    /// No prefill server was eligible.
     NoPrefillWorker,
-    /// Capacity was short, and its tenant was over its quota.
+    /// Its tenant was over quota, so that other requests were admitted first.
     OverQuota,
-    /// All decode servers looked saturated.
+    /// All decode servers counted as saturated.
     DecodeWorkersSaturated,
-    /// All prefill servers had long queues.
+    /// All prefill servers counted as saturated, or prefills were throttled.
     PrefillWorkersSaturated,
 }
 
-/// Why a request was given up, and what it waited for.
+/// Why a request was given up, and why it was still waiting then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GiveUpCause {
     /// Why it was given up.
     pub reason: GiveUpReason,
-    /// What it waited for; `None` where an attempt was in flight, or it did not wait.
+    /// Why it was still waiting; `None` if an attempt was in flight or it did not wait.
     pub queueing_reason: Option<QueueingReason>,
 }
 
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers, and the unit of time.
+//! Identifiers and the unit of time.
 
-/// An instant on the router's monotonic clock, or a span of time, in nanoseconds.
+/// An instant on the router's monotonic clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A request, unique within one router.
+/// Identifies a request, uniquely within one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A prefill, decode or mixed server; the same on every router.
+/// Identifies a prefill, decode or mixed server; the same on every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
@@ -31,16 +31,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub usize);
 
-/// A cell: servers between which a KV cache moves fast, for example those of one rack.
+/// A cell: a group of servers with fast KV cache transfer among them, for example a rack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// A timer of the scheduler; [`Event::TimerFired`](super::Event::TimerFired) gives it back as [`Action::SetTimer`](super::Action::SetTimer) set it.
+/// Identifies a timer of the scheduler: [`Event::TimerFired`](super::Event::TimerFired) carries the
+/// token that was passed to [`Action::SetTimer`](super::Action::SetTimer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u32);
 
-/// The digest of a session or of a shared prefix, the same on every router. Requests with one key prefer the same
-/// prefill servers.
+/// The digest of a session or of a shared prefix, the same on every router. Requests with the same
+/// key prefer the same prefill servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AffinityKey(pub u64);
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// A fixed mixing of bits (SplitMix64).
+/// The output function of SplitMix64.
 fn mix(key: u64) -> u64 {
     let z = key.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,9 @@
-//! The interface of the scheduler: its settings, the events that a router reports and the actions that it carries out.
+//! The interface of the scheduler: its settings, the events that a router reports, and the actions
+//! that the router carries out.
 //!
-//! Nothing here depends on a wire format. Instants and spans are in nanoseconds; an instant counts from an arbitrary
-//! start of a monotonic clock. Traffic classes, tenants, zones and kinds of servers are named by their index in the
-//! settings, never by text.
+//! Nothing here depends on a wire format. Instants and durations are in nanoseconds; instants count
+//! from an arbitrary origin of a monotonic clock. Traffic classes, tenants, zones and kinds of
+//! servers are referred to by their index in the settings, never by name.
 
 mod action;
 mod endpoint;
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -1,32 +1,32 @@
-//! Requests of clients.
+//! Client requests.
 
 use super::{AffinityKey, ClassId, Nanos, RequestId, TenantId};
 
-/// A request that a client has sent.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The id.
     pub id: RequestId,
-    /// Its traffic class.
+    /// Traffic class.
     pub class: ClassId,
-    /// The tenant that it counts for.
+    /// The tenant whose quota it counts against.
     pub tenant: Option<TenantId>,
-    /// Digest of its session, if it has one.
+    /// Digest of its session, if any.
     pub session: Option<AffinityKey>,
-    /// Digest of the prefix that it shares with other requests, if it has one.
+    /// Digest of the prefix that it shares with other requests, if any.
     pub prefix: Option<AffinityKey>,
-    /// Tokens of its prompt; 0: not known.
+    /// Length of the prompt in tokens; 0: unknown.
     pub prompt_tokens: f64,
-    /// Tokens of the shared prefix.
+    /// Length of the shared prefix in tokens.
     pub prefix_tokens: f64,
-    /// Most tokens of the answer; 0: not known.
+    /// Maximum length of the answer in tokens; 0: unknown.
     pub max_output_tokens: f64,
-    /// Rough duration of the answer's stream at the class's token latency objective.
+    /// Approximate duration of the answer's stream at the token latency objective of its class.
     pub expected_duration: Option<Nanos>,
     /// When its client stops waiting.
     pub deadline_at: Nanos,
-    /// Whether the client says that it repeats an earlier request.
+    /// Whether the client marks it as a retry of an earlier request.
     pub client_retry: bool,
-    /// Whether the client comes back after a stream that broke or was migrated.
+    /// Whether the client reconnects after a stream that broke or was migrated.
     pub client_reconnect: bool,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,15 +1,15 @@
-//! The settings that a router starts with.
+//! The settings of a router.
 
 use super::{CellId, KindId, Nanos, TenantId, ZoneId};
 
 /// The stages that a server runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It computes the KV cache of a prompt.
+    /// Computes the KV cache of a prompt.
     Prefill,
-    /// It fetches a KV cache and streams the answer.
+    /// Fetches a KV cache and streams the answer.
     Decode,
-    /// It does both; the role of a server whose settings name none.
+    /// Does both; the role of servers for which the settings name none.
     #[default]
     Mixed,
 }
@@ -17,15 +17,16 @@
 /// Whether the requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A second execution does no harm.
+    /// A second execution is harmless.
     Idempotent,
-    /// Servers of one deduplication domain drop a repeat with the same idempotency key, for a while.
+    /// The servers of one deduplication domain drop repeats with the same idempotency key within the
+    /// deduplication window.
     WithKey,
-    /// A second execution may do harm.
+    /// A second execution may be harmful.
     NotIdempotent,
 }
 
-/// Which servers recognise the repeats of a request with an idempotency key.
+/// Which servers recognise repeats of a request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers of the site.
@@ -37,7 +38,8 @@
 }
 
 impl DeduplicationScope {
-    /// The deduplication domain of a server in that zone and cell; `None` where the endpoint list names neither.
+    /// The deduplication domain of a server in that zone and cell; `None` if the endpoint list does not
+    /// name the zone or cell that the scope goes by.
     pub fn domain(self, zone: Option<ZoneId>, cell: Option<CellId>) -> Option<u64> {
         match self {
             DeduplicationScope::All => Some(0),
@@ -47,20 +49,21 @@
     }
 }
 
-/// A class of traffic: its service objectives and what its requests allow.
+/// A traffic class: its service objectives and the constraints on its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficClass {
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
     /// Which servers drop a repeat with the same idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// How long such repeats are dropped, from the first send that may have run.
+    /// How long they drop repeats, counted from the first send that may have run.
     pub deduplication_window: Nanos,
-    /// Objective for the time to the first token. 0: none, an answer is worth the same until the deadline.
+    /// Objective for the time to the first token. 0: none; an answer has the same value until the
+    /// deadline.
     pub latency_objective: Nanos,
     /// Nanoseconds added to the latency objective for each prompt token.
     pub latency_objective_per_prompt_token: f64,
-    /// How long a client of this class waits for its answer.
+    /// How long clients wait for an answer.
     pub deadline: Nanos,
     /// Objective for the time between two tokens; 0: none.
     pub token_latency_objective: Nanos,
@@ -68,41 +71,43 @@
     pub priority_weight: f64,
     /// Weight of an answer between latency objective and deadline, as a fraction of `priority_weight`.
     pub late_priority_weight: f64,
-    /// Whether answers are streamed. If not, nothing is heard of an attempt before its answer is complete.
+    /// Whether answers are streamed. If not, an attempt gives no sign before its answer is complete.
     pub streamed: bool,
 }
 
-/// A tenant, whose traffic is limited by a quota.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Fraction of the site's traffic that is expected to be this tenant's, 0 to 1.
+    /// Expected fraction of the site's traffic, 0 to 1.
     pub quota_share: f64,
-    /// Requests per second within the quota, all routers together; 0: no quota.
+    /// Quota in requests per second, for all routers together; 0: no quota.
     pub quota_per_second: f64,
 }
 
-/// What the servers of one kind have in common.
+/// A kind of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerKind {
-    /// The stages that they run; `None`: neither prefill nor decode, so that they are sent nothing.
+    /// The stages that they run; `None`: neither prefill nor decode, and they get no requests.
     pub role: Option<Role>,
-    /// Tokens of KV cache that one of them holds; 0: not known.
+    /// KV cache capacity of one server in tokens; 0: unknown.
     pub kv_capacity_tokens: f64,
 }
 
 impl ServerKind {
-    /// A kind of which the settings say nothing: mixed, of unknown capacity.
+    /// Stands in for kinds that the settings do not define: mixed, of unknown capacity.
     pub const UNKNOWN: ServerKind = ServerKind { role: Some(Role::Mixed), kv_capacity_tokens: 0.0 };
 }
 
-/// The settings that a router starts with. [`Settings::default`] holds the meaning of each absent setting.
+/// The settings of a router. [`Settings::default`] defines the value of each absent setting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Seed of the choices between equals; differs between routers, so that they don't all pick one server.
+    /// Seed of the tie breakers. It differs between routers, so that they don't all choose the same
+    /// server.
     pub seed: u64,
     /// Index of this router among the routers of the site.
     pub router_index: u32,
-    /// Number of routers of the site, this one included. Each takes an even part of what they share.
+    /// Number of routers of the site, this one included. Shared limits such as quotas are divided
+    /// evenly among them.
     pub router_count: u32,
     /// Zone of this router.
     pub zone: Option<ZoneId>,
@@ -114,19 +119,21 @@
     pub over_quota_priority_weight: f64,
     /// Kinds of servers.
     pub kinds: Vec<ServerKind>,
-    /// Whether a decode server can compute the KV cache itself, where there is no prefill server.
+    /// Whether a decode server can compute the KV cache itself if there is no prefill server.
     pub decode_workers_can_prefill: bool,
-    /// Whether a decode server takes reservations while the prefill is still running.
+    /// Whether a decode server accepts reservations while the prefill is still running.
     pub can_reserve: bool,
-    /// Whether a broken or migrated stream is resumed by another server from the point where it stopped.
+    /// Whether another server can resume a broken or migrated stream from the point where it stopped.
     pub can_resume: bool,
     /// How long a prefill server may hold a KV cache that no decode server fetches.
     pub kv_release_within: Nanos,
-    /// Whether changes of the endpoint list have to be asked for, by a watch or a fetch; else they come unasked.
+    /// Whether changes of the endpoint list have to be requested, by a watch or a fetch; otherwise they
+    /// are pushed.
     pub poll_endpoints: bool,
-    /// Without a watch and a fetch for so long, this router counts as notified of the list as it was then.
+    /// After this long without a watch or a fetch, the router counts as notified of the endpoint list
+    /// as of that time.
     pub endpoint_poll_interval: Nanos,
-    /// Whether an attempt can be cancelled.
+    /// Whether attempts can be cancelled.
     pub can_cancel: bool,
     /// Whether servers answer health checks.
     pub can_probe: bool,
@@ -134,27 +141,27 @@
     pub can_gossip: bool,
     /// Whether two attempts of a request may be in flight at once (hedging).
     pub can_hedge: bool,
-    /// Whether a rejection carries a Retry-After.
+    /// Whether rejections carry a Retry-After.
     pub can_send_retry_after: bool,
-    /// Longest Retry-After that may be sent.
+    /// Maximum Retry-After.
     pub max_retry_after: Nanos,
-    /// Most attempts of a request. The default of 2 allows a prefill and a decode.
+    /// Maximum number of attempts per request. The default of 2 allows a prefill and a decode.
     pub max_attempts: u32,
-    /// How long a connection may take to come up.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Nanos,
     /// How long requests may still be sent to a server after it was listed as draining.
     pub drain_grace: Nanos,
-    /// Least speed of a server that has just started, as a share of its full speed, 0 to 1.
+    /// Minimum speed of a server that has just started, as a fraction of its full speed, 0 to 1.
     pub slow_start_speed: f64,
-    /// Longest time that a server takes from its start to full speed.
+    /// Maximum time that a server needs from its start to full speed.
     pub slow_start_duration: Nanos,
-    /// A server in slow start crashes when it is sent more than this multiple of its current capacity.
+    /// A server in slow start crashes if it is sent more than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// Window over which that multiple is counted.
+    /// Window over which that multiple is measured.
     pub overload_window: Nanos,
-    /// How long after a client's deadline its final answer still counts.
+    /// How long after the client's deadline a final answer still counts.
     pub answer_grace: Nanos,
-    /// Shortest time between two batches of events, where a simulation runs in steps; 0 where time is continuous.
+    /// Minimum time between two batches of events in a stepped simulation; 0: time is continuous.
     pub step: Nanos,
     /// Cost of one probe, in units of the value of one request.
     pub probe_cost: f64,
@@ -163,14 +170,14 @@
 }
 
 impl Settings {
-    /// Role and KV capacity in tokens of a kind. A kind that the settings lack counts as [`ServerKind::UNKNOWN`]; `None`
-    /// for a kind that runs neither stage.
+    /// Role and KV capacity in tokens of a kind; `None` for a kind that runs neither stage. A kind that
+    /// the settings do not define counts as [`ServerKind::UNKNOWN`].
     pub fn kind(&self, kind: Option<KindId>) -> Option<(Role, f64)> {
         let kind = kind.and_then(|kind| self.kinds.get(kind.0)).unwrap_or(&ServerKind::UNKNOWN);
         kind.role.map(|role| (role, kind.kv_capacity_tokens))
     }
 
-    /// The Retry-After that a rejected client gets; 0: none.
+    /// The Retry-After of rejections; 0: none.
     pub fn advertised_retry_after(&self) -> Nanos {
         if self.can_send_retry_after {
             self.max_retry_after
@@ -179,8 +186,8 @@
         }
     }
 
-    /// Replaces a tenant's quota, in requests per second. A number that is negative or not finite is ignored, as is
-    /// a tenant that the settings lack.
+    /// Replaces a tenant's quota, in requests per second. Negative or non-finite values and unknown
+    /// tenants are ignored.
     pub fn set_quota(&mut self, tenant: TenantId, quota_per_second: f64) {
         let is_valid = quota_per_second.is_finite() && quota_per_second >= 0.0;
         if let Some(tenant) = self.tenants.get_mut(tenant.0).filter(|_| is_valid) {
--- a/src/counts.rs
+++ b/src/counts.rs
@@ -1,11 +1,11 @@
-//! How counts by reason are written in logs.
+//! Log format of counts by reason.
 
 use std::fmt;
 
-/// Writes `reason=count` pairs, separated by commas; those with a count of 0 are left out.
+/// Writes `reason=count` pairs, separated by commas. Reasons with a count of 0 are omitted.
 ///
 /// # Errors
-/// When the formatter's target fails.
+/// Returns the error of the underlying writer.
 pub fn write_counts<'a>(
     f: &mut fmt::Formatter<'_>,
     counts: impl Iterator<Item = (&'a str, u64)>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides, for one router, which prefill worker and which decode worker serves each request, without I/O and without
-//! a clock of its own.
+//! The scheduler of one router: assigns each request to a prefill worker and a decode worker. It
+//! performs no I/O and does not read a clock; the caller passes the time with each event.
 //!
-//! [`policy`] holds every decision, [`api`] is its interface, [`state`] the tables and statistics that it goes by,
-//! [`view`] shows what it thinks of each server.
+//! [`policy`] makes all decisions, [`api`] is its interface, [`state`] holds the tables and statistics
+//! that the decisions depend on, and [`view`] exposes the current assessment of each server.
 
 #![warn(missing_docs)]
 
--- a/src/policy/request_end.rs
+++ b/src/policy/request_end.rs
@@ -1,4 +1,5 @@
-//! The end of a request: rejected where a retry is harmless, else failed; no KV cache stays held.
+//! The end of a request: it is rejected if a retry is harmless and fails otherwise, and its KV cache is
+//! released.
 
 use super::eligibility::WorkerPool;
 use super::send_guards::may_reject;
@@ -7,14 +8,14 @@
 use crate::state::{Attempt, InFlightRequest, Stage};
 
 impl Policy {
-    /// Gives a request up: it is rejected where a retry is harmless, else it fails.
+    /// Gives up a request: rejects it if a retry is harmless, and fails it otherwise.
     pub(super) fn give_up(&mut self, id: RequestId, reason: GiveUpReason) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(class) = self.class_of(request) else { return };
-        let retry_is_harmless = may_reject(class, self.may_run(request)).is_ok();
+        let is_retry_harmless = may_reject(class, self.may_run(request)).is_ok();
         let cause = GiveUpCause { reason, queueing_reason: self.queueing_reason(request, reason) };
         let retry_after = self.settings.advertised_retry_after();
-        let answer = if retry_is_harmless {
+        let answer = if is_retry_harmless {
             Action::Reject { id, retry_after, cause }
         } else {
             Action::Fail { id, cause }
@@ -22,9 +23,9 @@
         self.end_request(id, Some(answer));
     }
 
-    /// What has kept a request waiting that has no attempt in flight, as far as it can be told now.
+    /// Why a request without an attempt in flight is still waiting, judged by the current state.
     fn queueing_reason(&self, request: &InFlightRequest, reason: GiveUpReason) -> Option<QueueingReason> {
-        if request.attempt.is_some() || !reason.ends_a_wait() {
+        if request.attempt.is_some() || !reason.ends_queueing() {
             return None;
         }
         let has_none = |pool| self.candidates(pool, request).is_empty();
@@ -42,14 +43,15 @@
         })
     }
 
-    /// An attempt may have run, or may yet. A prefill has no effect, but one that can't be
-    /// cancelled may go on.
+    /// Whether an attempt may have run, or may still run. A prefill has no effect, but it may continue
+    /// if it can't be cancelled.
     fn may_run(&self, request: &InFlightRequest) -> bool {
         let may_run = |attempt: Attempt| attempt.stage != Stage::Prefill || !self.settings.can_cancel;
         request.may_have_run.is_some() || request.attempt.is_some_and(may_run)
     }
 
-    /// Ends a request: by a final answer of ours, or because its client has left.
+    /// Ends a request with a final answer from this router, or without one if its client has
+    /// disconnected.
     pub(super) fn end_request(&mut self, id: RequestId, answer: Option<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.finished) else { return };
         let (attempt, has_kv_cache) = (request.attempt, request.kv_cache.is_some());
@@ -59,14 +61,14 @@
             self.settings.can_cancel && !attempt.is_streaming() && !attempt.is_cancelled()
         };
         let cancelled = attempt.filter(can_cancel);
-        // First, so that no retry crosses an attempt that is in flight.
+        // Cancelled before the answer, so that a retry never overlaps the attempt.
         self.actions.extend(cancelled.map(|attempt| Action::Cancel { id, attempt: attempt.number }));
         self.actions.extend(answer);
         if attempt.is_none() {
             self.actions.extend(has_kv_cache.then_some(Action::ReleaseKv(id)));
             self.requests.remove(id);
         } else if cancelled.is_none() && has_kv_cache {
-            // Nobody may hear of the end of its decode attempt, and that may never have arrived.
+            // The decode attempt may never have arrived, and its end may never be reported.
             self.release_beside_attempt(id);
         }
     }
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,75 +1,75 @@
-//! What the module thinks of each server, for operators: nothing here changes state.
+//! Read-only view of each server's status, for operators.
 
 use crate::api::{ClassId, Nanos, Role, ServerId, TenantId};
 use crate::policy::{is_unhealthy, is_warming_up, slow_start_allows, Policy};
 use crate::state::{Server, TrafficClassKey};
 
-/// Why a server gets nothing new, or less than its peers, the strongest reason first.
+/// Why a server gets no new requests, or fewer than its peers. The strongest reason comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvoidReason {
-    /// It is listed as draining or removed, or is not listed any more.
+    /// The server is listed as draining or removed, or is no longer listed.
     NotReady,
-    /// It could not be reached, or has answered nothing for too long.
+    /// Connections to the server fail, or it has not responded for too long.
     Unreachable,
-    /// It is ejected after failures.
+    /// The server is ejected after failures.
     Ejected {
         /// When the ejection ends.
         until: Nanos,
     },
-    /// It is so much slower than its peers that it gets one request at a time.
+    /// The server is so much slower than its peers that it gets one request at a time.
     Outlier,
-    /// It is warming up, and was sent its share of what warm peers get.
+    /// The server is warming up and its slow start budget is used up.
     WarmingUp,
-    /// It reported, or is estimated, to be saturated.
+    /// The server has reported saturation, or is estimated to be saturated.
     Saturated,
 }
 
-/// A traffic class for which a server is ejected: it rejects that or leaves it unanswered while it
-/// serves the rest.
+/// An ejection for one traffic class, whose requests the server rejects or leaves unanswered while
+/// it serves other traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialEjection {
-    /// The class of the requests.
+    /// The traffic class.
     pub class: ClassId,
-    /// Their tenant, if known.
+    /// The tenant of the requests, if known.
     pub tenant: Option<TenantId>,
     /// When the ejection ends.
     pub until: Nanos,
 }
 
-/// One server as the module sees it now.
+/// The current status of one server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
-    /// Its id.
+    /// The server.
     pub server: ServerId,
-    /// What it is asked to do.
+    /// The stages that it runs.
     pub role: Role,
-    /// Why it gets nothing new, or less than its peers, if so.
+    /// Why it gets no new requests, or fewer than its peers, if so.
     pub avoid_reason: Option<AvoidReason>,
-    /// The ejections for a traffic class that hold now: at most one for each class and tenant.
+    /// Current ejections for single traffic classes: at most one for each class and tenant.
     pub partial_ejections: Vec<PartialEjection>,
-    /// Own attempts in flight that have not sent their first token.
+    /// This router's attempts at the server that have not produced their first token.
     pub awaiting_first_token: u32,
-    /// Own prompt tokens that are not prefilled yet.
+    /// This router's prompt tokens at the server that are not prefilled yet.
     pub queued_prompt_tokens: f64,
-    /// The estimated share of its KV cache in use; 0 where its capacity is not known.
+    /// Estimated share of its KV cache in use; 0 if its capacity is unknown.
     pub memory_utilization: f64,
-    /// The share of its KV cache in use as it last reported.
+    /// Share of its KV cache in use, as last reported by the server.
     pub reported_memory_utilization: Option<f64>,
-    /// Its latency as a multiple of its peers' median.
+    /// Its latency as a multiple of the median of its peers.
     pub latency_ratio: f64,
-    /// What it may be sent at once while it is warming up, in mean requests; `None` once it is warm.
+    /// Remaining slow start budget, in mean requests; `None` unless it is warming up.
     pub slow_start_budget: Option<f64>,
-    /// When it last sent anything; 0: never.
+    /// When it last responded; 0: never.
     pub last_response_at: Nanos,
 }
 
 impl Policy {
-    /// Whether a server has answered something that was sent after that time.
+    /// Whether a server has answered something that was sent after `at`.
     pub fn has_run_since(&self, server: ServerId, at: Nanos) -> bool {
         self.servers.get(server).is_some_and(|server| server.liveness.ran_since(at))
     }
 
-    /// All servers that are known, in the order of their ids.
+    /// The views of all known servers, in the order of their ids.
     pub fn views(&self) -> impl Iterator<Item = ServerView> + '_ {
         self.servers.iter().map(|server| self.view(server))
     }
