--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,9 @@
-//! Which queued requests are admitted to their prefill, and when: as far as decode workers have
-//! capacity for them.
+//! Which queued requests are admitted to prefill, and when: as far as decode workers have capacity
+//! for them.
 
 use super::constants::{
-    ADMISSION_CHECKS_PER_EVENT, NEIGHBORHOOD, PREFILL_RATE_GROWTH, PREFILL_REDUCTION, RATE_SPAN, RECENT,
+    ADMISSION_CHECKS_PER_EVENT, NEIGHBORHOOD, PREFILL_RATE_GROWTH, PREFILL_REDUCTION, RATE_SPAN,
+    RECENT_WINDOW,
 };
 use super::eligibility::WorkerPool;
 use super::Policy;
@@ -12,12 +13,13 @@
     Server, TrafficClassKey,
 };
 
-/// The requests that wait for their prefill, and how fast prefills may be sent.
+/// The requests that wait for their prefill, and the rate limit of prefills.
 #[derive(Default)]
 pub(super) struct Admission {
     queue: AdmissionQueue,
     throttle: AdaptiveThrottle,
-    /// The last request that was checked, where the next event goes on behind it.
+    /// The last request checked on the previous event, if its checks ran out: the next event
+    /// continues behind it.
     resume_after: Option<QueuePosition>,
 }
 
@@ -26,24 +28,24 @@
         self.queue.is_empty()
     }
 
-    /// Drops a request, if it is queued.
+    /// Removes a request, if it is queued.
     pub(super) fn remove(&mut self, id: RequestId) {
         self.queue.remove(id);
     }
 
-    /// The queued requests that have to be checked by `check_at`, or whose objective is before
+    /// The queued requests that have to be checked by `check_at`, or whose latency objective is before
     /// `objective_at`.
     pub(super) fn due(&self, check_at: Nanos, objective_at: Nanos) -> impl Iterator<Item = RequestId> + '_ {
         self.queue.due(check_at, objective_at)
     }
 
-    /// A prefill is sent.
+    /// Counts a prefill that is sent.
     pub(super) fn record_prefill(&mut self, now: Nanos) {
         self.throttle.record_send(now, RATE_SPAN);
     }
 
-    /// A prefill took so long that it is lost: fewer are sent for a while.
-    pub(super) fn record_lost_prefill(&mut self, now: Nanos) {
+    /// Throttles prefills after one that missed its latency objective.
+    pub(super) fn record_missed_prefill(&mut self, now: Nanos) {
         self.throttle.reduce(now, PREFILL_REDUCTION);
     }
 
@@ -52,15 +54,15 @@
     }
 }
 
-/// The next queued request of a traffic class of which some may be admitted.
+/// The head of a group: the next queued request of a traffic class that may be admitted.
 struct GroupHead {
     traffic: Option<TrafficClassKey>,
     next: Option<QueuedRequest>,
-    /// The least KV cache tokens for which there was no capacity.
+    /// The smallest number of KV cache tokens for which no capacity was found.
     rejected_kv_tokens: f64,
 }
 
-/// The head whose next request is the first of all, and that request.
+/// The group head whose request is first in the queue, and that request.
 fn first_head(heads: &mut [GroupHead]) -> Option<(&mut GroupHead, QueuedRequest)> {
     let with_next = heads.iter_mut().filter_map(|head| head.next.map(|next| (head, next)));
     with_next.min_by_key(|(_, next)| next.position)
@@ -74,10 +76,9 @@
         self.admission.queue.insert(id, request, check_at);
     }
 
-    /// Admits queued requests in their order, as far as there is capacity. Of a traffic class of
-    /// which not even the least request can be admitted none is checked. Where requests choose
-    /// among neighbourhoods each has servers of its own: then all classes are checked, some
-    /// requests with each event.
+    /// Admits queued requests in queue order as far as there is capacity. A traffic class is skipped
+    /// if not even its smallest request can be admitted. With neighbourhoods, each request has its
+    /// own set of servers: all classes are checked then, a limited number of requests per event.
     pub(super) fn admit(&mut self) {
         if self.admission.is_empty() || !self.admission.may_send_prefill(self.now) {
             return;
@@ -94,7 +95,7 @@
             };
             let id = position.id;
             checked = Some(position);
-            // What needs no less than one for which there was no capacity finds none either.
+            // A request that needs at least as much as a previous one without capacity has none either.
             let has_capacity = requirements.kv_tokens < head.rejected_kv_tokens
                 && self.can_decode_later(id, requirements.kv_tokens);
             if !has_capacity && head.traffic.is_some() && !by_neighborhood {
@@ -107,26 +108,25 @@
                 if !self.admission.may_send_prefill(self.now) {
                     return;
                 }
-                // It has changed what there is capacity for.
+                // The prefill has changed the available capacity.
                 heads = self.group_heads(checked);
                 continue;
             }
             if by_neighborhood {
                 checks_left -= 1;
-                self.widen_search(id);
+                self.advance_ring_position(id);
             }
             head.next = self.admission.queue.next_of(head.traffic, checked);
         }
     }
 
-    /// The heads of the traffic classes of which some may be admitted, each behind the last request
-    /// that was checked.
+    /// The heads of the groups that may be admitted, each after the last request that was checked.
     fn group_heads(&self, checked: Option<QueuePosition>) -> Vec<GroupHead> {
         let by_neighborhood = self.fleet.uses_neighborhoods();
         let mut heads = Vec::new();
         for (traffic, group) in self.admission.queue.groups() {
-            let is_checked_anyway = by_neighborhood || group.is_single();
-            if is_checked_anyway || self.may_admit_any(traffic, &group.least_requirements()) {
+            let is_always_checked = by_neighborhood || group.is_single();
+            if is_always_checked || self.may_admit_any(traffic, &group.least_requirements()) {
                 let next = group.first_after(checked);
                 heads.push(GroupHead { traffic, next, rejected_kv_tokens: f64::INFINITY });
             }
@@ -134,8 +134,8 @@
         heads
     }
 
-    /// Whether a request of a traffic class that requires so little may be admitted. Requests that
-    /// some servers must not be sent are checked one by one.
+    /// Whether any request of a traffic class may be admitted, given the least requirements in its
+    /// group. Requests that may not be sent to some servers (`None`) are checked one by one.
     fn may_admit_any(&self, traffic: Option<TrafficClassKey>, least: &ResourceRequirements) -> bool {
         if traffic.is_none() {
             return true;
@@ -150,29 +150,29 @@
         self.have_joint_capacity(&workers, least.kv_tokens)
     }
 
-    /// Whether the servers that a request chooses among can decode it after its prefill.
+    /// Whether the servers that a request chooses from can decode it after its prefill.
     fn can_decode_later(&self, id: RequestId, kv_tokens: f64) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         self.mixed_server_has_capacity(Some(request), kv_tokens) || self.decode_workers_have_capacity(request)
     }
 
-    /// False only if no prefill worker can have capacity for what has so long a time to its
-    /// objective: `start_prefill` would find the same, one worker after the other.
+    /// False only if no prefill worker can have capacity, given the time left to the latency
+    /// objective. A cheap check: `start_prefill` would find the same worker by worker.
     fn prefill_may_have_capacity(&self, requirements: &ResourceRequirements) -> bool {
         let prefill = &self.fleet.ready().prefill;
         if prefill.is_empty() || self.settings.decode_workers_can_prefill {
             return true;
         }
         let has_capacity = |server: &Server| {
-            !server.was_saturated_within(self.now, RECENT)
+            !server.was_saturated_within(self.now, RECENT_WINDOW)
                 && !self.is_prefill_wait_long(server, requirements.time_to_objective)
         };
         self.servers.at(prefill).any(has_capacity)
     }
 
-    /// None of the servers near a request's position has capacity: next time it is those behind
-    /// them, and so round.
-    pub(super) fn widen_search(&mut self, id: RequestId) {
+    /// Moves a request to the next neighbourhood on the hash ring, as its current one has no capacity.
+    /// Repeated calls go around the whole ring.
+    pub(super) fn advance_ring_position(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if request.awaits_probes(self.now) {
             return;
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -1,15 +1,15 @@
-//! The end of attempts: what is learnt from it, and what follows it.
+//! The end of attempts: what it says about the servers, and how the request continues.
 
 use super::constants::{
     ATTEMPTS_FROM_KV_CACHE, ATTEMPTS_FROM_START, LATENCY_COMPARISON, PREFILL_BASE_TOKENS, PREFILL_GAINS,
-    PREFILL_LOST_FRACTION, REPORT_LAG,
+    PREFILL_MISSED_FRACTION, REPORT_LAG,
 };
 use super::Policy;
 use crate::api::{Action, AttemptOutcome, AttemptStatus, GiveUpReason, Idempotency, RequestId};
 use crate::state::{Attempt, MayHaveRun, Stage};
 
 impl Policy {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_attempt_finished(&mut self, outcome: &AttemptOutcome) {
         self.record_health(outcome);
         let ended = self.requests.update(outcome.id, |request| {
@@ -33,7 +33,7 @@
             return;
         }
         let Some(request) = self.requests.get(outcome.id) else { return };
-        let lost_after = PREFILL_LOST_FRACTION * request.time_to_objective();
+        let missed_after = PREFILL_MISSED_FRACTION * request.time_to_objective();
         if attempt.stage == Stage::Prefill {
             let uncached = request.request().prompt_tokens - outcome.cached_prompt_tokens as f64;
             let computed = PREFILL_BASE_TOKENS + uncached.max(0.0);
@@ -41,12 +41,12 @@
                 self.prefill_cost.record_finished(attempt, outcome.latency, computed, PREFILL_GAINS);
             LATENCY_COMPARISON.record(&mut self.servers, outcome.server, per_token);
         }
-        if outcome.latency as f64 > lost_after {
-            self.admission.record_lost_prefill(self.now);
+        if outcome.latency as f64 > missed_after {
+            self.admission.record_missed_prefill(self.now);
         }
     }
 
-    /// Decides what follows the end of an attempt.
+    /// Decides how a request continues after the end of an attempt.
     fn follow_up_attempt(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
         let id = outcome.id;
         let Some(request) = self.requests.get(id) else { return };
@@ -55,28 +55,27 @@
             self.requests.remove(id);
             return;
         }
-        let may_have_run = request.may_have_run.or_else(|| self.possible_run(outcome, attempt));
+        let may_have_run = request.may_have_run.or_else(|| self.possible_execution(outcome, attempt));
         let is_kv_cache_missing = outcome.kv_cache_missing && attempt.stage != Stage::Prefill;
-        let says_nothing_of_server =
-            matches!(outcome.status, AttemptStatus::Prefilled | AttemptStatus::NoSocket);
+        let is_server_failure = !matches!(outcome.status, AttemptStatus::Prefilled | AttemptStatus::NoSocket);
         self.requests.update(id, |request| {
             request.may_have_run = may_have_run;
             if is_kv_cache_missing {
                 request.kv_cache = None;
-            } else if !says_nothing_of_server && !request.failed_servers.contains(&outcome.server) {
+            } else if is_server_failure && !request.failed_servers.contains(&outcome.server) {
                 request.failed_servers.push(outcome.server);
             }
         });
         if is_kv_cache_missing {
-            // Out of the decode worker's reach is not released: a holder that is cut off still has
-            // it.
+            // The KV cache was out of the decode worker's reach, which does not mean that it is gone: a
+            // holder that is cut off still has it, and has to release it.
             self.actions.push(Action::ReleaseKv(id));
         }
         self.continue_request(id, outcome.status);
     }
 
-    /// The attempt, if it may have run and a second one would not be harmless.
-    fn possible_run(&self, outcome: &AttemptOutcome, attempt: &Attempt) -> Option<MayHaveRun> {
+    /// The attempt, if it may have run and a second execution may be harmful.
+    fn possible_execution(&self, outcome: &AttemptOutcome, attempt: &Attempt) -> Option<MayHaveRun> {
         let request = self.requests.get(outcome.id)?;
         let class = &self.settings.classes[request.request().class.0];
         let has_not_run = outcome.status.was_never_sent()
@@ -96,7 +95,7 @@
         })
     }
 
-    /// Goes on with a request without an attempt in flight, or gives it up.
+    /// Continues a request that has no attempt in flight, or gives it up.
     fn continue_request(&mut self, id: RequestId, last_status: AttemptStatus) {
         let Some(request) = self.requests.get(id) else { return };
         let has_kv_cache = request.kv_cache.is_some();
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: when and how they are sent, and their first token.
+//! How attempts are sent, and what follows from their first token.
 
 use super::constants::{
     CANCELLATIONS_PER_ATTEMPT, LATENCY_COMPARISON, LOAD_MAX_AGE, MAX_CANCELLATIONS, MEAN_GAIN,
@@ -32,37 +32,37 @@
         self.actions.push(Action::Send { id, server: planned.server, timeout, send_by });
     }
 
-    /// How long an attempt may go without an answer where it can't be cancelled; 0: until the
-    /// client gives up.
+    /// Timeout of an attempt, set only if attempts can't be cancelled; 0: until the client's deadline.
     fn send_timeout(&self, request: &InFlightRequest, planned: &Attempt) -> Nanos {
         let is_harmless = planned.stage == Stage::Prefill || self.is_idempotent(request);
         let is_limited = is_harmless && !self.settings.can_cancel;
         if !is_limited || !self.answers_early(request, planned.stage) {
             return 0;
         }
-        MIN_SEND_TIMEOUT.max(self.prefill_patience(request, planned))
+        MIN_SEND_TIMEOUT.max(self.prefill_overdue_after(request, planned))
     }
 
-    /// When the last byte of an attempt has to be out: within the window of a repeat, and the
-    /// release time of its KV cache.
+    /// Time by which the last byte of an attempt has to be written: within the deduplication window of
+    /// a repeat, and within the release time of its KV cache.
     fn send_deadline(&self, request: &InFlightRequest) -> Nanos {
         let release_within = self.settings.kv_release_within.max(self.check_interval());
         self.repeat_deadline(request).min(request.kv_release_at(release_within))
     }
 
-    /// Whether an attempt sends something before its end, so that silence says something.
+    /// Whether a healthy attempt responds early, so that a missing response indicates a failure. Decode
+    /// and combined attempts of classes that are not streamed respond only at their end.
     pub(super) fn answers_early(&self, request: &InFlightRequest, stage: Stage) -> bool {
         stage == Stage::Prefill || self.class_of(request).is_some_and(|class| class.streamed)
     }
 
-    /// How long an attempt may go without an answer, by its latency objective and by what prefills
-    /// take.
-    pub(super) fn prefill_patience(&self, request: &InFlightRequest, attempt: &Attempt) -> Nanos {
+    /// Time without an answer after which a prefill is overdue, from its latency objective and the
+    /// learnt prefill pace.
+    pub(super) fn prefill_overdue_after(&self, request: &InFlightRequest, attempt: &Attempt) -> Nanos {
         let pace = self.prefill_cost.late_time_per_token(OVERDUE_DEVIATIONS);
         (PREFILL_WAIT_FRACTION * request.time_to_objective() + attempt.queued_tokens * pace) as Nanos
     }
 
-    /// An attempt has sent its first token: its KV cache was fetched.
+    /// Handles the first token of an attempt, which shows that its KV cache was fetched.
     pub(super) fn on_first_token(&mut self, id: RequestId, number: AttemptNumber, latency: Nanos) {
         let Some(request) = self.requests.get(id) else { return };
         let holder = request.kv_cache.and_then(|kv_cache| self.servers.get(kv_cache.server));
@@ -70,10 +70,10 @@
         let first_sent_at = request.first_sent_at.unwrap_or(self.now);
         let awaited = request.attempt.filter(|attempt| attempt.number == number && !attempt.is_streaming());
         let is_server_known = |attempt: &Attempt| self.servers.get(attempt.server).is_some();
-        let begun = awaited.filter(is_server_known);
+        let now_streaming = awaited.filter(is_server_known);
         self.requests.update(id, |request| {
             request.kv_cache = None;
-            if let Some(attempt) = begun {
+            if let Some(attempt) = now_streaming {
                 request.attempt = Some(Attempt { progress: AttemptProgress::Streaming, ..attempt });
             }
         });
@@ -81,13 +81,13 @@
             let elapsed = self.now.saturating_sub(first_sent_at);
             self.traffic.record_first_token(self.now, elapsed, LOAD_MAX_AGE);
         }
-        if let Some(attempt) = begun {
+        if let Some(attempt) = now_streaming {
             let is_within_cell = self.record_streaming(&attempt, latency) == kv_cell;
             self.learn_latency(&attempt, latency, is_within_cell);
         }
     }
 
-    /// Books the first token of an attempt at its server, and returns the server's cell.
+    /// Records the first token of an attempt at its server, and returns the server's cell.
     fn record_streaming(&mut self, attempt: &Attempt, latency: Nanos) -> Option<CellId> {
         let server = self.servers.get_mut(attempt.server)?;
         server.begin_streaming(self.now, REPORT_LAG, attempt);
@@ -104,8 +104,8 @@
         } else {
             self.prefill_cost.record_time_per_token(per_token, PREFILL_GAINS);
         }
-        // One measure for each role: mixed servers by what they take whole, decode workers by what
-        // they fetch.
+        // Each role is compared by one measure: mixed servers by the time per token of combined
+        // attempts, decode workers by the latency of decode attempts.
         let is_mixed = self.servers.get(attempt.server).is_some_and(|s| s.listing.role == Role::Mixed);
         if is_decode != is_mixed {
             let sample = if is_decode { latency as f64 } else { per_token };
--- a/src/policy/connect.rs
+++ b/src/policy/connect.rs
@@ -1,75 +1,74 @@
-//! What a connection that did not come up says, whether it is retried at once, and what may go out
-//! on an idle one.
+//! What a failed connection means, whether it is retried at once, and which requests may use an idle
+//! connection.
 //!
-//! A router may have no descriptor, no port or no buffer for a moment. That says nothing of the
-//! server that was to be reached: taken for a server that could not be reached, it would make all
-//! of them look dead, and warming up when they are found to be there. The same connection is
-//! retried within its time; only then the attempt has ended.
+//! A router may briefly run out of descriptors, ports or buffers. That says nothing about the server:
+//! if it counted as an unreachable server, all servers would look dead, and would count as warming up
+//! once they are reachable again. The connection is therefore retried within its timeout; the attempt
+//! ends only after that.
 //!
-//! An open connection may fall silent without an error: what is written on it never arrives, and
-//! nobody says so. A request whose KV cache a server holds must not wait on that, since only a send
-//! that arrives stops the time in which it has to be released. Its send goes out on a connection
-//! that has just come up; all others may use an idle one.
+//! An open connection may stop delivering data without an error. A request whose KV cache is held by
+//! a server must not wait on such a connection, since only a send that arrives stops the KV release
+//! time. It is sent on a fresh connection; all other requests may use an idle one.
 
 use crate::api::{AttemptStatus, Nanos};
 
-/// The time between two attempts to connect where this machine had nothing to connect with.
+/// Interval between connection attempts after a local failure.
 pub const RETRY_INTERVAL: Nanos = 5_000_000;
 
-/// The share of a connection's time after which a second one is opened beside it: one that was lost
-/// on its way, or is never answered, would else count as a server that can't be reached.
+/// Fraction of the connect timeout after which a second connection is opened in parallel. Without it,
+/// a lost or unanswered connection request would make the server count as unreachable.
 const HEDGE_FRACTION: f64 = 0.4;
-/// Idle connections to a server on which nothing but probes and releases goes out.
-const IDLE_FOR_CONTROL: usize = 2;
+/// Maximum idle connections to a server that are kept only for probes and releases.
+const IDLE_CONNECTIONS_FOR_CONTROL: usize = 2;
 
-/// The time after which a second connection is opened beside one that has not come up, of the time
-/// that one may take.
+/// Time after which a second connection is opened in parallel to one that is not established yet.
 pub fn hedge_connection_after(connect_timeout: Nanos) -> Nanos {
     (connect_timeout as f64 * HEDGE_FRACTION) as Nanos
 }
 
-/// What is lost if a send does not arrive on an idle connection that passes nothing any more.
+/// What is lost if a send does not arrive because its idle connection no longer delivers data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRisk {
-    /// No KV cache is held for its request: time is lost and nothing else.
+    /// Only time: no KV cache is held for the request.
     TimeOnly,
-    /// A server holds the KV cache that it is to fetch, and for so long only.
+    /// The KV cache of the request, which a server holds only for a limited time.
     HeldKvCache,
 }
 
 impl SendRisk {
-    /// Whether it may go out on an idle connection.
+    /// Whether the send may use an idle connection.
     pub fn may_reuse_connection(self) -> bool {
         self == SendRisk::TimeOnly
     }
 
-    /// The idle connections to keep to a server that gets such sends, of `most`.
+    /// How many idle connections to keep to a server that gets such sends, at most `most`.
     pub fn idle_connections(self, most: usize) -> usize {
         match self {
             SendRisk::TimeOnly => most,
-            SendRisk::HeldKvCache => IDLE_FOR_CONTROL.min(most),
+            SendRisk::HeldKvCache => IDLE_CONNECTIONS_FOR_CONTROL.min(most),
         }
     }
 }
 
-/// Why there is no connection. Nothing was sent on it.
+/// Why a connection could not be established. Nothing was sent on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// This machine had no descriptor, port or buffer for it.
+    /// The local machine had no descriptor, port or buffer for it.
     Local,
-    /// This machine had no route there: for a moment to anybody, or for good to that server.
+    /// The local machine had no route to the server: either a short outage of all routes, or a
+    /// permanent failure of this one.
     NoRoute,
-    /// The server refused it, or it did not come up in its time.
+    /// The server refused the connection, or it was not established within its timeout.
     Remote,
 }
 
 impl ConnectFailure {
-    /// Whether the same connection is to be retried while its time lasts.
+    /// Whether the connection is retried within its timeout.
     pub fn is_retryable(self) -> bool {
         self != ConnectFailure::Remote
     }
 
-    /// The status of an attempt or a probe that had no connection.
+    /// The status of an attempt or a probe that failed for this reason.
     pub fn status(self) -> AttemptStatus {
         match self {
             ConnectFailure::Local => AttemptStatus::NoSocket,
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -1,4 +1,4 @@
-//! Every value that the decisions go by, with its reason.
+//! The constants of the decision modules, with the reasons for their values.
 
 use crate::api::{Nanos, TimerToken};
 use crate::state::{EjectionBounds, LatencyComparison, LearningGains, NeighborhoodLimits, RateReduction};
@@ -6,164 +6,168 @@
 /// Nanoseconds in a millisecond.
 const MILLISECOND: Nanos = 1_000_000;
 
-/// The timer of the tick.
+/// Timer of the periodic tick.
 pub const TICK_TIMER: TimerToken = TimerToken(0);
-/// The timer after which the endpoint list is asked for again.
+/// Timer after which the endpoint list is watched again if an update failed.
 pub const ENDPOINT_POLL_TIMER: TimerToken = TimerToken(1);
 
-/// The time between two checks of deadlines, queued requests and overdue attempts.
+/// Interval between checks of deadlines, queued requests and overdue attempts.
 pub const TICK_INTERVAL: Nanos = 10 * MILLISECOND;
-/// An unanswered request ends so many checks before its client leaves, so that the answer still
-/// reaches it.
+/// An unanswered request is given up this many check intervals before its deadline, so that the answer
+/// still reaches its client.
 pub const GIVE_UP_MARGIN_CHECKS: f64 = 2.5;
-/// What counts as recent: a server that was saturated is left alone for so long, and one heard from
-/// needs no probe.
-pub const RECENT: Nanos = 1000 * MILLISECOND;
+/// What counts as recent: a server gets no new requests for this long after it was saturated, and needs
+/// no load probe for this long after a response. Also the shortest ejection.
+pub const RECENT_WINDOW: Nanos = 1000 * MILLISECOND;
 
-/// The share of the KV release time by which a KV cache has to be sent for, or its request is given
-/// up.
+/// Fraction of the KV release time within which the decode attempt has to be sent; otherwise the
+/// request is given up.
 pub const PLACEMENT_FRACTION: f64 = 0.7;
-/// The share of the KV release time after which the server of an unanswered decode attempt is probed.
+/// Fraction of the KV release time after which the server of an unanswered decode attempt is probed.
 pub const PROBE_FRACTION: f64 = 0.3;
-/// The share of it after which another decode worker is tried, if that server does not answer the
-/// probe.
+/// Fraction of the KV release time after which another decode worker is tried, if the server has not
+/// answered the probe.
 pub const RETRY_FRACTION: f64 = 0.6;
-/// The share of it after which the KV cache is released beside its unanswered decode attempt.
+/// Fraction of the KV release time after which the KV cache is released while its decode attempt is
+/// still unanswered.
 pub const RELEASE_FRACTION: f64 = 0.9;
-/// The time in which an attempt reaches a running server, and in which that answers a probe.
+/// Time in which an attempt reaches a running server, and in which the server answers a probe.
 pub const DELIVERY_TIME: Nanos = 50 * MILLISECOND;
 
-/// The KV cache utilization from which a decode worker counts as saturated: answers in progress grow.
+/// KV cache utilization from which a decode worker counts as saturated. It is below 1 because the KV
+/// caches of answers in progress grow.
 pub const SATURATION_UTILIZATION: f64 = 0.92;
-/// How much higher the KV cache utilization of a near decode worker may be than that of the least
-/// loaded one.
+/// How much the KV cache utilization of a nearby decode worker may exceed that of the least loaded one.
 pub const NEAR_DECODE_TOLERANCE: f64 = 0.25;
-/// What is added to that for each second that decoding begins later across cells, as it does over
-/// slow links.
+/// Addition to that tolerance for each second by which decoding starts later across cells, as it does
+/// over slow links.
 pub const SLOW_LINK_TOLERANCE: f64 = 0.5;
-/// The least relative speed that a server counts with, so that its load stays finite.
+/// Lower bound of a server's relative speed, so that its relative load stays finite.
 pub const MIN_RELATIVE_SPEED: f64 = 0.02;
-/// The least share of a warm server's speed that one that is warming up counts with.
+/// Lower bound of the speed factor of a server that is warming up.
 pub const MIN_SLOW_START_SPEED: f64 = 0.1;
 
-/// The most affinity that a prefill worker attracts, as a multiple of an even share, whatever
-/// decode workers its cell has.
+/// Upper bound of a prefill worker's affinity as a multiple of an even share, however many decode
+/// workers its cell has.
 pub const MAX_AFFINITY: f64 = 1.6;
-/// The least affinity that a prefill worker attracts, so that weights stay finite.
+/// Lower bound of a prefill worker's affinity, so that weights stay finite.
 pub const MIN_AFFINITY: f64 = 1e-3;
-/// The least share of a cell's weight that is divided by.
+/// Lower bound of a cell's share of prefill weight, as a divisor.
 pub const MIN_CELL_SHARE: f64 = 1e-9;
-/// Prefill workers that a shared prefix is spread over, for each even worker's share of all
-/// requests that it makes up.
+/// Number of prefill workers over which a shared prefix is spread for each 1/n of all requests that have
+/// this prefix, with n prefill workers.
 pub const WORKERS_PER_PREFIX_SHARE: f64 = 3.0;
-/// The span over which requests are counted for that.
+/// Window over which requests are counted for prefix popularity and request intervals.
 pub const POPULARITY_SPAN: Nanos = 60_000 * MILLISECOND;
 
-/// Tokens that a prefill costs whatever its length, for its steps and the hand-over.
+/// Fixed cost of a prefill in tokens, for its scheduling steps and the transfer of its result.
 pub const PREFILL_BASE_TOKENS: f64 = 400.0;
-/// The prompt length that is assumed where a request has none.
+/// Prompt length that is assumed if a request states none.
 pub const DEFAULT_PROMPT_TOKENS: f64 = 500.0;
-/// The weight of a new sample in running means, so that about the last ten count.
+/// Weight of a new sample in running means: about the last ten samples count.
 pub const MEAN_GAIN: f64 = 0.1;
-/// How the prefill cost model learns: a slower sample moves the unloaded pace by little, as it may
-/// have queued.
+/// Learning rates of the prefill cost model. A slower sample changes the unloaded pace only a little,
+/// as it may have queued.
 pub const PREFILL_GAINS: LearningGains = LearningGains { mean: MEAN_GAIN, slower_unloaded: 0.02 };
-/// A prefill is overdue when it is slower than the mean by so many deviations.
+/// A prefill is overdue if it exceeds the mean by this many deviations.
 pub const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// The share of the latency objective from which a wait makes a prefill worker count as saturated;
-/// further requests wait in the router's queue.
+/// Fraction of the latency objective from which the queueing time of a prefill worker makes it count
+/// as saturated. Further requests wait in the router's queue.
 pub const PREFILL_WAIT_FRACTION: f64 = 0.25;
-/// The share of the latency objective from which a prefill is lost, a sign of more requests than
-/// all routers can serve.
-pub const PREFILL_LOST_FRACTION: f64 = 1.0;
-/// How prefills are throttled after a lost one: to a share of those recently sent, at most once a
+/// Fraction of the latency objective from which a prefill counts as missed, a sign of more requests
+/// than all routers can serve.
+pub const PREFILL_MISSED_FRACTION: f64 = 1.0;
+/// How prefills are throttled after a missed one: to a fraction of the recent rate, at most once a
 /// second.
 pub const PREFILL_REDUCTION: RateReduction =
-    RateReduction { factor: 0.8, measured_over: RATE_SPAN, interval: RECENT };
-/// The share by which the prefill rate grows in a second.
+    RateReduction { factor: 0.8, measured_over: RATE_SPAN, interval: RECENT_WINDOW };
+/// Relative growth of the prefill rate per second.
 pub const PREFILL_RATE_GROWTH: f64 = 0.2;
 
-/// The age from which load reports count no longer: many routers hear seldom from each server.
+/// Maximum age of load reports. It is long because each of many routers seldom hears from a server.
 pub const LOAD_MAX_AGE: Nanos = 3000 * MILLISECOND;
-/// The lag of load reports, with which own work is told from that of other routers.
+/// Lag of load reports, by which this router's share of a reported load is told from that of others.
 pub const REPORT_LAG: Nanos = 500 * MILLISECOND;
-/// The points that each request earns for probes, and for gossip: the share of all service that
-/// each of them may cost.
-pub const INFORMATION_POINTS: f64 = 0.015;
-/// The most points that are saved up.
-pub const MAX_INFORMATION_POINTS: f64 = INFORMATION_POINTS * 100.0;
-/// The least time between two gossip messages, of some 50 bytes each; more where they have to be
-/// earned.
+/// Budget points that each request earns for probes, and again for gossip: the fraction of the value
+/// of all requests that each of the two may cost.
+pub const LOAD_INFO_POINTS_PER_REQUEST: f64 = 0.015;
+/// Maximum points in each of these budgets.
+pub const MAX_LOAD_INFO_POINTS: f64 = LOAD_INFO_POINTS_PER_REQUEST * 100.0;
+/// Minimum interval between gossip messages of some 50 bytes each. It is longer if the budget does not
+/// cover their cost.
 pub const GOSSIP_INTERVAL: Nanos = 300 * MILLISECOND;
-/// The size of a gossip message for which its cost is set, in bytes.
+/// Message size, in bytes, to which the gossip cost in the settings refers.
 pub const GOSSIP_COST_BYTES: f64 = 256.0;
 
-/// How long a prefill waits for the answers of load probes.
+/// How long a prefill waits for the answers to load probes.
 pub const PROBE_WAIT: Nanos = 30 * MILLISECOND;
-/// The number of decode workers of the prefill worker's cell that are probed during a prefill.
+/// Number of decode workers in the prefill worker's cell that are probed during a prefill.
 pub const PROBED_DECODE_WORKERS: usize = 2;
-/// A decode worker whose probe takes longer has a queue, and counts as saturated.
+/// A decode worker whose probe takes this long has a queue and counts as saturated.
 pub const SLOW_PROBE_LATENCY: Nanos = 120 * MILLISECOND;
-/// The most load probes a second where there are many servers: some 2 KB with all that belongs to
-/// them.
+/// Maximum load probes per second if there are many servers: about 2 KB per second including all
+/// overhead.
 pub const LOAD_PROBES_PER_SECOND: f64 = 16.0;
-/// The time between two probes of a server that could not be reached.
+/// Interval between probes of an unreachable server.
 pub const HEALTH_CHECK_INTERVAL: Nanos = 400 * MILLISECOND;
 
-/// A server that fails is ejected until this router would send to it so often again.
-pub const EJECTION_VISITS: f64 = 1.0;
-/// The longest ejection.
+/// Length of a first ejection, as a multiple of the mean interval at which this router sends to the
+/// server.
+pub const EJECTION_SEND_INTERVALS: f64 = 1.0;
+/// Maximum length of an ejection.
 pub const MAX_EJECTION: Nanos = 16_000 * MILLISECOND;
-/// The latency ratio to the median of its peers from which a server counts as so much smaller.
+/// Ratio of a server's latency to the median of its peers from which its speed counts as divided by
+/// that ratio.
 pub const SLOW_LATENCY_RATIO: f64 = 2.0;
-/// The latency ratio from which a server is an outlier, and gets one request at a time.
+/// Latency ratio from which a server is an outlier and gets one request at a time.
 pub const OUTLIER_LATENCY_RATIO: f64 = 3.0;
-/// How the latencies of servers are compared: a server's own counts from its third sample on.
+/// How server latencies are compared. A server is compared from its third sample on.
 pub const LATENCY_COMPARISON: LatencyComparison =
-    LatencyComparison { gain: 0.25, needed_samples: 3, sweep_above: SERVERS_PER_STEP };
-
-/// A decode attempt without a first token for so long is queued: its worker counts as saturated.
-pub const DECODE_STALL: Nanos = 400 * MILLISECOND;
-/// A decode attempt without a first token for so long is cancelled if another worker has capacity.
-pub const DECODE_PATIENCE: Nanos = 900 * MILLISECOND;
-/// The cancellations that are allowed at the start.
+    LatencyComparison { gain: 0.25, needed_samples: 3, sweep_above: FULL_SCAN_SERVER_LIMIT };
+
+/// Time without a first token after which a decode attempt counts as queued, and its worker as
+/// saturated.
+pub const DECODE_SATURATED_AFTER: Nanos = 400 * MILLISECOND;
+/// Time without a first token after which a decode attempt is cancelled if another worker has capacity.
+pub const DECODE_OVERDUE_AFTER: Nanos = 900 * MILLISECOND;
+/// Initial cancellation budget.
 pub const INITIAL_CANCELLATIONS: f64 = 1.0;
-/// The cancellations that each attempt sent allows: in a jam more would add to it.
+/// Cancellations that each sent attempt adds to the budget. More would make congestion worse.
 pub const CANCELLATIONS_PER_ATTEMPT: f64 = 0.2;
-/// The most cancellations that are saved up.
+/// Maximum cancellation budget.
 pub const MAX_CANCELLATIONS: f64 = 1.0 + CANCELLATIONS_PER_ATTEMPT * 10.0;
-/// The least timeout of a send where attempts can't be cancelled.
+/// Minimum timeout of an attempt that can't be cancelled.
 pub const MIN_SEND_TIMEOUT: Nanos = 1500 * MILLISECOND;
-/// The attempts that an answer takes from the start: a prefill and a decode attempt.
+/// Attempts that a request needs from the start: a prefill and a decode attempt.
 pub const ATTEMPTS_FROM_START: u32 = 2;
-/// The attempts that an answer takes once there is a KV cache.
+/// Attempts that a request needs once it has a KV cache.
 pub const ATTEMPTS_FROM_KV_CACHE: u32 = 1;
 
-/// The span over which rates of sends are measured, for slow start and for the throttle.
+/// Window over which send rates are measured, for slow start and for the prefill throttle.
 pub const RATE_SPAN: Nanos = 5000 * MILLISECOND;
-/// Mean requests that a server that is warming up gets in an overload window when its peers get
-/// nothing.
+/// Mean requests per overload window that all routers together may send to a server that is warming up
+/// even if its peers get none.
 pub const SLOW_START_FLOOR: f64 = 0.5;
-/// The shortest overload window that is divided by, in seconds.
+/// Lower bound of the overload window as a divisor, in seconds.
 pub const MIN_OVERLOAD_WINDOW_SECONDS: f64 = 0.1;
 
-/// How many times its even part a tenant may send through this router: routers see uneven parts of
-/// its requests.
+/// A tenant may send this multiple of its even share of the quota through one router, as its requests
+/// are distributed unevenly over the routers.
 pub const QUOTA_TOLERANCE: f64 = 1.5;
-/// Seconds of its quota that a tenant may send at once, and one request besides.
+/// Burst size of a quota, in seconds of its rate; one more request is allowed on top.
 pub const QUOTA_BURST_SECONDS: f64 = 2.0;
 
-/// The number of servers up to which a request chooses among all, and a tick goes through all.
-pub const SERVERS_PER_STEP: usize = 256;
-/// Among which servers a request chooses where there are more.
+/// Number of servers up to which a request chooses among all servers, and a tick visits all of them.
+pub const FULL_SCAN_SERVER_LIMIT: usize = 256;
+/// Size of the neighbourhood that a request chooses from if there are more servers than that.
 pub const NEIGHBORHOOD: NeighborhoodLimits =
     NeighborhoodLimits { enough: 64, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
-/// Queued requests that are checked for each event, where each has servers of its own.
+/// Queued requests that are checked on each event if each has its own neighbourhood.
 pub const ADMISSION_CHECKS_PER_EVENT: usize = 8;
 
-/// The bounds of an ejection whose server this router would send to again after `revisit`, in
-/// nanoseconds.
-pub fn ejection_bounds(revisit: f64) -> EjectionBounds {
-    let shortest = (EJECTION_VISITS * revisit) as Nanos;
-    EjectionBounds { shortest: shortest.clamp(RECENT, MAX_EJECTION), longest: MAX_EJECTION }
+/// Bounds of the ejection of a server to which this router sends every `send_interval` nanoseconds on
+/// average.
+pub fn ejection_bounds(send_interval: f64) -> EjectionBounds {
+    let shortest = (EJECTION_SEND_INTERVALS * send_interval) as Nanos;
+    EjectionBounds { shortest: shortest.clamp(RECENT_WINDOW, MAX_EJECTION), longest: MAX_EJECTION }
 }
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,8 +1,8 @@
-//! The clock: deadlines, and attempts that take too long.
+//! The tick: deadlines and overdue attempts.
 
 use super::constants::{
-    ATTEMPTS_FROM_START, DECODE_PATIENCE, DECODE_STALL, GIVE_UP_MARGIN_CHECKS, LATENCY_COMPARISON,
-    PREFILL_BASE_TOKENS, PREFILL_GAINS, SERVERS_PER_STEP, TICK_INTERVAL,
+    ATTEMPTS_FROM_START, DECODE_OVERDUE_AFTER, DECODE_SATURATED_AFTER, FULL_SCAN_SERVER_LIMIT,
+    GIVE_UP_MARGIN_CHECKS, LATENCY_COMPARISON, PREFILL_BASE_TOKENS, PREFILL_GAINS, TICK_INTERVAL,
 };
 use super::eligibility::WorkerPool;
 use super::health::is_unhealthy;
@@ -11,38 +11,38 @@
 use crate::state::{Attempt, AttemptProgress, InFlightRequest, Server, Stage};
 use std::collections::BTreeSet;
 
-/// An attempt without an answer, as far as its overdue time matters.
+/// What decides whether an unanswered attempt is overdue, and whether it is cancelled.
 struct OverdueCheck {
     attempt: Attempt,
-    /// The time since it was sent.
+    /// Time since it was sent.
     age: Nanos,
-    /// The time after which it is overdue.
-    patience: Nanos,
-    /// The cell of the KV cache that it is to fetch.
+    /// Age from which it is overdue.
+    overdue_after: Nanos,
+    /// The cell of the KV cache that it has to fetch.
     kv_cell: Option<CellId>,
-    /// Its server has sent nothing since.
+    /// The server has not responded to anything since.
     is_server_silent: bool,
-    /// Its server is in the cell of the KV cache.
+    /// The server is in the cell of the KV cache.
     is_near: bool,
 }
 
 impl OverdueCheck {
-    /// It has the prompt to prefill.
-    fn prefills(&self) -> bool {
+    /// Whether the attempt includes the prefill of the prompt.
+    fn includes_prefill(&self) -> bool {
         self.attempt.stage != Stage::Decode
     }
 }
 
 impl Policy {
-    /// A tick: time has passed.
+    /// Handles a tick: checks requests and servers for what changes with time alone.
     pub(super) fn on_tick(&mut self) {
         self.tick_is_scheduled = false;
-        let is_sweep = self.servers.begin_sweep_if_due(self.now, TICK_INTERVAL, SERVERS_PER_STEP);
+        let is_sweep = self.servers.begin_sweep_if_due(self.now, TICK_INTERVAL, FULL_SCAN_SERVER_LIMIT);
         if is_sweep {
             self.slow_start.refill_budgets(self.now, &self.settings, &mut self.servers);
             LATENCY_COMPARISON.sweep(&mut self.servers);
         }
-        // Of those queued, none but the ones whose deadline or objective runs out.
+        // Of the queued requests, only those whose deadline or latency objective expires.
         let due = self.admission.due(self.give_up_horizon(), self.earliest_objective());
         let ids: BTreeSet<RequestId> = due.chain(self.requests.active().iter().copied()).collect();
         for id in ids {
@@ -54,13 +54,13 @@
         self.send_gossip();
     }
 
-    /// The longest time between two checks of deadlines: a site's own steps may be longer than a
-    /// tick.
+    /// Maximum time between two checks of deadlines. The time steps of a simulation may be longer than
+    /// a tick.
     pub(super) fn check_interval(&self) -> Nanos {
         TICK_INTERVAL.max(self.settings.step.saturating_mul(2))
     }
 
-    /// A request whose client leaves by then is answered now.
+    /// Requests with a deadline up to this time are given up now.
     pub(super) fn give_up_horizon(&self) -> Nanos {
         let margin = (self.check_interval() as f64 * GIVE_UP_MARGIN_CHECKS) as Nanos;
         self.now.saturating_add(margin)
@@ -90,13 +90,15 @@
         }
         let misses_objective = self.earliest_objective() > request.facts.objective_at;
         if misses_objective && request.kv_cache.is_none() {
-            // Queued, it can't meet its objective any more: it ends now, so that others can.
+            // A queued request that can no longer meet its objective is given up, so that others can
+            // meet theirs.
             return self.give_up(id, GiveUpReason::ObjectiveMissed);
         }
         self.place_decode(id);
     }
 
-    /// An attempt that takes too long: its server queues, is slow, is cut off or has died.
+    /// Handles an attempt that takes too long: its server has a queue, is slow, is cut off or has
+    /// crashed.
     fn check_overdue(&mut self, id: RequestId, attempt: Attempt) {
         let Some(request) = self.requests.get(id) else { return };
         if !self.answers_early(request, attempt.stage) {
@@ -104,19 +106,19 @@
         }
         let Some(check) = self.overdue_check(request, attempt) else { return };
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
-        if !check.prefills() && check.age >= DECODE_STALL {
+        if !check.includes_prefill() && check.age >= DECODE_SATURATED_AFTER {
             server.saturated_at = Some(self.now);
         }
-        if check.age < check.patience || attempt.is_cancelled() {
+        if check.age < check.overdue_after || attempt.is_cancelled() {
             return;
         }
         if check.is_server_silent && self.settings.can_probe && !server.liveness.is_unreachable() {
             server.liveness.mark_unresponsive(self.now);
         }
-        // A prefill worker that answers a probe at once has left the attempt unanswered; one that
-        // does not may be busy.
+        // A prefill worker that answers a probe without delay is not busy, and should have answered the
+        // attempt. One that does not may be busy, and the attempt gets more time.
         let has_answered_probe = server.liveness.fast_probe_at() > attempt.sent_at;
-        if check.prefills() && !has_answered_probe && check.age < 2 * check.patience {
+        if check.includes_prefill() && !has_answered_probe && check.age < 2 * check.overdue_after {
             return;
         }
         if self.may_cancel_overdue(id, &check) {
@@ -125,22 +127,26 @@
     }
 
     fn overdue_check(&self, request: &InFlightRequest, attempt: Attempt) -> Option<OverdueCheck> {
-        let prefills = attempt.stage != Stage::Decode;
-        let patience = if prefills { self.prefill_patience(request, &attempt) } else { DECODE_PATIENCE };
+        let includes_prefill = attempt.stage != Stage::Decode;
+        let overdue_after = if includes_prefill {
+            self.prefill_overdue_after(request, &attempt)
+        } else {
+            DECODE_OVERDUE_AFTER
+        };
         let holder = request.kv_cache.and_then(|kv_cache| self.servers.get(kv_cache.server));
         let kv_cell = holder.and_then(|server| server.listing.cell);
         let server = self.servers.get(attempt.server)?;
         Some(OverdueCheck {
             attempt,
             age: self.now - attempt.sent_at,
-            patience,
+            overdue_after,
             kv_cell,
             is_server_silent: server.liveness.last_response_at() < attempt.sent_at,
             is_near: server.listing.cell == kv_cell,
         })
     }
 
-    /// Whether an overdue attempt may be cancelled, and another server would do better.
+    /// Whether an overdue attempt may be cancelled, and another server is a better choice.
     fn may_cancel_overdue(&self, id: RequestId, check: &OverdueCheck) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let is_harmless = check.attempt.stage == Stage::Prefill || self.is_idempotent(request);
@@ -149,13 +155,13 @@
         if !is_harmless || !has_attempts_left || !self.cancellation_budget.can_afford(1.0) {
             return false;
         }
-        let pool = if check.prefills() { WorkerPool::Prefill } else { WorkerPool::Decode };
+        let pool = if check.includes_prefill() { WorkerPool::Prefill } else { WorkerPool::Decode };
         let candidates = self.candidates(pool, request);
         candidates.iter().any(|server| self.is_better_server(server, request, check))
     }
 
-    /// Whether another server would do better. What crosses cells may wait for a slow link: another
-    /// far decode worker is no better then.
+    /// Whether a server is a better choice than that of an overdue attempt. If the KV cache crosses
+    /// cells, the attempt may wait for a slow link, and another remote decode worker is no better.
     fn is_better_server(&self, server: &Server, request: &InFlightRequest, check: &OverdueCheck) -> bool {
         if server.id == check.attempt.server || is_unhealthy(self.now, server, Some(request.traffic())) {
             return false;
@@ -163,21 +169,21 @@
         let crosses_no_slow_link =
             check.is_near || check.is_server_silent || server.listing.cell == check.kv_cell;
         let has_capacity = || self.has_capacity(server, request.expected_kv_tokens());
-        check.prefills() || crosses_no_slow_link && has_capacity()
+        check.includes_prefill() || crosses_no_slow_link && has_capacity()
     }
 
     fn cancel_overdue(&mut self, id: RequestId, check: &OverdueCheck) {
         let traffic = self.requests.get(id).map(InFlightRequest::traffic);
         self.cancellation_budget.try_spend(1.0);
         self.eject(check.attempt.server, traffic);
-        if check.prefills() {
+        if check.includes_prefill() {
             let per_token = check.age as f64 / check.attempt.queued_tokens.max(PREFILL_BASE_TOKENS);
             self.prefill_cost.record_time_per_token(per_token, PREFILL_GAINS);
         }
         self.cancel_attempt(id, &check.attempt);
     }
 
-    /// Cancels an attempt before its time is up.
+    /// Cancels an attempt that is in flight.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: &Attempt) {
         let cancelled = Attempt { progress: AttemptProgress::Cancelled, ..*attempt };
         self.requests.update_unindexed(id, |request| request.attempt = Some(cancelled));
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -1,5 +1,5 @@
-//! Which servers a request may be sent to now: not in slow start without budget, unhealthy, or
-//! outside the scope in which its repeats are deduplicated.
+//! Which servers a request may be sent to now. Excluded are servers without slow start budget,
+//! unhealthy servers, and servers outside the deduplication scope of a repeat.
 
 use super::constants::{NEIGHBORHOOD, TICK_INTERVAL};
 use super::health::is_unhealthy;
@@ -9,33 +9,33 @@
 use crate::api::{Idempotency, Nanos, TrafficClass};
 use crate::state::{InFlightRequest, Neighborhood, Server, ServerIndices, TrafficClassKey};
 
-/// What servers are wanted for.
+/// The stage for which servers are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WorkerPool {
-    /// To prefill.
+    /// Servers that can prefill.
     Prefill,
-    /// To decode.
+    /// Servers that can decode.
     Decode,
 }
 
 impl Policy {
-    /// The servers that a request may be sent to now, without unhealthy ones while enough others
-    /// are left.
+    /// The servers that a request may be sent to now, without unhealthy servers as long as enough others
+    /// remain.
     pub(super) fn candidates(&self, pool: WorkerPool, request: &InFlightRequest) -> Vec<&Server> {
         let neighborhood = self.neighborhood(Some(request));
         self.eligible_servers(&neighborhood.servers, pool, Some(request), Some(request.traffic()))
     }
 
-    /// The servers that a request chooses among; without a request all. A repeat may be bound to
-    /// servers anywhere.
+    /// The neighbourhood that a request chooses from; all servers if there is no request, or if it is a
+    /// repeat, whose deduplication scope may lie anywhere.
     pub(super) fn neighborhood(&self, request: Option<&InFlightRequest>) -> Neighborhood<'_> {
         let cell = request.and_then(|request| self.servers.get(request.kv_cache?.server)?.listing.cell);
-        let bound = request.filter(|request| request.may_have_run.is_none());
-        self.fleet.neighborhood(bound.map(|request| request.position), cell, NEIGHBORHOOD)
+        let not_repeated = request.filter(|request| request.may_have_run.is_none());
+        self.fleet.neighborhood(not_repeated.map(|request| request.position), cell, NEIGHBORHOOD)
     }
 
-    /// The eligible ones among servers, for a request or for any of a traffic class. With no decode
-    /// worker left mixed servers take KV caches too.
+    /// The eligible servers among the given ones, for a request or for any request of a traffic class.
+    /// If no decode worker is reachable, mixed servers are eligible to decode as well.
     pub(super) fn eligible_servers(
         &self,
         among: &ServerIndices,
@@ -48,7 +48,8 @@
         let is_healthy =
             |server: &Server| !is_unhealthy(self.now, server, traffic) && !failed.contains(&server.id);
         let healthy: Vec<&Server> = allowed.iter().copied().filter(|server| is_healthy(server)).collect();
-        // Where most look unhealthy the cause is likely elsewhere, and the few left would be swamped.
+        // If most servers look unhealthy, the cause is likely elsewhere, and the remaining few would be
+        // overloaded.
         if !healthy.is_empty() && healthy.len() * 3 >= allowed.len() {
             return healthy;
         }
@@ -79,7 +80,8 @@
         allowed
     }
 
-    /// Whether a server would drop the request as a repeat if it has run, or it has not.
+    /// Whether the request may be sent to a server: it has not run, or the server would drop it as a
+    /// repeat.
     fn allows_repeat(&self, request: &InFlightRequest, server: &Server) -> bool {
         let Some(ran) = request.may_have_run else { return true };
         let Some(class) = self.class_of(request) else { return false };
@@ -87,7 +89,7 @@
         !self.is_repeat_impossible(request) && may_repeat(self.now, &Repeat { class, ran, zone, cell })
     }
 
-    /// It may have run and may never be sent again: waiting would only keep its client.
+    /// Whether the request may have run and can never be sent again, so that waiting is useless.
     pub(super) fn is_repeat_impossible(&self, request: &InFlightRequest) -> bool {
         let Some(ran) = request.may_have_run else { return false };
         let Some(class) = self.class_of(request) else { return true };
@@ -96,20 +98,20 @@
         class.idempotency == Idempotency::NotIdempotent || has_no_scope || is_too_late
     }
 
-    /// When the last byte of its next send has to be out: one with a key is a repeat only within
-    /// its window.
+    /// Time by which the last byte of a repeat has to be written: servers recognise an idempotency key
+    /// only within the deduplication window.
     pub(super) fn repeat_deadline(&self, request: &InFlightRequest) -> Nanos {
         let Some(ran) = request.may_have_run else { return Nanos::MAX };
         let Some(class) = self.class_of(request) else { return Nanos::MAX };
         ran.at.saturating_add(class.deduplication_window)
     }
 
-    /// The class of a request, if it is one of the settings.
+    /// The class of a request, if the settings define it.
     pub(super) fn class_of(&self, request: &InFlightRequest) -> Option<&TrafficClass> {
         self.settings.classes.get(request.request().class.0)
     }
 
-    /// A second attempt of the request is harmless, whatever the first has done.
+    /// Whether a second attempt of the request is always harmless.
     pub(super) fn is_idempotent(&self, request: &InFlightRequest) -> bool {
         self.class_of(request).is_some_and(|class| class.idempotency == Idempotency::Idempotent)
     }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,17 +1,19 @@
-//! The endpoint list: which servers there are, and how much affinity each prefill worker attracts.
+//! How the endpoint list is applied: the known servers, and how much affinity each prefill worker
+//! attracts.
 
 use super::constants::{
-    ENDPOINT_POLL_TIMER, MAX_AFFINITY, MIN_AFFINITY, MIN_CELL_SHARE, NEIGHBORHOOD, RECENT, SERVERS_PER_STEP,
+    ENDPOINT_POLL_TIMER, FULL_SCAN_SERVER_LIMIT, MAX_AFFINITY, MIN_AFFINITY, MIN_CELL_SHARE, NEIGHBORHOOD,
+    RECENT_WINDOW,
 };
 use super::Policy;
 use crate::api::{Action, AffinityKey, Endpoint, EndpointUpdate, Role};
 use crate::state::{FleetSummary, ListingState, Server};
 
 impl Policy {
-    /// The endpoint list, or a change of it, has come.
+    /// Applies an update of the endpoint list.
     pub(super) fn on_endpoints_changed(&mut self, update: EndpointUpdate, endpoints: &[Endpoint]) {
         if update == EndpointUpdate::Failed {
-            let retry = Action::SetTimer { token: ENDPOINT_POLL_TIMER, delay: RECENT };
+            let retry = Action::SetTimer { token: ENDPOINT_POLL_TIMER, delay: RECENT_WINDOW };
             return self.actions.push(retry);
         }
         if update == EndpointUpdate::Cached && self.settings.poll_endpoints {
@@ -23,7 +25,7 @@
             }
         }
         self.update_listings(endpoints);
-        self.fleet.update_listed(&mut self.servers, SERVERS_PER_STEP, NEIGHBORHOOD);
+        self.fleet.update_listed(&mut self.servers, FULL_SCAN_SERVER_LIMIT, NEIGHBORHOOD);
         for server in self.servers.iter_mut() {
             server.affinity_weight = affinity_weight(server, &self.fleet);
         }
@@ -45,15 +47,16 @@
             };
             server.listing.role = role;
             server.listing.kv_capacity_tokens = kv_capacity_tokens;
-            // Nothing new goes to a draining or removed server from now on: its grace is left unused.
+            // No new request is sent to a draining or removed server from now on; the drain grace is not
+            // used.
             server.update_listing(self.now, endpoint, seed.unit_interval(endpoint.server));
         }
     }
 }
 
-/// How much affinity a server attracts. Prefill workers attract it as the decode workers of their
-/// cell can take the KV caches without a transfer to another cell. What a mixed server prefills it
-/// decodes itself.
+/// How much affinity a server attracts. Prefill workers attract affinity in proportion to the decode
+/// capacity of their cell, so that KV caches need not be transferred to another cell. Mixed servers
+/// decode what they prefill.
 fn affinity_weight(server: &Server, fleet: &FleetSummary) -> f64 {
     let listing = &server.listing;
     let cell = listing.cell.filter(|_| listing.role == Role::Prefill);
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -1,12 +1,14 @@
-//! Messages between routers: when the own load is sent, and what routers that were not heard from
-//! may have.
+//! Gossip between routers: when this router sends its load, and the estimated load of routers without
+//! a report.
 
-use super::constants::{GOSSIP_COST_BYTES, GOSSIP_INTERVAL, INFORMATION_POINTS, MAX_INFORMATION_POINTS};
+use super::constants::{
+    GOSSIP_COST_BYTES, GOSSIP_INTERVAL, LOAD_INFO_POINTS_PER_REQUEST, MAX_LOAD_INFO_POINTS,
+};
 use super::Policy;
 use crate::api::{Action, Nanos, Settings};
 use crate::state::{encode_gossip, least_by, Budget, FleetSummary, ServerTable};
 
-/// When this router may send its load to the others.
+/// Limits how often this router sends its load to the others.
 #[derive(Default)]
 pub(super) struct Gossip {
     budget: Budget,
@@ -14,20 +16,20 @@
 }
 
 impl Gossip {
-    /// A request has come, which pays for some gossip.
+    /// Adds to the budget what a new request earns.
     pub(super) fn earn(&mut self) {
-        self.budget.earn(INFORMATION_POINTS, MAX_INFORMATION_POINTS);
+        self.budget.earn(LOAD_INFO_POINTS_PER_REQUEST, MAX_LOAD_INFO_POINTS);
     }
 
-    /// The message to send now, if any: where no server reports its load, and as often as that is
-    /// worth its cost.
+    /// The message to send now, if any. Gossip is sent only if no server reports its load, and only as
+    /// often as the budget covers its cost.
     fn next_message(&mut self, now: Nanos, settings: &Settings, servers: &ServerTable) -> Option<Vec<u8>> {
         let is_allowed = settings.can_gossip && settings.router_count >= 2;
         if !is_allowed || now < self.last_sent_at + GOSSIP_INTERVAL || servers_report_load(servers) {
             return None;
         }
         let message = local_load(servers);
-        // An empty message says nothing, and costs its sending all the same.
+        // An empty message has no content but would still cost its sending.
         if message.is_empty() || !self.budget.try_spend(cost(settings, &message)) {
             return None;
         }
@@ -40,7 +42,7 @@
     servers.iter().any(|server| server.reported_load.peer_kv_tokens().is_some())
 }
 
-/// The own load, the most loaded servers first: a message has no space for all where there are many.
+/// Encodes this router's load, the most loaded servers first: a message can't hold all of many servers.
 fn local_load(servers: &ServerTable) -> Vec<u8> {
     let load = servers.iter().map(|server| (server.id, server.local_load.reserved_kv_tokens())).collect();
     let most_loaded_first = least_by(load, usize::MAX, |(_, tokens)| -tokens);
@@ -52,8 +54,8 @@
     settings.gossip_cost * receivers * message.len() as f64 / GOSSIP_COST_BYTES
 }
 
-/// What the routers without a report are taken to have at each server: the mean of those known,
-/// less what chance may do, as a handful of requests says little of hundreds of routers.
+/// Estimated tokens that routers without a report have at each server: the mean of the known routers,
+/// reduced by its sampling error, as a few known requests say little about hundreds of routers.
 fn estimate_unreported(
     router_count: u32,
     reporting_routers: f64,
@@ -67,13 +69,13 @@
 }
 
 impl Policy {
-    /// Sends the own load to the other routers, if it is time.
+    /// Sends this router's load to the other routers if a message is due.
     pub(super) fn send_gossip(&mut self) {
         let message = self.gossip.next_message(self.now, &self.settings, &self.servers);
         self.actions.extend(message.map(|data| Action::SendGossip { peer: None, data }));
     }
 
-    /// Brings the estimate up to date; it changes with each report and request.
+    /// Updates the estimate, which changes with each report and each request.
     pub(super) fn estimate_unreported_load(&mut self) {
         let reporting_routers = self.peer_load.reporting_routers();
         let mean_request_tokens = self.traffic.mean_request_tokens();
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,15 +1,15 @@
-//! Health of servers, by their failures and against their peers.
+//! Health of servers, from their failures and from comparison with their peers.
 
 use super::constants::{
-    ejection_bounds, HEALTH_CHECK_INTERVAL, OUTLIER_LATENCY_RATIO, POPULARITY_SPAN, RECENT, REPORT_LAG,
-    SLOW_PROBE_LATENCY,
+    ejection_bounds, HEALTH_CHECK_INTERVAL, OUTLIER_LATENCY_RATIO, POPULARITY_SPAN, RECENT_WINDOW,
+    REPORT_LAG, SLOW_PROBE_LATENCY,
 };
 use super::Policy;
 use crate::api::{Action, AffinityKey, AttemptOutcome, AttemptStatus, LoadReport, Nanos, Role, ServerId};
 use crate::state::{InFlightRequest, Server, TrafficClassKey};
 
 /// Whether a server is to be avoided: unreachable, ejected for all traffic or for this class, or an
-/// outlier that has its one request.
+/// outlier that already has its single request.
 pub(crate) fn is_unhealthy(now: Nanos, server: &Server, traffic: Option<TrafficClassKey>) -> bool {
     let is_ejected = server.ejections.is_ejected(now, None)
         || traffic.is_some() && server.ejections.is_ejected(now, traffic);
@@ -19,9 +19,9 @@
 }
 
 impl Policy {
-    /// Ejects a server for a while, for all traffic or for a class that it rejects or leaves
-    /// unanswered while it serves the rest. One failure has to tell where a router seldom sends to
-    /// a server.
+    /// Ejects a server temporarily, for all traffic or for a class that it rejects or leaves unanswered
+    /// while it serves other traffic. A single failure is enough, since a router may send only seldom to
+    /// each server.
     pub(super) fn eject(&mut self, id: ServerId, traffic: Option<TrafficClassKey>) {
         let interval = self.traffic.mean_interval(self.now, POPULARITY_SPAN);
         let bounds = ejection_bounds(interval * self.servers.len() as f64);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Records what the end of an attempt says of its server.
+    /// Updates the health of a server from the outcome of an attempt.
     pub(super) fn record_health(&mut self, outcome: &AttemptOutcome) {
         let now = self.now;
         let traffic = self.requests.get(outcome.id).map(InFlightRequest::traffic);
@@ -55,15 +55,15 @@
                 self.eject(outcome.server, traffic);
             }
             AttemptStatus::Timeout => self.eject(outcome.server, traffic),
-            // A probe finds out when it is back. A broken connection alone is no new process, and
-            // not warming up.
+            // A probe detects when the server is back. A broken connection alone does not mean that a new
+            // process has started, which would be warming up.
             AttemptStatus::ConnectFailed => server.liveness.mark_connection_lost(now),
             AttemptStatus::Reset => server.liveness.mark_unresponsive(now),
             _ => {}
         }
     }
 
-    /// A probe has ended.
+    /// Handles the end of a probe.
     pub(super) fn on_probe_finished(
         &mut self,
         id: ServerId,
@@ -92,8 +92,7 @@
         }
     }
 
-    /// Probes the servers that could not be reached, or tries them again where probes are not
-    /// allowed.
+    /// Probes unreachable servers, or makes them eligible again after a while if probes are not allowed.
     pub(super) fn check_unreachable_servers(&mut self) {
         let now = self.now;
         for server in self.servers.iter_mut() {
@@ -104,20 +103,20 @@
             if self.settings.can_probe {
                 server.liveness.schedule_probe(now + HEALTH_CHECK_INTERVAL);
                 self.actions.push(Action::Probe(server.id));
-            } else if now >= server.liveness.next_probe_at() + RECENT {
+            } else if now >= server.liveness.next_probe_at() + RECENT_WINDOW {
                 server.liveness.presume_reachable();
             }
         }
     }
 }
 
-/// Whether a rejection says that the server is saturated: a decode worker may have rejected a KV
-/// cache that it did not find.
+/// Whether a rejection indicates saturation. A decode worker may instead have rejected the attempt
+/// because its KV cache was missing.
 fn is_saturated(outcome: &AttemptOutcome, role: Role) -> bool {
     !outcome.kv_cache_missing || role == Role::Prefill
 }
 
-/// A probe waits in the server's queue: its latency shows how long that is.
+/// Estimates the server's queue from the latency of a probe, which waits in the same queue.
 fn record_probe_latency(now: Nanos, server: &mut Server, latency: Nanos, queued_tokens: f64) {
     let peer_tokens = (queued_tokens - server.local_load.queued_prompt_tokens()).max(0.0);
     server.reported_load.record_queue(now, peer_tokens);
@@ -128,8 +127,8 @@
 
 fn record_probe_success(now: Nanos, server: &mut Server, latency: Nanos, debt: f64) {
     if server.liveness.is_connection_lost() {
-        // It may be a new process that the list has not named yet: it warms up, or all routers
-        // would pour onto it.
+        // It may be a new process that is not listed yet. It counts as warming up, or all routers would
+        // overload it at once.
         server.slow_start.record_recovery(now, debt);
     }
     server.liveness.mark_reachable();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,35 +1,35 @@
-//! Every decision of the router. The interface (settings, events, actions) is in `src/api/`, the
-//! tables are in `src/state/`, the reasons at length in `docs/design.md`.
+//! All decisions of the router. The interface (settings, events, actions) is in `src/api/`, the
+//! tables are in `src/state/`, the rationale in `docs/design.md`.
 //!
-//! Read it along a request's path: it arrives and is queued while all decode workers look
-//! saturated, is prefilled at the worker that it has affinity to, decoded near that worker, and
-//! answered. Then come health, slow start and the clock.
+//! The modules follow the path of a request: it arrives, is queued while all decode workers are
+//! saturated, is prefilled at a worker that it has affinity to, is decoded near that worker, and is
+//! answered. Health, slow start and timing come after that.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `request_arrival` | what is expected of a request that arrives, and which prefill workers it prefers |
-//! | `quotas` | whether a request is beyond its tenant's quota |
-//! | `admission` | which queued requests are admitted to their prefill, and when |
-//! | `prefill_placement` | where it is prefilled: at its preferred worker, unless that is clearly busier |
+//! | `request_arrival` | the estimates for a new request, and which prefill workers it prefers |
+//! | `quotas` | whether a request exceeds its tenant's quota |
+//! | `admission` | which queued requests are admitted to prefill, and when |
+//! | `prefill_placement` | where a request is prefilled: at its preferred worker unless that is busier |
 //! | `prefill_affinity` | which prefill workers a request has affinity to |
-//! | `decode_placement` | where it is decoded: at a worker with capacity near its KV cache |
+//! | `decode_placement` | where a request is decoded: at a worker with capacity near its KV cache |
 //! | `decode_capacity` | whether a decode worker has capacity |
 //! | `eligibility` | which servers a request may be sent to now |
-//! | `load_probes` | which servers are probed before a choice, and what that may cost |
-//! | `unanswered_decode` | whether a decode attempt has arrived, and what is done while nobody knows |
-//! | `attempts` | when and how an attempt is sent, and its first token |
-//! | `attempt_end` | what is learnt from the end of an attempt, and what follows it |
-//! | `request_end` | the end of a request: rejected where a retry is harmless, else failed |
-//! | `health` | health of servers, by their failures and against their peers |
-//! | `slow_start` | what a server that has just started may be sent |
-//! | `send_guards` | whether something may be sent, sent again or rejected now, by the rules |
-//! | `kv_release` | how the KV cache of a request is released until some server has confirmed it |
-//! | `shutdown_intake` | what is accepted while a router shuts down, and which connection is closed |
-//! | `process_start` | when a listed process started, by the router's own clock |
-//! | `endpoints` | the endpoint list |
-//! | `connect` | what a failed connection says, and whether it is retried |
-//! | `deadlines` | the clock: deadlines, and attempts that take too long |
-//! | `gossip` | messages between routers, and the load of silent ones |
+//! | `load_probes` | which servers are probed before a choice, within a cost budget |
+//! | `unanswered_decode` | what is done about a decode attempt that may not have reached its server |
+//! | `attempts` | when and how an attempt is sent, and what follows its first token |
+//! | `attempt_end` | what the end of an attempt says about its server, and how the request continues |
+//! | `request_end` | how a request ends: rejected if a retry is harmless, otherwise failed |
+//! | `health` | the health of servers, from their failures and from comparison with peers |
+//! | `slow_start` | how much a server that has just started may be sent |
+//! | `send_guards` | whether a send, a repeat or a rejection is allowed now |
+//! | `kv_release` | how a KV cache release is repeated until a server confirms it |
+//! | `shutdown_intake` | what a router accepts during shutdown, and which connection is closed first |
+//! | `process_start` | when a listed process started, on the router's own clock |
+//! | `endpoints` | how the endpoint list is applied |
+//! | `connect` | what a failed connection means, and whether it is retried |
+//! | `deadlines` | the tick: deadlines and overdue attempts |
+//! | `gossip` | when routers exchange load, and the estimated load of routers without a report |
 
 mod admission;
 mod attempt_end;
@@ -66,14 +66,15 @@
 };
 use admission::Admission;
 use constants::{
-    ENDPOINT_POLL_TIMER, INITIAL_CANCELLATIONS, LOAD_MAX_AGE, SERVERS_PER_STEP, TICK_INTERVAL, TICK_TIMER,
+    ENDPOINT_POLL_TIMER, FULL_SCAN_SERVER_LIMIT, INITIAL_CANCELLATIONS, LOAD_MAX_AGE, TICK_INTERVAL,
+    TICK_TIMER,
 };
 use gossip::Gossip;
 use quotas::TenantQuotas;
 use slow_start::SlowStart;
 
-/// The decisions of one router. Each field owns the state of one concern; the modules turn events
-/// into calls on them.
+/// The scheduler of one router. Each field owns the state of one concern; the decision modules turn
+/// events into calls on them.
 pub struct Policy {
     pub(crate) settings: Settings,
     pub(crate) now: Nanos,
@@ -95,7 +96,7 @@
 }
 
 impl Policy {
-    /// A router that knows its settings, and no server yet.
+    /// Creates a scheduler that does not know any server yet.
     pub fn new(settings: Settings) -> Policy {
         let allowances = settings.classes.iter().map(|class| class.latency_objective_per_prompt_token);
         let slowest_pace = allowances.fold(0.0, f64::max);
@@ -120,15 +121,15 @@
         }
     }
 
-    /// Takes an event, and returns what is to be done, in this order.
+    /// Handles an event, and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Nanos, event: Event) -> Vec<Action> {
-        // A clock that went back would make ages negative.
+        // If the clock went back, ages would be negative.
         self.now = now.max(self.now);
         if let Event::GossipReceived { from, data } = event {
             self.peer_load.record(self.now, from, decode_gossip(&data));
             return Vec::new();
         }
-        let interval = self.servers.sweep_interval(TICK_INTERVAL, SERVERS_PER_STEP);
+        let interval = self.servers.sweep_interval(TICK_INTERVAL, FULL_SCAN_SERVER_LIMIT);
         self.update_fleet_load(interval);
         self.dispatch(event);
         self.admit();
@@ -156,14 +157,14 @@
         }
     }
 
-    /// Brings up to date what is known of all servers' load, at most once an interval.
+    /// Updates the load summary of all servers, at most once per interval.
     fn update_fleet_load(&mut self, interval: Nanos) {
         let (servers, peer_load) = (&mut self.servers, &mut self.peer_load);
         self.fleet.update_load(self.now, interval, LOAD_MAX_AGE, servers, peer_load);
         self.estimate_unreported_load();
     }
 
-    /// Keeps the tick running while there is anything that time alone may change.
+    /// Schedules the next tick if there is anything that may change with time alone.
     fn schedule_tick(&mut self) {
         let has_waiting_requests = !self.admission.is_empty() || !self.requests.active().is_empty();
         let is_needed =
--- a/src/policy/prefill_affinity.rs
+++ b/src/policy/prefill_affinity.rs
@@ -1,13 +1,13 @@
-//! Which prefill workers a request has affinity to, as they have its shared prefix cached.
+//! Which prefill workers a request has affinity to, because they likely have its shared prefix cached.
 
 use super::constants::{MAX_AFFINITY, MIN_AFFINITY, PREFILL_BASE_TOKENS};
 use crate::api::AffinityKey;
 use crate::state::{least_by, session_key, DistanceWeights, InFlightRequest, Server};
 
-/// The prefill workers that a request chooses among.
+/// The prefill workers that a request chooses from.
 pub(super) struct PrefillCandidates<'s> {
     pub(super) workers: Vec<&'s Server>,
-    /// Those that it has affinity to, the first one most.
+    /// The workers that it has affinity to, strongest first.
     pub(super) preferred: Vec<&'s Server>,
 }
 
@@ -16,17 +16,18 @@
         self.preferred.iter().any(|preferred| preferred.id == server.id)
     }
 
-    /// The prompt tokens that a worker has to compute: a preferred one has the shared prefix cached.
+    /// The tokens that a worker has to compute. A preferred worker counts as having the shared prefix
+    /// cached.
     pub(super) fn tokens_at(&self, server: &Server, request: &InFlightRequest) -> f64 {
         let cached = if self.is_preferred(server) { request.request().prefix_tokens } else { 0.0 };
         PREFILL_BASE_TOKENS + (request.request().prompt_tokens - cached).max(0.0)
     }
 }
 
-/// The workers that a request's shared prefix has affinity to by rendezvous hashing, those of its
-/// session first, and last the one that takes over from them; the same on all routers. The former
-/// are spread as the decode workers that take KV caches without leaving the cell, the last as who
-/// has capacity.
+/// The workers that a request's shared prefix has affinity to by rendezvous hashing, ordered by the
+/// rank of its session, followed by one fallback worker; the same on all routers. Affinity is weighted
+/// by the decode capacity in the worker's cell, so that KV caches stay within the cell; the fallback
+/// is weighted by the capacity that affinity leaves spare.
 pub(super) fn preferred_workers<'s>(
     request: &InFlightRequest,
     workers: &[&'s Server],
@@ -47,6 +48,6 @@
         let spare = MAX_AFFINITY * server.listing.weight - server.affinity_weight;
         -prefix.unit_interval(server.id).ln() / spare.max(MIN_AFFINITY)
     };
-    let takes_over = least_by(others, 1, spare_rank);
-    least_by(preferred, usize::MAX, rank_by(session)).into_iter().chain(takes_over).collect()
+    let fallback = least_by(others, 1, spare_rank);
+    least_by(preferred, usize::MAX, rank_by(session)).into_iter().chain(fallback).collect()
 }
--- a/src/policy/prefill_placement.rs
+++ b/src/policy/prefill_placement.rs
@@ -1,8 +1,8 @@
-//! Where a request is prefilled: at the worker that it has affinity to, unless that is clearly
-//! busier than the least loaded one.
+//! Where a request is prefilled: at a worker that it has affinity to, unless that is clearly busier
+//! than the least loaded one.
 
 use super::constants::{
-    PREFILL_BASE_TOKENS, PREFILL_WAIT_FRACTION, PROBED_DECODE_WORKERS, PROBE_WAIT, RECENT,
+    PREFILL_BASE_TOKENS, PREFILL_WAIT_FRACTION, PROBED_DECODE_WORKERS, PROBE_WAIT, RECENT_WINDOW,
 };
 use super::decode_placement::DecodeUrgency;
 use super::eligibility::WorkerPool;
@@ -14,29 +14,29 @@
     least_with_tie_breaker, sample_by_rank, Attempt, InFlightRequest, Neighborhood, Server, Stage,
 };
 
-/// What can be done for a request that wants its prefill.
+/// The result of choosing a prefill worker.
 enum PrefillChoice {
-    /// There is no prefill worker at all.
+    /// No prefill worker is eligible.
     NoWorker,
-    /// None has capacity.
+    /// No prefill worker has capacity.
     NoCapacity,
-    /// One was chosen.
+    /// A worker was chosen.
     Chosen(PrefillPlan),
 }
 
-/// A prefill that is planned.
+/// A planned prefill.
 struct PrefillPlan {
     attempt: Attempt,
-    /// The cell of its worker.
+    /// The cell of the chosen worker.
     cell: Option<CellId>,
-    /// Workers whose load is probed before it is sent.
+    /// Workers whose load is probed before the attempt is sent.
     probed_before: Vec<ServerId>,
-    /// Until when their answers are awaited.
+    /// How long the answers to these probes are awaited.
     probe_deadline: Nanos,
 }
 
 impl Policy {
-    /// Sends a request to its prefill; whether it was sent.
+    /// Sends the prefill of a request if a worker has capacity; returns whether it was sent.
     pub(super) fn start_prefill(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else { return true };
         let plan = match self.choose_prefill(request) {
@@ -68,11 +68,11 @@
         let Some(first) = candidates.preferred.first().copied() else { return PrefillChoice::NoCapacity };
         let cost = |server: &Server| self.prefill_cost_at(server, candidates.tokens_at(server, request));
         let has_capacity = |server: &&Server| {
-            !server.was_saturated_within(self.now, RECENT)
+            !server.was_saturated_within(self.now, RECENT_WINDOW)
                 && !self.is_prefill_wait_long(server, request.time_to_objective())
         };
-        let open = candidates.workers.iter().copied().filter(has_capacity);
-        let costs = open.map(|server| (cost(server), server));
+        let with_capacity = candidates.workers.iter().copied().filter(has_capacity);
+        let costs = with_capacity.map(|server| (cost(server), server));
         let Some((_, least)) = least_with_tie_breaker(costs, request.tie_breaker) else {
             return PrefillChoice::NoCapacity;
         };
@@ -96,8 +96,8 @@
         })
     }
 
-    /// Keeps the workers that can serve the request: a mixed one decodes it too, for others there
-    /// are decode workers.
+    /// Keeps the workers whose prefill can be decoded afterwards: a mixed server decodes the request
+    /// itself, other workers need decode workers with capacity.
     fn prefill_candidates<'s>(
         &'s self,
         request: &InFlightRequest,
@@ -115,8 +115,8 @@
         PrefillCandidates { workers, preferred }
     }
 
-    /// The preferred worker, and another one: one that is warming up is likely idle, as no router
-    /// sends it much.
+    /// The preferred worker and one other. A worker that is warming up comes first, as it is likely idle
+    /// since no router sends it much.
     fn prefill_workers_to_probe(
         &self,
         request: &InFlightRequest,
@@ -132,13 +132,13 @@
         [first.id].into_iter().chain(other.map(|server| server.id)).collect()
     }
 
-    /// Decode workers of the prefill worker's cell that are probed during the prefill, if one is
-    /// worth it.
+    /// Decode workers in the prefill worker's cell that are probed during the prefill, if any of them
+    /// needs a probe.
     fn decode_workers_to_probe(&self, id: RequestId, cell: Option<CellId>) -> Vec<ServerId> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let is_near = |server: &&Server| server.listing.cell.is_some() && server.listing.cell == cell;
         let servers = self.neighborhood(Some(request)).servers;
-        // Mixed servers stand in for decode workers that can't be reached.
+        // Mixed servers replace unreachable decode workers.
         let mut near =
             self.servers.at(&servers.decode).chain(self.servers.at(&servers.mixed)).filter(is_near);
         if !near.any(|server| self.needs_probe(server)) {
@@ -148,15 +148,14 @@
         sample_by_rank(candidates, PROBED_DECODE_WORKERS, request.tie_breaker)
     }
 
-    /// What a worker has to prefill with so many tokens more, in tokens at the pace of an average
-    /// one.
+    /// The prefill queue of a worker after adding `tokens`, in tokens at the pace of an average worker.
     fn prefill_cost_at(&self, server: &Server, tokens: f64) -> f64 {
         let queued = server.local_load.queued_prompt_tokens() + self.peer_queued_tokens(server) + tokens;
         queued / self.relative_speed(server)
     }
 
-    /// A prefill worker with a long wait counts as saturated, but one with nothing of ours is tried
-    /// all the same.
+    /// Whether the queueing time of a prefill worker is so long that it counts as saturated. A worker
+    /// without attempts of this router never does, so that it is tried.
     pub(super) fn is_prefill_wait_long(&self, server: &Server, time_to_objective: f64) -> bool {
         if server.local_load.awaiting_first_token() == 0 {
             return false;
@@ -165,33 +164,34 @@
         wait > PREFILL_WAIT_FRACTION * time_to_objective
     }
 
-    /// What other routers' requests have queued there, by reports or by how long a probe takes;
-    /// else the mean.
+    /// Queued prompt tokens of other routers: by load reports or probe latency, otherwise the mean of
+    /// the role; at least what an outstanding probe shows.
     fn peer_queued_tokens(&self, server: &Server) -> f64 {
         let reported = server.reported_load.peer_queued_tokens();
         let known = reported.or(self.fleet.mean_peer_queued_tokens(server.listing.role));
-        known.unwrap_or(0.0).max(self.tokens_behind_probe(server))
+        known.unwrap_or(0.0).max(self.queued_tokens_by_probe(server))
     }
 
-    /// The queue that an outstanding probe shows, by how long it has been out.
-    fn tokens_behind_probe(&self, server: &Server) -> f64 {
+    /// Estimated queue at a server with an outstanding probe, from the age of the probe.
+    fn queued_tokens_by_probe(&self, server: &Server) -> f64 {
         let Some(sent_at) = server.liveness.probe_sent_at() else { return 0.0 };
-        let usual = if server.liveness.awaits_probe_for(self.now, PROBE_WAIT) {
+        let mean_tokens = if server.liveness.awaits_probe_for(self.now, PROBE_WAIT) {
             self.prefill_cost.mean_tokens_behind_silent_probe()
         } else {
             0.0
         };
-        self.prefill_cost.tokens_within(self.now - sent_at).max(usual)
+        self.prefill_cost.tokens_within(self.now - sent_at).max(mean_tokens)
     }
 
-    /// With no prefill worker at all a decode worker that can prefill takes the request whole.
+    /// Sends a request as a combined attempt to a decode worker that can prefill, as there is no prefill
+    /// worker; returns whether it was sent.
     fn start_at_decode_worker(&mut self, id: RequestId) -> bool {
         if !self.settings.decode_workers_can_prefill {
             return false;
         }
         let Some(request) = self.requests.get(id) else { return false };
         let tokens = PREFILL_BASE_TOKENS + request.request().prompt_tokens;
-        let chosen = self.choose_decode_worker(request, DecodeUrgency::OnceThereIsCapacity);
+        let chosen = self.choose_decode_worker(request, DecodeUrgency::WhenCapacityAvailable);
         let Some(server) = chosen else { return false };
         let planned = Attempt::planned(server, Stage::Combined);
         self.send(id, Attempt { prompt_tokens: tokens, queued_tokens: tokens, ..planned });
--- a/src/policy/quotas.rs
+++ b/src/policy/quotas.rs
@@ -1,10 +1,10 @@
-//! Whether a request is beyond its tenant's quota, of which each router takes an even part.
+//! Whether a request exceeds its tenant's quota, which is divided evenly among the routers.
 
 use super::constants::{QUOTA_BURST_SECONDS, QUOTA_TOLERANCE};
 use crate::api::{Nanos, Settings, TenantId};
 use crate::state::TokenBucket;
 
-/// What each tenant may still send within its quota.
+/// The remaining quota of each tenant.
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
@@ -14,8 +14,8 @@
         TenantQuotas { buckets: vec![TokenBucket::default(); tenants] }
     }
 
-    /// Counts a request; whether it is beyond its tenant's quota. Without a known tenant there is
-    /// none.
+    /// Counts a request, and returns whether it exceeds its tenant's quota. Requests without a known
+    /// tenant have no quota.
     pub(super) fn exceeds_quota(
         &mut self,
         now: Nanos,
--- a/src/policy/request_arrival.rs
+++ b/src/policy/request_arrival.rs
@@ -1,7 +1,7 @@
-//! What is expected of a request that arrives, and which prefill workers it prefers.
+//! The estimates for a new request, and which prefill workers it prefers.
 
 use super::constants::{
-    DEFAULT_PROMPT_TOKENS, INFORMATION_POINTS, MAX_INFORMATION_POINTS, MEAN_GAIN, NEIGHBORHOOD,
+    DEFAULT_PROMPT_TOKENS, LOAD_INFO_POINTS_PER_REQUEST, MAX_LOAD_INFO_POINTS, MEAN_GAIN, NEIGHBORHOOD,
     POPULARITY_SPAN, WORKERS_PER_PREFIX_SHARE,
 };
 use super::Policy;
@@ -23,14 +23,14 @@
         self.enqueue(id);
     }
 
-    /// Counts a request in the statistics, and says what is expected of it.
+    /// Counts a new request in the statistics, and estimates its size and objective.
     fn record_arrival(&mut self, request: Request, class: &TrafficClass) -> RequestFacts {
         let is_length_known = request.prompt_tokens > 0.0;
         let prompt_tokens = if is_length_known { request.prompt_tokens } else { DEFAULT_PROMPT_TOKENS };
         let expected_output_tokens = expected_output_tokens(&request, class);
         let over_quota = self.quotas.exceeds_quota(self.now, &self.settings, request.tenant);
         self.gossip.earn();
-        self.probe_budget.earn(INFORMATION_POINTS, MAX_INFORMATION_POINTS);
+        self.probe_budget.earn(LOAD_INFO_POINTS_PER_REQUEST, MAX_LOAD_INFO_POINTS);
         let affinity = self.prefill_affinity(&request);
         self.traffic.record_size(request.class, prompt_tokens, expected_output_tokens, MEAN_GAIN);
         self.estimate_unreported_load();
@@ -44,20 +44,20 @@
         }
     }
 
-    /// The affinity of a request. Its shared prefix is spread over more workers where it surely is
-    /// more than one worker's part of all requests, by what this router saw, as it would swamp one.
-    /// The number is coarse, so that sessions stay where they are.
+    /// The affinity of a request. If its shared prefix certainly makes up more than one worker's share
+    /// of the requests that this router has seen, it would overload a single worker, and is spread over
+    /// several. Their number is rounded to powers of four, so that sessions rarely move.
     fn prefill_affinity(&mut self, request: &Request) -> PrefillAffinity {
         let workers = self.fleet.ready().prefill.len();
         let recent = self.traffic.record_arrival(self.now, request.prefix, POPULARITY_SPAN);
-        let certain = (recent.same_prefix - recent.same_prefix.sqrt()).max(0.0);
-        let share = certain / recent.total.max(1.0);
+        let certain_count = (recent.same_prefix - recent.same_prefix.sqrt()).max(0.0);
+        let share = certain_count / recent.total.max(1.0);
         let spread = (share * WORKERS_PER_PREFIX_SHARE * workers as f64) as usize;
         PrefillAffinity::of(request, next_power_of_four(spread), NEIGHBORHOOD.enough)
     }
 }
 
-/// The expected length of an answer: as the expected duration says, else half of what is allowed.
+/// Expected length of an answer in tokens: from the expected duration, otherwise half of the maximum.
 fn expected_output_tokens(request: &Request, class: &TrafficClass) -> f64 {
     let expected = match request.expected_duration {
         Some(duration) if class.token_latency_objective > 0 => {
@@ -72,7 +72,7 @@
     }
 }
 
-/// When the first token is due; without a latency objective, when the client leaves.
+/// When the first token is due; without a latency objective, the client's deadline.
 fn objective_at(now: Nanos, request: &Request, class: &TrafficClass, prompt_tokens: f64) -> Nanos {
     if class.latency_objective == 0 {
         return request.deadline_at;
--- a/src/policy/send_guards.rs
+++ b/src/policy/send_guards.rs
@@ -1,77 +1,79 @@
-//! Whether something may be sent, sent again or rejected now: the rules of the site, decided in one
-//! place.
+//! Whether a request may be sent, repeated or rejected now. All rules of the site are checked here.
 //!
-//! The decisions keep these rules by how they choose. What they chose is checked here once more
-//! before it is carried out: by the core as it books a send or a rejection, and by the connection
-//! task just before the first byte, since a client may have disconnected, a server may have begun
-//! to drain or a time may have run out in between. What is denied is counted by its reason.
+//! The other decision modules already choose in accordance with these rules. Their choices are checked
+//! again before they are carried out: by the router core when it records a send or a rejection, and by
+//! the connection task just before the first byte. In between, a client may have disconnected, a server
+//! may have started to drain, or a time limit may have passed. Denials are counted by reason.
 
 use crate::api::{AttemptStatus, CellId, DeduplicationScope, Idempotency, Nanos, TrafficClass, ZoneId};
 use crate::counts::write_counts;
 use crate::state::MayHaveRun;
 
-/// What is known at the moment of a send.
+/// The facts that decide whether a send is allowed.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts<'a> {
-    /// The present time.
+    /// The current time.
     pub now: Nanos,
     /// When the request's client stops waiting.
     pub deadline_at: Nanos,
-    /// When the last byte has to be out.
+    /// When the last byte has to be written.
     pub send_by: Nanos,
-    /// The request's final answer was given.
+    /// Whether the request has its final answer.
     pub answered: bool,
-    /// The request's client has disconnected.
+    /// Whether the request's client has disconnected.
     pub client_disconnected: bool,
-    /// Another attempt of the request is in flight, and there may not be two.
+    /// Whether another attempt of the request is in flight and a second one is not allowed.
     pub attempt_in_flight: bool,
-    /// As many attempts were made as may be.
+    /// Whether the maximum number of attempts has been made.
     pub attempts_exhausted: bool,
-    /// The server is listed, and neither draining nor removed.
+    /// Whether the server is listed, and neither draining nor removed.
     pub server_ready: bool,
-    /// What a repeat of the request may do; `None` where that was checked before and can't have
-    /// changed since.
+    /// The repeat that this send would be, if an earlier attempt may have run; `None` also if the
+    /// repeat was checked before and the result can't have changed.
     pub repeat: Option<Repeat<'a>>,
 }
 
-/// A send of a request of which an earlier attempt may have run.
+/// A send of a request, an earlier attempt of which may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeat<'a> {
     /// The request's class.
     pub class: &'a TrafficClass,
     /// The earlier attempt.
     pub ran: MayHaveRun,
-    /// The zone that this one goes to.
+    /// The zone of the server that the repeat is sent to.
     pub zone: Option<ZoneId>,
-    /// The cell that this one goes to.
+    /// The cell of the server that the repeat is sent to.
     pub cell: Option<CellId>,
 }
 
-/// Why something may not be done now.
+/// Why a send or a rejection is not allowed now. The numbers are those of the site's rules: one final
+/// answer in time (1), no double effects (2), nothing to draining servers (3), KV caches released in
+/// time (5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Denial {
-    /// The request's final answer was given (rule 1).
+    /// The request already has its final answer (rule 1).
     Answered,
-    /// Nobody waits for the request any more (rule 1).
+    /// The client has disconnected (rule 1).
     ClientDisconnected,
-    /// The client's time is up (rule 1).
+    /// The client's deadline has passed (rule 1).
     DeadlineExceeded,
     /// Another attempt of the request is in flight (rule 2).
     AttemptInFlight,
-    /// As many attempts were made as may be.
+    /// The maximum number of attempts has been made.
     AttemptsExhausted,
-    /// An earlier attempt may have run, and this one would not be dropped as its repeat (rule 2).
+    /// An earlier attempt may have run, and the server would not drop this one as its repeat (rule 2).
     MayHaveRun,
-    /// A rejection would promise that a retry is harmless (rule 2).
+    /// A rejection would state that a retry is harmless, but it is not (rule 2).
     RetryNotHarmless,
     /// The server is draining or removed (rule 3).
     ServerNotReady,
-    /// The time of a repeat, or of the KV cache that is held for it, is over (rules 2 and 5).
+    /// The deduplication window of a repeat, or the release time of the KV cache, has passed (rules 2
+    /// and 5).
     TooLate,
 }
 
 impl Denial {
-    /// All of them, in the order in which they are counted and shown.
+    /// All reasons, in the order in which they are counted and shown.
     pub const ALL: [Denial; 9] = [
         Denial::Answered,
         Denial::ClientDisconnected,
@@ -84,7 +86,7 @@
         Denial::TooLate,
     ];
 
-    /// The status of an attempt whose send was denied. Nothing of it has run.
+    /// The status of an attempt whose send was denied. The attempt has not run.
     pub fn status(self) -> AttemptStatus {
         match self {
             Denial::ServerNotReady => AttemptStatus::ConnectFailed,
@@ -111,7 +113,7 @@
 /// Whether a request may be sent to a server now.
 ///
 /// # Errors
-/// The first rule that forbids it.
+/// Returns the first denial that applies.
 pub fn may_send(facts: &SendFacts<'_>) -> Result<(), Denial> {
     let may_not_repeat = facts.repeat.is_some_and(|repeat| !may_repeat(facts.now, &repeat));
     let denials = [
@@ -130,8 +132,8 @@
     }
 }
 
-/// Whether a second execution is harmless: the request is idempotent, or the repeat is dropped by
-/// the servers of the same scope within the window.
+/// Whether a repeat is harmless: the request is idempotent, or the server is in the deduplication
+/// domain of the first attempt and drops the repeat within the deduplication window.
 pub fn may_repeat(now: Nanos, repeat: &Repeat<'_>) -> bool {
     let Repeat { class, ran, zone, cell } = repeat;
     match class.idempotency {
@@ -145,11 +147,11 @@
     }
 }
 
-/// Whether a request may be rejected, which says that a retry is harmless. `may_run`: an attempt
-/// may have run, or is in flight and may yet.
+/// Whether a request may be rejected, which states that a retry is harmless. `may_run`: an attempt may
+/// have run, or is in flight and may still run.
 ///
 /// # Errors
-/// When it would promise too much: the request has to fail.
+/// Returns [`Denial::RetryNotHarmless`] if a retry may be harmful: the request has to fail instead.
 pub fn may_reject(class: &TrafficClass, may_run: bool) -> Result<(), Denial> {
     let is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
@@ -159,19 +161,19 @@
     is_harmless.then_some(()).ok_or(Denial::RetryNotHarmless)
 }
 
-/// How often something was denied, by reason.
+/// Counts of denials by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Denials {
     counts: [u64; Denial::ALL.len()],
 }
 
 impl Denials {
-    /// Counts one.
+    /// Counts a denial.
     pub fn count(&mut self, denial: Denial) {
         self.counts[denial as usize] += 1;
     }
 
-    /// How often that was the reason.
+    /// The count of one reason.
     pub fn count_of(&self, denial: Denial) -> u64 {
         self.counts[denial as usize]
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,33 +1,32 @@
-//! Slow start: what a server that has just started may be sent.
+//! Slow start: how much a server that has just started may be sent.
 
 use super::constants::{MIN_OVERLOAD_WINDOW_SECONDS, RATE_SPAN, SLOW_START_FLOOR};
 use crate::api::{Nanos, Settings};
 use crate::state::{seconds, warm_servers_by_kind, LaggedValue, Server, ServerTable, WarmServers};
 
-/// What a warm server of a kind is usually sent.
+/// What this router usually sends to a warm server of one kind.
 #[derive(Clone, Copy)]
 struct UsualLoad {
-    /// In mean requests a second.
+    /// In mean requests per second.
     rate: LaggedValue,
-    /// The mean weight of the servers that are sent it.
+    /// Mean weight of the warm servers.
     weight: f64,
 }
 
-/// What warm servers are usually sent, by kind, from which the budgets of those that are warming up
-/// follow.
+/// The usual load of warm servers by kind, from which the budgets of servers in slow start are derived.
 pub(super) struct SlowStart {
     usual_by_kind: Vec<UsualLoad>,
 }
 
 impl SlowStart {
-    /// `kinds`: the kinds of the settings; servers without a kind are one more.
+    /// `kinds`: the number of kinds in the settings; servers without a kind count as one more.
     pub(super) fn new(kinds: usize) -> SlowStart {
-        let nothing_yet = UsualLoad { rate: LaggedValue::default(), weight: 1.0 };
-        SlowStart { usual_by_kind: vec![nothing_yet; kinds + 1] }
+        let no_load = UsualLoad { rate: LaggedValue::default(), weight: 1.0 };
+        SlowStart { usual_by_kind: vec![no_load; kinds + 1] }
     }
 
-    /// Refills the budgets of the servers that are warming up: with a share of what this router
-    /// sends to a warm peer.
+    /// Refills the budgets of servers that are warming up with a fraction of what this router sends to a
+    /// warm peer.
     pub(super) fn refill_budgets(&mut self, now: Nanos, settings: &Settings, servers: &mut ServerTable) {
         let span_seconds = seconds(RATE_SPAN);
         let floor = floor_per_second(settings);
@@ -37,7 +36,8 @@
         let by_kind = warm_servers_by_kind(servers, self.usual_by_kind.len(), is_warm, rate);
         for (usual, warm) in self.usual_by_kind.iter_mut().zip(by_kind) {
             let rate = usual.update(now, &warm) * share;
-            // Servers of a kind are of one size, and where weights differ they tell of smaller ones.
+            // Servers of one kind have the same size unless their weight is below the mean: then they
+            // are smaller.
             let size = |server: &Server| (server.listing.weight / usual.weight).min(1.0);
             servers.change_at(&warm.warming_up, |server| {
                 let per_second = (rate * size(server)).max(floor);
@@ -48,12 +48,13 @@
 }
 
 impl UsualLoad {
-    /// Follows the warm servers; the greater of their present and their usual rate.
+    /// Updates the averages from the warm servers, and returns the greater of their current and their
+    /// usual rate.
     fn update(&mut self, now: Nanos, warm: &WarmServers) -> f64 {
         self.weight = warm.mean_weight.unwrap_or(self.weight);
-        let present = warm.mean_rate.unwrap_or(self.rate.value());
-        self.rate.follow(now, present, RATE_SPAN);
-        present.max(self.rate.value())
+        let current = warm.mean_rate.unwrap_or(self.rate.value());
+        self.rate.follow(now, current, RATE_SPAN);
+        current.max(self.rate.value())
     }
 }
 
@@ -62,14 +63,14 @@
     SLOW_START_FLOOR / window / f64::from(settings.router_count)
 }
 
-/// Whether its process started so short ago that it is still warming up.
+/// Whether the server's process started so recently that it is still warming up.
 pub(crate) fn is_warming_up(now: Nanos, settings: &Settings, server: &Server) -> bool {
     let started_at = server.process_started_at();
     started_at > 0 && now < started_at.saturating_add(settings.slow_start_duration)
 }
 
-/// Whether slow start lets it be sent something. Each router keeps to it alone; debts differ at the
-/// start.
+/// Whether slow start allows the server another request. Each router enforces its own budget, without
+/// coordination; initial debts differ between routers, so that they do not all send at once.
 pub(crate) fn slow_start_allows(now: Nanos, settings: &Settings, server: &Server) -> bool {
     !is_warming_up(now, settings, server) || server.slow_start.budget() >= 0.0
 }
--- a/src/policy/unanswered_decode.rs
+++ b/src/policy/unanswered_decode.rs
@@ -1,17 +1,17 @@
-//! Whether a decode attempt has reached a running server, and what is done while nobody knows.
+//! Whether a decode attempt has reached a running server, and what is done while that is unknown.
 //!
-//! That its last byte has left says nothing: a server may hang while its machine takes connections
-//! and bytes, and an open connection may pass nothing any more. An attempt that has not arrived
-//! does not fetch the KV cache, so the release time of that runs on. Only the attempt's own answer
-//! proves that it arrived, and that may take longer than the KV cache may be held.
+//! A completed write does not prove delivery: a server may hang while its machine still accepts
+//! connections and data, and an open connection may no longer deliver data. An attempt that has not
+//! arrived does not fetch the KV cache, whose release time keeps running. Only the attempt's own
+//! answer proves that it arrived, and the answer may take longer than the KV cache may be held.
 //!
-//! A release drops a KV cache for which no attempt waits. So it is sent beside a decode attempt
-//! that is unanswered when the release time runs out: if the attempt has arrived, the KV cache
-//! stays for it; if not, the KV cache is released, and the attempt, should it arrive later, is
-//! rejected without having run.
+//! A release drops a KV cache only if no attempt waits for it. It is therefore sent while a decode
+//! attempt is still unanswered when the release time runs out: if the attempt has arrived, the KV
+//! cache stays for it; if not, the KV cache is released, and an attempt that arrives later is rejected
+//! without running.
 //!
-//! Before that the server is probed: one that answers runs. If it does not, another decode worker
-//! is tried while the KV cache is still there, where the rules allow a second attempt.
+//! Before that, the server is probed; an answer proves that it runs. If it does not answer, another
+//! decode worker is tried while the KV cache is still held, if the rules allow a second attempt.
 
 use super::constants::{DELIVERY_TIME, PROBE_FRACTION, RELEASE_FRACTION, RETRY_FRACTION, SLOW_PROBE_LATENCY};
 use super::eligibility::WorkerPool;
@@ -19,41 +19,40 @@
 use crate::api::{Action, AttemptOutcome, AttemptStatus, Nanos, RequestId};
 use crate::state::{Attempt, InFlightRequest, KvCacheLocation, Server, Stage};
 
-/// What is known of a decode attempt that is in flight, has not been answered, and is to fetch a KV
-/// cache.
+/// The state of an unanswered decode attempt that has to fetch a KV cache.
 #[derive(Clone, Copy, Debug)]
 pub struct UnansweredDecode {
-    /// The present time.
+    /// The current time.
     pub now: Nanos,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Nanos,
-    /// Since when its KV cache has been held with no attempt known to have arrived.
+    /// Since when its KV cache has been held without an attempt known to have arrived.
     pub held_since: Nanos,
     /// How long a KV cache may be held.
     pub release_within: Nanos,
-    /// Its server has answered something that was sent after it.
+    /// Whether the server has answered something that was sent after the attempt.
     pub server_runs: bool,
-    /// When the probe of its server that is outstanding was sent.
+    /// When the outstanding probe of the server was sent.
     pub probed_at: Option<Nanos>,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub may_probe: bool,
 }
 
-/// What is to be done about a decode attempt that is unanswered.
+/// The next step for an unanswered decode attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing yet.
+    /// Wait for an answer.
     Wait,
-    /// To find out whether its server runs.
+    /// Probe the server to find out whether it runs.
     Probe,
-    /// To try another decode worker, if that is of use.
+    /// Try another decode worker, if one has capacity.
     Retry,
-    /// To release its KV cache.
+    /// Release the KV cache.
     Release,
 }
 
 impl UnansweredDecode {
-    /// What is to be done now.
+    /// The step that is due now.
     pub fn next_step(&self) -> NextStep {
         if self.is_past(RELEASE_FRACTION, DELIVERY_TIME) {
             return NextStep::Release;
@@ -71,33 +70,34 @@
         NextStep::Wait
     }
 
-    /// Whether a share of the release time is over, and so much time since the attempt was sent.
-    fn is_past(&self, share: f64, after_send: Nanos) -> bool {
-        let by_release = self.held_since.saturating_add((self.release_within as f64 * share) as Nanos);
+    /// Whether that fraction of the release time has passed, and `after_send` since the attempt was sent.
+    fn is_past(&self, fraction: f64, after_send: Nanos) -> bool {
+        let by_release = self.held_since.saturating_add((self.release_within as f64 * fraction) as Nanos);
         let by_send = self.sent_at.saturating_add(after_send);
         self.now >= by_release.max(by_send)
     }
 
-    /// Its server does not answer a probe either.
+    /// Whether the server has not answered the probe either.
     pub fn is_silent(&self) -> bool {
         let is_late = |sent_at: Nanos| self.now >= sent_at.saturating_add(SLOW_PROBE_LATENCY);
         !self.server_runs && self.probed_at.is_some_and(is_late)
     }
 }
 
-/// What has become of a KV cache with the end of a decode attempt that was to fetch it.
+/// The state of a KV cache after the end of a decode attempt that had to fetch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KvCacheAfterAttempt {
-    /// It is held, and its release time runs on.
+    /// Still held; its release time keeps running.
     Held,
-    /// It is held, and its release time begins anew: the server had the attempt.
+    /// Still held; its release time starts again, because the attempt had reached its server.
     HeldFromNow,
-    /// It was released.
+    /// Released.
     Released,
 }
 
-/// `was_released`: a release was sent beside the attempt. `server_runs`: the server has answered
-/// something that was sent after the attempt, and so had it: the KV cache stayed for it.
+/// The state of the KV cache after an attempt that ended with `status`. `was_released`: a release was
+/// sent while the attempt was in flight. `server_runs`: the server has answered something that was sent
+/// after the attempt; it had received the attempt then, and kept the KV cache for it.
 pub fn kv_cache_after_attempt(
     status: AttemptStatus,
     was_released: bool,
@@ -113,7 +113,7 @@
 }
 
 impl Policy {
-    /// Looks after an unanswered attempt that may be a decode attempt; whether it was cancelled.
+    /// Carries out the next step for an unanswered decode attempt; returns whether it was cancelled.
     pub(super) fn check_delivery(&mut self, id: RequestId, attempt: &Attempt) -> bool {
         let Some(unanswered) = self.unanswered_decode(id, attempt) else { return false };
         let step = unanswered.next_step();
@@ -138,7 +138,7 @@
         if attempt.stage != Stage::Decode || attempt.kv_released {
             return None;
         }
-        // A server that is not known any more is not known to run.
+        // A server that is no longer in the table counts as not running.
         let server = self.servers.get(attempt.server);
         Some(UnansweredDecode {
             now: self.now,
@@ -151,7 +151,7 @@
         })
     }
 
-    /// A second attempt is harmless, and another decode worker has capacity for it.
+    /// Whether a second attempt is harmless, and another decode worker has capacity for it.
     fn may_retry_elsewhere(&self, id: RequestId, attempt: &Attempt) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let can_cancel = self.settings.can_cancel && !attempt.is_cancelled();
@@ -165,8 +165,8 @@
         self.candidates(WorkerPool::Decode, request).iter().any(can_take_it)
     }
 
-    /// Releases a request's KV cache, once, unless the attempt that is in flight waits for it at
-    /// its server.
+    /// Sends one release of a request's KV cache while its attempt is in flight. The KV cache stays if
+    /// the attempt waits for it at its server.
     pub(super) fn release_beside_attempt(&mut self, id: RequestId) {
         let release = |request: &mut InFlightRequest| {
             let attempt = request.attempt.as_mut().filter(|attempt| !attempt.kv_released)?;
@@ -177,26 +177,26 @@
         self.actions.extend(released);
     }
 
-    /// Records what has become of a request's KV cache with the end of an attempt.
+    /// Updates the state of a request's KV cache after the end of an attempt.
     pub(super) fn update_kv_cache(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
         let Some(request) = self.requests.get(outcome.id) else { return };
         let server = self.servers.get(outcome.server);
         let server_runs = server.is_some_and(|server| server.liveness.ran_since(attempt.sent_at));
-        let anew = |server| Some(KvCacheLocation { server, held_since: self.now });
-        let fate = kv_cache_after_attempt(outcome.status, attempt.kv_released, server_runs);
-        let settled = match (request.kv_cache, fate) {
-            (None, _) if outcome.status == AttemptStatus::Prefilled => anew(outcome.server),
-            (Some(kv_cache), KvCacheAfterAttempt::HeldFromNow) => anew(kv_cache.server),
+        let held_from_now = |server| Some(KvCacheLocation { server, held_since: self.now });
+        let after_attempt = kv_cache_after_attempt(outcome.status, attempt.kv_released, server_runs);
+        let kv_cache = match (request.kv_cache, after_attempt) {
+            (None, _) if outcome.status == AttemptStatus::Prefilled => held_from_now(outcome.server),
+            (Some(kv_cache), KvCacheAfterAttempt::HeldFromNow) => held_from_now(kv_cache.server),
             (Some(_), KvCacheAfterAttempt::Released) => {
-                // At the end of a request everything is released anyway.
+                // At the end of a request, all its KV caches are released anyway.
                 let release = (!request.finished).then_some(Action::ReleaseKv(outcome.id));
                 self.actions.extend(release);
                 None
             }
             (unchanged, _) => unchanged,
         };
-        if settled != request.kv_cache {
-            self.requests.update(outcome.id, |request| request.kv_cache = settled);
+        if kv_cache != request.kv_cache {
+            self.requests.update(outcome.id, |request| request.kv_cache = kv_cache);
         }
     }
 }
