--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -157,7 +157,7 @@
 pub const SERVERS_PER_STEP: usize = 256;
 /// Among which servers a request chooses where there are more.
 pub const NEIGHBORHOOD: NeighborhoodLimits =
-    NeighborhoodLimits { enough: 64, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
+    NeighborhoodLimits { target_servers: 64, max_servers: 256, points_per_cell: 16, edge_weight: 1e-3 };
 /// Queued requests that are checked for each event, where each has servers of its own.
 pub const ADMISSION_CHECKS_PER_EVENT: usize = 8;
 
--- a/src/policy/request_arrival.rs
+++ b/src/policy/request_arrival.rs
@@ -53,7 +53,7 @@
         let certain = (recent.same_prefix - recent.same_prefix.sqrt()).max(0.0);
         let share = certain / recent.total.max(1.0);
         let spread = (share * WORKERS_PER_PREFIX_SHARE * workers as f64) as usize;
-        PrefillAffinity::of(request, next_power_of_four(spread), NEIGHBORHOOD.enough)
+        PrefillAffinity::of(request, next_power_of_four(spread), NEIGHBORHOOD.target_servers)
     }
 }
 
--- a/src/state/hash_ring.rs
+++ b/src/state/hash_ring.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NeighborhoodLimits {
     /// Servers of a role that are enough. Of a role with no more all are taken.
-    pub enough: usize,
+    pub target_servers: usize,
     /// The most servers of a role that are taken while the other one is scarce.
-    pub most: usize,
+    pub max_servers: usize,
     /// Points of a cell on the ring: with more, keys are spread more evenly over the cells.
     pub points_per_cell: u32,
     /// The distance weight of a prefill worker at the edge; one at the key's own point has 1.
@@ -246,7 +246,8 @@
         position: RingPosition,
         limits: NeighborhoodLimits,
     ) -> Neighborhood<'a> {
-        let wanted = |servers: &[usize]| if servers.len() > limits.enough { limits.enough } else { 0 };
+        let wanted =
+            |servers: &[usize]| if servers.len() > limits.target_servers { limits.target_servers } else { 0 };
         let (wanted_prefill, wanted_decode) = (wanted(&all.prefill), wanted(&all.decode));
         let mut servers = ServerIndices::default();
         let mut prefill_weights = Vec::new();
@@ -265,12 +266,12 @@
                 continue;
             }
             let member = &self.slots[*slot];
-            if wanted_prefill > 0 && servers.prefill.len() < limits.most {
-                let weight = 1.0 - servers.prefill.len() as f64 / limits.enough as f64;
+            if wanted_prefill > 0 && servers.prefill.len() < limits.max_servers {
+                let weight = 1.0 - servers.prefill.len() as f64 / limits.target_servers as f64;
                 servers.prefill.extend(&member.prefill);
                 prefill_weights.resize(servers.prefill.len(), weight.max(limits.edge_weight));
             }
-            if wanted_decode > 0 && servers.decode.len() < limits.most {
+            if wanted_decode > 0 && servers.decode.len() < limits.max_servers {
                 servers.decode.extend(&member.decode);
             }
             servers.mixed.extend(&member.mixed);
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -10,7 +10,7 @@
 
 /// As in the module.
 const NEIGHBORHOOD: NeighborhoodLimits =
-    NeighborhoodLimits { enough: NEAR, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
+    NeighborhoodLimits { target_servers: NEAR, max_servers: 256, points_per_cell: 16, edge_weight: 1e-3 };
 const NEAR: usize = 64;
 const SERVERS_PER_STEP: usize = 256;
 const PREFILL: usize = 0;
