--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -115,7 +115,7 @@
                 checks_left -= 1;
                 self.widen_search(id);
             }
-            head.next = self.admission.queue.next_of(head.traffic, checked);
+            head.next = self.admission.queue.next_in_group(head.traffic, checked);
         }
     }
 
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -58,7 +58,7 @@
     /// How long an attempt may go without an answer, by its latency objective and by what prefills
     /// take.
     pub(super) fn prefill_patience(&self, request: &InFlightRequest, attempt: &Attempt) -> Nanos {
-        let pace = self.prefill_cost.late_time_per_token(OVERDUE_DEVIATIONS);
+        let pace = self.prefill_cost.pessimistic_time_per_token(OVERDUE_DEVIATIONS);
         (PREFILL_WAIT_FRACTION * request.time_to_objective() + attempt.queued_tokens * pace) as Nanos
     }
 
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -40,7 +40,7 @@
         for endpoint in endpoints {
             let Some(server) = self.servers.get_mut(endpoint.server) else { continue };
             let Some((role, kv_capacity_tokens)) = self.settings.kind(endpoint.kind) else {
-                server.listing.withdraw();
+                server.listing.mark_not_ready();
                 continue;
             };
             server.listing.role = role;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -112,7 +112,7 @@
             decode_delays: DecodeStartDelays::default(),
             slow_start: SlowStart::new(settings.kinds.len()),
             probe_budget: Budget::default(),
-            cancellation_budget: Budget::with_points(INITIAL_CANCELLATIONS),
+            cancellation_budget: Budget::with_balance(INITIAL_CANCELLATIONS),
             gossip: Gossip::default(),
             peer_load: PeerLoad::default(),
             tick_is_scheduled: false,
--- a/src/policy/prefill_placement.rs
+++ b/src/policy/prefill_placement.rs
@@ -177,7 +177,7 @@
     fn tokens_behind_probe(&self, server: &Server) -> f64 {
         let Some(sent_at) = server.liveness.probe_sent_at() else { return 0.0 };
         let usual = if server.liveness.awaits_probe_for(self.now, PROBE_WAIT) {
-            self.prefill_cost.mean_tokens_behind_silent_probe()
+            self.prefill_cost.mean_tokens_ahead_with_unanswered_probe()
         } else {
             0.0
         };
--- a/src/state/admission_queue.rs
+++ b/src/state/admission_queue.rs
@@ -75,7 +75,7 @@
     }
 
     /// The first of a group after that place, or of the whole group.
-    pub fn next_of(
+    pub fn next_in_group(
         &self,
         traffic: Option<TrafficClassKey>,
         after: Option<QueuePosition>,
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -8,7 +8,7 @@
 
 impl Budget {
     /// A budget that starts with so many points.
-    pub fn with_points(points: f64) -> Budget {
+    pub fn with_balance(points: f64) -> Budget {
         Budget { points }
     }
 
--- a/src/state/prefill_cost.rs
+++ b/src/state/prefill_cost.rs
@@ -24,7 +24,7 @@
     /// Tokens a prefill computed, without those found cached.
     computed_tokens: RunningMean,
     /// Tokens that a prefill queued behind at a server that had not answered its probe.
-    tokens_behind_silent_probe: RunningMean,
+    tokens_ahead_with_unanswered_probe: RunningMean,
 }
 
 impl PrefillCostModel {
@@ -34,7 +34,7 @@
     }
 
     /// Nanoseconds a token of a prefill that is slower than the mean by so many deviations.
-    pub fn late_time_per_token(&self, deviations: f64) -> f64 {
+    pub fn pessimistic_time_per_token(&self, deviations: f64) -> f64 {
         self.pace.value() + deviations * self.deviation.value()
     }
 
@@ -49,8 +49,8 @@
     }
 
     /// The mean of tokens that a prefill queues behind at a server that has not answered its probe.
-    pub fn mean_tokens_behind_silent_probe(&self) -> f64 {
-        self.tokens_behind_silent_probe.value()
+    pub fn mean_tokens_ahead_with_unanswered_probe(&self) -> f64 {
+        self.tokens_ahead_with_unanswered_probe.value()
     }
 
     /// The tokens that can be prefilled in that span where nothing else waits.
@@ -73,7 +73,7 @@
         self.learn(per_token, latency as f64 / computed_tokens, gains);
         if attempt.probe_outstanding {
             let behind = self.tokens_within(latency) - computed_tokens;
-            self.tokens_behind_silent_probe.add(behind.max(0.0), gains.mean);
+            self.tokens_ahead_with_unanswered_probe.add(behind.max(0.0), gains.mean);
         }
         per_token
     }
--- a/src/state/server/listing.rs
+++ b/src/state/server/listing.rs
@@ -61,7 +61,7 @@
     }
 
     /// It gets nothing new, as its kind is not used.
-    pub fn withdraw(&mut self) {
+    pub fn mark_not_ready(&mut self) {
         if self.is_ready() {
             self.state = ListingState::NotReady;
         }
