--- a/src/state/admission_queue.rs
+++ b/src/state/admission_queue.rs
@@ -1,13 +1,14 @@
-//! Requests that wait for their prefill, in the order in which they are admitted.
+//! The admission queue: requests waiting for prefill, in the order in which they are admitted.
 
 use super::{InFlightRequest, TrafficClassKey};
 use crate::api::{Nanos, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The place of a request in the queue: those within their quota first, then the earliest objective.
+/// The sort key of a queued request: requests within their quota come first, then the earliest latency
+/// objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
-    /// Its tenant has sent more than its quota.
+    /// Whether its tenant has exceeded its quota.
     pub over_quota: bool,
     /// When its first token is due by its latency objective.
     pub objective_at: Nanos,
@@ -15,14 +16,14 @@
     pub id: RequestId,
 }
 
-/// What decides whether a queued request can be admitted, so that most need no closer look.
+/// What a queued request needs to be admitted: a cheap check that spares most requests the full one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceRequirements {
     /// KV cache tokens that it is expected to need.
     pub kv_tokens: f64,
-    /// Prompt tokens to prefill at least, whatever is cached.
+    /// Lower bound of the prompt tokens to prefill: the prompt without its shared prefix.
     pub uncached_prompt_tokens: f64,
-    /// The time that its latency objective leaves for the first token, in nanoseconds.
+    /// The time from arrival to the latency objective for the first token, in nanoseconds.
     pub time_to_objective: f64,
 }
 
@@ -37,16 +38,16 @@
     }
 }
 
-/// A queued request: its place, and what it requires.
+/// A queued request with its position and requirements.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Its place in the queue.
+    /// Its position in the queue.
     pub position: QueuePosition,
-    /// What it requires.
+    /// What it needs to be admitted.
     pub requirements: ResourceRequirements,
 }
 
-/// Where a queued request is kept.
+/// The keys under which a queued request is indexed.
 #[derive(Clone, Copy, Debug)]
 struct QueueEntry {
     traffic: Option<TrafficClassKey>,
@@ -54,8 +55,8 @@
     check_at: Nanos,
 }
 
-/// Requests that wait for their prefill. Those that any server may be sent are grouped by traffic
-/// class; under `None` are those that some servers must not be sent.
+/// The queue of requests waiting for prefill. Requests that may be sent to any server are grouped by traffic
+/// class; the `None` group holds those that must not be sent to some servers.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionQueue {
     groups: BTreeMap<Option<TrafficClassKey>, QueueGroup>,
@@ -64,17 +65,17 @@
 }
 
 impl AdmissionQueue {
-    /// Nothing waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The groups of requests, each with its traffic class.
+    /// All groups, each with its traffic class.
     pub fn groups(&self) -> impl Iterator<Item = (Option<TrafficClassKey>, &QueueGroup)> {
         self.groups.iter().map(|(traffic, group)| (*traffic, group))
     }
 
-    /// The first of a group after that place, or of the whole group.
+    /// The first request of a group after the position `after`, or the first of the group.
     pub fn next_in_group(
         &self,
         traffic: Option<TrafficClassKey>,
@@ -83,11 +84,11 @@
         self.groups.get(&traffic)?.first_after(after)
     }
 
-    /// Adds a request, which has to be checked at `check_at` at the latest.
+    /// Adds a request, replacing its previous entry; it has to be checked at `check_at` at the latest.
     pub fn insert(&mut self, id: RequestId, request: &InFlightRequest, check_at: Nanos) {
         self.remove(id);
-        let may_go_anywhere = request.failed_servers.is_empty() && request.may_have_run.is_none();
-        let traffic = may_go_anywhere.then(|| request.traffic());
+        let any_server_allowed = request.failed_servers.is_empty() && request.may_have_run.is_none();
+        let traffic = any_server_allowed.then(|| request.traffic());
         let position = QueuePosition {
             over_quota: request.facts.over_quota,
             objective_at: request.facts.objective_at,
@@ -99,7 +100,7 @@
         self.entries.insert(id, QueueEntry { traffic, queued, check_at });
     }
 
-    /// Drops a request, if it is there.
+    /// Removes a request, if it is queued.
     pub fn remove(&mut self, id: RequestId) {
         let Some(entry) = self.entries.remove(&id) else { return };
         self.by_check_time.remove(&(entry.check_at, id));
@@ -110,8 +111,7 @@
         }
     }
 
-    /// The requests that have to be checked by `check_at`, or whose objective is before
-    /// `objective_at`.
+    /// The requests that have to be checked by `check_at`, or whose objective is before `objective_at`.
     pub fn due(&self, check_at: Nanos, objective_at: Nanos) -> impl Iterator<Item = RequestId> + '_ {
         let by_time = self.by_check_time.iter().take_while(move |(at, _)| *at <= check_at);
         let late = self.groups.values().flat_map(move |group| group.with_objective_before(objective_at));
@@ -119,7 +119,7 @@
     }
 }
 
-/// Queued requests of one traffic class, with the extremes of what they require.
+/// The queued requests of one traffic class, with the extremes of their requirements.
 #[derive(Clone, Debug, Default)]
 pub struct QueueGroup {
     requests: BTreeMap<QueuePosition, ResourceRequirements>,
@@ -129,8 +129,8 @@
 }
 
 impl QueueGroup {
-    /// Requirements that none of the group's requests is below: the least tokens, and the longest
-    /// time.
+    /// A lower bound of the requirements of every request in the group: the fewest tokens and the longest
+    /// time to objective.
     pub fn least_requirements(&self) -> ResourceRequirements {
         ResourceRequirements {
             kv_tokens: self.kv_tokens.least(),
@@ -139,12 +139,12 @@
         }
     }
 
-    /// There is just one request in it.
+    /// Whether the group has exactly one request.
     pub fn is_single(&self) -> bool {
         self.requests.len() == 1
     }
 
-    /// The first after that place, or of all.
+    /// The first request after the position `after`, or the first of the group.
     pub fn first_after(&self, after: Option<QueuePosition>) -> Option<QueuedRequest> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
@@ -180,8 +180,8 @@
     }
 }
 
-/// Values in their order, each with how often it is there. Negative ones count as 0: the bits of
-/// the others sort as they do.
+/// A sorted multiset of values. Negative values are stored as 0, since only the bit patterns of non-negative
+/// floats sort in numeric order.
 #[derive(Clone, Debug, Default)]
 struct SortedValues {
     counts: BTreeMap<u64, usize>,
@@ -201,12 +201,12 @@
         }
     }
 
-    /// The least value; 0 of none.
+    /// The least value; 0 if empty.
     fn least(&self) -> f64 {
         self.counts.keys().next().map_or(0.0, |bits| f64::from_bits(*bits))
     }
 
-    /// The greatest value; 0 of none.
+    /// The greatest value; 0 if empty.
     fn greatest(&self) -> f64 {
         self.counts.keys().next_back().map_or(0.0, |bits| f64::from_bits(*bits))
     }
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -1,56 +1,57 @@
-//! One attempt to have a request served, as it is in flight.
+//! An attempt of a request that is in flight.
 
 use crate::api::{AttemptNumber, CellId, Nanos, ServerId, ZoneId};
 
-/// What a server is asked to do in an attempt.
+/// The work that an attempt asks of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// To compute the prompt's KV cache and keep it.
+    /// Compute the prompt's KV cache and hold it.
     Prefill,
-    /// To fetch the KV cache and generate the answer.
+    /// Fetch the KV cache and generate the answer.
     Decode,
-    /// Both, at one server.
+    /// Prefill and decode on the same server.
     Combined,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// No token of its answer has come.
+    /// No token of the answer has been received.
     AwaitingFirstToken,
-    /// Its answer has begun.
+    /// The first token has been received.
     Streaming,
-    /// It was cancelled before its answer began.
+    /// It was cancelled before the first token.
     Cancelled,
 }
 
 /// An attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// The server it was sent to.
     pub server: ServerId,
-    /// Its number among the request's attempts, from 0.
+    /// Its number among the request's attempts, starting at 0.
     pub number: AttemptNumber,
     /// When it was sent.
     pub sent_at: Nanos,
-    /// What the server is asked to do.
+    /// The work asked of the server.
     pub stage: Stage,
-    /// Own prompt tokens that it adds to the server's prefill queue.
+    /// Prompt tokens that it adds to the server's prefill queue.
     pub prompt_tokens: f64,
-    /// Prompt tokens in the server's prefill queue when it was sent, its own included.
+    /// Prompt tokens in the server's prefill queue when it was sent, including its own.
     pub queued_tokens: f64,
-    /// KV cache tokens that it is expected to need at the server.
+    /// KV cache tokens that it is expected to need on the server.
     pub reserved_kv_tokens: f64,
-    /// How far it has come.
+    /// Its progress.
     pub progress: AttemptProgress,
-    /// The KV cache that it is to fetch was released beside it: it may not have arrived.
+    /// Whether the KV cache that it fetches was released while it was in flight, because the attempt may not
+    /// have reached its server.
     pub kv_released: bool,
-    /// A load probe of its server had been outstanding for long when it was sent.
+    /// Whether a load probe of its server was overdue when it was sent.
     pub probe_outstanding: bool,
 }
 
 impl Attempt {
-    /// An attempt that is planned, and gets its number and time when it is sent.
+    /// An attempt that is not sent yet; its number and send time are set when it is.
     pub fn planned(server: ServerId, stage: Stage) -> Attempt {
         Attempt {
             server,
@@ -66,18 +67,18 @@
         }
     }
 
-    /// Its answer has begun.
+    /// Whether its first token has been received.
     pub fn is_streaming(&self) -> bool {
         self.progress == AttemptProgress::Streaming
     }
 
-    /// It was cancelled before its answer began.
+    /// Whether it was cancelled before its first token.
     pub fn is_cancelled(&self) -> bool {
         self.progress == AttemptProgress::Cancelled
     }
 }
 
-/// An attempt that may have run, of a request that is not idempotent.
+/// An earlier attempt that may have run, of a request that is not idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MayHaveRun {
     /// The zone of its server, if listed.
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,32 +1,32 @@
-//! A budget that its owner earns with some events and spends on others.
+//! A budget that is earned by some events and spent on others.
 
-/// Points that are earned up to a limit and spent only while there are enough.
+/// A balance of points that is earned up to a limit and never overdrawn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Budget {
-    points: f64,
+    balance: f64,
 }
 
 impl Budget {
-    /// A budget that starts with so many points.
-    pub fn with_balance(points: f64) -> Budget {
-        Budget { points }
+    /// A budget with an initial balance.
+    pub fn with_balance(balance: f64) -> Budget {
+        Budget { balance }
     }
 
     /// Adds points, up to the limit.
     pub fn earn(&mut self, points: f64, limit: f64) {
-        self.points = (self.points + points).min(limit);
+        self.balance = (self.balance + points).min(limit);
     }
 
-    /// Whether there are as many points as that costs.
+    /// Whether the balance covers `cost`.
     pub fn can_afford(&self, cost: f64) -> bool {
-        self.points >= cost
+        self.balance >= cost
     }
 
-    /// Pays the cost if there are enough points; whether it was paid.
+    /// Spends `cost` if the balance covers it; returns whether it was spent.
     pub fn try_spend(&mut self, cost: f64) -> bool {
         let affordable = self.can_afford(cost);
         if affordable {
-            self.points -= cost;
+            self.balance -= cost;
         }
         affordable
     }
--- a/src/state/fleet_summary.rs
+++ b/src/state/fleet_summary.rs
@@ -1,4 +1,4 @@
-//! What the servers of a role have in common, and which servers a request chooses among.
+//! Aggregates over the servers of each role, and the servers that a request chooses among.
 
 use super::hash_ring::HashRing;
 use super::{
@@ -8,20 +8,18 @@
 use crate::api::{CellId, Nanos, Role};
 use std::collections::BTreeMap;
 
-/// A server that is not listed any more is kept while at least so many of its KV cache tokens are
-/// reserved.
+/// A removed server is kept while this router has at least this many KV cache tokens reserved there.
 const NEGLIGIBLE_KV_TOKENS: f64 = 1.0;
 
-/// What the servers of a role have in common: by the endpoint list, and by what was heard of their
-/// load lately.
+/// Aggregates over the servers of each role, from the endpoint list and from recent load reports.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSummary {
     mean_weight: PerRole<f64>,
-    /// Each cell's share of all weight.
+    /// Each cell's share of the total weight of a role.
     cell_shares: BTreeMap<CellId, PerRole<f64>>,
     ready: ServerIndices,
     decode_role: Role,
-    /// There are so many servers that a request chooses only among those near its key.
+    /// Whether there are so many servers that a request chooses only among those near its key.
     uses_neighborhoods: bool,
     ring: HashRing,
     load_updated_at: Nanos,
@@ -32,13 +30,18 @@
 }
 
 impl FleetSummary {
-    /// Takes the listed servers. One that is removed is dropped with the last of our work there:
-    /// new ones come under new ids all the time. With more than `most` ready servers requests
-    /// choose among neighbourhoods.
-    pub fn update_listed(&mut self, servers: &mut ServerTable, most: usize, limits: NeighborhoodLimits) {
+    /// Updates the aggregates after a change of the endpoint list. Removed servers are dropped once none of
+    /// this router's work is left there; as servers are replaced under new ids, the table would grow without
+    /// bound otherwise. With more than `neighborhood_threshold` ready servers, requests choose among
+    /// neighbourhoods.
+    pub fn update_listed(
+        &mut self,
+        servers: &mut ServerTable,
+        neighborhood_threshold: usize,
+        limits: NeighborhoodLimits,
+    ) {
         servers.retain(|server| !server.listing.is_removed() || has_local_work(server));
-        // Mixed servers are sent KV caches from prefill workers only where there are no decode
-        // workers.
+        // Mixed servers decode for prefill workers only if there are no decode workers.
         let has_decode_workers = servers.iter().any(|server| is_ready_as(server, Role::Decode));
         self.decode_role = if has_decode_workers { Role::Decode } else { Role::Mixed };
         self.ready = ServerIndices {
@@ -46,7 +49,7 @@
             decode: servers.indices(|s| is_ready_as(s, self.decode_role)),
             mixed: servers.indices(|s| has_decode_workers && is_ready_as(s, Role::Mixed)),
         };
-        self.uses_neighborhoods = self.ready.prefill.len() + self.ready.decode.len() > most;
+        self.uses_neighborhoods = self.ready.prefill.len() + self.ready.decode.len() > neighborhood_threshold;
         if self.uses_neighborhoods {
             self.ring.update(servers, self.decode_role, has_decode_workers, limits);
         } else {
@@ -70,8 +73,8 @@
         }
     }
 
-    /// Updates the means of the load heard of since `now - max_age`, and forgets older reports.
-    /// Done once an interval.
+    /// Recomputes the load means from reports received since `now - max_age`, and discards older reports.
+    /// Does nothing within `interval` of the last update.
     pub fn update_load(
         &mut self,
         now: Nanos,
@@ -91,7 +94,7 @@
         let (mut decode_servers, mut own_kv_tokens) = (0.0_f64, 0.0);
         for server in servers.iter_mut() {
             server.reported_load.expire(oldest);
-            // A probe whose answer was lost must not be awaited for ever.
+            // A probe whose answer was lost would otherwise count as outstanding forever.
             server.liveness.expire_probe(oldest);
             if !server.listing.is_ready() {
                 continue;
@@ -114,54 +117,56 @@
         self.known_kv_tokens_per_server = self.known_kv_tokens / decode_servers.max(1.0);
     }
 
-    /// All ready servers.
+    /// All ready servers, by pool.
     pub fn ready(&self) -> &ServerIndices {
         &self.ready
     }
 
-    /// The role of the servers that are asked to decode.
+    /// The role of the servers that decode: mixed if there are no decode workers.
     pub fn decode_role(&self) -> Role {
         self.decode_role
     }
 
-    /// The mean weight of a role's servers; 1 without one.
+    /// The mean weight of the ready servers of a role; 1 if there are none.
     pub fn mean_weight(&self, role: Role) -> f64 {
         *self.mean_weight.get(role)
     }
 
-    /// A cell's share of a role's weight; `None` for a cell without a ready server.
+    /// A cell's share of the total weight of a role; `None` for a cell without a ready server.
     pub fn cell_share(&self, cell: CellId, role: Role) -> Option<f64> {
         self.cell_shares.get(&cell).map(|shares| *shares.get(role))
     }
 
-    /// The mean share of KV cache that other routers' requests hold at a role's servers, where that
-    /// was reported.
+    /// The mean fraction of KV cache held by other routers' requests on the servers of a role, over the
+    /// servers that report it.
     pub fn mean_peer_utilization(&self, role: Role) -> Option<f64> {
         *self.mean_peer_utilization.get(role)
     }
 
-    /// The mean of other routers' queued prompt tokens at a role's servers, where that was reported.
+    /// The mean number of other routers' queued prompt tokens on the servers of a role, over the servers for
+    /// which it is known.
     pub fn mean_peer_queued_tokens(&self, role: Role) -> Option<f64> {
         *self.mean_peer_queued_tokens.get(role)
     }
 
-    /// KV cache tokens that this router and those that report have at decode workers.
+    /// KV cache tokens that this router and the routers that report their load have on the servers that
+    /// decode.
     pub fn known_kv_tokens(&self) -> f64 {
         self.known_kv_tokens
     }
 
-    /// The same for one decode worker, on average.
+    /// The mean of [`FleetSummary::known_kv_tokens`] per server that decodes.
     pub fn known_kv_tokens_per_server(&self) -> f64 {
         self.known_kv_tokens_per_server
     }
 
-    /// A request chooses only among servers near its key.
+    /// Whether a request chooses only among the servers near its key.
     pub fn uses_neighborhoods(&self) -> bool {
         self.uses_neighborhoods
     }
 
-    /// The servers near a position, and the decode workers of one cell besides; all servers where
-    /// there are few.
+    /// The servers near a ring position plus the decode workers of `cell`; all servers if neighbourhoods are
+    /// not in use.
     pub fn neighborhood(
         &self,
         position: Option<RingPosition>,
@@ -171,18 +176,18 @@
         let Some(position) = position.filter(|_| self.uses_neighborhoods) else {
             return Neighborhood::all(&self.ready);
         };
-        let mut found = self.ring.neighborhood(&self.ready, position, limits);
-        if let Some(of_cell) = cell.and_then(|cell| self.ring.cell(cell)) {
-            let decode = &mut found.servers.to_mut().decode;
-            let missing = of_cell.decode.iter().filter(|index| !decode.contains(*index));
+        let mut neighborhood = self.ring.neighborhood(&self.ready, position, limits);
+        if let Some(cell_servers) = cell.and_then(|cell| self.ring.cell(cell)) {
+            let decode = &mut neighborhood.servers.to_mut().decode;
+            let missing = cell_servers.decode.iter().filter(|index| !decode.contains(*index));
             let missing: Vec<usize> = missing.copied().collect();
             decode.extend(missing);
         }
-        found
+        neighborhood
     }
 
-    /// The share of all decode workers that so many are, where requests choose among
-    /// neighbourhoods; else 1.
+    /// The fraction of all decode workers that `count` workers are, if requests choose among neighbourhoods;
+    /// otherwise 1.
     pub fn share_of_decode_workers(&self, count: usize) -> f64 {
         if self.uses_neighborhoods {
             count as f64 / self.ready.decode.len().max(1) as f64
@@ -197,11 +202,11 @@
 }
 
 fn has_local_work(server: &Server) -> bool {
-    let own = &server.local_load;
-    own.awaiting_first_token() > 0 || own.reserved_kv_tokens() >= NEGLIGIBLE_KV_TOKENS
+    let load = &server.local_load;
+    load.awaiting_first_token() > 0 || load.reserved_kv_tokens() >= NEGLIGIBLE_KV_TOKENS
 }
 
-/// A mean that is summed up value by value.
+/// An arithmetic mean that is accumulated value by value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MeanAccumulator {
     sum: f64,
@@ -215,7 +220,7 @@
         self.count += 1.0;
     }
 
-    /// The mean; `None` of no values.
+    /// The mean; `None` if no value was added.
     pub fn mean(self) -> Option<f64> {
         (self.count > 0.0).then(|| self.sum / self.count)
     }
--- a/src/state/gossip_message.rs
+++ b/src/state/gossip_message.rs
@@ -1,18 +1,18 @@
-//! The gossip message between routers: for each server four bytes of id and two of KV cache tokens,
-//! little-endian.
+//! The wire format of gossip messages between routers: per server a four-byte id and a two-byte count of KV
+//! cache tokens, both little-endian.
 
 use crate::api::ServerId;
 use std::collections::BTreeMap;
 
-/// Tokens in one unit of the message; servers with less are left out.
+/// Tokens per unit of the encoded count; servers with fewer are left out.
 const TOKENS_PER_UNIT: f64 = 16.0;
-/// The longest message, in bytes.
+/// The maximum message size, in bytes.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// The bytes of one server.
+/// The encoded size of one server, in bytes.
 const ENTRY_BYTES: usize = 6;
 
-/// Encodes the KV cache tokens that this router has at each server, as many servers as the message
-/// holds.
+/// Encodes the KV cache tokens that this router has on each server; servers beyond the maximum message size
+/// are left out.
 pub fn encode_gossip(kv_tokens: impl Iterator<Item = (ServerId, f64)>) -> Vec<u8> {
     let mut message = Vec::new();
     let reported = kv_tokens.filter(|(_, tokens)| *tokens >= TOKENS_PER_UNIT);
@@ -24,7 +24,7 @@
     message
 }
 
-/// Decodes the KV cache tokens of each server; an entry that was cut off is left out.
+/// Decodes the KV cache tokens per server; an incomplete last entry is ignored.
 pub fn decode_gossip(message: &[u8]) -> BTreeMap<ServerId, f64> {
     let decode_entry = |entry: &[u8]| {
         let server = ServerId(u32::from_le_bytes([entry[0], entry[1], entry[2], entry[3]]));
--- a/src/state/hash_ring.rs
+++ b/src/state/hash_ring.rs
@@ -1,49 +1,51 @@
-//! Consistent hashing of cells: the servers near a key, whatever the number of all.
+//! Consistent hashing of cells: finds the servers near a key, independently of the size of the fleet.
 //!
-//! Each cell stands at a few points of a ring of hashes, a server without a cell by itself. The
-//! neighbourhood of a key is made of the cells that follow the key's point, until there are enough
-//! servers of each role. So it follows from the endpoint list alone, no cell is torn apart, and a
-//! cell that comes or goes changes only the neighbourhoods around its own points. Where a
-//! neighbourhood has no capacity, the search continues past every cell once.
+//! Each cell has several points on a hash ring; a server without a cell is a member of its own. The
+//! neighbourhood of a key consists of the cells that follow the key's point on the ring, up to the target
+//! number of servers per role. It therefore depends on the endpoint list alone, never splits a cell, and a
+//! cell that is added or removed changes only the neighbourhoods around its own points. If a neighbourhood
+//! has no capacity, the search continues on a second ring with one point per cell, which visits every cell
+//! once.
 
 use super::{Server, ServerTable};
 use crate::api::{AffinityKey, CellId, Role, ServerId};
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// The bounds of a neighbourhood.
+/// The size limits and weights of a neighbourhood.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NeighborhoodLimits {
-    /// Servers of a role that are enough. Of a role with no more all are taken.
+    /// The number of servers per role at which a neighbourhood is complete. If a role has no more servers
+    /// than this, all of them are included.
     pub target_servers: usize,
-    /// The most servers of a role that are taken while the other one is scarce.
+    /// Once a role has this many servers, further cells add none of it, even while the other role is still
+    /// below its target.
     pub max_servers: usize,
-    /// Points of a cell on the ring: with more, keys are spread more evenly over the cells.
+    /// Points per cell on the ring; more points spread keys more evenly over the cells.
     pub points_per_cell: u32,
-    /// The distance weight of a prefill worker at the edge; one at the key's own point has 1.
+    /// The minimum distance weight, for prefill workers at the edge; the nearest ones have weight 1.
     pub edge_weight: f64,
 }
 
-/// Where on the ring servers are looked for.
+/// Where on the ring the search for servers starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RingPosition {
-    /// At a key's own point, on the ring with all points of the cells.
+    /// At the point of a key, on the ring with all points of each cell.
     Key(u64),
-    /// From there on, on the ring with one point of each cell: where the key's own neighbourhood
-    /// had no capacity.
-    Beyond(u64),
+    /// At a point of the ring with one point per cell, after the key's own neighbourhood had no capacity.
+    Fallback(u64),
 }
 
-/// What stands on the ring as a whole.
+/// A member of the ring: a cell, or a server without a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum RingMember {
     Cell(CellId),
     Server(ServerId),
 }
 
-/// Keeps the points of a cell apart from those of a server with the same number.
+/// Separates the points of a cell from those of a server with the same id.
 const CELL_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Keeps the points of a server apart from those of a cell with the same number.
+/// Separates the points of a server from those of a cell with the same id.
 const SERVER_SALT: u64 = 0xc2b2_ae3d_27d4_eb4f;
 
 impl RingMember {
@@ -61,14 +63,14 @@
     }
 }
 
-/// Indices into the table of servers, by what the servers are asked for.
+/// Indices into the server table, by the work that the servers are asked for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerIndices {
-    /// Servers that prefill.
+    /// Servers that prefill: prefill workers and mixed servers.
     pub prefill: Vec<usize>,
-    /// Servers that decode.
+    /// Servers that decode for prefill workers.
     pub decode: Vec<usize>,
-    /// Mixed servers beside decode workers.
+    /// Mixed servers, if there are also decode workers.
     pub mixed: Vec<usize>,
 }
 
@@ -84,21 +86,21 @@
     }
 }
 
-/// The servers near a position.
+/// The servers near a ring position.
 #[derive(Clone, Debug)]
 pub struct Neighborhood<'a> {
     /// The servers.
     pub servers: Cow<'a, ServerIndices>,
-    /// For each prefill worker its distance weight: a cell at the edge, which the next change of
-    /// the list may push out, attracts next to nothing, so that few keys move then. Empty: all
-    /// weigh alike.
+    /// The distance weight of each prefill worker. A cell at the edge may drop out of the neighbourhood with
+    /// the next change of the endpoint list; its low weight keeps the number of keys that move then small.
+    /// Empty if all weights are equal.
     prefill_weights: Vec<f64>,
-    /// Where the search continues; `None`: all servers are in it.
+    /// Where the search continues; `None` if the neighbourhood has all servers.
     pub next: Option<RingPosition>,
 }
 
 impl<'a> Neighborhood<'a> {
-    /// All servers, which weigh alike.
+    /// All servers, with equal weights.
     pub fn all(servers: &'a ServerIndices) -> Neighborhood<'a> {
         Neighborhood { servers: Cow::Borrowed(servers), prefill_weights: Vec::new(), next: None }
     }
@@ -113,61 +115,61 @@
     }
 }
 
-/// How much affinity each prefill worker of a neighbourhood attracts there, by its distance from
-/// the key.
+/// The distance weights of the prefill workers of a neighbourhood: how much affinity each attracts,
+/// decreasing with its distance from the key.
 #[derive(Clone, Debug, Default)]
 pub struct DistanceWeights {
-    /// In the order of the ids.
+    /// Sorted by id.
     by_id: Vec<(ServerId, f64)>,
 }
 
 impl DistanceWeights {
-    /// The weight of a server, in (0, 1]; 1 if it is not among them, or all weigh alike.
+    /// The weight of a server, in (0, 1]; 1 if it has no entry.
     pub fn of(&self, server: ServerId) -> f64 {
         let found = self.by_id.binary_search_by_key(&server, |(id, _)| *id);
         found.map_or(1.0, |index| self.by_id[index].1)
     }
 }
 
-/// A point on the ring, with the slot of the member that stands there.
+/// A point on the ring, with the slot of its member.
 type RingPoint = (u64, usize);
 
-/// Points in their order.
+/// The points of a ring, sorted.
 #[derive(Clone, Debug, Default)]
-struct Circle {
+struct RingPoints {
     points: Vec<RingPoint>,
 }
 
-impl Circle {
+impl RingPoints {
     fn add(&mut self, new: impl Iterator<Item = RingPoint>) {
         self.points.extend(new);
-        // The old ones are in order already: a merge.
+        // The existing points are a sorted run already: the stable sort merges the new ones into it.
         self.points.sort();
     }
 
-    /// All from a point on, once round.
-    fn from(&self, point: u64) -> impl Iterator<Item = &RingPoint> {
+    /// All points once, clockwise from a given point.
+    fn clockwise_from(&self, point: u64) -> impl Iterator<Item = &RingPoint> {
         let start = self.points.partition_point(|(at, _)| *at < point);
         let (before, after) = self.points.split_at(start);
         after.iter().chain(before)
     }
 }
 
-/// The cells and servers on the ring. Members keep their slot while they are listed.
+/// The hash ring of cells and servers without a cell. A member keeps its slot while it is listed.
 #[derive(Clone, Debug, Default)]
 pub struct HashRing {
-    /// Several points of each member, among which keys fall evenly.
-    by_key: Circle,
-    /// One point of each member: a way past all of them.
-    beyond: Circle,
+    /// Several points per member, for an even distribution of keys.
+    key_points: RingPoints,
+    /// One point per member, to visit all members in turn.
+    fallback_points: RingPoints,
     slots: Vec<ServerIndices>,
     slot_of: HashMap<RingMember, usize>,
     free_slots: Vec<usize>,
 }
 
 impl HashRing {
-    /// Takes the listed servers. `decode_role` is the role that is asked to decode,
-    /// `mixed_beside_decode` whether mixed servers stand beside it.
+    /// Updates the ring after a change of the endpoint list. `decode_role` is the role that decodes;
+    /// `mixed_beside_decode` says whether mixed servers exist in addition to it.
     pub fn update(
         &mut self,
         servers: &ServerTable,
@@ -220,72 +222,72 @@
             let (member, slot) = (*member, *slot);
             (0..points_per_cell).map(move |number| (member.point(number), slot))
         });
-        self.by_key.add(points);
-        self.beyond.add(members.iter().map(|(member, slot)| (member.point(0), *slot)));
+        self.key_points.add(points);
+        self.fallback_points.add(members.iter().map(|(member, slot)| (member.point(0), *slot)));
     }
 
     fn drop_empty_members(&mut self) {
         let slots = &self.slots;
-        let known = self.slot_of.len();
+        let count_before = self.slot_of.len();
         self.slot_of.retain(|_, slot| !slots[*slot].is_empty());
-        if self.slot_of.len() == known {
+        if self.slot_of.len() == count_before {
             return;
         }
-        for circle in [&mut self.by_key, &mut self.beyond] {
-            circle.points.retain(|(_, slot)| !slots[*slot].is_empty());
+        for ring in [&mut self.key_points, &mut self.fallback_points] {
+            ring.points.retain(|(_, slot)| !slots[*slot].is_empty());
         }
         let is_free = |slot: &usize| slots[*slot].is_empty();
         self.free_slots = (0..slots.len()).filter(is_free).collect();
     }
 
-    /// The neighbourhood of a position among `all` servers: those of whole cells from there on,
-    /// until there are enough of each role of which there are more.
+    /// The neighbourhood of a position: whole cells clockwise from there, until each role has its target
+    /// number of servers. Of a role that has no more servers than the target, `all` are included.
     pub fn neighborhood<'a>(
         &self,
         all: &'a ServerIndices,
         position: RingPosition,
         limits: NeighborhoodLimits,
     ) -> Neighborhood<'a> {
-        let wanted =
+        let target =
             |servers: &[usize]| if servers.len() > limits.target_servers { limits.target_servers } else { 0 };
-        let (wanted_prefill, wanted_decode) = (wanted(&all.prefill), wanted(&all.decode));
+        let (target_prefill, target_decode) = (target(&all.prefill), target(&all.decode));
         let mut servers = ServerIndices::default();
         let mut prefill_weights = Vec::new();
-        let (circle, start) = match position {
-            RingPosition::Key(point) => (&self.by_key, point),
-            RingPosition::Beyond(point) => (&self.beyond, point),
+        let (ring, start) = match position {
+            RingPosition::Key(point) => (&self.key_points, point),
+            RingPosition::Fallback(point) => (&self.fallback_points, point),
         };
         let mut end = start;
-        let mut taken = vec![false; self.slots.len()];
-        for (point, slot) in circle.from(start) {
-            if servers.prefill.len() >= wanted_prefill && servers.decode.len() >= wanted_decode {
+        let mut visited = vec![false; self.slots.len()];
+        for (point, slot) in ring.clockwise_from(start) {
+            if servers.prefill.len() >= target_prefill && servers.decode.len() >= target_decode {
                 end = *point;
                 break;
             }
-            if std::mem::replace(&mut taken[*slot], true) {
+            if std::mem::replace(&mut visited[*slot], true) {
                 continue;
             }
             let member = &self.slots[*slot];
-            if wanted_prefill > 0 && servers.prefill.len() < limits.max_servers {
+            if target_prefill > 0 && servers.prefill.len() < limits.max_servers {
                 let weight = 1.0 - servers.prefill.len() as f64 / limits.target_servers as f64;
                 servers.prefill.extend(&member.prefill);
                 prefill_weights.resize(servers.prefill.len(), weight.max(limits.edge_weight));
             }
-            if wanted_decode > 0 && servers.decode.len() < limits.max_servers {
+            if target_decode > 0 && servers.decode.len() < limits.max_servers {
                 servers.decode.extend(&member.decode);
             }
             servers.mixed.extend(&member.mixed);
         }
-        if wanted_prefill == 0 {
+        if target_prefill == 0 {
             servers.prefill.clone_from(&all.prefill);
         }
-        if wanted_decode == 0 {
+        if target_decode == 0 {
             servers.decode.clone_from(&all.decode);
         }
         let next = match position {
-            // The way past all cells begins where the key stands.
-            RingPosition::Key(point) => RingPosition::Beyond(point),
-            RingPosition::Beyond(_) => RingPosition::Beyond(end),
+            // The fallback search starts at the point of the key.
+            RingPosition::Key(point) => RingPosition::Fallback(point),
+            RingPosition::Fallback(_) => RingPosition::Fallback(end),
         };
         Neighborhood { servers: Cow::Owned(servers), prefill_weights, next: Some(next) }
     }
--- a/src/state/in_flight_request.rs
+++ b/src/state/in_flight_request.rs
@@ -1,26 +1,26 @@
-//! One request that is in flight: what is known of it, its attempt and its KV cache.
+//! A request in flight, with its attempt and the location of its KV cache.
 
 use super::{Attempt, MayHaveRun, RingPosition, Stage, TrafficClassKey};
 use crate::api::{AffinityKey, Nanos, Request, ServerId};
 
-/// The key of a request's session; a request without one is a session of its own.
+/// The key of a request's session; a request without a session is keyed by its own id.
 pub fn session_key(request: &Request) -> AffinityKey {
     request.session.unwrap_or(AffinityKey(request.id.0))
 }
 
-/// Which prefill workers a request prefers.
+/// The prefill workers that a request prefers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefillAffinity {
     /// The number of prefill workers over which requests with its shared prefix are spread.
     pub workers: usize,
-    /// Where on the ring its servers are looked for.
+    /// Where on the hash ring the search for its servers starts.
     pub position: RingPosition,
 }
 
 impl PrefillAffinity {
-    /// The affinity of a request whose shared prefix is spread over so many workers. With more than
-    /// fit into one neighbourhood there is a ring position for each `neighborhood` of them, over
-    /// which sessions are spread.
+    /// The affinity of a request whose shared prefix is spread over `workers` prefill workers. If these are
+    /// more than one neighbourhood holds, the prefix gets one ring position per `neighborhood` workers, and
+    /// sessions are distributed over the positions.
     pub fn of(request: &Request, workers: usize, neighborhood: usize) -> PrefillAffinity {
         let session = session_key(request);
         let positions = workers.div_ceil(neighborhood).max(1) as u64;
@@ -35,57 +35,58 @@
 pub struct KvCacheLocation {
     /// The prefill worker that computed it.
     pub server: ServerId,
-    /// Since when it is held with no attempt known to have arrived for it: its release time runs
-    /// from then.
+    /// Since when it is held with no attempt known to have reached a server to fetch it; the time within
+    /// which it has to be released starts here.
     pub held_since: Nanos,
 }
 
-/// What is known of a request as it arrives.
+/// What is known about a request when it arrives.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
-    /// The request; its prompt length is known or guessed.
+    /// The request; its prompt length is given or estimated.
     pub request: Request,
     /// When it arrived.
     pub arrived_at: Nanos,
-    /// Its tenant has sent more than its quota.
+    /// Whether its tenant has exceeded its quota.
     pub over_quota: bool,
     /// When its first token is due by its latency objective.
     pub objective_at: Nanos,
     /// The expected length of its answer, in tokens.
     pub expected_output_tokens: f64,
-    /// Which prefill workers it prefers.
+    /// The prefill workers that it prefers.
     pub affinity: PrefillAffinity,
 }
 
 /// A request that is in flight.
 #[derive(Clone, Debug)]
 pub struct InFlightRequest {
-    /// What was known as it arrived.
+    /// What was known when it arrived.
     pub facts: RequestFacts,
-    /// An order of servers that differs for each request and router, to break ties.
+    /// The key of a pseudo-random order of servers, to break ties; differs by request and router.
     pub tie_breaker: AffinityKey,
-    /// Where its servers are looked for, if there are many; moves on while there is no capacity.
+    /// Where on the hash ring the search for servers starts in a large fleet; advances while there is no
+    /// capacity.
     pub position: RingPosition,
-    /// The number of attempts that were sent.
+    /// The number of attempts sent so far.
     pub attempt_count: u32,
     /// The attempt that is in flight.
     pub attempt: Option<Attempt>,
     /// Where its KV cache is held, once its prompt is prefilled.
     pub kv_cache: Option<KvCacheLocation>,
-    /// An earlier attempt that may have run, if a second one would not be harmless.
+    /// An earlier attempt that may have run, if the request is not idempotent.
     pub may_have_run: Option<MayHaveRun>,
     /// Servers where an attempt failed.
     pub failed_servers: Vec<ServerId>,
     /// When its first attempt was sent.
     pub first_sent_at: Option<Nanos>,
-    /// Until when it waits for answers of load probes.
+    /// Until when it waits for responses to load probes.
     pub probe_deadline: Option<Nanos>,
-    /// Its final answer was given: only its attempt is still to end.
+    /// Whether the client has its final answer; the entry is kept until the attempt ends.
     pub finished: bool,
 }
 
 impl InFlightRequest {
-    /// A request that has just arrived at the router with that seed.
+    /// A request that has just arrived at the router whose seed is `seed`.
     pub fn new(facts: RequestFacts, seed: u64) -> InFlightRequest {
         InFlightRequest {
             tie_breaker: AffinityKey(facts.request.id.0 ^ seed),
@@ -107,32 +108,33 @@
         &self.facts.request
     }
 
-    /// When its KV cache has to be fetched or released, if it may be held for that span.
+    /// When its KV cache has to be fetched or released, if it may be held for `release_within`; `Nanos::MAX`
+    /// without a KV cache.
     pub fn kv_release_at(&self, release_within: Nanos) -> Nanos {
         self.kv_cache.map_or(Nanos::MAX, |kv| kv.held_since.saturating_add(release_within))
     }
 
-    /// The time that its latency objective leaves for the first token, in nanoseconds.
+    /// The time from arrival to the latency objective for the first token, in nanoseconds.
     pub fn time_to_objective(&self) -> f64 {
         self.facts.objective_at.saturating_sub(self.facts.arrived_at) as f64
     }
 
-    /// Its class and tenant.
+    /// Its traffic class and tenant.
     pub fn traffic(&self) -> TrafficClassKey {
         TrafficClassKey { class: self.request().class, tenant: self.request().tenant }
     }
 
-    /// It still waits for answers of load probes.
+    /// Whether it still waits for responses to load probes.
     pub fn awaits_probes(&self, now: Nanos) -> bool {
         self.probe_deadline.is_some_and(|deadline| now < deadline)
     }
 
-    /// No token of its answer has come, and no final answer was given.
+    /// Whether no token of its answer has been received and it has no final answer.
     pub fn awaits_first_token(&self) -> bool {
         !self.finished && !self.attempt.is_some_and(|attempt| attempt.is_streaming())
     }
 
-    /// A decode worker will have to take its KV cache.
+    /// Whether a decode worker will have to fetch its KV cache.
     pub fn will_need_decode(&self) -> bool {
         if self.finished {
             return false;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// KV cache tokens that it is expected to need at a decode worker.
+    /// KV cache tokens that it is expected to need on a decode worker.
     pub fn expected_kv_tokens(&self) -> f64 {
         self.request().prompt_tokens + self.facts.expected_output_tokens
     }
--- a/src/state/latency_comparison.rs
+++ b/src/state/latency_comparison.rs
@@ -1,22 +1,22 @@
-//! Comparison of the servers' latencies with the median of their role.
+//! Compares the latency of each server with the median of its role.
 
 use super::{lower_median, Server, ServerTable, ROLES};
 use crate::api::{Role, ServerId};
 
-/// How latencies are learnt and compared.
+/// The parameters of the latency comparison.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyComparison {
-    /// The weight of a new sample.
+    /// The weight of a new sample in a server's mean latency.
     pub gain: f64,
-    /// Samples before a server is compared.
+    /// The number of samples before a server is compared.
     pub needed_samples: u32,
-    /// With more servers than this, a sample compares only its own server, with the median of the
-    /// last sweep.
+    /// With more servers than this, a sample updates only its own server, using the median of the last
+    /// sweep.
     pub sweep_above: usize,
 }
 
 impl LatencyComparison {
-    /// Takes a latency of a server, and compares the servers of its role.
+    /// Records a latency sample of a server, and compares the servers of its role.
     pub fn record(&self, servers: &mut ServerTable, id: ServerId, sample: f64) {
         let is_swept = servers.len() > self.sweep_above;
         let Some(server) = servers.get_mut(id) else { return };
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Compares all servers, where there are so many that single samples do not.
+    /// Compares all servers, if there are too many to do so with each sample.
     pub fn sweep(&self, servers: &mut ServerTable) {
         if servers.len() <= self.sweep_above {
             return;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state that the decisions go by: tables of servers and requests, statistics, budgets. It
-//! decides nothing.
+//! The state that the policy reads and updates: tables of servers and requests, statistics, budgets. It makes
+//! no decisions itself.
 
 mod adaptive_throttle;
 mod admission_queue;
--- a/src/state/peer_load.rs
+++ b/src/state/peer_load.rs
@@ -1,16 +1,16 @@
-//! The load that other routers report by gossip, and an estimate of what the others may have.
+//! The load that other routers report by gossip, and an estimate for the routers that do not report.
 
 use crate::api::{Nanos, ServerId};
 use std::collections::BTreeMap;
 
-/// What one router last reported.
+/// The last report of one router.
 #[derive(Clone, Debug)]
 struct PeerReport {
     received_at: Nanos,
     kv_tokens: BTreeMap<ServerId, f64>,
 }
 
-/// KV cache tokens that other routers have in flight at each server.
+/// KV cache tokens that other routers have in flight on each server.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoad {
     by_router: BTreeMap<u32, PeerReport>,
@@ -19,7 +19,7 @@
 }
 
 impl PeerLoad {
-    /// Takes a router's report in place of its last one.
+    /// Records a router's report, replacing its last one.
     pub fn record(&mut self, now: Nanos, router: u32, kv_tokens: BTreeMap<ServerId, f64>) {
         for (server, tokens) in &kv_tokens {
             *self.reported.entry(*server).or_default() += tokens;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Forgets reports received before that time.
+    /// Discards reports received before `oldest`.
     pub fn expire(&mut self, oldest: Nanos) {
         let is_expired = |report: &PeerReport| report.received_at < oldest;
         let routers = self.by_router.iter().filter(|(_, report)| is_expired(report));
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Sets what the routers without a report are taken to have at each server, in tokens.
+    /// Sets the estimated tokens per server of the routers without a report.
     pub fn set_unreported(&mut self, tokens: f64) {
         self.unreported = tokens;
     }
 
-    /// Tokens that other routers have at a server: as reported, and the estimate for those without
-    /// a report.
+    /// Tokens that other routers have on a server: the reported ones plus the estimate for routers without a
+    /// report.
     pub fn tokens_at(&self, server: ServerId) -> f64 {
         self.reported.get(&server).map_or(0.0, |tokens| *tokens) + self.unreported
     }
 
-    /// The tokens reported for all servers.
+    /// The total of reported tokens over all servers.
     pub fn reported_total(&self) -> f64 {
         self.reported.values().sum::<f64>()
     }
--- a/src/state/per_role.rs
+++ b/src/state/per_role.rs
@@ -1,8 +1,8 @@
-//! A value for each role of a server.
+//! A value for each server role.
 
 use crate::api::Role;
 
-/// All roles, in the order in which they are gone through.
+/// All roles, in iteration order.
 pub const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// One value for each role.
@@ -14,7 +14,7 @@
 }
 
 impl<T> PerRole<T> {
-    /// The value of a role.
+    /// The value for a role.
     pub fn get(&self, role: Role) -> &T {
         match role {
             Role::Prefill => &self.prefill,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The value of a role, to be changed.
+    /// A mutable reference to the value for a role.
     pub fn get_mut(&mut self, role: Role) -> &mut T {
         match role {
             Role::Prefill => &mut self.prefill,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The values that a function makes of these.
+    /// Applies a function to each value.
     pub fn map<U>(self, f: impl Fn(T) -> U) -> PerRole<U> {
         PerRole { prefill: f(self.prefill), decode: f(self.decode), mixed: f(self.mixed) }
     }
--- a/src/state/prefill_cost.rs
+++ b/src/state/prefill_cost.rs
@@ -1,4 +1,4 @@
-//! How long prefills take, learnt from those that are done.
+//! A model of prefill latency, learned from finished prefills.
 
 use super::{Attempt, RunningMean};
 use crate::api::Nanos;
@@ -8,58 +8,59 @@
 pub struct LearningGains {
     /// The weight of a new sample in the means.
     pub mean: f64,
-    /// The weight of a slower sample in the pace of an unloaded prefill; a faster one counts at once.
+    /// The weight of a slower sample in the time per token of an unloaded prefill; a faster sample replaces
+    /// it at once.
     pub slower_unloaded: f64,
 }
 
-/// The learnt pace and size of prefills.
+/// Learned speed and size of prefills.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefillCostModel {
-    /// Nanoseconds a token, queued tokens included.
-    pace: RunningMean,
-    /// How far single prefills are off that.
+    /// Nanoseconds per token, queued tokens included.
+    time_per_token: RunningMean,
+    /// Mean absolute deviation of single prefills from it.
     deviation: RunningMean,
-    /// Nanoseconds a token where nothing else waited.
+    /// Nanoseconds per token on a server without a queue.
     unloaded_time_per_token: f64,
-    /// Tokens a prefill computed, without those found cached.
+    /// Tokens computed per prefill, without those found in the cache.
     computed_tokens: RunningMean,
-    /// Tokens that a prefill queued behind at a server that had not answered its probe.
+    /// Tokens queued ahead of a prefill on a server whose load probe was overdue.
     tokens_ahead_with_unanswered_probe: RunningMean,
 }
 
 impl PrefillCostModel {
-    /// A model that goes by a given pace, in nanoseconds a token, until one is learnt.
+    /// A model with an initial time per token of unloaded prefills, in nanoseconds, until one is learned.
     pub fn with_unloaded_time_per_token(unloaded_time_per_token: f64) -> PrefillCostModel {
         PrefillCostModel { unloaded_time_per_token, ..PrefillCostModel::default() }
     }
 
-    /// Nanoseconds a token of a prefill that is slower than the mean by so many deviations.
+    /// The mean time per token plus `deviations` mean deviations, in nanoseconds.
     pub fn pessimistic_time_per_token(&self, deviations: f64) -> f64 {
-        self.pace.value() + deviations * self.deviation.value()
+        self.time_per_token.value() + deviations * self.deviation.value()
     }
 
-    /// Nanoseconds a token where nothing else waits.
+    /// Nanoseconds per token on a server without a queue.
     pub fn unloaded_time_per_token(&self) -> f64 {
         self.unloaded_time_per_token
     }
 
-    /// The mean of tokens that a prefill computes.
+    /// The mean number of tokens computed per prefill.
     pub fn mean_computed_tokens(&self) -> f64 {
         self.computed_tokens.value()
     }
 
-    /// The mean of tokens that a prefill queues behind at a server that has not answered its probe.
+    /// The mean number of tokens queued ahead of a prefill on a server whose load probe is overdue.
     pub fn mean_tokens_ahead_with_unanswered_probe(&self) -> f64 {
         self.tokens_ahead_with_unanswered_probe.value()
     }
 
-    /// The tokens that can be prefilled in that span where nothing else waits.
+    /// The tokens that a server without a queue can prefill within `span`.
     pub fn tokens_within(&self, span: Nanos) -> f64 {
         span as f64 / self.unloaded_time_per_token.max(1.0)
     }
 
-    /// Learns from a prefill that is done, when it is known how many tokens it computed and so how
-    /// many it queued behind. Returns its nanoseconds a token, queued tokens included.
+    /// Learns from a finished prefill: the number of tokens it computed is known now, and with it the number
+    /// of tokens queued ahead of it. Returns its nanoseconds per token, queued tokens included.
     pub fn record_finished(
         &mut self,
         attempt: &Attempt,
@@ -72,24 +73,25 @@
         self.computed_tokens.add(computed_tokens, gains.mean);
         self.learn(per_token, latency as f64 / computed_tokens, gains);
         if attempt.probe_outstanding {
-            let behind = self.tokens_within(latency) - computed_tokens;
-            self.tokens_ahead_with_unanswered_probe.add(behind.max(0.0), gains.mean);
+            let ahead = self.tokens_within(latency) - computed_tokens;
+            self.tokens_ahead_with_unanswered_probe.add(ahead.max(0.0), gains.mean);
         }
         per_token
     }
 
-    /// Learns from a prefill of which only the pace is known, in nanoseconds a token.
+    /// Learns from a prefill of which only the time per token is known, in nanoseconds.
     pub fn record_time_per_token(&mut self, per_token: f64, gains: LearningGains) {
         self.learn(per_token, per_token, gains);
     }
 
-    /// `per_own_token` counts only the prefill's own tokens: whatever it queued behind, an unloaded
-    /// one is no slower.
+    /// `per_own_token` divides the latency by the prefill's own tokens only. Since the latency includes any
+    /// queueing, it is an upper bound of the unloaded time per token.
     fn learn(&mut self, per_token: f64, per_own_token: f64, gains: LearningGains) {
-        let known = if self.pace.samples() > 0 { self.unloaded_time_per_token } else { per_own_token };
+        let known =
+            if self.time_per_token.samples() > 0 { self.unloaded_time_per_token } else { per_own_token };
         let moved = known + (per_own_token - known) * gains.slower_unloaded;
         self.unloaded_time_per_token = per_own_token.min(moved);
-        self.deviation.add((per_token - self.pace.value()).abs(), gains.mean);
-        self.pace.add(per_token, gains.mean);
+        self.deviation.add((per_token - self.time_per_token.value()).abs(), gains.mean);
+        self.time_per_token.add(per_token, gains.mean);
     }
 }
--- a/src/state/prefix_popularity.rs
+++ b/src/state/prefix_popularity.rs
@@ -1,24 +1,24 @@
-//! How often requests came lately, in all and by shared prefix.
+//! Recent request rates, in total and by shared prefix.
 
 use super::DecayingSum;
 use crate::api::{AffinityKey, Nanos};
 use std::collections::BTreeMap;
 
-/// After so many requests, prefixes that were not seen for long are dropped.
+/// The number of requests between two removals of prefixes that are no longer in use.
 const CLEANUP_INTERVAL: u32 = 1024;
-/// A prefix with a lower recent count is dropped.
+/// A prefix whose decayed count is below this is dropped at the next cleanup.
 const NEGLIGIBLE_COUNT: f64 = 0.01;
 
-/// Counts of earlier requests, as they have decayed.
+/// Decayed counts of the requests before the current one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecentRequests {
-    /// With the same shared prefix; 0 without one.
+    /// Requests with the same shared prefix; 0 if the current one has none.
     pub same_prefix: f64,
     /// All requests.
     pub total: f64,
 }
 
-/// Decaying counts of requests, in all and by shared prefix.
+/// Decaying counts of requests, in total and by shared prefix.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixPopularity {
     first_request_at: Nanos,
@@ -28,13 +28,13 @@
 }
 
 impl PrefixPopularity {
-    /// The mean time between requests over the last `span`, in nanoseconds.
+    /// The mean time between requests over the last `span`, or since the first one, in nanoseconds.
     pub fn mean_interval(&self, now: Nanos, span: Nanos) -> f64 {
         let observed = now.saturating_sub(self.first_request_at).min(span);
         observed as f64 / self.total.value_at(now, span).max(1.0)
     }
 
-    /// Counts a request, and returns how many there were before it.
+    /// Counts a request, and returns the decayed counts from before it.
     pub fn record(&mut self, now: Nanos, prefix: Option<AffinityKey>, span: Nanos) -> RecentRequests {
         let total = self.total.value_at(now, span);
         if self.first_request_at == 0 {
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -1,21 +1,20 @@
-//! The requests in flight, with what the decisions ask of all of them kept up to date as each
-//! changes.
+//! The requests in flight, with aggregates and indexes that are maintained incrementally as requests change.
 
 use super::InFlightRequest;
 use crate::api::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fractions of a token in which the decode demand is summed: whole numbers, so that the order of
-/// changes leaves no trace.
+/// The decode demand is summed in integer units of 1/1024 token: unlike a floating-point sum, the result does
+/// not depend on the order of changes.
 const FRACTIONS_PER_TOKEN: f64 = 1024.0;
-/// The most tokens that one request counts for: a sum of a million such still fits.
+/// Cap on the tokens that one request adds to the sum, so that a million requests do not overflow it.
 const MAX_TOKENS_PER_REQUEST: f64 = 1e9;
 
 /// The requests in flight, by id.
 #[derive(Clone, Debug, Default)]
 pub struct RequestTable {
     entries: BTreeMap<RequestId, Entry>,
-    /// Those without a first token that have an attempt in flight or a KV cache.
+    /// Requests without a first token that have an attempt in flight or a KV cache.
     active: BTreeSet<RequestId>,
     /// The sum of the entries' decode demand.
     decode_demand: i64,
@@ -24,14 +23,14 @@
 #[derive(Clone, Debug)]
 struct Entry {
     request: InFlightRequest,
-    /// What it adds to the sum, in fractions of a token.
+    /// Its contribution to the sum, in fractions of a token.
     decode_demand: i64,
-    /// It is among the active ones.
+    /// Whether it is in the set of active requests.
     is_active: bool,
 }
 
 impl Entry {
-    /// Brings up to date what is kept of all requests, after a change of this one.
+    /// Updates the table's aggregates after a change of this request.
     fn refresh(&mut self, id: RequestId, active: &mut BTreeSet<RequestId>, total_demand: &mut i64) {
         let demand = decode_demand(&self.request);
         *total_demand += demand - std::mem::replace(&mut self.decode_demand, demand);
@@ -49,12 +48,12 @@
 }
 
 impl RequestTable {
-    /// The request with that id.
+    /// The request with this id.
     pub fn get(&self, id: RequestId) -> Option<&InFlightRequest> {
         self.entries.get(&id).map(|entry| &entry.request)
     }
 
-    /// Changes a request, and then brings up to date what is kept of all; `None` without such a request.
+    /// Changes a request and updates the aggregates; `None` if there is no such request.
     pub fn update<T>(&mut self, id: RequestId, change: impl FnOnce(&mut InFlightRequest) -> T) -> Option<T> {
         let entry = self.entries.get_mut(&id)?;
         let changed = change(&mut entry.request);
@@ -62,8 +61,8 @@
         Some(changed)
     }
 
-    /// Changes what no index depends on: anything but the attempt, the KV cache and the end of a
-    /// request.
+    /// Changes a request without updating the aggregates. The change must not touch what they depend on: the
+    /// attempt, the KV cache and the `finished` flag.
     pub fn update_unindexed<T>(
         &mut self,
         id: RequestId,
@@ -72,7 +71,7 @@
         self.entries.get_mut(&id).map(|entry| change(&mut entry.request))
     }
 
-    /// Adds a request, in place of one with the same id.
+    /// Adds a request, replacing one with the same id.
     pub fn insert(&mut self, id: RequestId, request: InFlightRequest) {
         self.remove(id);
         let mut entry = Entry { request, decode_demand: 0, is_active: false };
@@ -80,7 +79,7 @@
         self.entries.insert(id, entry);
     }
 
-    /// Drops a request.
+    /// Removes a request, if it is in the table.
     pub fn remove(&mut self, id: RequestId) {
         let Some(entry) = self.entries.remove(&id) else { return };
         self.decode_demand -= entry.decode_demand;
@@ -89,14 +88,12 @@
         }
     }
 
-    /// KV cache tokens that decode workers will have to take for requests that they were not sent
-    /// yet.
+    /// KV cache tokens that decode workers will need for requests that have not been sent to one yet.
     pub fn decode_demand_tokens(&self) -> f64 {
         self.decode_demand as f64 / FRACTIONS_PER_TOKEN
     }
 
-    /// Requests without a first token that have an attempt in flight or a KV cache, in the order of
-    /// their ids.
+    /// Requests without a first token that have an attempt in flight or a KV cache, ordered by id.
     pub fn active(&self) -> &BTreeSet<RequestId> {
         &self.active
     }
--- a/src/state/selection.rs
+++ b/src/state/selection.rs
@@ -1,9 +1,9 @@
-//! Selection of servers by a value, with ties broken by a pseudo-random order.
+//! Selection of servers by a value, with ties broken by rendezvous hashing.
 
 use super::Server;
 use crate::api::{AffinityKey, ServerId};
 
-/// The items with the least values, least first; among equals the order stays.
+/// The `count` items with the least values in ascending order; equal items keep their order.
 pub fn least_by<T>(items: Vec<T>, count: usize, value: impl Fn(&T) -> f64) -> Vec<T> {
     if count == 1 {
         let valued = items.into_iter().map(|item| (value(&item), item));
@@ -15,7 +15,8 @@
     valued.into_iter().take(count).map(|(_, item)| item).collect()
 }
 
-/// The server with the least value, and that value; `tie_breaker` decides among equals.
+/// The server with the least value, and that value; ties are broken by the rendezvous rank under
+/// `tie_breaker`.
 pub fn least_with_tie_breaker<'s>(
     servers: impl Iterator<Item = (f64, &'s Server)>,
     tie_breaker: AffinityKey,
@@ -24,7 +25,7 @@
     servers.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| rank(a.1).cmp(&rank(b.1))))
 }
 
-/// So many of the servers, in the pseudo-random order of a key.
+/// The ids of the first `count` servers in the rendezvous order of a key: a pseudo-random sample.
 pub fn sample_by_rank<'s>(
     servers: impl Iterator<Item = &'s Server>,
     count: usize,
@@ -36,7 +37,7 @@
     ids
 }
 
-/// The least power of four above `n`.
+/// The least power of four greater than `n`.
 pub fn next_power_of_four(n: usize) -> usize {
     let power_of_two = (n + 1).next_power_of_two();
     power_of_two << (power_of_two.trailing_zeros() & 1)
--- a/src/state/server/ejections.rs
+++ b/src/state/server/ejections.rs
@@ -1,24 +1,24 @@
-//! Ejections of a server after failures, for all of its traffic or for one traffic class of one
-//! tenant.
+//! Ejections of a server after failures, for all of its traffic or for one traffic class of a tenant.
 
 use crate::api::{ClassId, Nanos, TenantId};
 use std::collections::BTreeMap;
 
-/// A traffic class of a tenant, which a server may treat unlike the rest.
+/// A traffic class of a tenant. A server may treat it differently from other traffic, so it is ejected
+/// separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TrafficClassKey {
-    /// The class of the requests.
+    /// The traffic class.
     pub class: ClassId,
-    /// Their tenant, if known.
+    /// The tenant, if known.
     pub tenant: Option<TenantId>,
 }
 
-/// The shortest and the longest ejection.
+/// Bounds of the duration of an ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionBounds {
-    /// The shortest.
+    /// The shortest duration.
     pub shortest: Nanos,
-    /// The longest.
+    /// The longest duration.
     pub longest: Nanos,
 }
 
@@ -29,39 +29,39 @@
     duration: Nanos,
 }
 
-/// The ejections of one server; under `None` that of all its traffic.
+/// The ejections of a server by traffic; the `None` entry applies to all of it.
 #[derive(Clone, Debug, Default)]
 pub struct Ejections {
     by_traffic: BTreeMap<Option<TrafficClassKey>, Ejection>,
 }
 
 impl Ejections {
-    /// Ejects the server after a failure, for all traffic or for one class.
+    /// Ejects the server after a failure, for all traffic (`None`) or for one class.
     pub fn eject(&mut self, now: Nanos, traffic: Option<TrafficClassKey>, bounds: EjectionBounds) {
         let ejection = self.by_traffic.entry(traffic).or_default();
         ejection.duration = (ejection.duration * 2).max(bounds.shortest).min(bounds.longest);
         ejection.until = now + ejection.duration;
     }
 
-    /// Records a success for a class, which shortens later ejections.
+    /// Records a success for a class, which shortens its later ejections and those for all traffic.
     pub fn record_success(&mut self, traffic: TrafficClassKey) {
         for key in [None, Some(traffic)] {
             self.by_traffic.entry(key).and_modify(|ejection| ejection.duration /= 2);
         }
     }
 
-    /// Whether the server is ejected for exactly that traffic; `None`: for all.
+    /// Whether the server is ejected under exactly this key; `None` stands for all traffic.
     pub fn is_ejected(&self, now: Nanos, traffic: Option<TrafficClassKey>) -> bool {
         self.by_traffic.get(&traffic).is_some_and(|ejection| now < ejection.until)
     }
 
-    /// Until when it is ejected for all traffic, if it is.
+    /// The end of the current ejection for all traffic, if there is one.
     pub fn ejected_until(&self, now: Nanos) -> Option<Nanos> {
         let until = self.by_traffic.get(&None).map(|ejection| ejection.until);
         until.filter(|until| now < *until)
     }
 
-    /// The classes for which it is ejected now, and until when.
+    /// The classes for which the server is currently ejected, each with the end of the ejection.
     pub fn by_class(&self, now: Nanos) -> impl Iterator<Item = (TrafficClassKey, Nanos)> + '_ {
         let current = self.by_traffic.iter().filter(move |(_, ejection)| now < ejection.until);
         current.filter_map(|(traffic, ejection)| traffic.map(|traffic| (traffic, ejection.until)))
--- a/src/state/server/latency.rs
+++ b/src/state/server/latency.rs
@@ -1,8 +1,8 @@
-//! The latency of a server, and how it compares with its peers'.
+//! The latency of a server, compared with the servers of the same role.
 
 use crate::state::RunningMean;
 
-/// The latency of a server for the work asked of it, and its ratio to the median of its role.
+/// The mean latency of a server, and its ratio to the median of its role.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyRecord {
     mean: RunningMean,
@@ -16,7 +16,7 @@
 }
 
 impl LatencyRecord {
-    /// Adds a sample that counts for the share `gain`.
+    /// Adds a sample with weight `gain`.
     pub fn add(&mut self, sample: f64, gain: f64) {
         self.mean.add(sample, gain);
     }
@@ -26,17 +26,17 @@
         self.mean.value()
     }
 
-    /// Whether there are so many samples that the mean counts.
+    /// Whether there are at least `needed` samples.
     pub fn has_samples(&self, needed: u32) -> bool {
         self.mean.samples() >= needed
     }
 
-    /// The latency as a multiple of its peers' median; 1 until it can be told.
+    /// The ratio of the mean to the median of the role; 1 until it is first compared.
     pub fn ratio(&self) -> f64 {
         self.ratio
     }
 
-    /// Compares the mean with the median of its peers.
+    /// Updates the ratio from the median of the role.
     pub fn compare(&mut self, median: f64) {
         self.ratio = self.mean.value() / median.max(1.0);
     }
--- a/src/state/server/listing.rs
+++ b/src/state/server/listing.rs
@@ -1,20 +1,20 @@
-//! What the endpoint list says of a server.
+//! A server's entry in the endpoint list.
 
 use crate::api::{CellId, Endpoint, KindId, Nanos, Role, ServerState, ZoneId};
 
-/// Whether a server may be sent new attempts, by the endpoint list.
+/// Whether a server may be sent new attempts, according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListingState {
-    /// It may.
+    /// It may be sent new attempts.
     Ready,
-    /// It is listed, but is draining or of a kind that is not used.
+    /// It is listed, but draining or of a kind that is not used.
     #[default]
     NotReady,
-    /// It is not listed any more.
+    /// It is no longer listed.
     Removed,
 }
 
-/// What the endpoint list says of a server.
+/// A server's entry in the endpoint list, with what its kind implies.
 #[derive(Clone, Debug)]
 pub struct Listing {
     /// Its zone, if listed.
@@ -23,20 +23,20 @@
     pub cell: Option<CellId>,
     /// Its kind, if listed.
     pub kind: Option<KindId>,
-    /// What it is asked to do.
+    /// Its role.
     pub role: Role,
-    /// Its size beside others; above 0.
+    /// Its capacity relative to other servers; greater than 0.
     pub weight: f64,
-    /// Its KV cache in tokens; 0 if not known.
+    /// Its KV cache capacity in tokens; 0 if unknown.
     pub kv_capacity_tokens: f64,
-    /// When its process started, as listed; 0: long ago.
+    /// When its process started according to the list; 0 if unknown or long ago.
     pub started_at: Nanos,
     /// Whether it may be sent new attempts.
     pub state: ListingState,
 }
 
 impl Listing {
-    /// A server that is not listed yet.
+    /// An entry for a server that is not listed yet.
     pub fn new(role: Role, kv_capacity_tokens: f64) -> Listing {
         Listing {
             zone: None,
@@ -50,24 +50,24 @@
         }
     }
 
-    /// It may be sent new attempts.
+    /// Whether it may be sent new attempts.
     pub fn is_ready(&self) -> bool {
         self.state == ListingState::Ready
     }
 
-    /// It is not listed any more.
+    /// Whether it is no longer listed.
     pub fn is_removed(&self) -> bool {
         self.state == ListingState::Removed
     }
 
-    /// It gets nothing new, as its kind is not used.
+    /// Stops new attempts to a listed server whose kind is not used; a removed server stays removed.
     pub fn mark_not_ready(&mut self) {
         if self.is_ready() {
             self.state = ListingState::NotReady;
         }
     }
 
-    /// Takes its entry, but for the start of its process.
+    /// Applies a list entry, except for the start time of the process.
     pub(super) fn update(&mut self, endpoint: &Endpoint) {
         self.zone = endpoint.zone;
         self.cell = endpoint.cell;
--- a/src/state/server/liveness.rs
+++ b/src/state/server/liveness.rs
@@ -1,49 +1,49 @@
-//! Whether a server answers, and the probes that find out.
+//! Whether a server responds, and the probes that check it.
 
 use crate::api::Nanos;
 
-/// Whether a server can be reached, as far as is known.
+/// Whether a server is believed to be reachable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reachability {
-    /// It can.
+    /// It is reachable.
     #[default]
     Reachable,
-    /// A connection to it failed, and it is tried again without a probe.
+    /// A connection attempt failed; it is used again without having answered a probe.
     PresumedReachable,
-    /// It leaves what it is sent unanswered.
+    /// It does not respond to what it is sent.
     Unresponsive,
-    /// A connection to it could not be made: its process may have died.
+    /// A connection attempt failed: its process may have died.
     ConnectionLost,
 }
 
-/// When a server answered, and when it is probed.
+/// The reachability of a server, its last responses, and its probes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Liveness {
     reachability: Reachability,
     last_response_at: Nanos,
-    running_at: Nanos,
+    known_running_at: Nanos,
     fast_probe_at: Nanos,
     probe_sent_at: Option<Nanos>,
     next_probe_at: Nanos,
 }
 
 impl Liveness {
-    /// It could not be reached, or does not answer.
+    /// Whether it could not be connected to or does not respond.
     pub fn is_unreachable(&self) -> bool {
         matches!(self.reachability, Reachability::Unresponsive | Reachability::ConnectionLost)
     }
 
-    /// A connection to it could not be made, and nothing has been answered since.
+    /// Whether a connection attempt failed and the server was not found reachable since.
     pub fn is_connection_lost(&self) -> bool {
         matches!(self.reachability, Reachability::PresumedReachable | Reachability::ConnectionLost)
     }
 
-    /// It can be reached.
+    /// Marks the server reachable.
     pub fn mark_reachable(&mut self) {
         self.reachability = Reachability::Reachable;
     }
 
-    /// It leaves what it is sent unanswered; it is probed from `next_probe_at` on.
+    /// Marks the server unresponsive; it is probed from `next_probe_at` on.
     pub fn mark_unresponsive(&mut self, next_probe_at: Nanos) {
         self.reachability = match self.is_connection_lost() {
             true => Reachability::ConnectionLost,
@@ -52,13 +52,13 @@
         self.next_probe_at = next_probe_at;
     }
 
-    /// A connection to it could not be made; it is probed from `next_probe_at` on.
+    /// Records a failed connection attempt; the server is probed from `next_probe_at` on.
     pub fn mark_connection_lost(&mut self, next_probe_at: Nanos) {
         self.reachability = Reachability::ConnectionLost;
         self.next_probe_at = next_probe_at;
     }
 
-    /// It is tried again although it has answered nothing.
+    /// Puts the server back into use although it has not responded.
     pub fn presume_reachable(&mut self) {
         self.reachability = match self.is_connection_lost() {
             true => Reachability::PresumedReachable,
@@ -66,38 +66,38 @@
         };
     }
 
-    /// When it last answered anything; 0: never.
+    /// When it last responded to anything; 0 if never.
     pub fn last_response_at(&self) -> Nanos {
         self.last_response_at
     }
 
-    /// Records that something came from it.
+    /// Records that something was received from the server.
     pub fn record_response(&mut self, now: Nanos) {
         self.last_response_at = now;
     }
 
-    /// Records an answer of its process to an exchange that took so long: the process ran after the
-    /// exchange began.
+    /// Records an answer of the server's process with its latency: the process was running at some time after
+    /// the exchange began.
     pub fn record_answer(&mut self, now: Nanos, latency: Nanos) {
-        self.running_at = self.running_at.max(now.saturating_sub(latency));
+        self.known_running_at = self.known_running_at.max(now.saturating_sub(latency));
     }
 
-    /// Its process is known to have run after that time.
+    /// Whether its process is known to have been running after the time `at`.
     pub fn ran_since(&self, at: Nanos) -> bool {
-        self.running_at > at
+        self.known_running_at > at
     }
 
-    /// When it last answered a probe without delay; 0: never.
+    /// When it last answered a probe without delay; 0 if never.
     pub fn fast_probe_at(&self) -> Nanos {
         self.fast_probe_at
     }
 
-    /// Records a probe that was answered without delay.
+    /// Records that a probe was answered without delay.
     pub fn record_fast_probe(&mut self, now: Nanos) {
         self.fast_probe_at = now;
     }
 
-    /// When the load probe that is outstanding was sent.
+    /// When the outstanding load probe was sent, if there is one.
     pub fn probe_sent_at(&self) -> Option<Nanos> {
         self.probe_sent_at
     }
@@ -107,22 +107,22 @@
         self.probe_sent_at = Some(now);
     }
 
-    /// Records that no load probe is outstanding any more.
+    /// Records that the load probe is no longer outstanding.
     pub fn record_probe_finished(&mut self) {
         self.probe_sent_at = None;
     }
 
-    /// Forgets a load probe sent before that time: its answer was lost.
+    /// Discards a load probe sent before `oldest`: its answer is taken to be lost.
     pub fn expire_probe(&mut self, oldest: Nanos) {
         self.probe_sent_at = self.probe_sent_at.filter(|sent_at| *sent_at >= oldest);
     }
 
-    /// A load probe has been outstanding for so long.
+    /// Whether a load probe has been outstanding for at least `span`.
     pub fn awaits_probe_for(&self, now: Nanos, span: Nanos) -> bool {
         self.probe_sent_at.is_some_and(|sent_at| now >= sent_at + span)
     }
 
-    /// When a server that can't be reached is probed next.
+    /// When an unreachable server is probed next.
     pub fn next_probe_at(&self) -> Nanos {
         self.next_probe_at
     }
@@ -132,7 +132,7 @@
         self.next_probe_at = at;
     }
 
-    /// What still holds of a new process at the same address.
+    /// The state that carries over to a new process with the same server id.
     pub(super) fn after_restart(&self) -> Liveness {
         Liveness {
             last_response_at: self.last_response_at,
--- a/src/state/server/local_load.rs
+++ b/src/state/server/local_load.rs
@@ -1,9 +1,9 @@
-//! The load on a server from this router's own attempts.
+//! The load that this router's own attempts put on a server.
 
 use crate::api::Nanos;
 use crate::state::{Attempt, AttemptProgress, LaggedValue};
 
-/// The load on a server from this router's own attempts.
+/// The load that this router's own attempts put on a server, with lagged copies to compare with load reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalLoad {
     awaiting_first_token: u32,
@@ -14,33 +14,32 @@
 }
 
 impl LocalLoad {
-    /// Attempts that have not sent their first token.
+    /// Attempts whose first token has not been received.
     pub fn awaiting_first_token(&self) -> u32 {
         self.awaiting_first_token
     }
 
-    /// Prompt tokens sent there that are not prefilled yet.
+    /// Prompt tokens sent to the server that are not prefilled yet.
     pub fn queued_prompt_tokens(&self) -> f64 {
         self.queued_prompt_tokens
     }
 
-    /// KV cache tokens that the attempts sent there are expected to need.
+    /// KV cache tokens that the attempts on the server are expected to need.
     pub fn reserved_kv_tokens(&self) -> f64 {
         self.reserved_kv_tokens
     }
 
-    /// The reserved tokens that a load report, which is late, can have counted.
+    /// The reserved tokens that a load report can include, given that it lags behind.
     pub(super) fn reported_kv_tokens(&self) -> f64 {
         self.lagged_reserved_kv_tokens.value()
     }
 
-    /// The attempts awaiting their first token that a load report, which is late, can have counted.
+    /// The attempts awaiting their first token that a load report can include, given that it lags behind.
     pub(super) fn reported_awaiting_first_token(&self) -> f64 {
         self.lagged_awaiting_first_token.value()
     }
 
-    /// Lets the lagged values follow; to be called before the load changes or is compared with a
-    /// report.
+    /// Advances the lagged values to `now`; call it before the load changes or is compared with a report.
     pub(super) fn advance_lag(&mut self, now: Nanos, lag: Nanos) {
         self.lagged_reserved_kv_tokens.follow(now, self.reserved_kv_tokens, lag);
         self.lagged_awaiting_first_token.follow(now, f64::from(self.awaiting_first_token), lag);
--- a/src/state/server/mod.rs
+++ b/src/state/server/mod.rs
@@ -1,6 +1,5 @@
-//! One server as this router sees it: what the endpoint list says, the load there, its health and
-//! its slow start. Each concern owns its part; this module joins what an event changes in several
-//! of them.
+//! The state of one server as this router sees it: its list entry, load, health and slow start. Each concern
+//! has its own submodule; this module handles the events that change several of them.
 
 mod ejections;
 mod latency;
@@ -21,34 +20,33 @@
 use super::Attempt;
 use crate::api::{Endpoint, LoadReport, Nanos, Role, ServerId};
 
-/// What this router knows of one server.
+/// What this router knows about one server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// The id under which it is listed.
+    /// Its id in the endpoint list.
     pub id: ServerId,
-    /// What the endpoint list says.
+    /// Its entry in the endpoint list.
     pub listing: Listing,
-    /// The load from this router's attempts.
+    /// The load from this router's own attempts.
     pub local_load: LocalLoad,
-    /// The load from other routers, by load reports and probes.
+    /// The load from other routers, according to load reports and probes.
     pub reported_load: ReportedLoad,
-    /// When it last said, or showed, that it is saturated.
+    /// When it last reported that it is saturated, or its latency showed it.
     pub saturated_at: Option<Nanos>,
-    /// Whether it answers, and its probes.
+    /// Whether it responds, and its probes.
     pub liveness: Liveness,
     /// Ejections after failures.
     pub ejections: Ejections,
-    /// Latency beside its peers'.
+    /// Its latency compared with its role.
     pub latency: LatencyRecord,
-    /// Slow start after its process began.
+    /// Slow start after its process started.
     pub slow_start: SlowStartRecord,
-    /// How much affinity it attracts beside others; above 0.
+    /// Its weight in rendezvous hashing for affinity; greater than 0.
     pub affinity_weight: f64,
 }
 
 impl Server {
-    /// A server of which nothing is known but its role and KV cache capacity, in tokens; 0 if not
-    /// known.
+    /// A server of which only the role and the KV cache capacity in tokens (0 if unknown) are known.
     pub fn new(id: ServerId, role: Role, kv_capacity_tokens: f64) -> Server {
         Server {
             id,
@@ -69,12 +67,13 @@
         self.saturated_at.is_some_and(|at| now < at + span)
     }
 
-    /// When its process began, as listed or inferred; 0: long ago.
+    /// When its process started, as listed or inferred from a recovery; 0 if unknown or long ago.
     pub fn process_started_at(&self) -> Nanos {
         self.listing.started_at.max(self.slow_start.recovered_at())
     }
 
-    /// Takes its entry of the endpoint list. A new process begins with its slow-start budget in debt.
+    /// Applies its entry in the endpoint list. If the entry shows a new process, its slow-start budget starts
+    /// `debt` below zero.
     pub fn update_listing(&mut self, now: Nanos, endpoint: &Endpoint, debt: f64) {
         self.listing.update(endpoint);
         let started_at = endpoint.started_at.unwrap_or(0);
@@ -83,8 +82,9 @@
         }
     }
 
-    /// A new process: what was learnt of the old one is void, and its slow-start budget begins in
-    /// debt. Own attempts there stay booked until their outcomes come.
+    /// Resets the state for a new process, whose slow-start budget starts `debt` below zero: what was learned
+    /// about the old process no longer holds. The load of this router's own attempts is kept until their
+    /// outcomes arrive.
     fn restart(&mut self, now: Nanos, started_at: Nanos, debt: f64) {
         let listing = Listing { started_at, ..self.listing.clone() };
         *self = Server {
@@ -97,23 +97,24 @@
         self.listing = listing;
     }
 
-    /// Books an attempt that is sent there; `lag` is that of load reports.
+    /// Records an attempt sent to the server; `lag` is the lag of load reports.
     pub fn begin_attempt(&mut self, now: Nanos, lag: Nanos, attempt: &Attempt) {
         self.local_load.add(now, lag, attempt);
     }
 
-    /// Books the first token of an attempt.
+    /// Records the first token of an attempt.
     pub fn begin_streaming(&mut self, now: Nanos, lag: Nanos, attempt: &Attempt) {
         self.local_load.begin_streaming(now, lag, attempt);
     }
 
-    /// Books the end of an attempt.
+    /// Records the end of an attempt.
     pub fn end_attempt(&mut self, now: Nanos, lag: Nanos, attempt: &Attempt) {
         self.local_load.remove(now, lag, attempt);
     }
 
-    /// Takes a load report. It counts own attempts too, as they were a while ago: what is left is
-    /// the other routers'. `mean_prefill_tokens`: what a request has to prefill.
+    /// Records a load report. The report includes this router's own attempts, as they were about `lag` ago;
+    /// subtracting them leaves the load from other routers. `mean_prefill_tokens` is the mean number of
+    /// tokens that a request has to prefill.
     pub fn record_report(
         &mut self,
         now: Nanos,
--- a/src/state/server/reported_load.rs
+++ b/src/state/server/reported_load.rs
@@ -1,12 +1,12 @@
-//! The load on a server from other routers, as load reports and probes show it.
+//! The load that other routers put on a server, estimated from load reports and probes.
 
 use super::{Listing, LocalLoad};
 use crate::api::{LoadReport, Nanos, Role};
 
-/// Prompt tokens in the unit of load reports.
+/// Prompt tokens per kilotoken, the unit of load reports.
 const TOKENS_PER_KILOTOKEN: f64 = 1000.0;
 
-/// The load on a server from other routers; `None` where it is not known, or no longer.
+/// The load that other routers put on a server; a value is `None` if it is unknown or has expired.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedLoad {
     peer_kv_tokens: Option<f64>,
@@ -16,28 +16,28 @@
 }
 
 impl ReportedLoad {
-    /// KV cache tokens that other routers' requests hold.
+    /// KV cache tokens held by other routers' requests.
     pub fn peer_kv_tokens(&self) -> Option<f64> {
         self.peer_kv_tokens
     }
 
-    /// Prompt tokens of other routers' requests that wait for prefill.
+    /// Prompt tokens of other routers' requests that are queued for prefill.
     pub fn peer_queued_tokens(&self) -> Option<f64> {
         self.peer_queued_tokens
     }
 
-    /// The share of its KV cache in use, as last reported.
+    /// The fraction of its KV cache in use, as last reported.
     pub fn memory_utilization(&self) -> Option<f64> {
         self.memory_utilization
     }
 
-    /// Takes what a probe's latency shows of other routers' queued prompt tokens.
+    /// Records other routers' queued prompt tokens, as estimated from the latency of a probe.
     pub fn record_queue(&mut self, now: Nanos, peer_queued_tokens: f64) {
         self.peer_queued_tokens = Some(peer_queued_tokens);
         self.received_at = now;
     }
 
-    /// Forgets what was received before that time.
+    /// Discards all values if they were received before `oldest`.
     pub fn expire(&mut self, oldest: Nanos) {
         if self.received_at < oldest {
             self.peer_kv_tokens = None;
@@ -50,7 +50,7 @@
         &mut self,
         now: Nanos,
         report: &LoadReport,
-        own: &LocalLoad,
+        local_load: &LocalLoad,
         listing: &Listing,
         mean_prefill_tokens: f64,
     ) {
@@ -58,22 +58,23 @@
         self.memory_utilization = report.memory_utilization;
         if let Some(utilization) = report.memory_utilization.filter(|_| listing.role != Role::Prefill) {
             let used = utilization * listing.kv_capacity_tokens;
-            self.peer_kv_tokens = Some((used - own.reported_kv_tokens()).max(0.0));
+            self.peer_kv_tokens = Some((used - local_load.reported_kv_tokens()).max(0.0));
         }
         if listing.role == Role::Decode {
             return;
         }
-        if let Some(tokens) = peer_queued_tokens(report, own, mean_prefill_tokens) {
+        if let Some(tokens) = peer_queued_tokens(report, local_load, mean_prefill_tokens) {
             self.peer_queued_tokens = Some(tokens.max(0.0));
         }
     }
 }
 
-/// Reported prompt tokens without the own ones; where only requests are reported, by their mean size.
-fn peer_queued_tokens(report: &LoadReport, own: &LocalLoad, mean_prefill_tokens: f64) -> Option<f64> {
+/// The reported queued prompt tokens minus this router's own. If only request counts are reported, the tokens
+/// are estimated from the mean size.
+fn peer_queued_tokens(report: &LoadReport, local_load: &LocalLoad, mean_prefill_tokens: f64) -> Option<f64> {
     if let Some(kilotokens) = report.pending_prefill_kilotokens {
-        return Some(kilotokens * TOKENS_PER_KILOTOKEN - own.queued_prompt_tokens());
+        return Some(kilotokens * TOKENS_PER_KILOTOKEN - local_load.queued_prompt_tokens());
     }
     let requests = report.in_flight.or(report.queued)?;
-    Some((requests - own.reported_awaiting_first_token()) * mean_prefill_tokens)
+    Some((requests - local_load.reported_awaiting_first_token()) * mean_prefill_tokens)
 }
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,9 +1,9 @@
-//! A token bucket whose rate and capacity its owner gives with each call, since both may change.
+//! A token bucket whose rate and capacity are passed with each call, since both may change.
 
 use super::units::seconds;
 use crate::api::Nanos;
 
-/// A token bucket that may be in debt.
+/// A token bucket whose balance may be negative (in debt).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
     tokens: f64,
@@ -11,17 +11,17 @@
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens that was never refilled.
+    /// A bucket with `tokens` tokens that was never refilled.
     pub fn with_tokens(tokens: f64) -> TokenBucket {
         TokenBucket { tokens, refilled_at: 0 }
     }
 
-    /// A bucket that has to earn `debt` tokens before it is empty.
+    /// A bucket that starts `debt` tokens below zero.
     pub fn in_debt(now: Nanos, debt: f64) -> TokenBucket {
         TokenBucket { tokens: -debt, refilled_at: now }
     }
 
-    /// Takes one token if there is one. A bucket that was never used is full.
+    /// Takes one token if one is available. A bucket that was never refilled starts full.
     pub fn try_take(&mut self, now: Nanos, per_second: f64, capacity: f64) -> bool {
         if self.refilled_at == 0 {
             *self = TokenBucket { tokens: capacity, refilled_at: now };
@@ -34,24 +34,24 @@
         has_token
     }
 
-    /// Adds what was earned since the last refill, up to the capacity.
+    /// Adds the tokens earned since the last refill, up to the capacity.
     pub fn refill(&mut self, now: Nanos, per_second: f64, capacity: f64) {
         let elapsed = self.seconds_since_refill(now);
         self.tokens = (self.tokens + elapsed * per_second).min(capacity);
         self.refilled_at = now;
     }
 
-    /// Takes tokens whether they are there or not.
+    /// Takes tokens unconditionally; the bucket may go into debt.
     pub fn spend(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 
-    /// The tokens in the bucket; below 0 it is in debt.
+    /// The tokens in the bucket; negative while it is in debt.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Seconds since the last refill.
+    /// Seconds elapsed since the last refill.
     pub fn seconds_since_refill(&self, now: Nanos) -> f64 {
         seconds(now.saturating_sub(self.refilled_at))
     }
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -2,10 +2,10 @@
 
 use crate::api::Nanos;
 
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 pub const NANOS_PER_SECOND: f64 = 1e9;
 
-/// A span in seconds.
-pub fn seconds(span: Nanos) -> f64 {
-    span as f64 / NANOS_PER_SECOND
+/// Converts a duration to seconds.
+pub fn seconds(duration: Nanos) -> f64 {
+    duration as f64 / NANOS_PER_SECOND
 }
--- a/src/state/warm_servers.rs
+++ b/src/state/warm_servers.rs
@@ -1,16 +1,16 @@
-//! What the warm servers of a kind are sent, as the measure for those that are warming up.
+//! The send rate of the warm servers of each kind, from which that of servers warming up is derived.
 
 use super::fleet_summary::MeanAccumulator;
 use super::{Server, ServerTable};
 
-/// The warm servers of a kind, and the indices of those that are warming up.
+/// Averages over the warm servers of a kind, and the indices of the servers that are warming up.
 #[derive(Clone, Debug, Default)]
 pub struct WarmServers {
-    /// The mean rate of the warm ones that are ready; `None` without one.
+    /// The mean rate of the warm servers that are ready; `None` if there are none.
     pub mean_rate: Option<f64>,
-    /// Their mean weight; `None` without one.
+    /// The mean weight of the warm servers that are ready; `None` if there are none.
     pub mean_weight: Option<f64>,
-    /// The indices of those that are warming up.
+    /// The indices of the servers that are warming up.
     pub warming_up: Vec<usize>,
 }
 
@@ -20,8 +20,7 @@
     weight: MeanAccumulator,
 }
 
-/// Goes through all servers once, and gathers them by kind. The last of `kinds` is that of servers
-/// without a kind.
+/// Groups all servers by kind in one pass. The last of the `kinds` entries is for servers without a kind.
 pub fn warm_servers_by_kind(
     servers: &ServerTable,
     kinds: usize,
