--- a/crates/gaparch-simulator-adapter/src/action.rs
+++ b/crates/gaparch-simulator-adapter/src/action.rs
@@ -1,38 +1,40 @@
-//! Actions of one instance on the simulator's wire.
+//! Conversion of scheduler actions to the simulator's JSON.
 
 use gaparch_scheduler::api::Action;
 use serde_json::{json, Value};
 
-/// Writes an action of an instance.
-pub fn to_json(action: &Action, who: u64) -> Value {
+/// Converts an action of an instance to JSON.
+pub fn to_json(action: &Action, instance: u64) -> Value {
     match action {
-        // Nothing waits for a connection on this wire: what is sent is out at once.
+        // The simulator sends immediately, without waiting for a connection: `send_by` does not apply.
         Action::Send { id, server, timeout, send_by: _ } => {
-            json!({"t": "transmit", "who": who, "msgId": id.0, "worker": server.0, "giveUpAfterNs": timeout})
+            json!({
+                "t": "transmit", "who": instance, "msgId": id.0, "worker": server.0, "giveUpAfterNs": timeout,
+            })
         }
         Action::Cancel { id, attempt } => {
-            json!({"t": "recall", "who": who, "msgId": id.0, "sendNo": attempt.0})
+            json!({"t": "recall", "who": instance, "msgId": id.0, "sendNo": attempt.0})
         }
         Action::Reject { id, retry_after, .. } => {
-            json!({"t": "decline", "who": who, "msgId": id.0, "waitNs": retry_after})
+            json!({"t": "decline", "who": instance, "msgId": id.0, "waitNs": retry_after})
         }
-        Action::Fail { id, .. } => json!({"t": "error", "who": who, "msgId": id.0}),
-        Action::ReleaseKv(id) => json!({"t": "letGo", "who": who, "msgId": id.0}),
+        Action::Fail { id, .. } => json!({"t": "error", "who": instance, "msgId": id.0}),
+        Action::ReleaseKv(id) => json!({"t": "letGo", "who": instance, "msgId": id.0}),
         Action::ReserveKv { id, server } => {
-            json!({"t": "earmark", "who": who, "msgId": id.0, "worker": server.0})
+            json!({"t": "earmark", "who": instance, "msgId": id.0, "worker": server.0})
         }
-        Action::Migrate(id) => json!({"t": "goAway", "who": who, "msgId": id.0}),
-        Action::Probe(server) => json!({"t": "healthCheck", "who": who, "worker": server.0}),
-        Action::CloseConnections(server) => json!({"t": "close", "who": who, "worker": server.0}),
+        Action::Migrate(id) => json!({"t": "goAway", "who": instance, "msgId": id.0}),
+        Action::Probe(server) => json!({"t": "healthCheck", "who": instance, "worker": server.0}),
+        Action::CloseConnections(server) => json!({"t": "close", "who": instance, "worker": server.0}),
         Action::SetTimer { token, delay } => {
-            json!({"t": "sleep", "who": who, "name": token.0.to_string(), "sleepForNs": delay})
+            json!({"t": "sleep", "who": instance, "name": token.0.to_string(), "sleepForNs": delay})
         }
         Action::SendGossip { peer, data } => {
-            json!({"t": "post", "who": who, "recipient": peer, "content": hex(data)})
+            json!({"t": "post", "who": instance, "recipient": peer, "content": hex(data)})
         }
-        Action::WatchEndpoints(on) => json!({"t": "follow", "who": who, "enable": on}),
-        Action::FetchEndpoints => json!({"t": "resolve", "who": who}),
-        Action::Log(text) => json!({"t": "debug", "who": who, "reasonText": text}),
+        Action::WatchEndpoints(on) => json!({"t": "follow", "who": instance, "enable": on}),
+        Action::FetchEndpoints => json!({"t": "resolve", "who": instance}),
+        Action::Log(text) => json!({"t": "debug", "who": instance, "reasonText": text}),
     }
 }
 
--- a/crates/gaparch-simulator-adapter/src/endpoint.rs
+++ b/crates/gaparch-simulator-adapter/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists on the simulator's wire: tables of endpoints, and the updates that name them.
+//! Endpoint lists in the simulator's JSON: tables of endpoints, and the updates that refer to them.
 
 use crate::error::BatchError;
 use crate::field::{required, server_id};
@@ -8,7 +8,8 @@
 };
 use serde_json::Value;
 
-/// An endpoint of a table; zone and kind stay names, since each instance has its own settings.
+/// An endpoint of a table. Zone and kind are still names, since each instance has its own settings, which
+/// number them.
 #[derive(Clone, Debug)]
 pub struct UnresolvedEndpoint {
     server: ServerId,
@@ -20,10 +21,10 @@
     started_at: Option<Nanos>,
 }
 
-/// Reads the endpoints of a table.
+/// Parses the endpoints of a table.
 ///
 /// # Errors
-/// When there is no list, or an endpoint has no id.
+/// If the list is missing, or an endpoint has no valid id.
 pub fn parse_table(event: &Value) -> Result<Vec<UnresolvedEndpoint>, BatchError> {
     required(event, "membersList", Value::as_array)?.iter().map(parse_endpoint).collect()
 }
@@ -45,7 +46,7 @@
 }
 
 impl UnresolvedEndpoint {
-    /// The endpoint with zone and kind as the settings of an instance number them.
+    /// The endpoint with its zone and kind resolved to the ids that the settings of an instance assign.
     pub fn resolve(&self, settings: &PlatformSettings) -> Endpoint {
         Endpoint {
             server: self.server,
@@ -59,10 +60,10 @@
     }
 }
 
-/// Reads how an update relates to the list before.
+/// Parses how an update relates to the previous list.
 ///
 /// # Errors
-/// When that is not said, or in an unknown word.
+/// If the scope is missing or unknown.
 pub fn parse_update(event: &Value) -> Result<EndpointUpdate, BatchError> {
     required(event, "scope", |scope| match scope.as_str()? {
         "delta" => Some(EndpointUpdate::Delta),
--- a/crates/gaparch-simulator-adapter/src/error.rs
+++ b/crates/gaparch-simulator-adapter/src/error.rs
@@ -1,68 +1,68 @@
-//! What can be wrong with the simulator's input.
+//! Errors of the adapter.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// A batch that can't be answered.
+/// Why a batch cannot be answered.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// The line is not a batch.
-    #[error("not a batch: {0}")]
+    /// The line is not a valid batch.
+    #[error("invalid batch: {0}")]
     InvalidBatch(#[source] serde_json::Error),
-    /// A field that the event needs is missing.
-    #[error("{event}: no '{field}'")]
+    /// A required field of the event is missing.
+    #[error("{event}: missing field '{field}'")]
     MissingField {
         /// The kind of the event.
         event: String,
         /// The field.
         field: &'static str,
     },
-    /// A field of the event has a value that it can't have.
-    #[error("{event}: '{field}' can't be {value}")]
+    /// A field of the event has an invalid value.
+    #[error("{event}: invalid value {value} for field '{field}'")]
     InvalidField {
         /// The kind of the event.
         event: String,
         /// The field.
         field: &'static str,
-        /// Its value.
+        /// The value.
         value: Value,
     },
-    /// The event is for an instance that was never started, or has ended.
-    #[error("{event}: instance {instance} was never started")]
+    /// The event is for an instance that was never started or has been torn down.
+    #[error("{event}: instance {instance} is not running")]
     UnknownInstance {
         /// The kind of the event.
         event: String,
         /// The instance.
         instance: u64,
     },
-    /// The event names an endpoint list that was never given.
-    #[error("rosterChange: list {table} was never given")]
+    /// The event refers to an endpoint table that was never received.
+    #[error("rosterChange: unknown endpoint table {table}")]
     UnknownTable {
-        /// The number of the list.
+        /// The number of the table.
         table: u64,
     },
-    /// The reply could not be written as JSON.
+    /// The reply could not be serialized.
     #[error(transparent)]
     InvalidReply(serde_json::Error),
 }
 
-/// Why the stream has ended before its input did.
+/// Why the stream was aborted before the end of its input.
 #[derive(Debug, Error)]
 pub enum StreamError {
     /// The input could not be read.
     #[error("line {line}: {source}")]
     Input {
-        /// The number of the line, from 1.
+        /// The line number, starting at 1.
         line: u64,
-        /// What went wrong.
+        /// The cause.
         source: std::io::Error,
     },
     /// A batch could not be answered.
     #[error("line {line}: {source}")]
     Batch {
-        /// The number of the line, from 1.
+        /// The line number, starting at 1.
         line: u64,
-        /// What is wrong with it.
+        /// The cause.
         source: BatchError,
     },
     /// The output could not be written.
--- a/crates/gaparch-simulator-adapter/src/event.rs
+++ b/crates/gaparch-simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of one instance on the simulator's wire, but for those of endpoint lists.
+//! Conversion of the simulator's JSON to scheduler events, except for those of endpoint lists.
 
 use crate::error::BatchError;
 use crate::field::{attempt_number, hex_bytes, kind, request_id, required, server_id, time_or_past};
@@ -9,10 +9,10 @@
 };
 use serde_json::Value;
 
-/// Reads an event; `None`: of a kind that is not known here, or a timer that is not the module's.
+/// Parses an event; `None` if its kind is unknown, or it is a timer that the scheduler did not set.
 ///
 /// # Errors
-/// When a field that the event needs is missing, or has a value that it can't have.
+/// If a required field is missing or has an invalid value.
 pub fn parse(event: &Value, settings: &PlatformSettings) -> Result<Option<Event>, BatchError> {
     let parsed = match kind(event) {
         "submit" => Event::RequestArrived(parse_request(event, settings)?),
@@ -47,7 +47,8 @@
 }
 
 fn parse_request(event: &Value, settings: &PlatformSettings) -> Result<Request, BatchError> {
-    // A class that the settings lack is the module's to answer.
+    // A class that is missing from the settings is passed on with an id that is out of range: the scheduler
+    // fails the request.
     let class_id = |class: &Value| {
         class.as_str()?;
         Some(ClassId(index_of(&settings.classes, class).unwrap_or(usize::MAX)))
@@ -68,7 +69,8 @@
     })
 }
 
-/// A timer whose name is not a token of the module's can't be its own.
+/// Timer names are tokens that the scheduler assigned; a timer with any other name is not its own and is
+/// ignored.
 fn parse_timer(event: &Value) -> Result<Option<Event>, BatchError> {
     let name = required(event, "name", Value::as_str)?;
     let token = name.parse().ok();
@@ -106,7 +108,7 @@
     }
 }
 
-/// Reads a load report, whose values come in the order in which the settings name its fields.
+/// Parses a load report, whose values are in the order of the field names in the settings.
 fn parse_report(values: &Value, settings: &PlatformSettings) -> Option<LoadReport> {
     let values = values.as_array()?;
     let mut report = LoadReport::default();
--- a/crates/gaparch-simulator-adapter/src/field.rs
+++ b/crates/gaparch-simulator-adapter/src/field.rs
@@ -1,28 +1,28 @@
-//! Fields of the simulator's events.
+//! Parsers for the fields of the simulator's events.
 
 use crate::error::BatchError;
 use gaparch_platform_settings::whole_number;
 use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId, ServerId};
 use serde_json::Value;
 
-/// The kind of an event; `event` where it has none.
+/// The kind of an event; `event` if it has none.
 pub fn kind(event: &Value) -> &str {
     event["t"].as_str().unwrap_or("event")
 }
 
-/// A field that the event needs, as `read` takes its value.
+/// A required field of an event, parsed by `parse`.
 ///
 /// # Errors
-/// When the field is missing, or `read` does not take its value.
+/// If the field is missing, or `parse` returns `None`.
 pub fn required<'v, T>(
     event: &'v Value,
     field: &'static str,
-    read: impl Fn(&'v Value) -> Option<T>,
+    parse: impl Fn(&'v Value) -> Option<T>,
 ) -> Result<T, BatchError> {
     let Some(value) = event.get(field) else {
         return Err(BatchError::MissingField { event: kind(event).to_owned(), field });
     };
-    read(value).ok_or_else(|| BatchError::InvalidField {
+    parse(value).ok_or_else(|| BatchError::InvalidField {
         event: kind(event).to_owned(),
         field,
         value: value.clone(),
@@ -44,22 +44,22 @@
     u32::try_from(whole_number(value)?).ok().map(AttemptNumber)
 }
 
-/// A time; one before the clock's zero is long past.
+/// A time; a negative one, before the zero of the clock, becomes 0.
 pub fn time_or_past(value: &Value) -> Option<Nanos> {
     whole_number(value).or_else(|| value.as_f64().map(|_| 0))
 }
 
-/// An object, as it is.
+/// The value itself, if it is an object.
 pub fn object(value: &Value) -> Option<&Value> {
     value.as_object().map(|_| value)
 }
 
-/// A seed, which may be negative on the wire.
+/// A seed, which may be negative in the JSON.
 pub fn seed(value: &Value) -> Option<u64> {
     whole_number(value).or_else(|| value.as_i64().map(|seed| seed as u64))
 }
 
-/// Bytes, as hexadecimal text.
+/// Bytes in hexadecimal notation.
 pub fn hex_bytes(value: &Value) -> Option<Vec<u8>> {
     let text = value.as_str()?;
     let digits = text.chars().map(|digit| digit.to_digit(16).map(|value| value as u8));
--- a/crates/gaparch-simulator-adapter/src/host.rs
+++ b/crates/gaparch-simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The hosted instances: each gets its events in order, and they share nothing but the endpoint tables.
+//! The scheduler instances. Each receives its events in order; they share only the endpoint tables.
 
 use crate::endpoint::{parse_table, parse_update, UnresolvedEndpoint};
 use crate::error::BatchError;
@@ -12,34 +12,34 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A line of the wire: events that come at one time.
+/// An input line: events that occur at the same time.
 #[derive(Debug, Deserialize)]
 pub struct Batch {
-    /// The time.
+    /// The time of the events.
     #[serde(rename = "clockNs")]
     pub clock: Nanos,
-    /// The events, in their order.
+    /// The events, in order.
     pub events: Vec<Value>,
 }
 
-/// The instances by number, and the endpoint tables that updates name.
+/// The instances by number, and the endpoint tables by the number that updates refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
     tables: BTreeMap<u64, Vec<UnresolvedEndpoint>>,
 }
 
-/// A simulated router.
+/// The scheduler of one simulated router, with its settings.
 struct Instance {
     settings: PlatformSettings,
     policy: Policy,
 }
 
 impl Host {
-    /// Answers a batch with the actions that its events lead to.
+    /// Processes a batch, and returns the reply with the resulting actions.
     ///
     /// # Errors
-    /// When the line is no batch, or an event can't be read or is for an instance that is not there.
+    /// If the line is not a valid batch, an event cannot be parsed, or its instance is not running.
     pub fn answer(&mut self, line: &[u8]) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_slice(line).map_err(BatchError::InvalidBatch)?;
         let mut actions = Vec::new();
@@ -55,18 +55,19 @@
                 self.tables.insert(required(event, "table", whole_number)?, parse_table(event)?);
             }
             "init" => {
-                let who = required(event, "who", whole_number)?;
-                self.instances.insert(who, start(event)?);
+                let number = required(event, "who", whole_number)?;
+                self.instances.insert(number, start(event)?);
             }
             "teardown" => {
-                let who = required(event, "who", whole_number)?;
-                self.instances.remove(&who).ok_or_else(|| unknown_instance("teardown", who))?;
+                let number = required(event, "who", whole_number)?;
+                self.instances.remove(&number).ok_or_else(|| unknown_instance("teardown", number))?;
             }
             kind => {
-                let who = required(event, "who", whole_number)?;
-                let instance = self.instances.get_mut(&who).ok_or_else(|| unknown_instance(kind, who))?;
-                let new = instance.handle(now, kind, event, &self.tables)?;
-                actions.extend(new.iter().map(|new| action::to_json(new, who)));
+                let number = required(event, "who", whole_number)?;
+                let instance =
+                    self.instances.get_mut(&number).ok_or_else(|| unknown_instance(kind, number))?;
+                let new_actions = instance.handle(now, kind, event, &self.tables)?;
+                actions.extend(new_actions.iter().map(|action| action::to_json(action, number)));
             }
         }
         Ok(())
--- a/crates/gaparch-simulator-adapter/src/lib.rs
+++ b/crates/gaparch-simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The adapter between the simulator's wire and the decision module: it hosts one instance of the module for each
-//! simulated router and translates events and actions. It decides nothing.
+//! An adapter between the simulator and the scheduler: it runs one scheduler instance per simulated router,
+//! and translates the simulator's JSON events and the scheduler's actions. It makes no decisions itself.
 
 #![warn(missing_docs)]
 
--- a/crates/gaparch-simulator-adapter/src/main.rs
+++ b/crates/gaparch-simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The adapter as a program: lines of the simulator's wire on standard input, replies on standard output.
+//! The adapter as a program: reads batches from standard input, and writes replies to standard output.
 
 use gaparch_simulator_adapter::stream;
 use std::process::ExitCode;
--- a/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
+++ b/crates/gaparch-simulator-adapter/tests/pinned_lines.rs
@@ -1,4 +1,4 @@
-//! Every event and action of the simulator's wire, as the lines that it is written in.
+//! The exact JSON of every event and action that the adapter exchanges with the simulator.
 
 use gaparch_platform_settings::PlatformSettings;
 use gaparch_scheduler::api::{
@@ -10,7 +10,7 @@
 use gaparch_simulator_adapter::{action, endpoint, event};
 use serde_json::{json, Value};
 
-fn site() -> PlatformSettings {
+fn settings() -> PlatformSettings {
     let env = json!({
         "flavors": ["prefill", "decode"], "zones": ["a", "b"], "tenants": [{"name": "t"}],
         "services": [{"aimNs": 1000000000, "deadlineNs": 5000000000u64, "idempotency": "free", "name": "ask"}],
@@ -19,16 +19,16 @@
     PlatformSettings::read(&env, 7)
 }
 
-fn parsed(line: &str) -> Event {
+fn parse_event(line: &str) -> Event {
     let value: Value = serde_json::from_str(line).expect("JSON");
-    event::parse(&value, &site()).expect("an event").expect("a known event")
+    event::parse(&value, &settings()).expect("an event").expect("a known event")
 }
 
-fn written(action: Action) -> String {
+fn serialize(action: Action) -> String {
     action::to_json(&action, 3).to_string()
 }
 
-fn why() -> GiveUpCause {
+fn give_up_cause() -> GiveUpCause {
     GiveUpCause {
         reason: GiveUpReason::ObjectiveMissed,
         queueing_reason: Some(QueueingReason::NoDecodeWorker),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn actions_keep_their_lines() {
+fn actions_serialize_to_pinned_json() {
     let (id, server, attempt) = (RequestId(5), ServerId(74), AttemptNumber(1));
     let lines = [
         (
@@ -45,10 +45,10 @@
         ),
         (Action::Cancel { id, attempt }, r#"{"msgId":5,"sendNo":1,"t":"recall","who":3}"#),
         (
-            Action::Reject { id, retry_after: 8, cause: why() },
+            Action::Reject { id, retry_after: 8, cause: give_up_cause() },
             r#"{"msgId":5,"t":"decline","waitNs":8,"who":3}"#,
         ),
-        (Action::Fail { id, cause: why() }, r#"{"msgId":5,"t":"error","who":3}"#),
+        (Action::Fail { id, cause: give_up_cause() }, r#"{"msgId":5,"t":"error","who":3}"#),
         (Action::ReleaseKv(id), r#"{"msgId":5,"t":"letGo","who":3}"#),
         (Action::ReserveKv { id, server }, r#"{"msgId":5,"t":"earmark","who":3,"worker":74}"#),
         (Action::Migrate(id), r#"{"msgId":5,"t":"goAway","who":3}"#),
@@ -72,13 +72,13 @@
         (Action::Log("text".to_owned()), r#"{"reasonText":"text","t":"debug","who":3}"#),
     ];
     for (action, line) in lines {
-        assert_eq!(written(action), line);
+        assert_eq!(serialize(action), line);
     }
 }
 
 #[test]
-fn a_request_keeps_its_line() {
-    let event = parsed(
+fn a_request_with_all_fields_parses() {
+    let event = parse_event(
         r#"{"t":"submit","msgId":5,"priority":"ask","clientGroup":"t","session":"conv:y","prefixId":"c:x",
             "inputLen":1800,"nPrefix":1200,"nMax":256,"workHintNs":77,"giveUpAtNs":99,"isRetry":true,"again":true}"#,
     );
@@ -100,8 +100,9 @@
 }
 
 #[test]
-fn the_fields_that_a_request_may_lack_keep_their_meaning() {
-    let event = parsed(r#"{"t":"submit","msgId":5,"priority":"unheard-of","workHintNs":0,"giveUpAtNs":-4}"#);
+fn missing_optional_request_fields_have_defaults() {
+    let event =
+        parse_event(r#"{"t":"submit","msgId":5,"priority":"unheard-of","workHintNs":0,"giveUpAtNs":-4}"#);
     let request = Request {
         id: RequestId(5),
         class: ClassId(usize::MAX),
@@ -120,28 +121,28 @@
 }
 
 #[test]
-fn the_other_events_keep_their_lines() {
+fn other_events_parse() {
     let (id, server, attempt) = (RequestId(5), ServerId(74), AttemptNumber(1));
-    assert_eq!(parsed(r#"{"t":"tickDue","name":"1"}"#), Event::TimerFired(TimerToken(1)));
+    assert_eq!(parse_event(r#"{"t":"tickDue","name":"1"}"#), Event::TimerFired(TimerToken(1)));
     assert_eq!(
-        parsed(r#"{"t":"datagram","neighbour":2,"content":"00aB"}"#),
+        parse_event(r#"{"t":"datagram","neighbour":2,"content":"00aB"}"#),
         Event::GossipReceived { from: 2, data: vec![0, 171] }
     );
     assert_eq!(
-        parsed(r#"{"t":"begun","msgId":5,"sendNo":1,"worker":74,"durationNs":6}"#),
+        parse_event(r#"{"t":"begun","msgId":5,"sendNo":1,"worker":74,"durationNs":6}"#),
         Event::FirstToken { id, attempt, server, latency: 6 }
     );
-    for (sort, held) in [(0, false), (1, true), (2, false)] {
+    for (sort, reserved) in [(0, false), (1, true), (2, false)] {
         let line = format!(r#"{{"t":"reserved","msgId":5,"sendNo":1,"worker":74,"sort":{sort}}}"#);
-        assert_eq!(parsed(&line), Event::ReservationAnswered { id, attempt, server, reserved: held });
+        assert_eq!(parse_event(&line), Event::ReservationAnswered { id, attempt, server, reserved });
     }
-    assert_eq!(parsed(r#"{"t":"withdrawn","msgId":5}"#), Event::ClientDisconnected(id));
+    assert_eq!(parse_event(r#"{"t":"withdrawn","msgId":5}"#), Event::ClientDisconnected(id));
 }
 
 #[test]
-fn reports_keep_the_order_of_the_settings() {
+fn load_report_values_follow_the_field_order_of_the_settings() {
     let event =
-        parsed(r#"{"t":"health","worker":74,"outcome":100,"durationNs":6,"stats":[1,2,0.25,0.5,3,99]}"#);
+        parse_event(r#"{"t":"health","worker":74,"outcome":100,"durationNs":6,"stats":[1,2,0.25,0.5,3,99]}"#);
     let report = LoadReport {
         in_flight: Some(1.0),
         queued: Some(2.0),
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn outcome_codes_keep_their_meaning() {
+fn outcome_codes_map_to_attempt_statuses() {
     let codes = [
         (100, AttemptStatus::Ok),
         (102, AttemptStatus::Prefilled),
@@ -189,22 +190,22 @@
             kv_cache_missing: status == AttemptStatus::Rejected,
             report: None,
         };
-        assert_eq!(parsed(&line), Event::AttemptFinished(outcome));
+        assert_eq!(parse_event(&line), Event::AttemptFinished(outcome));
     }
 }
 
 #[test]
-fn lists_keep_their_lines() {
+fn endpoint_tables_parse_and_resolve() {
     let line = r#"{"t":"pool","table":3,"membersList":[
         {"worker":51,"az":"a","kind":"prefill","cohort":4,"status":"up","scale":1.5,"launchedNs":8},
         {"worker":74,"az":"b","kind":"decode","status":"removed"},
         {"worker":90,"az":"nowhere","kind":"other","status":"draining"}]}"#;
     let pool: Value = serde_json::from_str(line).expect("JSON");
-    let site = site();
+    let settings = settings();
     let entries: Vec<Endpoint> = endpoint::parse_table(&pool)
         .expect("a list")
         .iter()
-        .map(|unresolved| unresolved.resolve(&site))
+        .map(|unresolved| unresolved.resolve(&settings))
         .collect();
     let up = Endpoint {
         server: ServerId(51),
@@ -235,22 +236,22 @@
 }
 
 #[test]
-fn scopes_of_lists_keep_their_words() {
+fn list_scopes_map_to_endpoint_updates() {
     let scopes = [
         ("delta", EndpointUpdate::Delta),
         ("full", EndpointUpdate::Full),
         ("cached", EndpointUpdate::Cached),
         ("failed", EndpointUpdate::Failed),
     ];
-    for (scope, kind) in scopes {
+    for (scope, update) in scopes {
         let event = json!({"t": "rosterChange", "scope": scope});
-        assert_eq!(endpoint::parse_update(&event).expect("a known scope"), kind);
+        assert_eq!(endpoint::parse_update(&event).expect("a known scope"), update);
     }
     assert!(endpoint::parse_update(&json!({"t": "rosterChange", "scope": "other"})).is_err());
 }
 
 #[test]
-fn a_batch_keeps_its_line() {
+fn a_batch_parses() {
     let batch: Batch =
         serde_json::from_str(r#"{"clockNs":7,"events":[{"t":"withdrawn"}]}"#).expect("a batch");
     assert_eq!(batch.clock, 7);
--- a/crates/gaparch-simulator-adapter/tests/wire.rs
+++ b/crates/gaparch-simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a program: lines in, lines out, clean ends and plain messages.
+//! Runs the adapter program: replies to batches, exit codes and error messages.
 
 use serde_json::{json, Value};
 use std::io::Write;
@@ -15,7 +15,7 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("a pipe");
     for line in lines {
-        // It may have ended already, over an earlier line.
+        // The adapter may have exited already because of an earlier line.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
@@ -46,30 +46,31 @@
     })
 }
 
-fn start(who: u64) -> Value {
+fn start(instance: u64) -> Value {
     json!([
-        {"t": "init", "who": who, "entropy": 77, "env": env()},
+        {"t": "init", "who": instance, "entropy": 77, "env": env()},
         {"t": "pool", "table": 3, "membersList": [
             {"worker": 51, "az": "a", "kind": "prefill", "cohort": 0, "status": "up", "scale": 1},
             {"worker": 74, "az": "a", "kind": "decode", "cohort": 0, "status": "up", "scale": 1.5, "launchedNs": 0},
             {"worker": 90, "az": "b", "kind": "decode", "cohort": 1, "status": "draining", "scale": 1}]},
-        {"t": "rosterChange", "who": who, "scope": "cached", "revision": 41, "table": 3}
+        {"t": "rosterChange", "who": instance, "scope": "cached", "revision": 41, "table": 3}
     ])
 }
 
-fn submit(who: u64, id: u64) -> Value {
-    json!({"t": "submit", "who": who, "msgId": id, "prefixId": "c:x", "inputLen": 1800, "nPrefix": 1200, "nMax": 256,
-        "giveUpAtNs": CLOCK + 5_000_000_000u64, "session": "conv:y", "priority": "ask", "unheard_of": 1})
+fn submit(instance: u64, id: u64) -> Value {
+    json!({"t": "submit", "who": instance, "msgId": id, "prefixId": "c:x", "inputLen": 1800, "nPrefix": 1200,
+        "nMax": 256, "giveUpAtNs": CLOCK + 5_000_000_000u64, "session": "conv:y", "priority": "ask",
+        "unheard_of": 1})
 }
 
-fn closed(who: u64, id: u64, no: u64, worker: u64, outcome: u64, ended: bool) -> Value {
-    json!({"t": "closedAttempt", "who": who, "msgId": id, "sendNo": no, "worker": worker, "outcome": outcome,
-        "durationNs": 18500000, "ended": ended, "info": 0, "stats": [3.0, 0.2, 9.0]})
+fn closed_attempt(instance: u64, id: u64, attempt: u64, worker: u64, outcome: u64, ended: bool) -> Value {
+    json!({"t": "closedAttempt", "who": instance, "msgId": id, "sendNo": attempt, "worker": worker,
+        "outcome": outcome, "durationNs": 18500000, "ended": ended, "info": 0, "stats": [3.0, 0.2, 9.0]})
 }
 
-fn actions(reply: &Value, word: &str) -> Vec<Value> {
+fn actions(reply: &Value, kind: &str) -> Vec<Value> {
     let all = reply["do"].as_array().expect("actions");
-    all.iter().filter(|a| a["t"] == word).cloned().collect()
+    all.iter().filter(|action| action["t"] == kind).cloned().collect()
 }
 
 #[test]
@@ -79,38 +80,38 @@
 }
 
 #[test]
-fn a_request_goes_to_the_reader_then_to_the_writer_and_ends() {
+fn a_request_is_sent_to_a_prefill_worker_and_then_to_a_decode_worker() {
     let id = 2_272_941_206_835_652;
     let out = replies(&run(&[
         batch(CLOCK, start(3)),
         batch(CLOCK, json!([submit(3, id)])),
-        batch(CLOCK + 1, json!([closed(3, id, 0, 51, 102, false)])),
+        batch(CLOCK + 1, json!([closed_attempt(3, id, 0, 51, 102, false)])),
         batch(
             CLOCK + 2,
             json!([{"t": "begun", "who": 3, "msgId": id, "sendNo": 1, "worker": 74, "durationNs": 5}]),
         ),
-        batch(CLOCK + 3, json!([closed(3, id, 1, 74, 100, true)])),
+        batch(CLOCK + 3, json!([closed_attempt(3, id, 1, 74, 100, true)])),
     ]));
     assert_eq!(actions(&out[0], "follow"), vec![json!({"t": "follow", "who": 3, "enable": true})]);
-    let read = json!({"t": "transmit", "who": 3, "msgId": id, "worker": 51, "giveUpAfterNs": 0});
-    assert_eq!(actions(&out[1], "transmit"), vec![read]);
-    let write = json!({"t": "transmit", "who": 3, "msgId": id, "worker": 74, "giveUpAfterNs": 0});
-    assert_eq!(actions(&out[2], "transmit"), vec![write]);
-    assert!(out[3..].iter().all(|r| actions(r, "transmit").is_empty()));
+    let prefill = json!({"t": "transmit", "who": 3, "msgId": id, "worker": 51, "giveUpAfterNs": 0});
+    assert_eq!(actions(&out[1], "transmit"), vec![prefill]);
+    let decode = json!({"t": "transmit", "who": 3, "msgId": id, "worker": 74, "giveUpAfterNs": 0});
+    assert_eq!(actions(&out[2], "transmit"), vec![decode]);
+    assert!(out[3..].iter().all(|reply| actions(reply, "transmit").is_empty()));
 }
 
-/// The adapter ended over it, and with it all other instances.
+/// Guards against an unknown class ending the whole adapter, and with it all other instances.
 #[test]
-fn a_class_that_the_settings_lack_is_failed_and_nothing_ends() {
-    let mut strange = submit(3, 1);
-    strange["priority"] = json!("unheard-of");
-    let out = replies(&run(&[batch(CLOCK, start(3)), batch(CLOCK, json!([strange, submit(3, 2)]))]));
+fn a_request_of_an_unknown_class_fails_alone() {
+    let mut unknown_class = submit(3, 1);
+    unknown_class["priority"] = json!("unheard-of");
+    let out = replies(&run(&[batch(CLOCK, start(3)), batch(CLOCK, json!([unknown_class, submit(3, 2)]))]));
     assert_eq!(actions(&out[1], "error"), vec![json!({"t": "error", "who": 3, "msgId": 1})]);
     assert_eq!(actions(&out[1], "transmit")[0]["msgId"], 2);
 }
 
 #[test]
-fn timers_come_back_by_the_name_they_were_given() {
+fn timers_fire_by_name_and_unknown_timers_are_ignored() {
     let out = replies(&run(&[
         batch(CLOCK, start(3)),
         batch(CLOCK, json!([submit(3, 1)])),
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_request_that_is_past_its_time_is_declined() {
+fn a_request_past_its_deadline_is_declined() {
     let mut late = submit(3, 9);
     late["giveUpAtNs"] = json!(CLOCK - 1);
     let out = replies(&run(&[batch(CLOCK, start(3)), batch(CLOCK, json!([late]))]));
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn every_other_event_and_unknown_ones_are_taken() {
+fn other_events_and_unknown_events_are_accepted() {
     let out = replies(&run(&[
         batch(CLOCK, start(3)),
         batch(CLOCK, json!([submit(3, 1)])),
@@ -146,7 +147,7 @@
                 {"t": "rosterChange", "who": 3, "scope": "failed", "revision": 0, "table": 99},
                 {"t": "withdrawn", "who": 3, "msgId": 1},
                 {"t": "withdrawn", "who": 3, "msgId": 4242},
-                closed(3, 1, 0, 51, 999, true),
+                closed_attempt(3, 1, 0, 51, 999, true),
                 {"t": "teardown", "who": 3}
             ]),
         ),
@@ -158,44 +159,50 @@
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
-    let day = |who: u64| {
+fn an_instance_acts_the_same_alone_and_beside_another() {
+    let batches = |instance: u64| {
         vec![
-            batch(CLOCK, start(who)),
-            batch(CLOCK, json!([submit(who, 5)])),
-            batch(CLOCK + 9, json!([closed(who, 5, 0, 51, 301, false)])),
+            batch(CLOCK, start(instance)),
+            batch(CLOCK, json!([submit(instance, 5)])),
+            batch(CLOCK + 9, json!([closed_attempt(instance, 5, 0, 51, 301, false)])),
         ]
     };
     let together: Vec<String> = (0..3)
         .map(|i| {
             let events: Vec<Value> = [1, 2]
                 .iter()
-                .flat_map(|who| {
-                    let line: Value = serde_json::from_str(&day(*who)[i]).expect("a batch");
+                .flat_map(|instance| {
+                    let line: Value = serde_json::from_str(&batches(*instance)[i]).expect("a batch");
                     line["events"].as_array().expect("events").clone()
                 })
                 .collect();
-            let clock: Value = serde_json::from_str(&day(1)[i]).expect("a batch");
-            json!({"clockNs": clock["clockNs"], "events": events}).to_string()
+            let first: Value = serde_json::from_str(&batches(1)[i]).expect("a batch");
+            json!({"clockNs": first["clockNs"], "events": events}).to_string()
         })
         .collect();
     let both = replies(&run(&together));
-    for who in [1, 2] {
-        let alone = replies(&run(&day(who)));
+    for instance in [1, 2] {
+        let alone = replies(&run(&batches(instance)));
         for (together, alone) in both.iter().zip(&alone) {
-            let of = |r: &Value| -> Vec<Value> {
-                r["do"].as_array().expect("actions").iter().filter(|a| a["who"] == who).cloned().collect()
+            let own_actions = |reply: &Value| -> Vec<Value> {
+                reply["do"]
+                    .as_array()
+                    .expect("actions")
+                    .iter()
+                    .filter(|action| action["who"] == instance)
+                    .cloned()
+                    .collect()
             };
-            assert_eq!(of(together), of(alone));
+            assert_eq!(own_actions(together), own_actions(alone));
         }
     }
 }
 
 #[test]
-fn malformed_lines_end_it_with_a_message_that_names_the_line() {
+fn an_invalid_line_exits_with_a_message_that_names_the_line() {
     let mut no_id = submit(3, 1);
     no_id.as_object_mut().expect("an object").remove("msgId");
-    let bad = [
+    let invalid_lines = [
         "not json".to_owned(),
         "[]".to_owned(),
         json!({"events": []}).to_string(),
@@ -208,7 +215,7 @@
         batch(CLOCK, json!([17])),
         batch(CLOCK, json!([{"t": "init", "who": 4, "entropy": 1}])),
     ];
-    for line in bad {
+    for line in invalid_lines {
         let output = run(&[batch(CLOCK, start(3)), line.clone()]);
         let message = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{line}");
