--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! A request event at the module, with criterion: `cargo bench --bench decisions`.
+//! Criterion benchmark of a request event in the scheduler: `cargo bench --bench decisions`.
 
 mod driver;
 
@@ -12,10 +12,11 @@
     for (count, queued) in [(14, 0), (110, 0), (400, 0), (14, 500), (14, 5000)] {
         let mut simulation = Simulation::with_queued(count, queued);
         let id = BenchmarkId::from_parameter(format!("{count} engines, {queued} held"));
-        // The time until the next request passes in between: only the event itself is measured.
+        // `step` also advances the simulation to the next request, which is not part of the measured time.
         group.bench_function(id, |bencher| {
-            bencher
-                .iter_custom(|turns| Duration::from_nanos((0..turns).map(|_| simulation.step(count)).sum()));
+            bencher.iter_custom(|iterations| {
+                Duration::from_nanos((0..iterations).map(|_| simulation.step(count)).sum())
+            });
         });
     }
     group.finish();
--- a/examples/decisions.rs
+++ b/examples/decisions.rs
@@ -1,5 +1,6 @@
-//! Times `Policy::handle` on request events: mean, median and 99th percentile in microseconds, by engines and
-//! by requests queued. Figures of one machine mean little; the ratios to the first row are what counts.
+//! Times `Policy::handle` on request events: mean, median and 99th percentile in microseconds, by the number
+//! of engines and of queued requests. Absolute times depend on the machine; compare the ratios to the first
+//! row.
 //!
 //! `cargo run --release --example decisions`
 
@@ -8,6 +9,7 @@
 
 use driver::Simulation;
 
+/// The mean, median and 99th percentile in microseconds.
 fn run(count: u32, queued: usize, samples: usize) -> (f64, f64, f64) {
     let mut simulation = Simulation::with_queued(count, queued);
     let mut times: Vec<u64> = (0..samples).map(|_| simulation.step(count)).collect();
@@ -21,12 +23,12 @@
         "{:>8} {:>8} {:>10} {:>10} {:>10} {:>8}",
         "engines", "queued", "mean us", "median us", "99% us", "ratio"
     );
-    let mut first = None;
+    let mut first_mean = None;
     let rows =
         [(14, 0, 4000), (110, 0, 4000), (400, 0, 2000), (14, 500, 600), (14, 5000, 200), (110, 5000, 200)];
     for (count, queued, samples) in rows {
-        let (mean, median, high) = run(count, queued, samples);
-        let base = *first.get_or_insert(mean);
-        println!("{count:>8} {queued:>8} {mean:>10.1} {median:>10.1} {high:>10.1} {:>8.1}", mean / base);
+        let (mean, median, p99) = run(count, queued, samples);
+        let base = *first_mean.get_or_insert(mean);
+        println!("{count:>8} {queued:>8} {mean:>10.1} {median:>10.1} {p99:>10.1} {:>8.1}", mean / base);
     }
 }
