--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -116,7 +116,7 @@
                 checks_left -= 1;
                 self.advance_ring_position(id);
             }
-            head.next = self.admission.queue.next_of(head.traffic, checked);
+            head.next = self.admission.queue.next_in_group(head.traffic, checked);
         }
     }
 
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -161,7 +161,7 @@
 pub const FULL_SCAN_SERVER_LIMIT: usize = 256;
 /// Size of the neighbourhood that a request chooses from if there are more servers than that.
 pub const NEIGHBORHOOD: NeighborhoodLimits =
-    NeighborhoodLimits { enough: 64, most: 256, points_per_cell: 16, edge_weight: 1e-3 };
+    NeighborhoodLimits { target_servers: 64, max_servers: 256, points_per_cell: 16, edge_weight: 1e-3 };
 /// Queued requests that are checked on each event if each has its own neighbourhood.
 pub const ADMISSION_CHECKS_PER_EVENT: usize = 8;
 
