--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -1,5 +1,6 @@
-//! The decision module as it was when it computed every sum and average anew at each event: slow and plain. It is
-//! kept as the reference for the one that updates them step by step.
+//! A reference implementation of the decisions: an earlier version of the module, which computes every sum
+//! and average anew at each event. It is slow but simple, and the module, which updates them incrementally,
+//! is compared with it.
 #![allow(dead_code)]
 
 pub mod policy;
