--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,5 +1,5 @@
-//! Rule 4 over a whole fleet: as many modules side by side as a site has routers, and what a server that has
-//! just started gets from all of them together. No sockets; the same seed gives the same day.
+//! Slow start over a whole fleet: simulates all routers of a site, and checks what a server that has just
+//! started gets from all of them together. It uses no sockets, and the same seed gives the same simulation.
 
 mod common;
 
@@ -12,79 +12,84 @@
 
 const PREFILL_WORKERS: u32 = 12;
 const DECODE_WORKERS: u32 = 12;
-/// The servers that start at `START`: one that reads and one that writes.
-const COLD: [u32; 2] = [PREFILL_WORKERS, 100 + DECODE_WORKERS];
+/// The servers that start at `START`: a prefill and a decode worker.
+const STARTING_SERVERS: [u32; 2] = [PREFILL_WORKERS, 100 + DECODE_WORKERS];
 const START: Nanos = 30 * S;
-/// Of what a server bears, how much its warm peers carry: sites are loaded so in quiet times.
-const LOADED: f64 = 0.6;
+/// The load of warm servers as a share of their capacity, as in quiet times.
+const WARM_UTILIZATION: f64 = 0.6;
 
-/// Calls, below which a budget has a bound of its own.
+/// The number of calls below which a budget has a bound of its own.
 const SMALL_BUDGET: f64 = 30.0;
 
-/// A day: what differs from one to the next.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-struct Simulation {
+struct Scenario {
     routers: usize,
-    /// Requests a second, all routers together.
+    /// Requests per second, all routers together.
     rate: f64,
-    /// Times as many, from a moment after the start on.
-    rises: (Nanos, f64),
-    /// How uneven the routers' shares are: 0 even.
+    /// From when after the start the rate is multiplied, and by what factor.
+    rate_increase: (Nanos, f64),
+    /// How unevenly requests are distributed over routers; 0: evenly.
     skew: f64,
-    /// Shares move to other routers at the start.
-    moves: bool,
-    /// One of two routers starts anew a second before the servers do.
+    /// Whether the routers' shares of requests are drawn anew at the start.
+    redistributes: bool,
+    /// Whether every second router restarts a second before the servers start.
     restarts: bool,
-    /// The longest that a router hears of the start after the first.
-    told_late: Nanos,
-    /// So many warm servers of each role are gone from a moment after the start on.
+    /// The longest delay after which a router learns of the start.
+    update_delay: Nanos,
+    /// From when after the start warm servers of each role are removed, and how many.
     lost: (Nanos, u32),
-    /// Shared shared prefixes; few of them are hot.
+    /// The number of shared prefixes; few of them are popular.
     prefixes: f64,
 }
 
-const PLAIN: Simulation = Simulation {
+const DEFAULT: Scenario = Scenario {
     routers: 30,
     rate: 240.0,
-    rises: (0, 1.0),
+    rate_increase: (0, 1.0),
     skew: 0.0,
-    moves: false,
+    redistributes: false,
     restarts: false,
-    told_late: 0,
+    update_delay: 0,
     lost: (0, 0),
     prefixes: 200.0,
 };
 
-enum What {
-    Ask,
-    Tell(Event),
-    Restart,
+/// A step of the simulation.
+enum Step {
+    /// The next request arrives, at a random router.
+    RequestArrives,
+    /// A router gets an event.
+    Event(Event),
+    /// A router restarts.
+    RouterRestarts,
 }
 
 struct Fleet {
-    day: Simulation,
+    scenario: Scenario,
     rng: SplitMix64,
     routers: Vec<Policy>,
+    /// The time, number and router of each step to come.
     queue: BinaryHeap<Reverse<(Nanos, u64, usize)>>,
-    what: BTreeMap<u64, What>,
+    steps: BTreeMap<u64, Step>,
+    /// Each router's share of the requests.
     shares: Vec<f64>,
-    next: u64,
-    attempts: BTreeMap<(usize, u64), u32>,
-    prompts: BTreeMap<(usize, u64), f64>,
-
-    /// By server: when it was sent what, in mean requests.
+    next_step: u64,
+    attempt_counts: BTreeMap<(usize, u64), u32>,
+    prompt_tokens: BTreeMap<(usize, u64), f64>,
+    /// By server: the time and the work of each attempt sent, in mean requests.
     sent: BTreeMap<u32, Vec<(Nanos, f64)>>,
-    asked: u64,
+    request_count: u64,
 }
 
-fn site(routers: usize, me: usize) -> Settings {
-    let heavy =
+fn site_settings(router_count: usize, router_index: usize) -> Settings {
+    let heavy_class =
         TrafficClass { priority_weight: 3.0, ..class(Idempotency::Idempotent, DeduplicationScope::All) };
     Settings {
-        seed: 7 + me as u64,
-        router_index: me as u32,
-        router_count: routers as u32,
-        classes: vec![class(Idempotency::Idempotent, DeduplicationScope::All), heavy],
+        seed: 7 + router_index as u64,
+        router_index: router_index as u32,
+        router_count: router_count as u32,
+        classes: vec![class(Idempotency::Idempotent, DeduplicationScope::All), heavy_class],
         kinds: kinds([600_000.0; 3]),
         can_probe: true,
         probe_cost: 0.003,
@@ -92,116 +97,124 @@
     }
 }
 
-fn list(cold: bool, lost: u32) -> Vec<Endpoint> {
+/// The endpoint list without the first `lost` warm servers of each role, and with the starting servers if
+/// `has_started`.
+fn endpoint_list(has_started: bool, lost: u32) -> Vec<Endpoint> {
     let kinds = (lost..PREFILL_WORKERS).map(|s| (s, 0)).chain((lost..DECODE_WORKERS).map(|s| (100 + s, 1)));
-    let mut all: Vec<Endpoint> = kinds.map(|(s, kind)| endpoint(s, kind, u64::from(s % 3))).collect();
-    for (server, kind) in COLD.into_iter().zip(0..).filter(|_| cold) {
-        all.push(Endpoint { started_at: Some(START), ..endpoint(server, kind, 0) });
+    let mut endpoints: Vec<Endpoint> = kinds.map(|(s, kind)| endpoint(s, kind, u64::from(s % 3))).collect();
+    for (server, kind) in STARTING_SERVERS.into_iter().zip(0..).filter(|_| has_started) {
+        endpoints.push(Endpoint { started_at: Some(START), ..endpoint(server, kind, 0) });
     }
-    all
+    endpoints
 }
 
 impl Fleet {
-    fn new(day: Simulation, seed: u64) -> Fleet {
+    fn new(scenario: Scenario, seed: u64) -> Fleet {
         let mut fleet = Fleet {
-            day,
+            scenario,
             rng: SplitMix64(seed),
-            routers: (0..day.routers).map(|me| Policy::new(site(day.routers, me))).collect(),
+            routers: (0..scenario.routers)
+                .map(|index| Policy::new(site_settings(scenario.routers, index)))
+                .collect(),
             queue: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            steps: BTreeMap::new(),
             shares: Vec::new(),
-            next: 1,
-            attempts: BTreeMap::new(),
-            prompts: BTreeMap::new(),
+            next_step: 1,
+            attempt_counts: BTreeMap::new(),
+            prompt_tokens: BTreeMap::new(),
             sent: BTreeMap::new(),
-            asked: 0,
+            request_count: 0,
         };
-        fleet.share_out();
-        for router in 0..day.routers {
-            let known =
-                Event::EndpointsChanged { update: EndpointUpdate::Cached, endpoints: list(false, 0).into() };
-            fleet.at(S, router, What::Tell(known));
-            let late = (fleet.rng.next_unit() * day.told_late as f64) as Nanos;
-            let news =
-                Event::EndpointsChanged { update: EndpointUpdate::Full, endpoints: list(true, 0).into() };
-            fleet.at(START + late, router, What::Tell(news));
-            if day.lost.1 > 0 {
-                let news = Event::EndpointsChanged {
+        fleet.draw_shares();
+        for router in 0..scenario.routers {
+            let initial = Event::EndpointsChanged {
+                update: EndpointUpdate::Cached,
+                endpoints: endpoint_list(false, 0).into(),
+            };
+            fleet.schedule(S, router, Step::Event(initial));
+            let delay = (fleet.rng.next_unit() * scenario.update_delay as f64) as Nanos;
+            let with_started = Event::EndpointsChanged {
+                update: EndpointUpdate::Full,
+                endpoints: endpoint_list(true, 0).into(),
+            };
+            fleet.schedule(START + delay, router, Step::Event(with_started));
+            if scenario.lost.1 > 0 {
+                let with_lost = Event::EndpointsChanged {
                     update: EndpointUpdate::Full,
-                    endpoints: list(true, day.lost.1).into(),
+                    endpoints: endpoint_list(true, scenario.lost.1).into(),
                 };
-                fleet.at(START + day.lost.0, router, What::Tell(news));
+                fleet.schedule(START + scenario.lost.0, router, Step::Event(with_lost));
             }
-            if day.restarts && router % 2 == 0 {
-                fleet.at(START - S, router, What::Restart);
+            if scenario.restarts && router % 2 == 0 {
+                fleet.schedule(START - S, router, Step::RouterRestarts);
             }
         }
-        fleet.at(S + MS, 0, What::Ask);
+        fleet.schedule(S + MS, 0, Step::RequestArrives);
         fleet
     }
 
-    fn share_out(&mut self) {
-        let skew = self.day.skew;
+    fn draw_shares(&mut self) {
+        let skew = self.scenario.skew;
         let share = |rng: &mut SplitMix64| rng.next_unit().max(1e-3).powf(skew);
-        let shares: Vec<f64> = (0..self.day.routers).map(|_| share(&mut self.rng)).collect();
-        let all: f64 = shares.iter().sum();
-        self.shares = shares.into_iter().map(|s| s / all).collect();
+        let shares: Vec<f64> = (0..self.scenario.routers).map(|_| share(&mut self.rng)).collect();
+        let total: f64 = shares.iter().sum();
+        self.shares = shares.into_iter().map(|share| share / total).collect();
     }
 
-    fn at(&mut self, at: Nanos, router: usize, what: What) {
-        self.next += 1;
-        self.what.insert(self.next, what);
-        self.queue.push(Reverse((at, self.next, router)));
+    fn schedule(&mut self, at: Nanos, router: usize, step: Step) {
+        self.next_step += 1;
+        self.steps.insert(self.next_step, step);
+        self.queue.push(Reverse((at, self.next_step, router)));
     }
 
     fn run(&mut self, until: Nanos) {
-        let mut moved = !self.day.moves;
+        let mut is_redistributed = !self.scenario.redistributes;
         while let Some(Reverse((now, number, router))) = self.queue.pop().filter(|next| next.0 .0 < until) {
-            if !moved && now >= START {
-                moved = true;
-                self.share_out();
+            if !is_redistributed && now >= START {
+                is_redistributed = true;
+                self.draw_shares();
             }
-            match self.what.remove(&number) {
-                Some(What::Ask) => self.ask(now),
-                Some(What::Tell(event)) => self.tell(now, router, event),
-                Some(What::Restart) => {
-                    self.routers[router] = Policy::new(site(self.day.routers, router));
-                    let known = Event::EndpointsChanged {
+            match self.steps.remove(&number) {
+                Some(Step::RequestArrives) => self.submit_request(now),
+                Some(Step::Event(event)) => self.handle(now, router, event),
+                Some(Step::RouterRestarts) => {
+                    self.routers[router] = Policy::new(site_settings(self.scenario.routers, router));
+                    let initial = Event::EndpointsChanged {
                         update: EndpointUpdate::Cached,
-                        endpoints: list(false, 0).into(),
+                        endpoints: endpoint_list(false, 0).into(),
                     };
-                    self.tell(now, router, known);
+                    self.handle(now, router, initial);
                 }
                 None => {}
             }
         }
     }
 
-    fn ask(&mut self, now: Nanos) {
-        let (from, times) = self.day.rises;
-        let rate = self.day.rate * if now >= START + from { times } else { 1.0 };
-        let gap = -self.rng.next_unit().max(1e-12).ln() / rate;
-        self.at(now + (gap * 1e9) as Nanos, 0, What::Ask);
-        let mut lot = self.rng.next_unit();
+    fn submit_request(&mut self, now: Nanos) {
+        let (from, factor) = self.scenario.rate_increase;
+        let rate = self.scenario.rate * if now >= START + from { factor } else { 1.0 };
+        let interval = self.rng.exponential_interval(rate);
+        self.schedule(now + (interval * 1e9) as Nanos, 0, Step::RequestArrives);
+        let mut point = self.rng.next_unit();
         let router = self.shares.iter().position(|share| {
-            lot -= share;
-            lot < 0.0
+            point -= share;
+            point < 0.0
         });
         let router = router.unwrap_or(0);
-        self.asked += 1;
-        let id = self.asked;
-        let heavy = self.rng.next_unit() < 0.3;
-        let prompt = if heavy { 4000.0 } else { 800.0 };
-        // Popularity falls with the rank.
-        let rank = (self.rng.next_unit() * self.day.prefixes.ln()).exp() as u64;
-        self.prompts.insert((router, id), prompt);
+        self.request_count += 1;
+        let id = self.request_count;
+        let is_heavy = self.rng.next_unit() < 0.3;
+        let prompt_tokens = if is_heavy { 4000.0 } else { 800.0 };
+        // The popularity of a prefix falls with its rank.
+        let rank = (self.rng.next_unit() * self.scenario.prefixes.ln()).exp() as u64;
+        self.prompt_tokens.insert((router, id), prompt_tokens);
         let request = Request {
             id: RequestId(id),
-            class: ClassId(usize::from(heavy)),
+            class: ClassId(usize::from(is_heavy)),
             tenant: None,
-            session: Some(AffinityKey(self.asked.wrapping_mul(0x9e37_79b9))),
+            session: Some(AffinityKey(id.wrapping_mul(0x9e37_79b9))),
             prefix: Some(AffinityKey(rank.wrapping_mul(0x1234_5677_1234_5677))),
-            prompt_tokens: prompt,
+            prompt_tokens,
             prefix_tokens: 400.0,
             max_output_tokens: 200.0,
             expected_duration: None,
@@ -209,24 +222,24 @@
             client_retry: false,
             client_reconnect: false,
         };
-        self.tell(now, router, Event::RequestArrived(request));
+        self.handle(now, router, Event::RequestArrived(request));
     }
 
-    fn tell(&mut self, now: Nanos, router: usize, event: Event) {
+    fn handle(&mut self, now: Nanos, router: usize, event: Event) {
         for action in self.routers[router].handle(now, event) {
             match action {
                 Action::SetTimer { token, delay } => {
-                    self.at(now + delay, router, What::Tell(Event::TimerFired(token)))
+                    self.schedule(now + delay, router, Step::Event(Event::TimerFired(token)))
                 }
                 Action::Send { id, server, .. } => self.send(now, router, id, server),
                 Action::Cancel { id, attempt } => {
-                    let gone = outcome(id, attempt, ServerId(0), AttemptStatus::Cancelled, 0);
-                    self.at(now + MS, router, What::Tell(Event::AttemptFinished(gone)));
+                    let cancelled = outcome(id, attempt, ServerId(0), AttemptStatus::Cancelled, 0);
+                    self.schedule(now + MS, router, Step::Event(Event::AttemptFinished(cancelled)));
                 }
                 Action::Probe(server) => {
                     let (status, latency) = (AttemptStatus::Ok, MS);
                     let probed = Event::ProbeFinished { server, status, latency, report: None };
-                    self.at(now + MS, router, What::Tell(probed));
+                    self.schedule(now + MS, router, Step::Event(probed));
                 }
                 _ => {}
             }
@@ -234,31 +247,32 @@
     }
 
     fn send(&mut self, now: Nanos, router: usize, id: RequestId, server: ServerId) {
-        let no = self.attempts.entry((router, id.0)).or_default();
-        let attempt = AttemptNumber(*no);
-        *no += 1;
-        let prompt = self.prompts.get(&(router, id.0)).copied().unwrap_or(0.0);
-        let reads = server.0 < 100;
-        let work = if reads { prompt / 1760.0 } else { 1.0 };
+        let count = self.attempt_counts.entry((router, id.0)).or_default();
+        let attempt = AttemptNumber(*count);
+        *count += 1;
+        let prompt_tokens = self.prompt_tokens.get(&(router, id.0)).copied().unwrap_or(0.0);
+        let is_prefill = server.0 < 100;
+        let work = if is_prefill { prompt_tokens / 1760.0 } else { 1.0 };
         self.sent.entry(server.0).or_default().push((now, work));
-        let spread = 0.7 + 0.6 * self.rng.next_unit();
-        let took = ((20.0 + if reads { prompt / 40.0 } else { 10.0 }) * spread) as Nanos * MS;
-        if reads {
-            let read = outcome(id, attempt, server, AttemptStatus::Prefilled, took);
-            self.at(now + took, router, What::Tell(Event::AttemptFinished(read)));
+        let variation = 0.7 + 0.6 * self.rng.next_unit();
+        let mean_ms = 20.0 + if is_prefill { prompt_tokens / 40.0 } else { 10.0 };
+        let latency = (mean_ms * variation) as Nanos * MS;
+        if is_prefill {
+            let prefilled = outcome(id, attempt, server, AttemptStatus::Prefilled, latency);
+            self.schedule(now + latency, router, Step::Event(Event::AttemptFinished(prefilled)));
         } else {
-            let first = Event::FirstToken { id, attempt, server, latency: took };
-            self.at(now + took, router, What::Tell(first));
+            let first = Event::FirstToken { id, attempt, server, latency };
+            self.schedule(now + latency, router, Step::Event(first));
             let end = AttemptOutcome {
                 request_finished: true,
-                ..outcome(id, attempt, server, AttemptStatus::Ok, took + 500 * MS)
+                ..outcome(id, attempt, server, AttemptStatus::Ok, latency + 500 * MS)
             };
-            self.at(now + took + 500 * MS, router, What::Tell(Event::AttemptFinished(end)));
+            self.schedule(now + latency + 500 * MS, router, Step::Event(Event::AttemptFinished(end)));
         }
     }
 
-    /// Work a second at a warm server of the same role, over a span before the start.
-    fn warm(&self, server: u32, span: Nanos) -> f64 {
+    /// The mean work per second of a warm server of the same role, over a span before the start.
+    fn warm_work_per_second(&self, server: u32, span: Nanos) -> f64 {
         let peers = if server < 100 { 0..PREFILL_WORKERS } else { 100..100 + DECODE_WORKERS };
         let count = peers.len() as f64;
         let sent = peers.flat_map(|s| self.sent.get(&s).into_iter().flatten());
@@ -287,17 +301,18 @@
     }
 }
 
-/// What one warming-up server got.
+/// What a starting server was sent while it was warming up.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ramp {
-    /// The worst window: how much of what chance may add to the budget was used; 1 is the limit.
-    worst: f64,
-    /// Of what the settings allow over the ramp, how much it got.
-    used: f64,
+struct SlowStartLoad {
+    /// The most work of any overload window, as a share of the bound: the budget and what chance may add to
+    /// it.
+    worst_window: f64,
+    /// All work, as a share of what the settings allow.
+    used_share: f64,
 }
 
-/// What a server in slow start bears in a window in which so many calls of mean work are its budget: chance
-/// may add to it, and to a small one by more.
+/// The bound for the work in a window with that budget, in mean requests. Chance may add to the budget, in
+/// relative terms more to a small one.
 fn bound(budget: f64) -> f64 {
     match budget {
         small if small < SMALL_BUDGET => small + 3.0 * small.sqrt() + 3.0,
@@ -305,123 +320,129 @@
     }
 }
 
-/// Plays a day; of each warming-up server its ramp.
-fn play(day: Simulation, seed: u64) -> [Ramp; 2] {
-    let set = settings();
-    let mut fleet = Fleet::new(day, seed);
-    fleet.run(START + set.slow_start_duration);
-    COLD.map(|server| {
-        // What a server bears is told by what its warm peers carried before.
-        let carried = fleet.warm(server, set.slow_start_duration) / LOADED;
-        let share = |at: Nanos| {
-            let age = at.saturating_sub(START) as f64 / set.slow_start_duration as f64;
-            set.slow_start_speed + (1.0 - set.slow_start_speed) * age.clamp(0.0, 1.0)
+/// Runs a simulation; returns what each starting server was sent.
+fn simulate(scenario: Scenario, seed: u64) -> [SlowStartLoad; 2] {
+    let settings = settings();
+    let mut fleet = Fleet::new(scenario, seed);
+    fleet.run(START + settings.slow_start_duration);
+    STARTING_SERVERS.map(|server| {
+        // The capacity of a server follows from the load of its warm peers before the start.
+        let capacity = fleet.warm_work_per_second(server, settings.slow_start_duration) / WARM_UTILIZATION;
+        let capacity_share = |at: Nanos| {
+            let age = at.saturating_sub(START) as f64 / settings.slow_start_duration as f64;
+            settings.slow_start_speed + (1.0 - settings.slow_start_speed) * age.clamp(0.0, 1.0)
         };
-        let got = fleet.sent.get(&server).cloned().unwrap_or_default();
-        let window = set.overload_window;
-        let mut worst: f64 = 0.0;
-        for (last, (at, _)) in got.iter().enumerate() {
+        let sent = fleet.sent.get(&server).cloned().unwrap_or_default();
+        let window = settings.overload_window;
+        let mut worst_window: f64 = 0.0;
+        for (last, (at, _)) in sent.iter().enumerate() {
             let from = at.saturating_sub(window).max(START);
-            let work: f64 = got[..=last].iter().filter(|(t, _)| *t > from || *t == START).map(|g| g.1).sum();
-            let budget = set.overload_factor * share(from) * carried * (window as f64 / 1e9);
-            worst = worst.max(work / bound(budget));
+            let work: f64 = sent[..=last].iter().filter(|(t, _)| *t > from || *t == START).map(|s| s.1).sum();
+            let budget = settings.overload_factor * capacity_share(from) * capacity * (window as f64 / 1e9);
+            worst_window = worst_window.max(work / bound(budget));
         }
-        let all: f64 = got.iter().map(|g| g.1).sum();
-        let mean = (set.slow_start_speed + 1.0) / 2.0;
-        let most =
-            (set.overload_factor * mean).min(1.0) * carried * LOADED * set.slow_start_duration as f64 / 1e9;
-        Ramp { worst, used: all / most }
+        let total: f64 = sent.iter().map(|s| s.1).sum();
+        let mean_share = (settings.slow_start_speed + 1.0) / 2.0;
+        let allowed = (settings.overload_factor * mean_share).min(1.0)
+            * capacity
+            * WARM_UTILIZATION
+            * settings.slow_start_duration as f64
+            / 1e9;
+        SlowStartLoad { worst_window, used_share: total / allowed }
     })
 }
 
-/// Plays each day on some seeds: the worst ramps, and what the warming-up servers got on average.
-fn judge(days: &[(&str, Simulation)], least: [f64; 2]) {
+/// Simulates each scenario with some seeds, and checks the worst window of each role, and the mean of the
+/// used shares, which have to reach `least`.
+fn check_scenarios(scenarios: &[(&str, Scenario)], least: [f64; 2]) {
     const SEEDS: u64 = 4;
-    let played: Vec<(&str, [Ramp; 2])> = std::thread::scope(|all| {
-        let played = days.iter().map(|(name, day)| {
-            let seeds: Vec<_> = (0..SEEDS).map(|seed| all.spawn(move || play(*day, seed))).collect();
+    let results: Vec<(&str, [SlowStartLoad; 2])> = std::thread::scope(|scope| {
+        let running = scenarios.iter().map(|(name, scenario)| {
+            let seeds: Vec<_> =
+                (0..SEEDS).map(|seed| scope.spawn(move || simulate(*scenario, seed))).collect();
             (*name, seeds)
         });
-        let played: Vec<_> = played.collect();
-        let whole = |seeds: Vec<std::thread::ScopedJoinHandle<[Ramp; 2]>>| {
-            seeds.into_iter().fold([Ramp::default(); 2], |sum, seed| {
-                let ramps = seed.join().expect("it is played");
-                [0, 1].map(|role: usize| Ramp {
-                    worst: sum[role].worst.max(ramps[role].worst),
-                    used: sum[role].used + ramps[role].used / SEEDS as f64,
+        let running: Vec<_> = running.collect();
+        let combine = |seeds: Vec<std::thread::ScopedJoinHandle<[SlowStartLoad; 2]>>| {
+            seeds.into_iter().fold([SlowStartLoad::default(); 2], |sum, seed| {
+                let loads = seed.join().expect("the simulation ends");
+                [0, 1].map(|role: usize| SlowStartLoad {
+                    worst_window: sum[role].worst_window.max(loads[role].worst_window),
+                    used_share: sum[role].used_share + loads[role].used_share / SEEDS as f64,
                 })
             })
         };
-        played.into_iter().map(|(name, seeds)| (name, whole(seeds))).collect()
+        running.into_iter().map(|(name, seeds)| (name, combine(seeds))).collect()
     });
-    for (name, ramps) in &played {
-        println!("{name:28} {ramps:.2?}");
-        for (ramp, least) in ramps.iter().zip(least) {
-            assert!(ramp.worst < 1.0, "{name}: pushed over: {ramps:.2?}");
-            assert!(ramp.used >= least, "{name}: starved: {ramps:.2?}");
+    for (name, loads) in &results {
+        println!("{name:28} {loads:.2?}");
+        for (load, least) in loads.iter().zip(least) {
+            assert!(load.worst_window < 1.0, "{name}: overloaded: {loads:.2?}");
+            assert!(load.used_share >= least, "{name}: starved: {loads:.2?}");
         }
     }
 }
 
-/// By the number of routers, however their shares are spread and whoever among them has just started.
+/// For any number of routers, however requests are distributed over them, and even if some of them have just
+/// restarted.
 #[test]
 fn all_routers_together_keep_a_warming_up_servers_budget() {
-    let with = |routers| Simulation { routers, ..PLAIN };
-    let days = [
+    let with = |routers| Scenario { routers, ..DEFAULT };
+    let scenarios = [
         ("1 router", with(1)),
         ("3 routers", with(3)),
         ("20 routers", with(20)),
         ("30 routers", with(30)),
         ("300 routers", with(300)),
-        ("300, little traffic", Simulation { rate: 60.0, ..with(300) }),
+        ("300, little traffic", Scenario { rate: 60.0, ..with(300) }),
         ("1300 routers", with(1300)),
-        ("1300, uneven, told late", Simulation { skew: 2.0, told_late: 5 * S, ..with(1300) }),
-        ("300, uneven", Simulation { skew: 2.0, ..with(300) }),
-        ("30, uneven, moved", Simulation { skew: 2.0, moves: true, ..with(30) }),
-        ("300, uneven, moved", Simulation { skew: 2.0, moves: true, ..with(300) }),
-        ("30, half restarted", Simulation { restarts: true, ..with(30) }),
-        ("300, half restarted", Simulation { restarts: true, ..with(300) }),
-        ("300, told late", Simulation { told_late: 5 * S, ..with(300) }),
-        ("3, hot shared prefixes", Simulation { prefixes: 8.0, ..with(3) }),
-        ("300, hot shared prefixes", Simulation { prefixes: 8.0, ..with(300) }),
+        ("1300, uneven, late update", Scenario { skew: 2.0, update_delay: 5 * S, ..with(1300) }),
+        ("300, uneven", Scenario { skew: 2.0, ..with(300) }),
+        ("30, uneven, redistributed", Scenario { skew: 2.0, redistributes: true, ..with(30) }),
+        ("300, uneven, redistributed", Scenario { skew: 2.0, redistributes: true, ..with(300) }),
+        ("30, half restarted", Scenario { restarts: true, ..with(30) }),
+        ("300, half restarted", Scenario { restarts: true, ..with(300) }),
+        ("300, late update", Scenario { update_delay: 5 * S, ..with(300) }),
+        ("3, popular shared prefixes", Scenario { prefixes: 8.0, ..with(3) }),
+        ("300, popular shared prefixes", Scenario { prefixes: 8.0, ..with(300) }),
     ];
-    judge(&days, [0.005, 0.02]);
+    check_scenarios(&scenarios, [0.005, 0.02]);
 }
 
-/// A budget of less than 30 calls has a bound of its own.
+/// Budgets below `SMALL_BUDGET` have a bound of their own.
 #[test]
 fn small_budgets_are_kept_too() {
-    let quiet = |routers| Simulation { routers, rate: 60.0, ..PLAIN };
-    let days = [
+    let quiet = |routers| Scenario { routers, rate: 60.0, ..DEFAULT };
+    let scenarios = [
         ("1 router, little traffic", quiet(1)),
         ("3 routers, little traffic", quiet(3)),
         ("30 routers, little traffic", quiet(30)),
     ];
-    judge(&days, [0.005, 0.02]);
-    // A router of so many comes to either server once in four minutes: what a cold one gets is left to
-    // chance.
-    judge(&[("1300 routers, little traffic", quiet(1300))], [0.0, 0.0]);
+    check_scenarios(&scenarios, [0.005, 0.02]);
+    // With so many routers, each would send to either server once in four minutes: what a starting server
+    // gets is left to chance.
+    check_scenarios(&[("1300 routers, little traffic", quiet(1300))], [0.0, 0.0]);
 }
 
-/// Traffic rises while a server is cold, or its peers are lost: what each router may send has piled up by
-/// then.
+/// Traffic rises or peers are lost while a server is warming up, when each router has already saved up some
+/// budget: the budget is still kept, and the server is used.
 #[test]
-fn a_rise_of_the_traffic_keeps_it_too_and_finds_the_warming_up_servers() {
-    let rise = |routers, at| Simulation { routers, rises: (at, 2.0), ..PLAIN };
-    let lost = |routers, at, servers| Simulation { routers, lost: (at, servers), ..PLAIN };
-    let days = [
-        ("300, twice at once", rise(300, 0)),
-        ("3, twice at 4 s", rise(3, 4 * S)),
-        ("30, twice at 4 s", rise(30, 4 * S)),
-        ("300, twice at 4 s", rise(300, 4 * S)),
-        ("300, nine of twelve lost at 2", lost(300, 2 * S, 9)),
+fn a_rise_of_traffic_keeps_the_budget_and_uses_the_warming_up_servers() {
+    let rise = |routers, at| Scenario { routers, rate_increase: (at, 2.0), ..DEFAULT };
+    let lost = |routers, at, servers| Scenario { routers, lost: (at, servers), ..DEFAULT };
+    let scenarios = [
+        ("300, doubled at once", rise(300, 0)),
+        ("3, doubled at 4 s", rise(3, 4 * S)),
+        ("30, doubled at 4 s", rise(30, 4 * S)),
+        ("300, doubled at 4 s", rise(300, 4 * S)),
+        ("300, nine of twelve lost at 2 s", lost(300, 2 * S, 9)),
         ("3, nine lost at 4 s", lost(3, 4 * S, 9)),
         ("30, nine lost at 4 s", lost(30, 4 * S, 9)),
         ("300, nine lost at 4 s", lost(300, 4 * S, 9)),
-        ("300, nine lost, twice", Simulation { rises: (4 * S, 2.0), ..lost(300, 4 * S, 9) }),
+        ("300, nine lost, doubled", Scenario { rate_increase: (4 * S, 2.0), ..lost(300, 4 * S, 9) }),
         ("1, all lost at 4 s", lost(1, 4 * S, 12)),
         ("30, all lost at 4 s", lost(30, 4 * S, 12)),
         ("300, all lost at 8 s", lost(300, 8 * S, 12)),
     ];
-    judge(&days, [0.03, 0.15]);
+    check_scenarios(&scenarios, [0.03, 0.15]);
 }
