--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -57,7 +57,7 @@
         let large = |id| Endpoint { weight: weight.map(|_| 1.0), ..endpoint(id, 1, 0) };
         let small = |id| Endpoint { weight, ..endpoint(id, small_kind, 0) };
         r.update_endpoints(EndpointUpdate::Delta, vec![large(11), large(12), large(13), small(14)]);
-        let (mut warm, mut cold, mut decode_workers) = (0, 0, Vec::new());
+        let (mut warm, mut warming_up, mut decode_workers) = (0, 0, Vec::new());
         for id in 1..1200 {
             if id == 600 {
                 r.update_endpoints(
@@ -76,13 +76,14 @@
                 r.finish_attempt(id - 20, decode_workers[id as usize - 21], AttemptStatus::Ok);
             }
             if id >= 600 {
-                (warm, cold) = (warm + u32::from(decode_worker == 14), cold + u32::from(decode_worker == 15));
+                (warm, warming_up) =
+                    (warm + u32::from(decode_worker == 14), warming_up + u32::from(decode_worker == 15));
             }
         }
         // The limit is 2.5 x 0.3 of the load of a warm server of its size.
         assert!(
-            cold > 0 && f64::from(cold) <= 0.8 * f64::from(warm),
-            "kind {small_kind}: {cold} against {warm}"
+            warming_up > 0 && f64::from(warming_up) <= 0.8 * f64::from(warm),
+            "kind {small_kind}: {warming_up} against {warm}"
         );
     }
 }
--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -10,7 +10,7 @@
 const TICK_INTERVAL: Nanos = 10 * MS;
 /// An unanswered request is given up this long before its client's deadline.
 const GIVE_UP_MARGIN: Nanos = 25 * MS;
-/// The share of the KV release time by which a KV cache has to be sent for.
+/// The share of the KV release time within which a decode attempt has to be sent.
 const PLACEMENT_FRACTION: f64 = 0.7;
 /// For this long, a saturated server is not used, and one that has answered is not probed.
 const RECENT: Nanos = 1000 * MS;
@@ -18,7 +18,7 @@
 const SATURATION_UTILIZATION: f64 = 0.92;
 /// How much higher the load of a near decode worker may be than that of the least loaded one.
 const NEAR_DECODE_TOLERANCE: f64 = 0.25;
-/// What is added to that for each second that decoding starts later across cells.
+/// Added to that tolerance for each second that decoding starts later across cells.
 const SLOW_LINK_TOLERANCE: f64 = 0.5;
 /// The most affinity that a prefill worker attracts, as a multiple of an even share.
 const MAX_AFFINITY: f64 = 1.6;
@@ -43,7 +43,7 @@
 const PROBED_DECODE_WORKERS: usize = 2;
 /// A decode worker whose probe takes longer counts as saturated.
 const SLOW_PROBE_LATENCY: Nanos = 120 * MS;
-/// The lag of load reports, by which own load is told from that of other routers.
+/// The lag of load reports, by which own load is distinguished from that of other routers.
 const REPORT_LAG: Nanos = 500 * MS;
 /// The weight of a new sample in running means.
 const MEAN_GAIN: f64 = 0.1;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -282,7 +282,7 @@
 #[test]
 fn a_warming_up_server_gets_a_small_share_of_what_its_warm_peer_gets() {
     let mut r = Router::new(settings(), two_cells());
-    let (mut cold, mut warm) = (0, 0);
+    let (mut warming_up, mut warm) = (0, 0);
     for id in 1..400 {
         if id == 200 {
             let started = Endpoint { started_at: Some(r.now), ..endpoint(1, 0, 0) };
@@ -296,12 +296,12 @@
         r.advance(20 * MS);
         r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
         if id >= 200 {
-            *(if prefill_worker == 1 { &mut cold } else { &mut warm }) += 1;
+            *(if prefill_worker == 1 { &mut warming_up } else { &mut warm }) += 1;
         }
     }
     // The limit for all routers together is 2.5 x 0.3 of the load of a warm peer.
-    assert!(cold > 0, "a server that gets nothing never warms up");
-    assert!(f64::from(cold) < 0.75 * f64::from(warm), "{cold} against {warm}");
+    assert!(warming_up > 0, "a server that gets nothing never warms up");
+    assert!(f64::from(warming_up) < 0.75 * f64::from(warm), "{warming_up} against {warm}");
 }
 
 #[test]
