--- a/crates/gaparch-router/src/core/counters.rs
+++ b/crates/gaparch-router/src/core/counters.rs
@@ -19,9 +19,10 @@
     pub within_objective: u64,
     /// Tokens passed to clients.
     pub tokens: u64,
-    /// Requests that the core had to fail since the scheduler had not answered by the client's deadline. Should stay 0.
+    /// Requests that the core failed since the scheduler had not answered by the client's deadline. Should
+    /// stay 0.
     pub overdue: u64,
-    /// Frames of engines about attempts that have ended already.
+    /// Frames from engines that came too late to count, such as those about attempts that had already ended.
     pub late_frames: u64,
     /// Connections to engines that were closed for a violation of the protocol.
     pub protocol_violations: u64,
@@ -29,9 +30,10 @@
     pub ignored_values: u64,
     /// List entries that can't be used and were ignored.
     pub ignored_entries: u64,
-    /// Attempts that the scheduler asked for and that were not made, since they came too late or a rule denied them.
+    /// Attempts that the scheduler decided on and that were not sent: the request had ended, or a send guard
+    /// denied them.
     pub unsent_attempts: u64,
-    /// Sends and rejections of the scheduler that a rule denied when they were to be carried out, by rule.
+    /// Sends and rejections by the scheduler that a send guard denied when they were carried out, by reason.
     pub denials: Denials,
     /// Final answers after the first one, which were dropped. Should stay 0.
     pub duplicate_answers: u64,
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -1,7 +1,7 @@
-//! The endpoints as this router knows them, from the settings, the list service and the engines' hellos. It owns what is
-//! listed of each engine and when its process started.
+//! The endpoints as this router knows them, from the settings, the list service and the engines' hellos. It
+//! owns what is listed of each engine and when its process started.
 
-use super::wire_names::{listed_state, server_state};
+use super::wire_names::{engine_state, server_state};
 use super::{kv_cache_location, load_values, Counters};
 use gaparch_config::{server_id, Config, Links};
 use gaparch_ops::{effective_state, OrderRegistry};
@@ -27,8 +27,9 @@
     pub entries: Vec<ListEntry>,
 }
 
-/// Endpoints that are known at once; more are ignored and counted. Those of a list that replaces another count beside those of
-/// the old one until these are forgotten. The shells bound a list itself, by the memory that they may use.
+/// Endpoints that are known at once; more are ignored and counted. Those of a list that replaces another
+/// count beside those of the old one until these are forgotten. The shells bound a list itself, by the memory
+/// that they may use.
 const MAX_ENDPOINTS: usize = 1 << 16;
 /// A process that says it began further in the future than this, in nanoseconds, has a wrong clock.
 const MAX_CLOCK_SKEW: Nanos = 3_600_000_000_000;
@@ -41,8 +42,8 @@
     pub endpoint: Endpoint,
     /// The start of its process as it says itself, by its own clock.
     reported_start: Option<u64>,
-    /// When it was last known not to be reachable, by the clock here; one that a change of the list added was not there until
-    /// then.
+    /// When it was last known not to be reachable, by the clock here; one that a change of the list added was
+    /// not there until then.
     unreachable_at: Nanos,
 }
 
@@ -57,7 +58,7 @@
 /// The state by the list and by the orders of operators together.
 fn ordered_state(listed: &ListEntry, orders: &OrderRegistry) -> ServerState {
     let mode = orders.drain(&listed.engine).map(|drain| drain.mode);
-    server_state(effective_state(mode, listed_state(listed.state)))
+    server_state(effective_state(mode, engine_state(listed.state)))
 }
 
 /// Why an engine that was connected to is not the one that is listed.
@@ -143,7 +144,8 @@
         Some((kind, entries))
     }
 
-    /// An operator has changed the state of an engine; what the scheduler is to be told, if the engine is known.
+    /// An operator has changed the state of an engine; what the scheduler is to be told, if the engine is
+    /// known.
     pub fn apply_operator_hold(&mut self, engine: &str, orders: &OrderRegistry) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|known| known.listed.engine == engine)?;
         known.endpoint.state = ordered_state(&known.listed, orders);
@@ -160,8 +162,8 @@
         self.known.get(&server).map_or("", |known| known.listed.engine.as_str())
     }
 
-    /// Places the listed start times on the clock here. One that was listed before stays where it was placed then; another
-    /// one is another process, which began after the last.
+    /// Places the listed start times on the clock here. One that was listed before stays where it was placed
+    /// then; another one is another process, which began after the last.
     fn resolve_start_times(
         &self,
         entries: Vec<ListEntry>,
@@ -226,7 +228,8 @@
         let EndpointWithStart { listed, started_at, is_addition } = entry;
         let server = server_id(&listed.engine);
         let kind = config.names.kind(&listed.kind);
-        // An engine that is connected to says its role itself; one of an unknown kind that is not may be used for anything.
+        // An engine that is connected to says its role itself; one of an unknown kind that is not may be used
+        // for anything.
         let is_unknown = kind.is_none() && config.links == Links::Connections;
         let known = self.known.get(&server);
         let is_hash_collision = known.is_some_and(|known| known.listed.engine != listed.engine);
@@ -267,9 +270,9 @@
 
     /// An engine has said when it started; what the scheduler is to be told, if that is news.
     ///
-    /// Its clock is another machine's, and may be hours off: a process that speaks has begun by now, and one that was
-    /// not there before began after the time at which it was not. Taken as it stands, a start by a clock behind
-    /// ours would end a slow start too early, and one by a clock ahead of ours would prolong it.
+    /// Its clock is another machine's, and may be hours off: a process that speaks has begun by now, and one
+    /// that was not there before began after the time at which it was not. Taken as it stands, a start by a
+    /// clock behind ours would end a slow start too early, and one by a clock ahead of ours would prolong it.
     pub fn on_reported_start(
         &mut self,
         server: ServerId,
--- a/crates/gaparch-router/src/core/input.rs
+++ b/crates/gaparch-router/src/core/input.rs
@@ -15,15 +15,15 @@
         /// The request itself.
         request: AcceptedRequest,
     },
-    /// The client of a request has disconnected, or reads its response too slowly to be served.
+    /// The client of a request has disconnected, or reads its response too slowly.
     ClientDisconnected(RequestId),
-    /// A connection that was asked for is established, and the engine has described itself.
+    /// A requested connection is established, and the engine has sent its facts.
     EngineConnected {
         /// The engine at the other end.
         engine: ServerId,
         /// The connection, as named in [`Output::Connect`](super::Output::Connect).
         conn: ConnectionNumber,
-        /// What the engine says of itself.
+        /// What the engine reports about itself.
         facts: EngineFacts,
     },
     /// A connection was lost, or could not be established.
@@ -48,11 +48,11 @@
     ListServiceDown,
     /// The list service has sent a list or a change of it.
     ListUpdated(ListUpdate),
-    /// A probe has ended otherwise than by the engine's own answer.
+    /// A probe has ended without an answer of the engine.
     ProbeFinished {
         /// The engine that was probed.
         engine: ServerId,
-        /// The number of the probe.
+        /// The nonce of the probe.
         nonce: u64,
         /// How it ended.
         status: AttemptStatus,
@@ -66,10 +66,11 @@
     },
     /// The number of routers that share quotas and limits now, this one included.
     RouterCountChanged(u32),
-    /// A change by an operator: [proposed](super::Core::propose) before, or restored at the start.
+    /// A change by an operator that was [proposed](super::Core::propose) here, or
+    /// [adopted](super::Core::adopt_fleet_order) from another router.
     OperatorChange(AcceptedChange),
-    /// No new requests are accepted from that time on, in nanoseconds since the Unix epoch.
+    /// New requests are rejected from this time on, in nanoseconds since the Unix epoch.
     StopAt(Nanos),
-    /// Every request that is still open is ended at once.
+    /// All requests that are still open are ended at once.
     StopNow,
 }
--- a/crates/gaparch-router/src/core/load_values.rs
+++ b/crates/gaparch-router/src/core/load_values.rs
@@ -1,4 +1,4 @@
-//! Checks of numbers that engines and the list service send: those out of range are ignored and counted.
+//! Validates numbers from engines and the list service: those out of range are ignored and counted.
 
 use super::Counters;
 use gaparch_scheduler::api::LoadReport;
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The router without I/O: inputs and outputs, and the scheduler that decides between the two. [`Core`] owns all state of
+//! The router without I/O: inputs go in, the scheduler decides, outputs come out. [`Core`] owns all state of
 //! requests, connections and endpoints.
 
 mod actions;
@@ -62,28 +62,29 @@
     timers: Timers,
     counters: Counters,
     reasons_by_kind: ReasonsByKind,
-    /// From when on no new requests are accepted.
+    /// New requests are rejected from this time on.
     stop_at: Option<Nanos>,
     /// Orders of operators that are in force.
     orders: OrderRegistry,
     /// How many requests have no final answer yet.
     unanswered: usize,
-    /// How the engines looked a moment ago, for requests that are given up together.
+    /// The last evidence of the engines' state and when it was recorded; requests given up together share it.
     evidence: Option<(Nanos, Vec<EngineEvidence>)>,
-    /// Engines that are no longer listed, or detached by an operator, and on which nothing may be in flight any more.
+    /// Engines that are no longer listed, or detached by an operator, and that may have nothing left in
+    /// flight.
     disconnect_candidates: Vec<ServerId>,
-    /// Frames to send at the end of the action.
+    /// Frames to send once the current action has been carried out.
     pending_frames: Vec<Output>,
     next_conn: u64,
     next_nonce: u64,
 }
 
 impl Core {
-    /// A router that starts now, with the orders that its operators gave before. `run` must differ from that of any earlier
-    /// run.
+    /// A router that starts now, with the operators' orders that were in force before. `run` must differ from
+    /// that of any earlier run.
     pub fn new(
         config: Config,
-        book: OrderRegistry,
+        orders: OrderRegistry,
         run: RouterRun,
         now: Nanos,
         out: &mut Vec<Output>,
@@ -100,7 +101,7 @@
             counters: Counters::default(),
             reasons_by_kind: ReasonsByKind::default(),
             stop_at: None,
-            orders: book,
+            orders,
             unanswered: 0,
             evidence: None,
             disconnect_candidates: Vec::new(),
@@ -118,12 +119,12 @@
         core
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The run of this router, which engines know its requests by.
+    /// The run id of this router, by which engines tell its requests from those of other runs.
     pub fn run(&self) -> RouterRun {
         self.run
     }
@@ -138,17 +139,19 @@
         self.requests.get(&id).map(TrackedRequest::phase)
     }
 
-    /// When the last byte of a request's attempt must be written at the latest; an attempt that can't be by then is not sent.
+    /// When the last byte of a request's attempt must be written at the latest; an attempt that can't meet
+    /// this time is not sent.
     pub fn send_by(&self, id: RequestId) -> Nanos {
         self.requests.get(&id).map_or(Nanos::MAX, |tracked| tracked.send_by)
     }
 
-    /// When the client of a request stops waiting for its first token; now, if the request is not known any more.
+    /// When the client of a request stops waiting for its first token; the current time if the request is no
+    /// longer known.
     pub fn deadline_at(&self, id: RequestId) -> Nanos {
         self.requests.get(&id).map_or(self.now, |tracked| tracked.deadline_at)
     }
 
-    /// When a request arrived; now, if it is not known any more.
+    /// When a request arrived; the current time if it is no longer known.
     pub fn arrived_at(&self, id: RequestId) -> Nanos {
         self.requests.get(&id).map_or(self.now, |tracked| tracked.arrived_at)
     }
@@ -168,12 +171,13 @@
         self.timers.len()
     }
 
-    /// When [`on_timers_due`](Core::on_timers_due) has something to do.
+    /// When [`on_timers_due`](Core::on_timers_due) has to be called next; `None` if no timer is set.
     pub fn next_timer_at(&self) -> Option<Nanos> {
         self.timers.next_at()
     }
 
-    /// Handles all timers that are due. Time never goes back.
+    /// Handles all timers that are due. The core's time never goes back: a `now` before the last one is
+    /// ignored.
     pub fn on_timers_due(&mut self, now: Nanos, out: &mut Vec<Output>) {
         self.now = now.max(self.now);
         while let Some(timer) = self.timers.pop_due(self.now) {
@@ -186,7 +190,7 @@
     pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Output>) {
         self.now = now.max(self.now);
         match input {
-            Input::RequestArrived { id, request: ask } => self.on_request(id, ask, out),
+            Input::RequestArrived { id, request } => self.on_request(id, request, out),
             Input::ClientDisconnected(id) => self.on_client_disconnected(id, out),
             Input::EngineConnected { engine, conn, facts } => {
                 self.on_engine_connected(engine, conn, &facts, out)
@@ -203,7 +207,7 @@
             Input::RouterCountChanged(routers) => {
                 self.scheduler_events.push_back(Event::RouterCountChanged(routers))
             }
-            Input::OperatorChange(taken) => self.on_operator_change(taken, out),
+            Input::OperatorChange(accepted) => self.on_operator_change(accepted, out),
             Input::StopAt(at) => self.stop_at(at),
             Input::StopNow => self.stop_now(out),
         }
@@ -214,7 +218,8 @@
         self.stop_at = Some(self.stop_at.map_or(at, |before| before.min(at)));
     }
 
-    /// Lets the scheduler decide on all pending events, and on those that its own actions cause.
+    /// Passes all pending events to the scheduler and carries out its actions, until these cause no new
+    /// events.
     fn run_scheduler(&mut self, out: &mut Vec<Output>) {
         loop {
             while let Some(event) = self.scheduler_events.pop_front() {
@@ -224,7 +229,7 @@
             }
             out.append(&mut self.pending_frames);
             match self.disconnect_candidates.pop() {
-                // The scheduler learns what that causes, too.
+                // A disconnect may cause further events for the scheduler.
                 Some(engine) => self.disconnect_if_idle(engine, out),
                 None => return,
             }
@@ -232,7 +237,7 @@
     }
 }
 
-/// Where a KV cache is, as a decode worker has to know it.
+/// The location from which a decode worker fetches a KV cache.
 fn kv_cache_location(engine: &str, address: &str) -> KvCacheLocation {
     KvCacheLocation { engine: engine.to_owned(), address: address.to_owned() }
 }
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -4,7 +4,7 @@
 use super::endpoint_table::KnownEndpoint;
 use super::request::{AttemptRecord, Phase, TrackedRequest};
 use super::wire_names::{
-    attempt_stage, avoid_reason, engine_role, idempotency_setting, listed_state, micros, request_phase,
+    attempt_stage, avoid_reason, engine_role, engine_state, idempotency_setting, micros, request_phase,
 };
 use super::Core;
 use gaparch_config::Span;
@@ -66,8 +66,8 @@
             zone: known.listed.zone.clone(),
             rack: known.listed.rack.clone(),
             address: known.listed.address.clone(),
-            listed_state: listed_state(known.listed.state),
-            state: listed_state(known.endpoint.state),
+            listed_state: engine_state(known.listed.state),
+            state: engine_state(known.endpoint.state),
             connected: connection.is_some_and(EngineConnection::is_connected),
             avoid_reason: seen.avoid_reason.map(avoid_reason),
             partial_ejections: seen.partial_ejections.iter().map(partial_ejection).collect(),
--- a/crates/gaparch-router/src/core/output.rs
+++ b/crates/gaparch-router/src/core/output.rs
@@ -6,10 +6,11 @@
 use gaparch_protocol::ops::outcome::{OutcomeCause, QueueingReason, RequestOutcome};
 use gaparch_scheduler::api::{Nanos, RequestId, ServerId};
 
-/// A part of the response to one client. In order: at most one `Started`, any number of `Text`, and exactly one of the rest.
+/// A part of the response to one client. In order: at most one `Started`, any number of `Text`, and exactly
+/// one of the others.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseEvent {
-    /// The first token is there.
+    /// The first token has arrived.
     Started {
         /// Tokens counted so far.
         usage: Usage,
@@ -28,11 +29,11 @@
     },
     /// The request was rejected before it had any effect; a retry is safe.
     Rejected {
-        /// When a retry makes sense; 0 where the settings allow no time to be told.
+        /// The Retry-After for the client; 0: none.
         retry_after: Nanos,
         /// Why it was rejected.
         cause: OutcomeCause,
-        /// What it was queued for, if it was queued.
+        /// Why it was queued, if it was.
         waited_for: Option<QueueingReason>,
     },
     /// The request failed; whether it had an effect is not known.
@@ -69,27 +70,28 @@
         frame: EngineFrame,
     },
     /// Connect to an engine. [`Input::EngineConnected`](super::Input::EngineConnected) or
-    /// [`Input::EngineDisconnected`](super::Input::EngineDisconnected) must follow within the connect time-out.
+    /// [`Input::EngineDisconnected`](super::Input::EngineDisconnected) must follow within the connect
+    /// timeout.
     Connect {
         /// The engine.
         engine: ServerId,
-        /// Names this connection in the inputs that follow.
+        /// Identifies this connection in the inputs that follow.
         conn: ConnectionNumber,
         /// The engine's name in the list.
         name: String,
         /// The engine's address in the list.
         address: String,
     },
-    /// Send a last frame with a reason and close the connection to an engine.
+    /// Send a last frame with the reason to an engine and close the connection to it.
     Disconnect {
         /// The engine.
         engine: ServerId,
         /// Why, for the engine and the log.
         reason: &'static str,
     },
-    /// Ask the list service for changes of the list, or for no more of them.
+    /// Start or stop watching the endpoint list for changes.
     WatchEndpoints(bool),
-    /// Ask the list service for the full list once.
+    /// Fetch the full endpoint list once.
     FetchEndpoints,
     /// Send a gossip message to other routers.
     SendGossip {
@@ -102,6 +104,6 @@
     CloseIdleConnections(ServerId),
     /// Write a line to the log.
     Log(String),
-    /// A request has ended; emitted only where the settings have an operations side that records it.
+    /// A request has ended; emitted only if the settings configure operations, which record it.
     RequestEnded(Box<RequestOutcome>),
 }
--- a/crates/gaparch-router/src/core/probes.rs
+++ b/crates/gaparch-router/src/core/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of engines, and how they end.
+//! Probes of engines and their results.
 
 use super::timers::Timer;
 use super::{Core, Output};
--- a/crates/gaparch-router/src/core/timeouts.rs
+++ b/crates/gaparch-router/src/core/timeouts.rs
@@ -1,4 +1,4 @@
-//! What is done when a timer is due.
+//! Handles timers that are due.
 
 use super::attempts::AttemptResult;
 use super::timers::Timer;
@@ -7,7 +7,6 @@
 use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Core {
-    /// Does what one timer was set for.
     pub(super) fn on_timer(&mut self, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Scheduler(token) => self.scheduler_events.push_back(Event::TimerFired(token)),
@@ -22,12 +21,12 @@
                 self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::Timeout));
             }
             Timer::ConnectTimeout(id, number) => {
-                let waits = self
+                let awaits_connection = self
                     .requests
                     .get(&id)
                     .and_then(|tracked| tracked.attempt)
                     .is_some_and(|attempt| attempt.number == number && attempt.awaits_connection());
-                if waits {
+                if awaits_connection {
                     self.finish_attempt_by_number(id, number, AttemptStatus::ConnectFailed);
                 }
             }
@@ -47,7 +46,8 @@
         out.append(&mut self.pending_frames);
     }
 
-    /// The client's deadline is over and the scheduler has not answered, which should never be.
+    /// Fails a request that the scheduler has not answered by the client's deadline, which should never
+    /// happen.
     pub(super) fn on_overdue(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(tracked) = self.requests.get(&id).filter(|tracked| !tracked.answered) else { return };
         if tracked.attempt.is_some_and(|attempt| attempt.is_streaming()) {
@@ -63,7 +63,7 @@
         self.forget_if_done(id);
     }
 
-    /// Ends a stream that has gone on or been silent for too long; sets its timer anew if it has not.
+    /// Ends a stream that has exceeded its duration or silence limit; otherwise sets its timer again.
     pub(super) fn on_stream_limit(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         let until = tracked.stream_deadline(&self.config.class_times);
--- a/crates/gaparch-router/src/core/timers.rs
+++ b/crates/gaparch-router/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the core, in the order of their time and then of when they were set.
+//! Timers of the core, ordered by due time and then by the order in which they were set.
 
 use gaparch_scheduler::api::{AttemptNumber, Nanos, RequestId, ServerId, TimerToken};
 use std::collections::BTreeMap;
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     Scheduler(TimerToken),
-    /// An attempt has no token yet.
+    /// The timeout of an attempt that has no token yet.
     AttemptTimeout(RequestId, AttemptNumber),
-    /// An attempt still waits for its connection.
+    /// The timeout of an attempt that waits for its connection.
     ConnectTimeout(RequestId, AttemptNumber),
-    /// The client's deadline is over.
+    /// The client's deadline and the answer grace period have passed.
     RequestOverdue(RequestId),
-    /// A stream may have gone on or been silent for too long.
+    /// The limit on the duration of a stream, or on its silence.
     StreamLimit(RequestId),
     ProbeTimeout(ServerId, u64),
     Reconnect(ServerId),
@@ -25,37 +25,38 @@
     number: u64,
 }
 
-/// A request's timers are cancelled with it: a client may state an hour, and leave at once. The others are few, and do
-/// nothing where they are of no use any more when they fall due.
+/// The timers that are set. The overdue timer of a request and the timer of its attempt are cancelled when
+/// they end: a client may give a deadline an hour away and disconnect at once. The others are few, and do
+/// nothing if they are obsolete when they are due.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Timers {
-    due: BTreeMap<TimerKey, Timer>,
-    next: u64,
+    pending: BTreeMap<TimerKey, Timer>,
+    last_number: u64,
 }
 
 impl Timers {
     pub fn set(&mut self, at: Nanos, timer: Timer) -> TimerKey {
-        self.next += 1;
-        let key = TimerKey { at, number: self.next };
-        self.due.insert(key, timer);
+        self.last_number += 1;
+        let key = TimerKey { at, number: self.last_number };
+        self.pending.insert(key, timer);
         key
     }
 
-    /// Cancels a timer; one that was due or cancelled before is not there any more.
+    /// Cancels a timer; no effect if it was handled or cancelled before.
     pub fn cancel(&mut self, key: TimerKey) {
-        self.due.remove(&key);
+        self.pending.remove(&key);
     }
 
     pub fn len(&self) -> usize {
-        self.due.len()
+        self.pending.len()
     }
 
     pub fn next_at(&self) -> Option<Nanos> {
-        self.due.keys().next().map(|key| key.at)
+        self.pending.keys().next().map(|key| key.at)
     }
 
     pub fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
-        let due = self.next_at()? <= now;
-        due.then(|| self.due.pop_first()).flatten().map(|(_, timer)| timer)
+        let is_due = self.next_at()? <= now;
+        is_due.then(|| self.pending.pop_first()).flatten().map(|(_, timer)| timer)
     }
 }
--- a/crates/gaparch-router/src/core/wire_names.rs
+++ b/crates/gaparch-router/src/core/wire_names.rs
@@ -1,4 +1,5 @@
-//! The names that the operations protocol has for what the scheduler and the core call otherwise.
+//! Converts types of the scheduler and the core to those of the operations protocol, which names some of them
+//! differently.
 
 use super::request::{Phase, Stage};
 use gaparch_protocol::ops::outcome;
@@ -6,7 +7,7 @@
 use gaparch_scheduler::api::{Idempotency, Nanos, Role, ServerState};
 use gaparch_scheduler::view::AvoidReason;
 
-pub(super) fn listed_state(state: ServerState) -> EngineState {
+pub(super) fn engine_state(state: ServerState) -> EngineState {
     match state {
         ServerState::Ready => EngineState::Ready,
         ServerState::Draining => EngineState::Draining,
@@ -30,8 +31,8 @@
     }
 }
 
-pub(super) fn avoid_reason(avoided: AvoidReason) -> view::AvoidReason {
-    match avoided {
+pub(super) fn avoid_reason(reason: AvoidReason) -> view::AvoidReason {
+    match reason {
         AvoidReason::NotReady => view::AvoidReason::NotReady,
         AvoidReason::Unreachable => view::AvoidReason::Unreachable,
         AvoidReason::Ejected { .. } => view::AvoidReason::Ejected,
@@ -59,7 +60,8 @@
     }
 }
 
-/// The word of the settings file for a class's idempotency, as operators' tools have always printed it.
+/// A class's idempotency as the settings file spells it. Operators' tools print this value, so it must not
+/// change.
 pub(super) fn idempotency_setting(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "safe",
@@ -68,12 +70,12 @@
     }
 }
 
-/// The time after which a rejected client was told to retry, in milliseconds, if it was told one.
+/// The Retry-After of a rejection in milliseconds, if it has one.
 pub(crate) fn retry_after_millis(retry_after: Nanos) -> Option<u64> {
     (retry_after > 0).then_some(retry_after / 1_000_000)
 }
 
-/// A span in microseconds.
+/// Converts nanoseconds to microseconds.
 pub(super) fn micros(nanos: Nanos) -> u64 {
     nanos / 1000
 }
