--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoints as this router knows them, from the settings, the list service and the engines' hellos. It
-//! owns what is listed of each engine and when its process started.
+//! The endpoints known to this router from the settings, the list service and the facts that engines send
+//! when they are connected to: the list entry of each engine, and when its process started.
 
 use super::wire_names::{engine_state, server_state};
 use super::{kv_cache_location, load_values, Counters};
@@ -17,51 +17,52 @@
 /// One update of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// Whether the entries are the full list or a change of it.
+    /// Whether the entries are the full list or a delta.
     pub scope: Scope,
-    /// Grows with each change.
+    /// The version of the list after this update; it grows with each change.
     pub version: u64,
-    /// The version that changes are counted from.
+    /// The version that a delta applies to.
     pub base_version: u64,
-    /// The entries that the update names.
+    /// The entries in the update.
     pub entries: Vec<ListEntry>,
 }
 
-/// Endpoints that are known at once; more are ignored and counted. Those of a list that replaces another
-/// count beside those of the old one until these are forgotten. The shells bound a list itself, by the memory
-/// that they may use.
+/// The most endpoints that are known at once; further ones are ignored and counted. When one list replaces
+/// another, the endpoints of both count until the removed ones are forgotten. The shells limit the list
+/// itself, by the memory that they may use.
 const MAX_ENDPOINTS: usize = 1 << 16;
-/// A process that says it began further in the future than this, in nanoseconds, has a wrong clock.
+/// A start time further in the future than this, in nanoseconds, means that the clock it was read from is
+/// wrong.
 const MAX_CLOCK_SKEW: Nanos = 3_600_000_000_000;
 
 #[derive(Clone, Debug)]
 pub(super) struct KnownEndpoint {
     pub listed: ListEntry,
     pub address: SocketAddr,
-    /// What the scheduler is told, with the orders of operators applied.
+    /// The endpoint as the scheduler knows it, with operators' orders applied.
     pub endpoint: Endpoint,
-    /// The start of its process as it says itself, by its own clock.
+    /// The start of its process as the engine reported it, by the engine's clock.
     reported_start: Option<u64>,
-    /// When it was last known not to be reachable, by the clock here; one that a change of the list added was
-    /// not there until then.
+    /// When the engine was last known to be unreachable, by this router's clock. One that a delta added
+    /// counts as unreachable until that update.
     unreachable_at: Nanos,
 }
 
-/// A list entry with the start of its process by the clock here; `None`: long ago, or not listed.
+/// A list entry with the start of its process by this router's clock; `None`: long ago, or not listed.
 struct EndpointWithStart {
     listed: ListEntry,
     started_at: Option<Nanos>,
-    /// It comes with a change of the list, and not with a full list.
-    is_addition: bool,
+    /// The entry comes from a delta, not from a full list.
+    is_from_delta: bool,
 }
 
-/// The state by the list and by the orders of operators together.
+/// The state that results from the list and operators' orders.
 fn ordered_state(listed: &ListEntry, orders: &OrderRegistry) -> ServerState {
     let mode = orders.drain(&listed.engine).map(|drain| drain.mode);
     server_state(effective_state(mode, engine_state(listed.state)))
 }
 
-/// Why an engine that was connected to is not the one that is listed.
+/// How a connected engine differs from its list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EngineMismatch {
     NotListed,
@@ -70,7 +71,7 @@
 }
 
 impl EngineMismatch {
-    /// The reason for which its connection is closed.
+    /// Why its connection is closed, for the engine and the log.
     pub fn reason(self) -> &'static str {
         match self {
             EngineMismatch::NotListed => "an engine that is not listed",
@@ -103,7 +104,7 @@
                 started_at: None,
             };
             self.insert(
-                EndpointWithStart { listed, started_at: None, is_addition: false },
+                EndpointWithStart { listed, started_at: None, is_from_delta: false },
                 config,
                 orders,
                 now,
@@ -113,7 +114,8 @@
         self.known.values().map(|known| known.endpoint.clone()).collect()
     }
 
-    /// Applies an update; what the scheduler is to be told, or `None` if a change before it was missed.
+    /// Applies an update. Returns what the scheduler has to be told, or `None` if an earlier update was
+    /// missed.
     pub fn apply_update(
         &mut self,
         update: ListUpdate,
@@ -124,13 +126,13 @@
     ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
         let is_delta = update.scope == Scope::Delta;
         if is_delta && self.version != Some(update.base_version) {
-            // A version that is known already says nothing new.
+            // An update to a version that is known already brings nothing new.
             let is_known = self.version.is_some_and(|version| update.version <= version);
             return is_known.then_some((EndpointUpdate::Delta, Vec::new()));
         }
         self.version = Some(update.version);
         if !is_delta {
-            // What a full list does not name is removed.
+            // Endpoints that are not in a full list are removed.
             for known in self.known.values_mut() {
                 known.listed.state = ServerState::Removed;
                 known.endpoint.state = ServerState::Removed;
@@ -144,15 +146,15 @@
         Some((kind, entries))
     }
 
-    /// An operator has changed the state of an engine; what the scheduler is to be told, if the engine is
-    /// known.
-    pub fn apply_operator_hold(&mut self, engine: &str, orders: &OrderRegistry) -> Option<Endpoint> {
+    /// Applies operators' orders to an engine after one of them has changed. Returns what the scheduler has
+    /// to be told, if the engine is known.
+    pub fn apply_operator_drain(&mut self, engine: &str, orders: &OrderRegistry) -> Option<Endpoint> {
         let known = self.known.get_mut(&server_id(engine)).filter(|known| known.listed.engine == engine)?;
         known.endpoint.state = ordered_state(&known.listed, orders);
         Some(known.endpoint.clone())
     }
 
-    /// All endpoints, in the order of their ids.
+    /// All known endpoints, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &KnownEndpoint)> {
         self.known.iter()
     }
@@ -162,8 +164,8 @@
         self.known.get(&server).map_or("", |known| known.listed.engine.as_str())
     }
 
-    /// Places the listed start times on the clock here. One that was listed before stays where it was placed
-    /// then; another one is another process, which began after the last.
+    /// Converts the listed start times to this router's clock. A start that was listed before keeps the time
+    /// that it got then; a different one is a new process, which started after the previous one.
     fn resolve_start_times(
         &self,
         entries: Vec<ListEntry>,
@@ -180,20 +182,21 @@
         };
         let mut endpoints = Vec::with_capacity(entries.len());
         for ((listed, start), resolved) in entries.into_iter().zip(starts).zip(resolved) {
-            let started_at = self.after_last_process(&listed, &start, resolved);
-            endpoints.push(EndpointWithStart { listed, started_at, is_addition: !is_full_list });
+            let started_at = self.after_previous_process(&listed, &start, resolved);
+            endpoints.push(EndpointWithStart { listed, started_at, is_from_delta: !is_full_list });
         }
         endpoints
     }
 
-    /// The entry that is known under the same name.
-    fn known_as(&self, listed: &ListEntry) -> Option<&KnownEndpoint> {
+    /// The known endpoint of the same name as the entry.
+    fn known_by_name(&self, listed: &ListEntry) -> Option<&KnownEndpoint> {
         let known = self.known.get(&server_id(&listed.engine))?;
         (known.listed.engine == listed.engine).then_some(known)
     }
 
     fn listed_start(&self, listed: &ListEntry, config: &Config) -> ListedStart {
-        let same_process = self.known_as(listed).filter(|known| known.listed.started_at == listed.started_at);
+        let same_process =
+            self.known_by_name(listed).filter(|known| known.listed.started_at == listed.started_at);
         ListedStart {
             kind: config.names.kind(&listed.kind),
             listed: listed.started_at,
@@ -201,22 +204,24 @@
         }
     }
 
-    /// A start time that is not before that of the last process under the same name.
-    fn after_last_process(
+    /// The start time of a process, raised where necessary to be later than that of the previous process of
+    /// the same name.
+    fn after_previous_process(
         &self,
         listed: &ListEntry,
         start: &ListedStart,
         started_at: Option<Nanos>,
     ) -> Option<Nanos> {
-        let known = self.known_as(listed).filter(|_| start.known.is_none());
-        let last = known.and_then(|known| known.endpoint.started_at);
-        match (started_at, last) {
-            (Some(started_at), Some(last)) => Some(started_at.max(last + 1)),
-            (started_at, last) => started_at.or(last),
+        let known = self.known_by_name(listed).filter(|_| start.known.is_none());
+        let previous = known.and_then(|known| known.endpoint.started_at);
+        match (started_at, previous) {
+            (Some(started_at), Some(previous)) => Some(started_at.max(previous + 1)),
+            (started_at, previous) => started_at.or(previous),
         }
     }
 
-    /// Adds or replaces an entry; what the scheduler is told of it, unless it can't be used.
+    /// Adds or replaces an entry. Returns what the scheduler has to be told, or `None` if the entry can't be
+    /// used.
     fn insert(
         &mut self,
         entry: EndpointWithStart,
@@ -225,16 +230,16 @@
         now: Nanos,
         counters: &mut Counters,
     ) -> Option<Endpoint> {
-        let EndpointWithStart { listed, started_at, is_addition } = entry;
+        let EndpointWithStart { listed, started_at, is_from_delta } = entry;
         let server = server_id(&listed.engine);
         let kind = config.names.kind(&listed.kind);
-        // An engine that is connected to says its role itself; one of an unknown kind that is not may be used
-        // for anything.
-        let is_unknown = kind.is_none() && config.links == Links::Connections;
+        // On a connection the engine reports its role, which has to match that of its kind, so the kind must
+        // be known. With single exchanges, the scheduler uses a server of an unknown kind for both stages.
+        let is_unknown_kind = kind.is_none() && config.links == Links::Connections;
         let known = self.known.get(&server);
         let is_hash_collision = known.is_some_and(|known| known.listed.engine != listed.engine);
         let is_full = known.is_none() && self.known.len() >= MAX_ENDPOINTS;
-        let is_usable = !is_unknown && !is_hash_collision && !is_full;
+        let is_usable = !is_unknown_kind && !is_hash_collision && !is_full;
         let Some(address) = listed.address.parse().ok().filter(|_| is_usable) else {
             counters.ignored_entries += 1;
             return None;
@@ -243,7 +248,7 @@
         let is_ahead = |at: u64| at > now.saturating_add(MAX_CLOCK_SKEW);
         counters.ignored_values += u64::from(weight.is_none() && listed.weight.is_some());
         counters.ignored_values += u64::from(listed.started_at.is_some_and(is_ahead));
-        let first_seen_at = if is_addition { now } else { 0 };
+        let first_seen_at = if is_from_delta { now } else { 0 };
         let reported_start = known.and_then(|known| known.reported_start);
         let unreachable_at = known.map_or(first_seen_at, |known| known.unreachable_at);
         let endpoint = Endpoint {
@@ -261,18 +266,20 @@
         Some(endpoint)
     }
 
-    /// An engine can't be reached now.
+    /// Records that an engine is unreachable now.
     pub fn mark_unreachable(&mut self, server: ServerId, now: Nanos) {
         if let Some(known) = self.known.get_mut(&server) {
             known.unreachable_at = now;
         }
     }
 
-    /// An engine has said when it started; what the scheduler is to be told, if that is news.
+    /// Handles the start time that an engine reports. Returns what the scheduler has to be told, if its start
+    /// time changes.
     ///
-    /// Its clock is another machine's, and may be hours off: a process that speaks has begun by now, and one
-    /// that was not there before began after the time at which it was not. Taken as it stands, a start by a
-    /// clock behind ours would end a slow start too early, and one by a clock ahead of ours would prolong it.
+    /// The clock of the engine's machine may be hours off, so the reported time is bounded: a process that
+    /// sends something has started by now, and one that was unreachable before started after it was last
+    /// known to be. Taken as reported, a start by a clock that is behind this router's would end the slow
+    /// start too early, and one by a clock that is ahead would prolong it.
     pub fn on_reported_start(
         &mut self,
         server: ServerId,
@@ -285,15 +292,15 @@
         if known.reported_start.replace(at) == Some(at) {
             return None;
         }
-        let began = at.min(now).max(known.unreachable_at);
-        if known.endpoint.started_at.is_some_and(|ready| ready >= began) {
+        let started_at = at.min(now).max(known.unreachable_at);
+        if known.endpoint.started_at.is_some_and(|previous| previous >= started_at) {
             return None;
         }
-        known.endpoint.started_at = Some(began);
+        known.endpoint.started_at = Some(started_at);
         Some(known.endpoint.clone())
     }
 
-    /// Whether an engine is what the list says it is.
+    /// Checks whether an engine's facts match its list entry.
     pub fn check_facts(
         &self,
         server: ServerId,
@@ -344,7 +351,7 @@
         self.known.get(&server).map_or((None, None), |known| (known.endpoint.zone, known.endpoint.cell))
     }
 
-    /// The name and the address of an engine that is to be connected to.
+    /// The name and the address of an engine to connect to; `None` if it is removed.
     pub fn connect_target(&self, server: ServerId) -> Option<(String, String)> {
         let known = self.known.get(&server).filter(|known| known.endpoint.state != ServerState::Removed)?;
         Some((known.listed.engine.clone(), known.listed.address.clone()))
@@ -355,7 +362,7 @@
         self.known.get(&server).map(|known| (known.address, known.endpoint.started_at.unwrap_or(0)))
     }
 
-    /// Where a decode worker fetches a KV cache of this engine from.
+    /// The location from which a decode worker fetches a KV cache that this engine holds.
     pub fn kv_source(&self, server: ServerId) -> Option<KvCacheLocation> {
         self.known.get(&server).map(|known| kv_cache_location(&known.listed.engine, &known.listed.address))
     }
--- a/crates/gaparch-router/src/core/endpoint_updates.rs
+++ b/crates/gaparch-router/src/core/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and the connections that follow from them.
+//! Handles changes of the endpoint list, and connects to and disconnects from engines accordingly.
 
 use super::attempts::AttemptResult;
 use super::connection::{ConnectionNumber, EngineConnection};
@@ -11,7 +11,7 @@
 
 impl Core {
     pub(super) fn on_list_service_up(&mut self, out: &mut Vec<Output>) {
-        // Where the list service must be polled, the scheduler polls it.
+        // If the list service has to be polled, the scheduler does so.
         if !self.config.module.poll_endpoints {
             out.push(Output::WatchEndpoints(true));
         }
@@ -27,9 +27,9 @@
     }
 
     pub(super) fn on_list_update(&mut self, update: ListUpdate, out: &mut Vec<Output>) {
-        let told =
+        let applied =
             self.endpoints.apply_update(update, &self.config, &self.orders, self.now, &mut self.counters);
-        let Some((kind, entries)) = told else {
+        let Some((kind, entries)) = applied else {
             // A change was missed: the full list is needed.
             return out.push(Output::FetchEndpoints);
         };
@@ -37,52 +37,55 @@
             (kind == EndpointUpdate::Delta).then(|| entries.iter().map(|entry| entry.server).collect());
         self.scheduler_events.push_back(Event::EndpointsChanged { update: kind, endpoints: entries.into() });
         match changed {
-            Some(changed) => self.follow_endpoints(changed, out),
-            None => self.follow_all_endpoints(out),
+            Some(changed) => self.reconcile_connections(changed, out),
+            None => self.reconcile_all_connections(out),
         }
     }
 
-    /// Connects to endpoints that were added, and disconnects from those that were removed.
-    pub(super) fn follow_all_endpoints(&mut self, out: &mut Vec<Output>) {
+    /// Connects to all endpoints that were added, and disconnects from all that were removed.
+    pub(super) fn reconcile_all_connections(&mut self, out: &mut Vec<Output>) {
         let mut all: BTreeSet<ServerId> = self.connections.keys().copied().collect();
         all.extend(self.endpoints.present());
-        self.follow_endpoints(all, out);
+        self.reconcile_connections(all, out);
     }
 
-    /// The same for those that a change of the list names: of a long list few change at once.
-    fn follow_endpoints(&mut self, engines: BTreeSet<ServerId>, out: &mut Vec<Output>) {
+    /// Does this for the given engines only: few entries of a long list change at once.
+    fn reconcile_connections(&mut self, engines: BTreeSet<ServerId>, out: &mut Vec<Output>) {
         self.fail_waiting_attempts();
         for engine in engines {
             if self.endpoints.is_present(engine) {
-                let connection = match self.config.links {
+                let new_connection = match self.config.links {
                     Links::Connections => EngineConnection::default,
                     Links::Exchanges => EngineConnection::connectionless,
                 };
-                self.connections.entry(engine).or_insert_with(connection);
+                self.connections.entry(engine).or_insert_with(new_connection);
             }
-            self.follow_endpoint(engine, out);
+            self.reconcile_connection(engine, out);
         }
         if self.config.links == Links::Exchanges {
-            // New engines come under new names all day: removed ones must not accumulate.
+            // New engines keep being added under new names: removed ones must not accumulate.
             let engines = &self.connections;
             self.endpoints.forget_removed(|engine| engines.contains_key(&engine));
         }
     }
 
-    /// Attempts that wait for a connection must not be sent after a drain.
+    /// Fails attempts that wait for a connection to an engine that is not ready any more: they must not be
+    /// sent after a drain.
     fn fail_waiting_attempts(&mut self) {
-        let roster = &self.endpoints;
-        let waits = |tracked: &TrackedRequest| {
-            tracked.attempt.filter(|attempt| attempt.awaits_connection() && !roster.is_ready(attempt.server))
+        let endpoints = &self.endpoints;
+        let waiting_attempt = |tracked: &TrackedRequest| {
+            tracked
+                .attempt
+                .filter(|attempt| attempt.awaits_connection() && !endpoints.is_ready(attempt.server))
         };
         let waiting: Vec<(RequestId, Attempt)> =
-            self.requests.iter().filter_map(|(id, tracked)| Some((*id, waits(tracked)?))).collect();
+            self.requests.iter().filter_map(|(id, tracked)| Some((*id, waiting_attempt(tracked)?))).collect();
         for (id, attempt) in waiting {
             self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::ConnectFailed));
         }
     }
 
-    fn follow_endpoint(&mut self, engine: ServerId, out: &mut Vec<Output>) {
+    fn reconcile_connection(&mut self, engine: ServerId, out: &mut Vec<Output>) {
         let Some(connection) = self.connections.get(&engine) else { return };
         if self.endpoints.is_present(engine) {
             if connection.is_new() {
@@ -93,15 +96,16 @@
         }
     }
 
-    /// Something has ended at an engine: if the engine is no longer listed, that may have been the last.
+    /// Queues an engine that is no longer listed for a check whether it can be disconnected. Called when
+    /// something has ended there, which may have been the last.
     pub(super) fn queue_disconnect_check(&mut self, engine: ServerId) {
         if !self.endpoints.is_present(engine) && !self.disconnect_candidates.contains(&engine) {
             self.disconnect_candidates.push(engine);
         }
     }
 
-    /// Closes the connection to an engine that is no longer listed once nothing is in flight or held there: a KV cache that
-    /// is still to be fetched would be lost with it.
+    /// Closes the connection to an engine that is no longer listed, unless something is in flight or held
+    /// there: a KV cache that is still to be fetched would be lost with the connection.
     pub(super) fn disconnect_if_idle(&mut self, engine: ServerId, out: &mut Vec<Output>) {
         let Some(connection) = self.connections.get(&engine).filter(|_| !self.endpoints.is_present(engine))
         else {
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -114,7 +114,7 @@
         let entries = core.endpoints.load_settings(&core.config, &core.orders, now);
         core.scheduler_events
             .push_back(Event::EndpointsChanged { update: EndpointUpdate::Cached, endpoints: entries.into() });
-        core.follow_all_endpoints(out);
+        core.reconcile_all_connections(out);
         core.run_scheduler(out);
         core
     }
--- a/crates/gaparch-router/src/core/operator_orders.rs
+++ b/crates/gaparch-router/src/core/operator_orders.rs
@@ -8,7 +8,7 @@
 use gaparch_protocol::ops::Order;
 use gaparch_scheduler::api::{EndpointUpdate, Event, Nanos, Tenant, TenantId};
 
-/// Requests a second that a tenant's quota may be set to at most.
+/// The highest quota that an operator may set for a tenant, in requests per second.
 const MAX_QUOTA_PER_SECOND: f64 = 1e6;
 
 /// An order that may be carried out.
@@ -21,24 +21,24 @@
 }
 
 impl Core {
-    /// Whether an order may be carried out as all stands; nothing is changed by asking.
+    /// Checks whether an order may be carried out in the present state; changes nothing.
     ///
     /// # Errors
-    /// When it may not; the message says why.
-    pub fn propose(&self, now: Nanos, order: &Order, who: &str) -> Result<Proposal, OrderDenied> {
-        let proposed = self.orders.propose(order, who, now, &self.site_state())?;
+    /// If it may not be carried out; the message says why.
+    pub fn propose(&self, now: Nanos, order: &Order, operator: &str) -> Result<Proposal, OrderDenied> {
+        let proposed = self.orders.propose(order, operator, now, &self.site_state())?;
         Ok(Proposal { accepted: proposed.change, effect: proposed.effect })
     }
 
-    /// The number of the last change by an operator.
+    /// The revision of the last change by an operator.
     pub fn orders_revision(&self) -> u64 {
         self.orders.revision()
     }
 
-    /// An order that another router has handed on, as it is taken here; `None` where it is what holds already.
+    /// The change that an order passed on by another router makes here; `None` if it is in force already.
     ///
     /// # Errors
-    /// When it makes no sense here; the message says why.
+    /// If it sets a limit that this router does not have, or sets it out of bounds; the message says so.
     pub fn adopt_fleet_order(
         &self,
         change: &Change,
@@ -48,7 +48,7 @@
     }
 
     fn site_state(&self) -> SiteStatus {
-        let standing = |view: EngineView| EngineStatus {
+        let engine_status = |view: EngineView| EngineStatus {
             accepts_requests: view.state == EngineState::Ready
                 && view.avoid_reason != Some(AvoidReason::Unreachable),
             name: view.name,
@@ -58,7 +58,7 @@
         };
         let metrics = self.metrics();
         SiteStatus {
-            engines: self.engine_views().into_iter().map(standing).collect(),
+            engines: self.engine_views().into_iter().map(engine_status).collect(),
             queued: metrics.queued,
             prefilling: metrics.prefilling,
             decode_workers_can_prefill: self.config.module.decode_workers_can_prefill,
@@ -66,27 +66,27 @@
         }
     }
 
-    /// Limits that operators may change, as they are now.
+    /// Limits that operators may change, with their present values.
     pub fn limits(&self) -> Vec<LimitView> {
-        let most = self.config.limits.open_requests as f64;
-        let limit = |name: String, by_settings: f64, least, most, unit: &str| LimitView {
-            value: self.orders.limit(&name).unwrap_or(by_settings),
+        let configured_open = self.config.limits.open_requests as f64;
+        let limit = |name: String, configured_value: f64, min, max, unit: &str| LimitView {
+            value: self.orders.limit(&name).unwrap_or(configured_value),
             name,
-            configured_value: by_settings,
-            min: least,
-            max: most,
+            configured_value,
+            min,
+            max,
             unit: unit.to_owned(),
         };
         let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
-        let of_tenant = |(name, tenant): (&String, &Tenant)| {
+        let quota_limit = |(name, tenant): (&String, &Tenant)| {
             let unit = "requests a second, 0: not bounded";
             limit(tenant_limit(name), tenant.quota_per_second, 0.0, MAX_QUOTA_PER_SECOND, unit)
         };
-        let open = limit(OPEN_REQUESTS.to_owned(), most, 1.0, most, "requests");
-        std::iter::once(open).chain(tenants.map(of_tenant)).collect()
+        let open_limit = limit(OPEN_REQUESTS.to_owned(), configured_open, 1.0, configured_open, "requests");
+        std::iter::once(open_limit).chain(tenants.map(quota_limit)).collect()
     }
 
-    /// Tells the scheduler of all quotas that operators have set.
+    /// Passes all quotas that operators have set to the scheduler.
     pub(super) fn set_quotas(&mut self) {
         for (index, name) in self.config.names.tenants.iter().enumerate() {
             if let Some(quota_per_second) = self.orders.limit(&tenant_limit(name)) {
@@ -97,18 +97,18 @@
     }
 
     /// Puts a change by an operator in force.
-    pub(super) fn on_operator_change(&mut self, taken: AcceptedChange, out: &mut Vec<Output>) {
-        let change = taken.change.clone();
-        self.orders.apply(taken);
+    pub(super) fn on_operator_change(&mut self, accepted: AcceptedChange, out: &mut Vec<Output>) {
+        let change = accepted.change.clone();
+        self.orders.apply(accepted);
         match change {
             Change::Drain { engine, .. } | Change::Undrain { engine } => {
-                if let Some(entry) = self.endpoints.apply_operator_hold(&engine, &self.orders) {
+                if let Some(entry) = self.endpoints.apply_operator_drain(&engine, &self.orders) {
                     let entries = vec![entry].into();
                     self.scheduler_events.push_back(Event::EndpointsChanged {
                         update: EndpointUpdate::Delta,
                         endpoints: entries,
                     });
-                    self.follow_all_endpoints(out);
+                    self.reconcile_all_connections(out);
                 }
             }
             Change::SetLimit { name, value } => {
@@ -116,17 +116,17 @@
                 let tenant = tenant
                     .and_then(|tenant| self.config.names.tenants.iter().position(|name| name == tenant));
                 if let Some(tenant) = tenant.map(TenantId) {
-                    let by_settings = self
+                    let configured_quota = self
                         .config
                         .module
                         .tenants
                         .get(tenant.0)
                         .map_or(0.0, |tenant| tenant.quota_per_second);
-                    let quota_per_second = value.unwrap_or(by_settings);
+                    let quota_per_second = value.unwrap_or(configured_quota);
                     self.scheduler_events.push_back(Event::QuotaChanged { tenant, quota_per_second });
                 }
             }
-            // A pause is looked up where requests arrive; a stop is the shell's.
+            // A pause is checked when a request arrives; the shell carries out a stop.
             Change::Pause {} | Change::Resume {} | Change::Stop {} => {}
         }
     }
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -15,21 +15,21 @@
 use std::collections::BTreeMap;
 
 impl Core {
-    /// The name of an engine that was ever listed.
+    /// The name of an engine; empty if it is not known.
     pub fn engine_name(&self, engine: ServerId) -> &str {
         self.endpoints.name(engine)
     }
 
-    /// All engines that were ever listed, in the order of their names.
+    /// All known engines, sorted by name.
     pub fn engine_views(&self) -> Vec<EngineView> {
         let streaming = self.streams_by_engine();
-        let seen: BTreeMap<ServerId, ServerView> =
+        let server_views: BTreeMap<ServerId, ServerView> =
             self.policy.views().map(|view| (view.server, view)).collect();
         let mut views = Vec::new();
         for (id, known) in self.endpoints.iter() {
-            if let Some(seen) = seen.get(id) {
+            if let Some(server_view) = server_views.get(id) {
                 let streaming = streaming.get(id).copied().unwrap_or(0);
-                views.push(self.engine_view(*id, known, seen, streaming));
+                views.push(self.engine_view(*id, known, server_view, streaming));
             }
         }
         views.sort_by(|a, b| a.name.cmp(&b.name));
@@ -50,7 +50,7 @@
         &self,
         id: ServerId,
         known: &KnownEndpoint,
-        seen: &ServerView,
+        server_view: &ServerView,
         streaming: u32,
     ) -> EngineView {
         let connection = self.connections.get(&id);
@@ -62,31 +62,31 @@
         };
         EngineView {
             name: known.listed.engine.clone(),
-            role: engine_role(seen.role),
+            role: engine_role(server_view.role),
             zone: known.listed.zone.clone(),
             rack: known.listed.rack.clone(),
             address: known.listed.address.clone(),
             listed_state: engine_state(known.listed.state),
             state: engine_state(known.endpoint.state),
             connected: connection.is_some_and(EngineConnection::is_connected),
-            avoid_reason: seen.avoid_reason.map(avoid_reason),
-            partial_ejections: seen.partial_ejections.iter().map(partial_ejection).collect(),
-            awaiting_first_token: seen.awaiting_first_token,
+            avoid_reason: server_view.avoid_reason.map(avoid_reason),
+            partial_ejections: server_view.partial_ejections.iter().map(partial_ejection).collect(),
+            awaiting_first_token: server_view.awaiting_first_token,
             streaming,
-            queued_prompt_tokens: seen.queued_prompt_tokens,
-            memory_utilization: seen.memory_utilization,
-            reported_memory_utilization: seen.reported_memory_utilization,
-            latency_ratio: seen.latency_ratio,
-            slow_start_budget: seen.slow_start_budget,
+            queued_prompt_tokens: server_view.queued_prompt_tokens,
+            memory_utilization: server_view.memory_utilization,
+            reported_memory_utilization: server_view.reported_memory_utilization,
+            latency_ratio: server_view.latency_ratio,
+            slow_start_budget: server_view.slow_start_budget,
             started_at: known.endpoint.started_at,
-            last_response_at: seen.last_response_at,
+            last_response_at: server_view.last_response_at,
             attempts: counters.attempts,
             failed: counters.failed,
             cancelled: counters.cancelled,
         }
     }
 
-    /// The router's own metrics; the owner's lag is for the shell to fill in.
+    /// The router's metrics. `lag_us` is 0 here: the shell measures it.
     pub fn metrics(&self) -> RouterMetrics {
         let counters = self.counters;
         let mut metrics = RouterMetrics {
@@ -114,10 +114,10 @@
         metrics
     }
 
-    /// The oldest open requests, at most so many.
-    pub fn open_request_views(&self, most: usize) -> Vec<RequestView> {
+    /// The oldest open requests, at most `max` of them.
+    pub fn open_request_views(&self, max: usize) -> Vec<RequestView> {
         let open = self.requests.iter().filter(|(_, tracked)| !tracked.answered);
-        open.take(most).map(|(id, tracked)| self.request_view(*id, tracked)).collect()
+        open.take(max).map(|(id, tracked)| self.request_view(*id, tracked)).collect()
     }
 
     /// One request, if it is open.
@@ -156,17 +156,17 @@
     }
 
     pub(super) fn attempt_views(&self, tracked: &TrackedRequest) -> Vec<outcome::AttemptRecord> {
-        let step = |record: &AttemptRecord| outcome::AttemptRecord {
+        let attempt_view = |record: &AttemptRecord| outcome::AttemptRecord {
             engine: self.endpoints.name(record.server).to_owned(),
             stage: attempt_stage(record.stage),
             sent_after_us: micros(record.started_at.saturating_sub(tracked.arrived_at)),
             took_us: micros(record.duration),
             end: record.end,
         };
-        tracked.attempt_records.iter().map(step).collect()
+        tracked.attempt_records.iter().map(attempt_view).collect()
     }
 
-    /// The settings in force, by the words that operators know.
+    /// The settings in force, under the names that operators' tools show.
     pub fn settings_listing(&self) -> Vec<Setting> {
         let module = &self.config.module;
         let router = format!("{}, {} of {}", self.config.router, module.router_index, module.router_count);
