--- a/crates/gaparch-router/src/core/actions.rs
+++ b/crates/gaparch-router/src/core/actions.rs
@@ -33,18 +33,19 @@
             Action::Log(text) => out.push(Output::Log(text)),
             Action::SendGossip { peer, data } => out.push(Output::SendGossip { peer, data }),
             Action::CloseConnections(engine) => {
-                // The one connection that carries everything stays; idle ones of single exchanges may go.
+                // A connection that carries all attempts stays; idle ones of single exchanges may be closed.
                 if self.config.links == Links::Exchanges {
                     out.push(Output::CloseIdleConnections(engine));
                 }
             }
-            // A stream that breaks can't be resumed: the settings say so to the scheduler, and it migrates none.
+            // A broken stream can't be resumed here. The settings tell the scheduler so, and it migrates
+            // none.
             Action::Migrate(_) => {}
         }
         out.append(&mut self.pending_frames);
     }
 
-    /// Whether the rules allow a rejection that the scheduler asks for.
+    /// Whether the send guards allow a rejection that the scheduler asks for.
     fn may_reject(&self, id: RequestId) -> Result<(), Denial> {
         let Some(tracked) = self.requests.get(&id) else { return Ok(()) };
         let Some(class) = self.config.module.classes.get(tracked.request.class.0) else { return Ok(()) };
@@ -54,7 +55,8 @@
         send_guards::may_reject(class, in_flight || tracked.may_have_run.is_some())
     }
 
-    /// Rejects a request; fails it where a rejection would promise too much, for a failure promises nothing.
+    /// Rejects a request. If a rejection would wrongly promise that a retry is harmless, the request fails
+    /// instead, which promises nothing.
     fn reject(&mut self, id: RequestId, retry_after: Nanos, give_up: GiveUpCause, out: &mut Vec<Output>) {
         let (cause, waited_for) = (give_up.reason.into(), give_up.queueing_reason.map(Into::into));
         let answer = match self.may_reject(id) {
--- a/crates/gaparch-router/src/core/connection.rs
+++ b/crates/gaparch-router/src/core/connection.rs
@@ -4,12 +4,12 @@
 use gaparch_scheduler::api::{LoadReport, Nanos, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Identifies a connection that was asked for; the next one to the same engine has another number.
+/// Identifies a requested connection; the next one to the same engine has another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionNumber(pub u64);
 
 impl ConnectionNumber {
-    /// Stands for all exchanges with an engine where each has a connection of its own.
+    /// Stands for all exchanges with an engine if each has its own connection.
     pub const EXCHANGES: ConnectionNumber = ConnectionNumber(0);
 }
 
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct EngineConnection {
     state: State,
-    /// Attempts to connect that have failed in a row.
+    /// How often in a row the connection failed or was lost, since it was last established.
     consecutive_failures: u32,
-    /// Requests with an attempt in flight there.
+    /// Requests with an attempt in flight at this engine.
     pub in_flight: BTreeSet<RequestId>,
-    /// Probes in flight, by nonce, with when they were sent.
+    /// Probes in flight: their nonces, and when they were sent.
     pub outstanding_probes: BTreeMap<u64, Nanos>,
-    /// The last load report that came by itself and was not passed on.
+    /// The last unsolicited load report, until it is passed on.
     pub last_report: Option<LoadReport>,
     pub attempt_counters: AttemptCounters,
 }
@@ -44,7 +44,7 @@
     pub cancelled: u64,
 }
 
-/// What a lost connection leaves behind.
+/// What has to be handled after a connection was lost.
 pub(super) struct LostConnection {
     pub was_connected: bool,
     pub reconnect_after: Nanos,
@@ -52,7 +52,7 @@
 }
 
 impl EngineConnection {
-    /// The state of an engine that each attempt connects to by itself.
+    /// The state of an engine to which each exchange has its own connection.
     pub fn connectionless() -> EngineConnection {
         EngineConnection {
             state: State::Connected(ConnectionNumber::EXCHANGES),
@@ -72,7 +72,7 @@
         matches!(self.state, State::Connected(_))
     }
 
-    /// Whether it is being connected to, and has not failed before: it may be connected soon.
+    /// Whether the connection is being established and has not failed before, so that it may be up soon.
     pub fn is_connecting_first_time(&self) -> bool {
         matches!(self.state, State::Connecting(_)) && self.consecutive_failures == 0
     }
@@ -92,30 +92,30 @@
         self.state = State::Connecting(conn);
     }
 
-    /// Records that a connection is established; whether it is the one that was asked for.
+    /// Records that a connection is established. Returns whether it is the requested one.
     pub fn on_connected(&mut self, conn: ConnectionNumber) -> bool {
-        let expected = self.state == State::Connecting(conn);
-        if expected {
+        let is_expected = self.state == State::Connecting(conn);
+        if is_expected {
             self.state = State::Connected(conn);
             self.consecutive_failures = 0;
         }
-        expected
+        is_expected
     }
 
-    /// Records that a connection was lost; `None` if it is not the current one.
+    /// Records that a connection failed or was lost. Returns `None` if it is not the current one.
     pub fn on_disconnected(&mut self, conn: ConnectionNumber, settings: &Attempts) -> Option<LostConnection> {
-        let was_up = self.is_current(conn);
+        let was_connected = self.is_current(conn);
         if self.number() != Some(conn) {
             return None;
         }
-        let doubled = settings.reconnect_after.saturating_mul(1 << self.consecutive_failures.min(20));
+        let backoff = settings.reconnect_after.saturating_mul(1 << self.consecutive_failures.min(20));
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.state = State::Disconnected;
         self.in_flight.clear();
         self.last_report = None;
         Some(LostConnection {
-            was_connected: was_up,
-            reconnect_after: doubled.min(settings.reconnect_most),
+            was_connected,
+            reconnect_after: backoff.min(settings.reconnect_most),
             outstanding_probes: std::mem::take(&mut self.outstanding_probes),
         })
     }
--- a/crates/gaparch-router/src/core/engine_frames.rs
+++ b/crates/gaparch-router/src/core/engine_frames.rs
@@ -1,4 +1,4 @@
-//! Frames that engines send.
+//! Handles frames that engines send.
 
 use super::attempts::AttemptResult;
 use super::connection::ConnectionNumber;
@@ -17,7 +17,7 @@
         frame: EngineFrame,
         out: &mut Vec<Output>,
     ) {
-        // Frames of an earlier connection are late.
+        // Frames of an earlier connection are obsolete.
         if !self.connections.get(&engine).is_some_and(|connection| connection.is_current(conn)) {
             return;
         }
@@ -57,11 +57,11 @@
         let id = RequestId(key.request);
         let number = AttemptNumber(key.attempt);
         let tracked = self.requests.get(&id);
-        if tracked.is_some_and(|l| number.0 >= l.next_attempt) {
+        if tracked.is_some_and(|tracked| number.0 >= tracked.next_attempt) {
             return self.on_protocol_violation(engine, "an attempt that was never made", out);
         }
         if let EngineFrame::Reserved { reserved, .. } = frame {
-            // It comes from the decode worker with the reservation, not from the one of the prefill.
+            // This comes from the decode worker that was asked for a reservation, not from the prefill worker.
             let was_asked = tracked.is_some_and(|tracked| tracked.kv_held_at.contains(&engine));
             let in_flight =
                 tracked.and_then(|tracked| tracked.attempt).is_some_and(|attempt| attempt.number == number);
@@ -76,7 +76,7 @@
         let attempt = tracked
             .and_then(|tracked| tracked.attempt)
             .filter(|attempt| attempt.number == number && attempt.server == engine);
-        // Cancelled, timed out or ended meanwhile: what it held was released then.
+        // The attempt was cancelled, timed out or ended; what it held was released then.
         let Some(attempt) = attempt.filter(|attempt| !attempt.awaits_connection()) else {
             return self.counters.late_frames += 1;
         };
@@ -109,13 +109,15 @@
         }
     }
 
-    /// The valid part of a load report that came with an outcome, or else the last one that came by itself.
+    /// The valid part of a load report that came with an outcome, or else the last unsolicited report.
     pub(super) fn load_report_of(
         &mut self,
         engine: ServerId,
         report: Option<LoadReport>,
     ) -> Option<LoadReport> {
-        let own = without_invalid_values(report, &mut self.counters);
-        own.or_else(|| self.connections.get_mut(&engine).and_then(|connection| connection.last_report.take()))
+        let valid = without_invalid_values(report, &mut self.counters);
+        valid.or_else(|| {
+            self.connections.get_mut(&engine).and_then(|connection| connection.last_report.take())
+        })
     }
 }
--- a/crates/gaparch-router/src/core/reason_counters.rs
+++ b/crates/gaparch-router/src/core/reason_counters.rs
@@ -1,5 +1,5 @@
-//! Why attempts and requests have ended, and what is held meanwhile: for the summary line, and for whoever asks which
-//! request holds something for how long.
+//! Counts why attempts and requests ended, for the summary line, and lists the KV caches that are held: by
+//! which requests, where and for how long.
 
 use super::Core;
 use gaparch_scheduler::api::{AttemptStatus, Nanos, RequestId, ServerId};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How often something happened, by its reason. The reasons are a closed set of words.
+/// How often something happened, by its reason. The reasons are a fixed set of names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReasonCounters {
     counts: BTreeMap<&'static str, u64>,
@@ -25,16 +25,16 @@
     }
 }
 
-/// The reasons of everything that has ended since the start.
+/// The reasons why requests and attempts ended since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReasonsByKind {
     /// Requests that were rejected, by their cause.
     pub rejected: ReasonCounters,
     /// Requests that failed, by their cause.
     pub failed: ReasonCounters,
-    /// Attempts that did not do what they were sent for, by their status.
+    /// Attempts that did not succeed, by their status.
     pub attempts: ReasonCounters,
-    /// Retries, by the status of the attempt before.
+    /// Retries, by the status of the previous attempt.
     pub retries: ReasonCounters,
 }
 
@@ -47,7 +47,7 @@
     pub prefill_worker: ServerId,
     /// When its prefill ended.
     pub since: Nanos,
-    /// The engine of a decode attempt that has not been answered.
+    /// The engine of a decode attempt that has not been answered, if one is in flight.
     pub unanswered_at: Option<ServerId>,
 }
 
@@ -65,9 +65,9 @@
     /// The KV caches of requests whose response has not started.
     pub fn held_kv_caches(&self) -> impl Iterator<Item = HeldKvCache> + '_ {
         self.requests.iter().filter_map(|(request, tracked)| {
-            let (reader, since) = (tracked.kv_cache_at?, tracked.kv_cache_since?);
+            let (prefill_worker, since) = (tracked.kv_cache_at?, tracked.kv_cache_since?);
             let unanswered_at = tracked.attempt.map(|attempt| attempt.server);
-            Some(HeldKvCache { request: *request, prefill_worker: reader, since, unanswered_at })
+            Some(HeldKvCache { request: *request, prefill_worker, since, unanswered_at })
         })
     }
 }
--- a/crates/gaparch-router/src/core/request_lifecycle.rs
+++ b/crates/gaparch-router/src/core/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How requests arrive, and get their one final answer.
+//! Handles the arrival of requests, and gives each its one final answer.
 
 use super::attempts::AttemptResult;
 use super::request::{AcceptedRequest, TrackedRequest};
@@ -9,32 +9,33 @@
 use gaparch_scheduler::api::{AttemptStatus, Event, RequestId};
 
 impl Core {
-    pub(super) fn on_request(&mut self, id: RequestId, ask: AcceptedRequest, out: &mut Vec<Output>) {
+    pub(super) fn on_request(&mut self, id: RequestId, request: AcceptedRequest, out: &mut Vec<Output>) {
         self.counters.requests += 1;
         if self.requests.contains_key(&id) {
             self.counters.rejected += 1;
             return out.push(Output::Client { id, event: self.rejection(OutcomeCause::TooManyOpen) });
         }
-        let request = ask.to_scheduler_request(id, &self.config.module, self.now);
-        let most = self.orders.limit(OPEN_REQUESTS).map_or(usize::MAX, |most| most as usize);
-        let closed = match () {
+        let scheduler_request = request.to_scheduler_request(id, &self.config.module, self.now);
+        let deadline_at = scheduler_request.deadline_at;
+        let max_open = self.orders.limit(OPEN_REQUESTS).map_or(usize::MAX, |limit| limit as usize);
+        let rejection_cause = match () {
             () if self.stop_at.is_some_and(|at| self.now >= at) => Some(OutcomeCause::Stopping),
             () if self.orders.is_paused() => Some(OutcomeCause::Paused),
-            () if self.unanswered >= most => Some(OutcomeCause::TooManyOpen),
+            () if self.unanswered >= max_open => Some(OutcomeCause::TooManyOpen),
             () => None,
         };
         self.unanswered += 1;
-        if let Some(cause) = closed {
-            // The scheduler never learns of it: it is not accepted.
-            self.requests.insert(id, TrackedRequest::new(ask, request.deadline_at, self.now));
+        if let Some(cause) = rejection_cause {
+            // The request is not accepted, so the scheduler is not told of it.
+            self.requests.insert(id, TrackedRequest::new(request, deadline_at, self.now));
             self.answer(id, self.rejection(cause), out);
             return self.forget_if_done(id);
         }
-        let overdue = request.deadline_at.saturating_add(self.config.module.answer_grace);
-        let overdue = self.timers.set(overdue, Timer::RequestOverdue(id));
-        let tracked = TrackedRequest::new(ask, request.deadline_at, self.now);
-        self.requests.insert(id, TrackedRequest { overdue_timer: Some(overdue), ..tracked });
-        self.scheduler_events.push_back(Event::RequestArrived(request));
+        let overdue_at = deadline_at.saturating_add(self.config.module.answer_grace);
+        let overdue_timer = self.timers.set(overdue_at, Timer::RequestOverdue(id));
+        let tracked = TrackedRequest::new(request, deadline_at, self.now);
+        self.requests.insert(id, TrackedRequest { overdue_timer: Some(overdue_timer), ..tracked });
+        self.scheduler_events.push_back(Event::RequestArrived(scheduler_request));
     }
 
     /// The rejection of a request that is not accepted.
@@ -50,17 +51,17 @@
         self.counters.client_disconnected += 1;
         self.report_outcome(id, None, out);
         let Some(tracked) = self.requests.get(&id) else { return };
-        let begun = tracked.attempt.filter(|attempt| attempt.is_streaming());
+        let streaming = tracked.attempt.filter(|attempt| attempt.is_streaming());
         self.scheduler_events.push_back(Event::ClientDisconnected(id));
-        // Nobody reads the stream: it ends, and the scheduler learns of its attempt.
-        if let Some(attempt) = begun {
+        // Nobody reads the stream any more: cancel it and report the end of its attempt to the scheduler.
+        if let Some(attempt) = streaming {
             self.send_cancel(id, attempt);
             self.finish_attempt(id, attempt, AttemptResult::of(AttemptStatus::Cancelled));
         }
         self.forget_if_done(id);
     }
 
-    /// Gives a request its final answer. A second one is dropped and counted.
+    /// Gives a request its final answer. A second answer is dropped and counted.
     pub(super) fn answer(&mut self, id: RequestId, event: ResponseEvent, out: &mut Vec<Output>) {
         let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| !tracked.answered) else {
             return self.counters.duplicate_answers += 1;
@@ -88,8 +89,8 @@
         if !self.requests.get(&id).is_some_and(TrackedRequest::can_be_forgotten) {
             return;
         }
-        if let Some(overdue) = self.requests.remove(&id).and_then(|tracked| tracked.overdue_timer) {
-            self.timers.cancel(overdue);
+        if let Some(overdue_timer) = self.requests.remove(&id).and_then(|tracked| tracked.overdue_timer) {
+            self.timers.cancel(overdue_timer);
         }
     }
 
@@ -98,9 +99,9 @@
         let open: Vec<RequestId> =
             self.requests.iter().filter(|(_, tracked)| !tracked.answered).map(|(id, _)| *id).collect();
         for id in open {
-            // A request that was never sent anywhere is safe to repeat; of the others nothing is promised.
-            let untouched = self.requests.get(&id).is_some_and(|tracked| tracked.next_attempt == 0);
-            let answer = match untouched {
+            // A request without any attempt is safe to retry; for the others nothing is promised.
+            let has_no_attempt = self.requests.get(&id).is_some_and(|tracked| tracked.next_attempt == 0);
+            let answer = match has_no_attempt {
                 true => self.rejection(OutcomeCause::Stopping),
                 false => {
                     ResponseEvent::Failed { message: "the router was stopped", cause: OutcomeCause::Stopping }
--- a/crates/gaparch-router/src/core/request_outcomes.rs
+++ b/crates/gaparch-router/src/core/request_outcomes.rs
@@ -8,7 +8,7 @@
 use gaparch_scheduler::api::{Nanos, RequestId};
 use gaparch_scheduler::view::ServerView;
 
-/// Evidence younger than this, in nanoseconds, is used again: requests given up together saw the same.
+/// Evidence younger than this, in nanoseconds, is reused: requests that are given up together share it.
 const EVIDENCE_MAX_AGE: Nanos = 50_000_000;
 
 impl Core {
@@ -20,8 +20,8 @@
         matches!(event, ResponseEvent::Finished { .. }) && tracked.first_token_at.is_some_and(in_time)
     }
 
-    /// Hands over how a request ended, where there is an operations side that records it. `event` is its final answer;
-    /// `None`: its client disconnected.
+    /// Reports how a request ended, if the settings configure operations, which record it. `event` is its
+    /// final answer; `None`: its client disconnected.
     pub(super) fn report_outcome(
         &mut self,
         id: RequestId,
@@ -39,11 +39,11 @@
             Some(ResponseEvent::Failed { cause, .. }) => (OutcomeKind::Failed, *cause, None, None),
             Some(_) => (OutcomeKind::Served, OutcomeCause::Answered, None, None),
         };
-        let lost = matches!(kind, OutcomeKind::Rejected | OutcomeKind::Failed);
-        let evidence = if lost { self.engine_evidence() } else { Vec::new() };
+        let needs_evidence = matches!(kind, OutcomeKind::Rejected | OutcomeKind::Failed);
+        let evidence = if needs_evidence { self.engine_evidence() } else { Vec::new() };
         let Some(tracked) = self.requests.get(&id) else { return };
         let request = GlobalRequestId { run: self.run.0, number: id.0 };
-        let ending = RequestOutcome {
+        let outcome = RequestOutcome {
             class: self.class_name(tracked).to_owned(),
             tenant: self.tenant_name(tracked.request.tenant).to_owned(),
             queueing_reason: waited_for,
@@ -57,10 +57,10 @@
             fingerprint: tracked.request.fingerprint,
             ..RequestOutcome::bare(request, tracked.arrived_at, self.now, kind, cause)
         };
-        out.push(Output::RequestEnded(Box::new(ending)));
+        out.push(Output::RequestEnded(Box::new(outcome)));
     }
 
-    /// How the engines look now, the avoided ones first.
+    /// The present state of the engines, avoided ones first.
     fn engine_evidence(&mut self) -> Vec<EngineEvidence> {
         if let Some((at, evidence)) = &self.evidence {
             if self.now < at.saturating_add(EVIDENCE_MAX_AGE) {
