--- a/crates/gaparch-router/src/core/attempts.rs
+++ b/crates/gaparch-router/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts end.
+//! Ends attempts and reports their outcomes.
 
 use super::request::{Attempt, Stage};
 use super::Core;
@@ -12,19 +12,20 @@
 #[derive(Clone, Debug)]
 pub(super) struct AttemptResult {
     pub status: AttemptStatus,
-    /// What the engine says beside the status; see [`OutcomeNote`].
+    /// The engine's note on the status; see [`OutcomeNote`].
     pub note: u64,
     pub report: Option<LoadReport>,
 }
 
 impl AttemptResult {
-    /// A result that the router itself has seen.
+    /// A result that the router itself observed, without a note or a report by the engine.
     pub fn of(status: AttemptStatus) -> AttemptResult {
         AttemptResult { status, note: 0, report: None }
     }
 }
 
-/// Whether a prefill that ended so may have succeeded all the same, and left its KV cache behind.
+/// Whether a prefill that ended with this status may still have succeeded and left its KV cache at the
+/// engine.
 fn may_have_prefilled(status: AttemptStatus) -> bool {
     matches!(
         status,
@@ -36,7 +37,7 @@
     )
 }
 
-/// Whether a decode that ended so is known not to have run.
+/// Whether a decode that ended with this status is known not to have run.
 fn has_not_run(status: AttemptStatus) -> bool {
     matches!(
         status,
@@ -48,7 +49,7 @@
 }
 
 impl Core {
-    /// Ends the attempt in flight, if it has that number, with what the router itself has seen.
+    /// Ends the attempt in flight, if it has this number, with a status that the router itself observed.
     pub(super) fn finish_attempt_by_number(
         &mut self,
         id: RequestId,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Ends an attempt and tells the scheduler its one outcome.
+    /// Ends an attempt and reports its one outcome to the scheduler.
     pub(super) fn finish_attempt(&mut self, id: RequestId, attempt: Attempt, result: AttemptResult) {
         let AttemptResult { status, note, report } = result;
         let (zone, cell) = self.endpoints.location(attempt.server);
@@ -102,7 +103,8 @@
             tracked.add_kv_holder(attempt.server);
         }
         if attempt.stage == Stage::Prefill && !attempt.awaits_connection() && may_have_prefilled(status) {
-            // The prefill may have succeeded just as it was cancelled or broke: its KV cache would stay allocated.
+            // The prefill may have succeeded just before it was cancelled or failed: its KV cache would stay
+            // allocated.
             self.send_to_engine(attempt.server, EngineFrame::Release { request: id.0 });
         }
         let Some(tracked) = self.requests.get(&id) else { return };
--- a/crates/gaparch-router/src/core/engine_connections.rs
+++ b/crates/gaparch-router/src/core/engine_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: how they come up and are lost.
+//! Connects to engines, and handles established and lost connections.
 
 use super::attempts::AttemptResult;
 use super::connection::{ConnectionNumber, EngineConnection};
@@ -45,11 +45,11 @@
                 endpoints: vec![entry].into(),
             });
         }
-        let waits = |tracked: &TrackedRequest| {
+        let awaits_engine = |tracked: &TrackedRequest| {
             tracked.attempt.is_some_and(|attempt| attempt.server == engine && attempt.awaits_connection())
         };
         let waiting: Vec<RequestId> =
-            self.requests.iter().filter(|(_, tracked)| waits(tracked)).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, tracked)| awaits_engine(tracked)).map(|(id, _)| *id).collect();
         for id in waiting {
             self.send_attempt_frame(id);
         }
@@ -72,7 +72,7 @@
             self.report_probe(engine, self.now.saturating_sub(sent), AttemptStatus::ConnectFailed, None);
         }
         if lost.was_connected {
-            // The scheduler learns of a lost connection even if no attempt was in flight there.
+            // Reports the lost connection to the scheduler even if no attempt was in flight there.
             self.report_probe(engine, 0, AttemptStatus::ConnectFailed, None);
         }
         for (id, attempt) in self.attempts_at(engine) {
@@ -95,7 +95,7 @@
         self.requests.iter().filter_map(|(id, tracked)| Some((*id, attempt_there(tracked)?))).collect()
     }
 
-    /// What an engine held for this router went with its connection.
+    /// Forgets what an engine held for this router: it is lost with the connection.
     fn forget_kv_at(&mut self, engine: ServerId) {
         let held: Vec<RequestId> = self
             .requests
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Closes a connection whose peer violated the protocol. Only its own requests are affected.
+    /// Closes the connection to an engine that violated the protocol. Only requests on this connection are
+    /// affected.
     pub(super) fn on_protocol_violation(
         &mut self,
         engine: ServerId,
--- a/crates/gaparch-router/src/core/engine_frames.rs
+++ b/crates/gaparch-router/src/core/engine_frames.rs
@@ -61,7 +61,8 @@
             return self.on_protocol_violation(engine, "an attempt that was never made", out);
         }
         if let EngineFrame::Reserved { reserved, .. } = frame {
-            // This comes from the decode worker that was asked for a reservation, not from the prefill worker.
+            // This comes from the decode worker that was asked for a reservation, not from the prefill
+            // worker.
             let was_asked = tracked.is_some_and(|tracked| tracked.kv_held_at.contains(&engine));
             let in_flight =
                 tracked.and_then(|tracked| tracked.attempt).is_some_and(|attempt| attempt.number == number);
--- a/crates/gaparch-router/src/core/kv_cache.rs
+++ b/crates/gaparch-router/src/core/kv_cache.rs
@@ -1,4 +1,4 @@
-//! What engines hold of a request: its KV cache after the prefill, and room reserved for it.
+//! What engines hold for a request: its KV cache after the prefill, and KV reservations.
 
 use super::request::Stage;
 use super::Core;
@@ -8,20 +8,22 @@
 use gaparch_scheduler::policy::kv_release::may_release_beside_decode;
 
 impl Core {
-    /// Releases everything that is held for the request. A KV cache for which a decode is in flight stays recorded: the decode may
-    /// have arrived, and then it fetches it.
+    /// Releases everything that is held for the request. A KV cache for which a decode is in flight stays
+    /// recorded: the decode may have arrived, and then it fetches the KV cache.
     pub(super) fn release_kv(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
-        let write = tracked.attempt.filter(|attempt| attempt.stage == Stage::Decode);
-        let fetched_from = tracked.kv_cache_at.filter(|_| write.is_some());
-        let held = std::mem::take(&mut tracked.kv_held_at);
-        tracked.kv_held_at.extend(fetched_from.filter(|s| held.contains(s)));
+        let decode = tracked.attempt.filter(|attempt| attempt.stage == Stage::Decode);
+        let fetched_from = tracked.kv_cache_at.filter(|_| decode.is_some());
+        let holders = std::mem::take(&mut tracked.kv_held_at);
+        tracked.kv_held_at.extend(fetched_from.filter(|server| holders.contains(server)));
         tracked.kv_cache_at = fetched_from;
-        let arrived = write.is_some_and(|w| self.policy.has_run_since(w.server, w.sent_at));
-        let beside = may_release_beside_decode(self.config.links == Links::Exchanges, arrived);
-        for server in held {
+        let has_arrived =
+            decode.is_some_and(|decode| self.policy.has_run_since(decode.server, decode.sent_at));
+        let may_release_fetched =
+            may_release_beside_decode(self.config.links == Links::Exchanges, has_arrived);
+        for server in holders {
             let is_fetched = Some(server) == fetched_from;
-            if beside || !is_fetched {
+            if may_release_fetched || !is_fetched {
                 self.send_to_engine(server, EngineFrame::Release { request: id.0 });
             }
             if !is_fetched {
@@ -33,9 +35,9 @@
 
     pub(super) fn reserve_kv(&mut self, id: RequestId, server: ServerId) {
         let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
-        let Some(reading) = tracked.attempt.filter(|attempt| attempt.stage == Stage::Prefill) else { return };
-        let Some(from) = self.endpoints.kv_source(reading.server) else { return };
-        let job = tracked.request.job(id, reading.number, tracked.deadline_at, self.now);
+        let Some(prefill) = tracked.attempt.filter(|attempt| attempt.stage == Stage::Prefill) else { return };
+        let Some(from) = self.endpoints.kv_source(prefill.server) else { return };
+        let job = tracked.request.job(id, prefill.number, tracked.deadline_at, self.now);
         tracked.add_kv_holder(server);
         self.send_to_engine(server, EngineFrame::Reserve { job, from });
     }
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -16,9 +16,9 @@
 pub struct AcceptedRequest {
     /// Its traffic class.
     pub class: ClassId,
-    /// Its tenant, where tenants are known by keys.
+    /// Its tenant, if the settings identify tenants by keys.
     pub tenant: Option<TenantId>,
-    /// The conversation that it belongs to.
+    /// The session that it belongs to.
     pub session: Option<AffinityKey>,
     /// The shared prefix of its prompt.
     pub prefix: Option<AffinityKey>,
@@ -26,19 +26,19 @@
     pub prompt_tokens: u32,
     /// Tokens of the shared prefix; 0 if not known.
     pub prefix_tokens: u32,
-    /// Tokens that may be generated at most.
+    /// The most tokens that may be generated.
     pub max_output_tokens: u32,
     /// Estimate of the tokens that will be generated.
     pub expected_output_tokens: Option<u32>,
     /// Whether the client says that it has sent this request before.
     pub client_retry: bool,
-    /// Whether the client asks for the rest of a stream that broke.
+    /// Whether the client asks for the rest of a broken stream.
     pub client_reconnect: bool,
-    /// When the client stops waiting, in nanoseconds since the Unix epoch, where it says so itself.
+    /// When the client stops waiting, in nanoseconds since the Unix epoch, if it states a deadline.
     pub deadline_at: Option<Nanos>,
     /// The text of the prompt.
     pub prompt: String,
-    /// A hash that is the same for the same prompt in the same session, by which retries are recognized.
+    /// A hash of the session and the prompt, by which retries are recognized.
     pub fingerprint: u64,
 }
 
@@ -51,8 +51,8 @@
         objective.saturating_add((per_token * f64::from(self.prompt_tokens)) as Nanos)
     }
 
-    /// The request as the scheduler sees it. Where the client states no deadline, it grows twice as much with the prompt as the
-    /// latency objective does.
+    /// The request as the scheduler sees it. If the client states no deadline, that of the class applies, and
+    /// it grows with the prompt length at twice the rate of the latency objective.
     pub(super) fn to_scheduler_request(&self, id: RequestId, settings: &Settings, now: Nanos) -> Request {
         let class = settings.classes.get(self.class.0);
         let (deadline, per_token, per_output_token) = class.map_or((0, 0.0, 0), |c| {
@@ -98,14 +98,14 @@
     }
 }
 
-/// The half of a request that an attempt serves.
+/// The stage of a request that an attempt serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Prefill,
     Decode,
 }
 
-/// How far an attempt in flight has got.
+/// The state of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
     /// Its engine is being connected to; nothing was sent yet.
@@ -124,7 +124,7 @@
     pub stage: Stage,
     pub sent_at: Nanos,
     pub state: AttemptState,
-    /// Its time-out, or the limit of its stream once it has started.
+    /// Its timeout, or the limit of its stream once it has started.
     pub timer: TimerKey,
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-/// How far a request has got.
+/// The phase that a request has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// No attempt is in flight, and there is no KV cache.
@@ -163,10 +163,10 @@
     pub next_attempt: u32,
     /// When the last byte of the attempt in flight must be written at the latest.
     pub send_by: Nanos,
-    /// Due if the scheduler has not answered by the client's deadline.
+    /// Fails the request if the scheduler has not answered by the client's deadline.
     pub overdue_timer: Option<TimerKey>,
     pub attempt: Option<Attempt>,
-    /// Its first decode that may have run.
+    /// Its first decode attempt that may have run.
     pub may_have_run: Option<MayHaveRun>,
     /// The prefill worker that has its KV cache.
     pub kv_cache_at: Option<ServerId>,
@@ -174,20 +174,20 @@
     pub kv_cache_since: Option<Nanos>,
     /// How its last attempt ended.
     pub last_status: Option<AttemptStatus>,
-    /// Engines that hold its KV cache, or room reserved for it.
+    /// Engines that hold its KV cache or a KV reservation for it.
     pub kv_held_at: Vec<ServerId>,
-    /// The final answer was given; what engines hold is still to be released.
+    /// The final answer was given; an attempt may still be in flight, and engines may still hold something.
     pub answered: bool,
     pub usage: Usage,
     pub streaming_since: Nanos,
     pub last_token_at: Nanos,
     pub arrived_at: Nanos,
     pub first_token_at: Option<Nanos>,
-    /// The first [`MAX_STEPS`] attempts.
+    /// The first [`MAX_ATTEMPTS`] attempts.
     pub attempt_records: Vec<AttemptRecord>,
 }
 
-/// An attempt, for operators who ask what became of the request.
+/// The record of an attempt, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptRecord {
     pub server: ServerId,
@@ -198,11 +198,11 @@
 }
 
 impl TrackedRequest {
-    pub fn new(ask: AcceptedRequest, give_up_at: Nanos, now: Nanos) -> TrackedRequest {
+    pub fn new(request: AcceptedRequest, deadline_at: Nanos, now: Nanos) -> TrackedRequest {
         TrackedRequest {
-            usage: Usage { prompt_tokens: ask.prompt_tokens, ..Usage::default() },
-            request: ask,
-            deadline_at: give_up_at,
+            usage: Usage { prompt_tokens: request.prompt_tokens, ..Usage::default() },
+            request,
+            deadline_at,
             next_attempt: 0,
             send_by: Nanos::MAX,
             overdue_timer: None,
@@ -236,10 +236,10 @@
 
     /// Records how the last attempt ended.
     pub fn record_attempt_end(&mut self, status: AttemptStatus, now: Nanos) {
-        let out = self.attempt_records.last_mut().filter(|s| s.end == AttemptEnd::InFlight);
-        if let Some(step) = out {
-            step.duration = now.saturating_sub(step.started_at);
-            step.end = match status {
+        let in_flight = self.attempt_records.last_mut().filter(|record| record.end == AttemptEnd::InFlight);
+        if let Some(record) = in_flight {
+            record.duration = now.saturating_sub(record.started_at);
+            record.end = match status {
                 AttemptStatus::Ok | AttemptStatus::Prefilled => AttemptEnd::Completed,
                 AttemptStatus::Error | AttemptStatus::Unknown | AttemptStatus::Expired => AttemptEnd::Error,
                 AttemptStatus::Rejected => AttemptEnd::Rejected,
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Whether it is answered, with nothing in flight and nothing held.
+    /// Whether it is answered, nothing is in flight for it and engines hold nothing for it.
     pub fn can_be_forgotten(&self) -> bool {
         self.answered && self.attempt.is_none() && self.kv_held_at.is_empty()
     }
@@ -273,11 +273,11 @@
         }
     }
 
-    /// When its stream is over its limits, if no further token comes.
+    /// When its stream exceeds its limits, if no further token arrives.
     pub fn stream_deadline(&self, times: &[ClassTimes]) -> Nanos {
         let times = times.get(self.request.class.0).copied();
         let times = times.unwrap_or(ClassTimes { stream: Nanos::MAX, silence: Nanos::MAX });
-        let whole = self.streaming_since.saturating_add(times.stream);
-        whole.min(self.last_token_at.saturating_add(times.silence))
+        let max_duration_at = self.streaming_since.saturating_add(times.stream);
+        max_duration_at.min(self.last_token_at.saturating_add(times.silence))
     }
 }
--- a/crates/gaparch-router/src/core/sending.rs
+++ b/crates/gaparch-router/src/core/sending.rs
@@ -13,10 +13,10 @@
 use gaparch_scheduler::policy::send_guards::{self, Denial, Repeat, SendFacts};
 
 impl Core {
-    /// Makes an attempt, if the rules allow it: at once, or when the connection is established.
+    /// Sends an attempt, if the send guards allow it: at once, or when the connection is established.
     pub(super) fn send(&mut self, id: RequestId, server: ServerId, timeout: Nanos, send_by: Nanos) {
         let now = self.now;
-        let denied = self.may_send(id, server, send_by);
+        let permission = self.may_send(id, server, send_by);
         let Some(tracked) = self.requests.get_mut(&id) else {
             return self.report_superseded(id, AttemptNumber(0), server, true);
         };
@@ -24,7 +24,7 @@
         tracked.next_attempt += 1;
         tracked.send_by = send_by;
         let role = self.endpoints.role(server, &self.config.module);
-        if let Err(denial) = denied {
+        if let Err(denial) = permission {
             let answered = tracked.answered;
             self.counters.denials.count(denial);
             return self.report_unsent(id, number, server, denial.status(), answered);
@@ -45,8 +45,8 @@
             timer,
         });
         tracked.record_attempt_start(server, stage, now);
-        if let Some(before) = tracked.last_status.filter(|status| *status != AttemptStatus::Prefilled) {
-            self.reasons_by_kind.retries.count(before.name());
+        if let Some(previous) = tracked.last_status.filter(|status| *status != AttemptStatus::Prefilled) {
+            self.reasons_by_kind.retries.count(previous.name());
         }
         let Some(connection) = self.connections.get_mut(&server) else {
             return self.finish_attempt_by_number(id, number, AttemptStatus::ConnectFailed);
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Whether the rules allow an attempt that the scheduler asks for.
+    /// Whether the send guards allow an attempt that the scheduler asks for.
     fn may_send(&self, id: RequestId, server: ServerId, send_by: Nanos) -> Result<(), Denial> {
         let Some(tracked) = self.requests.get(&id) else { return Err(Denial::Answered) };
         let settings = &self.config.module;
         let is_prefill = self.endpoints.role(server, settings) == Some(Role::Prefill);
         let class = settings.classes.get(tracked.request.class.0);
         let (zone, cell) = self.endpoints.location(server);
-        // A prefill has no effect that a repeat could double.
+        // A prefill has no effect that a repeat could duplicate.
         let ran = tracked.may_have_run.filter(|_| !is_prefill).zip(class);
         send_guards::may_send(&SendFacts {
             now: self.now,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Tells the scheduler that an attempt it asked for came too late.
+    /// Reports to the scheduler that an attempt it asked for came too late.
     pub(super) fn report_superseded(
         &mut self,
         id: RequestId,
@@ -98,7 +98,7 @@
         self.report_unsent(id, attempt, server, AttemptStatus::Expired, request_finished);
     }
 
-    /// Tells the scheduler that an attempt it asked for was not made.
+    /// Reports to the scheduler that an attempt it asked for was not sent.
     fn report_unsent(
         &mut self,
         id: RequestId,
@@ -121,12 +121,12 @@
         }));
     }
 
-    /// Sends an attempt's frame on its engine's connection, which is established.
+    /// Sends an attempt's frame on the connection to its engine, which must be established.
     pub(super) fn send_attempt_frame(&mut self, id: RequestId) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = tracked.attempt.as_mut() else { return };
         if self.now >= tracked.send_by {
-            // The connection took too long: sent now the attempt could double one that ran before.
+            // The connection took too long: sent now, the attempt could duplicate an earlier one that ran.
             let number = attempt.number;
             return self.finish_attempt_by_number(id, number, AttemptStatus::Expired);
         }
@@ -165,8 +165,8 @@
         self.send_to_engine(attempt.server, EngineFrame::Cancel(key));
     }
 
-    /// Sends a frame to an engine if it is connected. Where each frame is an exchange of its own it is sent whatever has
-    /// become of the engine, for a release may reach any engine.
+    /// Sends a frame to an engine if it is connected. With single exchanges the frame is always sent, also if
+    /// the engine is gone, since any engine accepts a release.
     pub(super) fn send_to_engine(&mut self, engine: ServerId, frame: EngineFrame) {
         let is_connectionless = self.config.links == Links::Exchanges;
         if is_connectionless || self.connections.get(&engine).is_some_and(EngineConnection::is_connected) {
--- a/crates/gaparch-router/src/core/streams.rs
+++ b/crates/gaparch-router/src/core/streams.rs
@@ -10,10 +10,10 @@
 use gaparch_scheduler::api::{AttemptStatus, Event, Nanos, RequestId, ServerId};
 
 /// The message to a client whose stream has broken.
-const STREAM_BROKE_OFF: &str = "the answer broke off";
+const STREAM_BROKEN: &str = "the answer broke off";
 
 impl Core {
-    /// An engine has produced tokens; `sent_before` counts those before them.
+    /// Handles tokens from an engine; `sent_before` is the number of tokens that it sent before these.
     pub(super) fn on_tokens(
         &mut self,
         id: RequestId,
@@ -40,7 +40,7 @@
         out.push(Output::Client { id, event: ResponseEvent::Text { text } });
     }
 
-    /// The first token is there: the response starts, and the attempt has the limits of a stream from now on.
+    /// Starts the response at the first token; from now on the limits of a stream apply to the attempt.
     pub(super) fn start_stream(&mut self, id: RequestId, attempt: Attempt, out: &mut Vec<Output>) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         tracked.attempt = Some(Attempt { state: AttemptState::Streaming, ..attempt });
@@ -55,7 +55,7 @@
             tracked.attempt = Some(Attempt { state: AttemptState::Streaming, timer, ..attempt });
         }
         out.push(Output::Client { id, event: ResponseEvent::Started { usage } });
-        // The decode worker has fetched the KV cache; whatever else was held is released.
+        // The decode worker has fetched the KV cache; everything else that is held is released.
         let fetched_from = tracked.kv_cache_at.take();
         let holders: Vec<ServerId> = std::mem::take(&mut tracked.kv_held_at);
         for server in holders {
@@ -72,7 +72,7 @@
         });
     }
 
-    /// An engine says how an attempt has ended, and how many tokens it produced.
+    /// Handles an attempt's outcome from its engine, which also states how many tokens it produced.
     pub(super) fn on_outcome(
         &mut self,
         id: RequestId,
@@ -90,7 +90,7 @@
         if status != AttemptStatus::Ok {
             if attempt.is_streaming() {
                 let cause = OutcomeCause::StreamBroken;
-                self.answer(id, ResponseEvent::Failed { message: STREAM_BROKE_OFF, cause }, out);
+                self.answer(id, ResponseEvent::Failed { message: STREAM_BROKEN, cause }, out);
             }
             return self.finish_attempt(id, attempt, AttemptResult { status, note, report });
         }
@@ -116,7 +116,7 @@
         self.finish_attempt(id, attempt, AttemptResult { status: AttemptStatus::Ok, note, report });
     }
 
-    /// A stream has broken: its request fails and the attempt ends.
+    /// Handles a broken stream: its request fails and the attempt ends.
     pub(super) fn break_stream(
         &mut self,
         id: RequestId,
@@ -129,7 +129,7 @@
         } else {
             OutcomeCause::StreamBroken
         };
-        self.answer(id, ResponseEvent::Failed { message: STREAM_BROKE_OFF, cause }, out);
+        self.answer(id, ResponseEvent::Failed { message: STREAM_BROKEN, cause }, out);
         self.finish_attempt(id, attempt, AttemptResult::of(status));
     }
 }
