--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -134,7 +134,7 @@
         self.unanswered
     }
 
-    /// How far a request has got, if it is still known.
+    /// The phase of a request, if it is still known.
     pub fn phase(&self, id: RequestId) -> Option<Phase> {
         self.requests.get(&id).map(TrackedRequest::phase)
     }
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -172,7 +172,7 @@
         let router = format!("{}, {} of {}", self.config.router, module.router_index, module.router_count);
         let slow_start =
             format!("{} from {} of full speed", Span(module.slow_start_duration), module.slow_start_speed);
-        let mut all = vec![
+        let mut settings = vec![
             setting("router", router),
             setting("drain grace", Span(module.drain_grace).to_string()),
             setting("release within", Span(module.kv_release_within).to_string()),
@@ -183,9 +183,9 @@
             setting("retry-after at most", Span(module.max_retry_after).to_string()),
         ];
         for (name, class) in self.config.names.classes.iter().zip(&module.classes) {
-            all.push(setting(&format!("class {name}"), class_listing(class)));
+            settings.push(setting(&format!("class {name}"), class_listing(class)));
         }
-        all
+        settings
     }
 }
 
