--- a/crates/gaparch-router/tests/long_lists.rs
+++ b/crates/gaparch-router/tests/long_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of ten thousand engines: doubled entries, names that hash alike, changes one after the other.
+//! Tests with lists of 10,000 engines: duplicate entries, names with the same hash, series of deltas.
 
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
 use gaparch_ops::OrderRegistry;
@@ -11,24 +11,24 @@
 const NOW: Nanos = 1_000_000_000_000;
 const ENGINES: usize = 10_000;
 
-struct Bench {
+struct TestRouter {
     core: Core,
     version: u64,
 }
 
-impl Bench {
-    fn new() -> Bench {
-        let mut config = Config::parse(EXAMPLE).expect("sound");
+impl TestRouter {
+    fn new() -> TestRouter {
+        let mut config = Config::parse(EXAMPLE).expect("valid settings");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
         let core = Core::new(config, OrderRegistry::default(), RouterRun(1), NOW, &mut Vec::new());
-        Bench { core, version: 0 }
+        TestRouter { core, version: 0 }
     }
 
-    fn tell(&mut self, scope: Scope, entries: Vec<ListEntry>) -> Vec<Output> {
-        let (after, version) = (self.version, self.version + 1);
+    fn update_list(&mut self, scope: Scope, entries: Vec<ListEntry>) -> Vec<Output> {
+        let (base_version, version) = (self.version, self.version + 1);
         self.version = version;
         let mut out = Vec::new();
-        let update = ListUpdate { scope, version, base_version: after, entries };
+        let update = ListUpdate { scope, version, base_version, entries };
         self.core.handle(NOW, Input::ListUpdated(update), &mut out);
         out
     }
@@ -55,8 +55,8 @@
     (0..).map(|number| format!("w-{number}"))
 }
 
-/// Two names of one id.
-fn names_that_hash_alike() -> (String, String) {
+/// Two names with the same id.
+fn names_with_the_same_id() -> (String, String) {
     let mut seen: HashMap<ServerId, String> = HashMap::new();
     for name in names() {
         if let Some(first) = seen.insert(server_id(&name), name.clone()) {
@@ -66,64 +66,72 @@
     unreachable!("there are more names than ids")
 }
 
-/// Ten thousand names none of which shares its id.
+/// 10,000 names with different ids.
 fn distinct_names() -> Vec<String> {
     let mut ids = BTreeSet::new();
     names().filter(|name| ids.insert(server_id(name))).take(ENGINES).collect()
 }
 
 #[test]
-fn of_two_engines_whose_names_hash_alike_the_first_stays_and_the_second_is_counted() {
-    let (first, second) = names_that_hash_alike();
-    let mut bench = Bench::new();
-    bench.tell(Scope::Full, vec![entry(&first, ServerState::Ready), entry(&second, ServerState::Ready)]);
-    assert_eq!(bench.listed().len(), 1);
-    assert_eq!(bench.core.counters().ignored_entries, 1);
-    // What is said of the second does not touch the first.
-    bench.tell(Scope::Delta, vec![entry(&second, ServerState::Removed)]);
-    assert_eq!(bench.listed().len(), 1);
-    assert_eq!(bench.core.counters().ignored_entries, 2);
+fn of_two_engines_with_the_same_id_the_first_is_kept_and_the_second_is_counted_as_ignored() {
+    let (first, second) = names_with_the_same_id();
+    let mut router = TestRouter::new();
+    router.update_list(
+        Scope::Full,
+        vec![entry(&first, ServerState::Ready), entry(&second, ServerState::Ready)],
+    );
+    assert_eq!(router.listed().len(), 1);
+    assert_eq!(router.core.counters().ignored_entries, 1);
+    // An entry for the second does not affect the first.
+    router.update_list(Scope::Delta, vec![entry(&second, ServerState::Removed)]);
+    assert_eq!(router.listed().len(), 1);
+    assert_eq!(router.core.counters().ignored_entries, 2);
 }
 
 #[test]
-fn a_list_in_which_each_entry_stands_twice_is_that_list() {
+fn duplicate_entries_in_a_list_are_harmless() {
     let names = distinct_names();
     let list =
         |names: &[String]| names.iter().map(|name| entry(name, ServerState::Ready)).collect::<Vec<_>>();
-    let mut bench = Bench::new();
-    bench.tell(Scope::Full, [list(&names), list(&names)].concat());
-    assert_eq!(bench.listed().len(), ENGINES);
-    assert_eq!(bench.core.counters().ignored_entries, 0);
+    let mut router = TestRouter::new();
+    router.update_list(Scope::Full, [list(&names), list(&names)].concat());
+    assert_eq!(router.listed().len(), ENGINES);
+    assert_eq!(router.core.counters().ignored_entries, 0);
 }
 
-/// A change deals with what it names; what has come of many of them is what a whole list would say.
+/// A delta affects only the engines that it names; a series of them results in what a full list would.
 #[test]
-fn changes_one_after_the_other_come_to_what_a_whole_list_says() {
+fn a_series_of_deltas_results_in_the_same_engines_as_a_full_list() {
     let names = distinct_names();
-    let mut bench = Bench::new();
-    bench.tell(Scope::Full, names.iter().map(|name| entry(name, ServerState::Ready)).collect());
+    let mut router = TestRouter::new();
+    router.update_list(Scope::Full, names.iter().map(|name| entry(name, ServerState::Ready)).collect());
     for name in names.iter().step_by(100) {
-        bench.tell(Scope::Delta, vec![entry(name, ServerState::Removed)]);
+        router.update_list(Scope::Delta, vec![entry(name, ServerState::Removed)]);
     }
-    let left: BTreeSet<ServerId> =
-        names.iter().enumerate().filter(|(at, _)| at % 100 != 0).map(|(_, name)| server_id(name)).collect();
-    assert_eq!(bench.listed(), left);
-    // They come back under their old names.
-    let back = names.iter().step_by(100).map(|name| entry(name, ServerState::Ready)).collect();
-    bench.tell(Scope::Delta, back);
-    assert_eq!(bench.listed().len(), ENGINES);
+    let remaining: BTreeSet<ServerId> = names
+        .iter()
+        .enumerate()
+        .filter(|(index, _)| index % 100 != 0)
+        .map(|(_, name)| server_id(name))
+        .collect();
+    assert_eq!(router.listed(), remaining);
+    // The removed engines are added again under their old names.
+    let added = names.iter().step_by(100).map(|name| entry(name, ServerState::Ready)).collect();
+    router.update_list(Scope::Delta, added);
+    assert_eq!(router.listed().len(), ENGINES);
 }
 
-/// A list that replaces every engine at once is taken whole: those that are gone don't count against it.
+/// A list that replaces every engine at once is accepted in full: the removed engines don't count against its
+/// limit.
 #[test]
-fn a_list_may_replace_every_engine_at_once() {
+fn a_full_list_may_replace_every_engine_at_once() {
     let names = distinct_names();
     let mut ids: BTreeSet<ServerId> = names.iter().map(|name| server_id(name)).collect();
     let others = (0..).map(|number| format!("v-{number}")).filter(|name| ids.insert(server_id(name)));
     let others: Vec<ListEntry> = others.take(ENGINES).map(|name| entry(&name, ServerState::Ready)).collect();
-    let mut bench = Bench::new();
-    bench.tell(Scope::Full, names.iter().map(|name| entry(name, ServerState::Ready)).collect());
-    bench.tell(Scope::Full, others);
-    assert_eq!(bench.listed().len(), ENGINES);
-    assert_eq!(bench.core.counters().ignored_entries, 0);
+    let mut router = TestRouter::new();
+    router.update_list(Scope::Full, names.iter().map(|name| entry(name, ServerState::Ready)).collect());
+    router.update_list(Scope::Full, others);
+    assert_eq!(router.listed().len(), ENGINES);
+    assert_eq!(router.core.counters().ignored_entries, 0);
 }
