--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -1,5 +1,5 @@
-//! The core where each attempt is an exchange of its own: engines count as reachable while listed, a release may reach
-//! any of them, and nothing is left behind by a day of new requests and new engines.
+//! Tests of the core with single exchanges instead of connections: engines count as reachable while they are
+//! listed, a release may go to any of them, and many requests and many new engines leave nothing behind.
 
 use gaparch_config::{server_id, Config, Links, EXAMPLE};
 use gaparch_ops::OrderRegistry;
@@ -13,10 +13,11 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-struct Bench {
+struct TestRouter {
     core: Core,
     now: Nanos,
-    out: Vec<Output>,
+    /// What the core put out at its start.
+    initial_outputs: Vec<Output>,
 }
 
 fn entry(name: &str, state: ServerState) -> ListEntry {
@@ -35,23 +36,23 @@
     }
 }
 
-impl Bench {
-    fn new() -> Bench {
-        let mut config = Config::parse(EXAMPLE).expect("sound");
+impl TestRouter {
+    fn new() -> TestRouter {
+        let mut config = Config::parse(EXAMPLE).expect("valid settings");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
         config.module.can_probe = false;
         let mut out = Vec::new();
         let core = Core::new(config, OrderRegistry::default(), RouterRun(1), 1000 * S, &mut out);
-        let mut bench = Bench { core, now: 1000 * S, out };
+        let mut router = TestRouter { core, now: 1000 * S, initial_outputs: out };
         let ready = |name: &str| entry(name, ServerState::Ready);
         let entries = vec![ready("r-1"), ready("r-2"), ready("w-1"), ready("w-2")];
-        bench.input(Input::ListUpdated(ListUpdate {
+        router.input(Input::ListUpdated(ListUpdate {
             scope: Scope::Full,
             version: 5,
             base_version: 0,
             entries,
         }));
-        bench
+        router
     }
 
     fn input(&mut self, input: Input) -> Vec<Output> {
@@ -60,8 +61,8 @@
         out
     }
 
-    fn pass(&mut self, span: Nanos) -> Vec<Output> {
-        let (until, mut out) = (self.now + span, Vec::new());
+    fn advance(&mut self, duration: Nanos) -> Vec<Output> {
+        let (until, mut out) = (self.now + duration, Vec::new());
         while let Some(at) = self.core.next_timer_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.core.on_timers_due(self.now, &mut out);
@@ -70,12 +71,12 @@
         out
     }
 
-    fn frame(&mut self, engine: ServerId, frame: EngineFrame) -> Vec<Output> {
+    fn receive_frame(&mut self, engine: ServerId, frame: EngineFrame) -> Vec<Output> {
         self.input(Input::EngineFrame { engine, conn: ConnectionNumber::EXCHANGES, frame })
     }
 
-    fn ask(&mut self, id: u64) -> (ServerId, AttemptKey) {
-        let ask = AcceptedRequest {
+    fn start_prefill(&mut self, id: u64) -> (ServerId, AttemptKey) {
+        let request = AcceptedRequest {
             class: gaparch_scheduler::api::ClassId(0),
             tenant: None,
             session: Some(gaparch_scheduler::api::AffinityKey(id)),
@@ -90,12 +91,12 @@
             prompt: String::new(),
             fingerprint: 0,
         };
-        let out = self.input(Input::RequestArrived { id: RequestId(id), request: ask });
-        sent(&out).expect("a read")
+        let out = self.input(Input::RequestArrived { id: RequestId(id), request });
+        sent_attempt(&out).expect("a prefill was sent")
     }
 }
 
-fn sent(out: &[Output]) -> Option<(ServerId, AttemptKey)> {
+fn sent_attempt(out: &[Output]) -> Option<(ServerId, AttemptKey)> {
     out.iter().find_map(|o| match o {
         Output::Engine { engine, frame: EngineFrame::Prefill(job) | EngineFrame::Decode { job, .. } } => {
             Some((*engine, job.key))
@@ -105,37 +106,52 @@
 }
 
 fn releases(out: &[Output], id: u64) -> usize {
-    let of = |o: &&Output| matches!(o, Output::Engine { frame: EngineFrame::Release { request }, .. } if *request == id);
-    out.iter().filter(of).count()
+    let is_release = |output: &&Output| match output {
+        Output::Engine { frame: EngineFrame::Release { request }, .. } => *request == id,
+        _ => false,
+    };
+    out.iter().filter(is_release).count()
 }
 
-/// A change of the list alone makes one engine usable and another one not.
+/// A delta of the list alone, without connections, makes engines usable or unusable.
 #[test]
-fn an_engine_that_a_change_names_is_asked_from_then_on() {
-    let mut bench = Bench::new();
-    let gone = |name: &str| entry(name, ServerState::Removed);
-    let entries = vec![gone("r-1"), gone("r-2"), entry("r-3", ServerState::Ready)];
-    bench.input(Input::ListUpdated(ListUpdate { scope: Scope::Delta, version: 6, base_version: 5, entries }));
+fn a_delta_of_the_list_decides_which_engines_get_requests() {
+    let mut router = TestRouter::new();
+    let removed = |name: &str| entry(name, ServerState::Removed);
+    let entries = vec![removed("r-1"), removed("r-2"), entry("r-3", ServerState::Ready)];
+    router.input(Input::ListUpdated(ListUpdate {
+        scope: Scope::Delta,
+        version: 6,
+        base_version: 5,
+        entries,
+    }));
     for id in 1..=20 {
-        let (reader, key) = bench.ask(id);
-        assert_eq!(reader, server_id("r-3"));
-        let read = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
-        assert!(sent(&bench.frame(reader, read)).is_some(), "its answer is heard");
+        let (prefill_worker, key) = router.start_prefill(id);
+        assert_eq!(prefill_worker, server_id("r-3"));
+        let done = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
+        assert!(
+            sent_attempt(&router.receive_frame(prefill_worker, done)).is_some(),
+            "its result is accepted"
+        );
     }
 }
 
 #[test]
-fn ten_thousand_requests_and_a_thousand_engines_leave_nothing_behind() {
-    let mut bench = Bench::new();
-    assert!(!bench.out.iter().any(|o| matches!(o, Output::Connect { .. })), "there is nothing to connect");
+fn ten_thousand_requests_and_a_thousand_new_engines_leave_nothing_behind() {
+    let mut router = TestRouter::new();
+    assert!(
+        !router.initial_outputs.iter().any(|o| matches!(o, Output::Connect { .. })),
+        "no connections are requested"
+    );
     for id in 1..=10_000 {
-        let (reader, key) = bench.ask(id);
-        let read = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
-        let (writer, key) = sent(&bench.frame(reader, read)).expect("a write");
-        let begun = EngineFrame::Tokens { key, sent_before: 0, count: 0, text: String::new() };
-        let out = bench.frame(writer, begun);
-        let opened = |o: &Output| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. });
-        assert_eq!(out.iter().filter(|o| opened(o)).count(), 1);
+        let (prefill_worker, key) = router.start_prefill(id);
+        let done = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
+        let (decode_worker, key) =
+            sent_attempt(&router.receive_frame(prefill_worker, done)).expect("a decode was sent");
+        let first_tokens = EngineFrame::Tokens { key, sent_before: 0, count: 0, text: String::new() };
+        let out = router.receive_frame(decode_worker, first_tokens);
+        let is_start = |o: &Output| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. });
+        assert_eq!(out.iter().filter(|o| is_start(o)).count(), 1);
         let ok = EngineFrame::Outcome {
             key,
             status: AttemptStatus::Ok,
@@ -143,26 +159,31 @@
             produced_tokens: 0,
             report: None,
         };
-        bench.frame(writer, ok);
-        bench.pass(5 * MS);
+        router.receive_frame(decode_worker, ok);
+        router.advance(5 * MS);
         if id % 10 == 0 {
             let (new, old) = (format!("w-new-{id}"), format!("w-new-{}", id - 10));
             let entries = vec![entry(&new, ServerState::Ready), entry(&old, ServerState::Removed)];
-            let update =
-                ListUpdate { scope: Scope::Delta, version: 5 + id, base_version: bench_version(id), entries };
-            assert_eq!(sent(&bench.input(Input::ListUpdated(update))), None);
+            let update = ListUpdate {
+                scope: Scope::Delta,
+                version: 5 + id,
+                base_version: previous_version(id),
+                entries,
+            };
+            assert_eq!(sent_attempt(&router.input(Input::ListUpdated(update))), None);
         }
     }
-    assert_eq!(bench.core.counters().served, 10_000);
-    assert_eq!((bench.core.open_requests(), bench.core.listed_engines().count()), (0, 5));
-    assert!((1..=10_000).all(|id| bench.core.phase(RequestId(id)).is_none()));
-    // Every timer falls due in time: none waits for ever.
-    bench.pass(20 * S);
-    assert_eq!(bench.core.next_timer_at(), None);
+    assert_eq!(router.core.counters().served, 10_000);
+    assert_eq!((router.core.open_requests(), router.core.listed_engines().count()), (0, 5));
+    assert!((1..=10_000).all(|id| router.core.phase(RequestId(id)).is_none()));
+    // All timers become due: none is left.
+    router.advance(20 * S);
+    assert_eq!(router.core.next_timer_at(), None);
 }
 
-/// The version before: lists jump by ten here, as the platform's may.
-fn bench_version(id: u64) -> u64 {
+/// The version before that of a request: versions advance by ten here, as those of the platform may skip
+/// numbers.
+fn previous_version(id: u64) -> u64 {
     if id == 10 {
         5
     } else {
@@ -171,92 +192,103 @@
 }
 
 #[test]
-fn what_a_broken_read_may_have_left_is_let_go_of_even_if_its_engine_is_gone() {
+fn the_kv_cache_of_a_failed_prefill_is_released_even_if_its_engine_was_removed() {
     for status in [AttemptStatus::Reset, AttemptStatus::Error, AttemptStatus::Unknown] {
-        let mut bench = Bench::new();
-        let (reader, key) = bench.ask(1);
-        let gone: Vec<ListEntry> = ["r-1", "r-2"].map(|name| entry(name, ServerState::Removed)).to_vec();
-        bench.input(Input::ListUpdated(ListUpdate {
+        let mut router = TestRouter::new();
+        let (prefill_worker, key) = router.start_prefill(1);
+        let removed: Vec<ListEntry> = ["r-1", "r-2"].map(|name| entry(name, ServerState::Removed)).to_vec();
+        router.input(Input::ListUpdated(ListUpdate {
             scope: Scope::Delta,
             version: 6,
             base_version: 5,
-            entries: gone,
+            entries: removed,
         }));
-        let broken = EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None };
-        assert_eq!(releases(&bench.frame(reader, broken), 1), 1, "{status:?}");
+        let failed = EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None };
+        assert_eq!(releases(&router.receive_frame(prefill_worker, failed), 1), 1, "{status:?}");
     }
-    // One that was never sent has left nothing.
-    let mut bench = Bench::new();
-    let (reader, key) = bench.ask(1);
+    // A prefill that was never sent has left no KV cache.
+    let mut router = TestRouter::new();
+    let (prefill_worker, key) = router.start_prefill(1);
     let status = AttemptStatus::ConnectFailed;
-    let broken = EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None };
-    assert_eq!(releases(&bench.frame(reader, broken), 1), 0);
+    let failed = EngineFrame::Outcome { key, status, note: 0, produced_tokens: 0, report: None };
+    assert_eq!(releases(&router.receive_frame(prefill_worker, failed), 1), 0);
 }
 
 #[test]
-fn a_failed_exchange_costs_its_own_attempt_only() {
-    let mut bench = Bench::new();
-    let (first, one) = bench.ask(1);
-    // Another read at the same engine.
-    let two =
-        (2..100).find_map(|id| Some(bench.ask(id)).filter(|(server, _)| *server == first)).expect("one");
+fn a_failed_exchange_affects_only_its_own_attempt() {
+    let mut router = TestRouter::new();
+    let (server, first_key) = router.start_prefill(1);
+    // Another prefill at the same engine.
+    let (_, second_key) = (2..100)
+        .find_map(|id| Some(router.start_prefill(id)).filter(|(other, _)| *other == server))
+        .expect("a second prefill");
     let status = AttemptStatus::Reset;
-    let broken = EngineFrame::Outcome { key: one, status, note: 0, produced_tokens: 0, report: None };
-    let out = bench.frame(first, broken);
+    let failed = EngineFrame::Outcome { key: first_key, status, note: 0, produced_tokens: 0, report: None };
+    let out = router.receive_frame(server, failed);
     assert!(!out.iter().any(|o| matches!(o, Output::Connect { .. } | Output::Disconnect { .. })));
-    let read =
-        EngineFrame::PrefillDone { key: two.1, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
-    assert!(sent(&bench.frame(first, read)).is_some());
-    assert_eq!(bench.core.counters().late_frames, 0);
+    let done =
+        EngineFrame::PrefillDone { key: second_key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
+    assert!(sent_attempt(&router.receive_frame(server, done)).is_some());
+    assert_eq!(router.core.counters().late_frames, 0);
 }
 
 #[test]
-fn an_engine_that_was_never_known_leaves_nothing_when_it_goes_and_no_start_is_yet_to_come() {
-    let mut bench = Bench::new();
+fn removals_of_unknown_engines_leave_nothing_and_start_times_in_the_future_are_corrected() {
+    let mut router = TestRouter::new();
     for n in 0..20_000u64 {
         let entries = vec![entry(&format!("w-{n}-x"), ServerState::Removed)];
-        bench.input(Input::ListUpdated(ListUpdate {
+        router.input(Input::ListUpdated(ListUpdate {
             scope: Scope::Delta,
             version: 6 + n,
             base_version: 5 + n,
             entries,
         }));
     }
-    // The list has room for 10,000: had they stayed, the next one would be dropped.
-    let start = Some(bench.now + 10_000 * S);
+    // Had the removed engines stayed, they would count against the limit of known endpoints.
+    let start = Some(router.now + 10_000 * S);
     let entries = vec![ListEntry { started_at: start, ..entry("w-new", ServerState::Ready) }];
     let version = 20_006;
-    bench.input(Input::ListUpdated(ListUpdate {
+    router.input(Input::ListUpdated(ListUpdate {
         scope: Scope::Delta,
         version,
         base_version: version - 1,
         entries,
     }));
-    assert_eq!((bench.core.counters().ignored_entries, bench.core.counters().ignored_values), (0, 1));
-    // It is there now, so it has begun by now; its clock is off, and it may well be new.
-    assert_eq!(bench.core.endpoint_process(server_id("w-new")).map(|(_, began)| began), Some(bench.now));
+    assert_eq!((router.core.counters().ignored_entries, router.core.counters().ignored_values), (0, 1));
+    // It is there now, so it has started by now; its clock is wrong, and it may well be new.
+    assert_eq!(
+        router.core.endpoint_process(server_id("w-new")).map(|(_, started_at)| started_at),
+        Some(router.now)
+    );
 }
 
-/// A release goes out beside a write that is not answered, and the state stays booked: the write may have arrived.
+/// A release is sent beside an unanswered decode, and the KV cache stays recorded: the decode may have
+/// arrived.
 #[test]
-fn a_release_goes_out_beside_a_write_and_its_answer_is_still_taken() {
-    let mut bench = Bench::new();
-    let (reader, key) = bench.ask(1);
+fn a_release_is_sent_beside_a_decode_whose_response_is_still_accepted() {
+    let mut router = TestRouter::new();
+    let (prefill_worker, key) = router.start_prefill(1);
     let frame = EngineFrame::PrefillDone { key, cached_prompt_tokens: 0, prompt_tokens: 0, report: None };
-    let out = bench.input(Input::EngineFrame { engine: reader, conn: ConnectionNumber::EXCHANGES, frame });
-    let (writer, key) = sent(&out).expect("a write");
-    assert_eq!(bench.core.held_kv_caches().count(), 1);
-    let out = bench.pass(600 * MS);
+    let out =
+        router.input(Input::EngineFrame { engine: prefill_worker, conn: ConnectionNumber::EXCHANGES, frame });
+    let (decode_worker, key) = sent_attempt(&out).expect("a decode was sent");
+    assert_eq!(router.core.held_kv_caches().count(), 1);
+    let out = router.advance(600 * MS);
     assert_eq!(releases(&out, 1), 1, "{out:?}");
     let frame = EngineFrame::Tokens { key, sent_before: 0, count: 0, text: String::new() };
-    let out = bench.input(Input::EngineFrame { engine: writer, conn: ConnectionNumber::EXCHANGES, frame });
+    let out =
+        router.input(Input::EngineFrame { engine: decode_worker, conn: ConnectionNumber::EXCHANGES, frame });
     assert!(
         out.iter().any(|o| matches!(o, Output::Client { event: ResponseEvent::Started { .. }, .. })),
         "{out:?}"
     );
-    assert_eq!(bench.core.held_kv_caches().count(), 0);
+    assert_eq!(router.core.held_kv_caches().count(), 0);
     let ended =
         EngineFrame::Outcome { key, status: AttemptStatus::Ok, note: 0, produced_tokens: 0, report: None };
-    bench.input(Input::EngineFrame { engine: writer, conn: ConnectionNumber::EXCHANGES, frame: ended });
-    assert_eq!(bench.core.phase(RequestId(1)), None);
+    router.input(Input::EngineFrame {
+        engine: decode_worker,
+        conn: ConnectionNumber::EXCHANGES,
+        frame: ended,
+    });
+    assert_eq!(router.core.phase(RequestId(1)), None);
 }
