--- a/crates/gaparch-router/tests/pinned_state.rs
+++ b/crates/gaparch-router/tests/pinned_state.rs
@@ -1,5 +1,6 @@
-//! What a router keeps of the fleet on disk, and what it tells operators at its start: written by a running router of
-//! commit bdb4937, and read again by this one.
+//! The records of the fleet that a router keeps on disk, and the events that it shows to operators at its
+//! start. The constants come from a running router of commit bdb4937; this version must write the same and
+//! read them again.
 
 use gaparch_config::Config;
 use gaparch_net::{Clock, Credentials, OperationsAddress, OpsClient};
@@ -14,13 +15,13 @@
 
 /// The incarnation of the first start.
 const INCARNATION: [u8; 8] = [0, 0, 0, 0, 0, 0, 0, 1];
-/// An order of the fleet in its record: engine read-1 is drained, as `office` ordered because of a test.
-/// Without the time at its end.
+/// The record of an order of the fleet without the time at its end: operator `office` drains engine read-1,
+/// for the reason "a test".
 const FLEET_ORDER: &str = "0000000000000001000000000000000200076e6f7274682d310000000000000001\
                            00010006726561642d310100066f66666963650006612074657374";
-/// The number of the first piece of the audit's record; each later piece has the next one.
+/// The number of the first audit segment; each later segment has the next one.
 const FIRST_AUDIT_MARK: [u8; 8] = [0, 0, 0, 0, 0, 0, 0, 1];
-/// The events of a router that has begun and was ordered to drain an engine, without their times.
+/// The events of a router that started and was ordered to drain an engine, without their times.
 const EVENTS: &str = r#"
 info null the router has begun; 0 orders of operators are in force
 trouble null operator night can't come in by a key: key file FOLDER/missing.key: there is no such file
@@ -37,8 +38,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// Waits until the engines are shown: what an order changes of them is an event from then on.
-async fn until_shown(operator: &mut OpsClient) {
+/// Waits until a snapshot shows the engines: changes of their state by an order are events only from then on.
+async fn wait_until_engines_are_shown(operator: &mut OpsClient) {
     for _ in 0..500 {
         let answer = operator.query(Query::Snapshot {}).await.expect("an answer");
         if matches!(&answer, Answer::Snapshot { snapshot } if !snapshot.engines.is_empty()) {
@@ -60,20 +61,20 @@
     format!("\n{}", events.iter().map(line).collect::<String>())
 }
 
-struct State {
+struct TestState {
     disk: FaultyDisk,
     folder: PathBuf,
 }
 
-impl State {
-    fn new(name: &str) -> State {
+impl TestState {
+    fn new(name: &str) -> TestState {
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        State { disk: FaultyDisk::default(), folder }
+        TestState { disk: FaultyDisk::default(), folder }
     }
 
-    /// A router alone in its fleet, by settings on loopback.
+    /// Starts a router that is alone in its fleet, with settings on loopback addresses.
     async fn start(&self) -> RouterHandle {
         let key = self.folder.join("fleet.key");
         std::fs::write(&key, "a key of the site for tests\n").expect("written");
@@ -110,7 +111,7 @@
                 confirm="3s" refined="true"/>
             </gaparch>"#
         );
-        let config = Config::parse(&settings).expect("sound settings");
+        let config = Config::parse(&settings).expect("valid settings");
         let disk = || Box::new(self.disk.clone());
         let disks =
             Disks { intents: disk(), events: disk(), endings: disk(), fleet: FleetDisks::of(|| disk()) };
@@ -118,10 +119,10 @@
     }
 
     async fn operator(&self) -> OpsClient {
-        let place = OperationsAddress::Socket(self.folder.join("ops.sock"));
+        let address = OperationsAddress::Socket(self.folder.join("ops.sock"));
         let credentials =
             Credentials { key: None, role: SessionRole::ReadWrite, operator: "office".to_owned() };
-        OpsClient::connect(&place, &credentials).await.expect("welcome")
+        OpsClient::connect(&address, &credentials).await.expect("accepted")
     }
 
     fn records(&self, journal: &str) -> Vec<Vec<u8>> {
@@ -130,28 +131,28 @@
     }
 
     /// Waits until a journal has a record.
-    async fn until_kept(&self, journal: &str) {
+    async fn wait_for_record(&self, journal: &str) {
         for _ in 0..500 {
             if !self.records(journal).is_empty() {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("{journal} holds nothing");
+        panic!("{journal} has no record");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_fleet_s_records_and_the_first_events_have_their_pinned_form() {
-    let state = State::new("pinned-records");
+async fn fleet_records_and_the_first_events_match_the_pinned_constants() {
+    let state = TestState::new("pinned-records");
     let router = state.start().await;
     let mut operator = state.operator().await;
-    until_shown(&mut operator).await;
+    wait_until_engines_are_shown(&mut operator).await;
     let change = Change::Drain { engine: "read-1".to_owned(), mode: DrainMode::Drain };
     let order = Order { change, reason: "a test".to_owned(), force: true, revision: None };
     let done = operator.query(Query::Order { order }).await.expect("an answer");
     assert!(matches!(done, Answer::Done { revision: 1, .. }), "{done:?}");
-    state.until_kept("fleet-orders").await;
+    state.wait_for_record("fleet-orders").await;
     assert_eq!(state.records("incarnation"), [INCARNATION]);
     let orders = state.records("fleet-orders");
     let [order] = &orders[..] else { panic!("one order: {orders:?}") };
@@ -168,8 +169,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn pinned_records_are_read_again() {
-    let state = State::new("pinned-start");
+async fn pinned_fleet_records_are_restored() {
+    let state = TestState::new("pinned-start");
     let time = 1_700_000_000_000_000_000_u64;
     let order: Vec<u8> = bytes(FLEET_ORDER).into_iter().chain(time.to_be_bytes()).collect();
     for (journal, record) in [("incarnation", INCARNATION.to_vec()), ("fleet-orders", order)] {
@@ -182,14 +183,14 @@
         panic!("it is in a fleet");
     };
     assert_eq!(fleet.incarnation, 2);
-    let spread = operator.query(Query::OrderReplication {}).await.expect("an answer");
-    let spread = serde_json::to_value(&spread).expect("JSON");
+    let replication = operator.query(Query::OrderReplication {}).await.expect("an answer");
+    let replication = serde_json::to_value(&replication).expect("JSON");
     let expected = serde_json::json!([{
         "id": {"number": 1, "care": 2, "router": "north-1", "incarnation": 1},
         "over": null,
         "change": {"hold": {"engine": "read-1", "hold": "drain"}},
         "note": {"who": "office", "why": "a test", "at": time},
     }]);
-    assert_eq!(spread["spread"]["spread"]["orders"], expected);
+    assert_eq!(replication["spread"]["spread"]["orders"], expected);
     router.stop().await.expect("it ran");
 }
--- a/crates/gaparch-router/tests/pinned_views.rs
+++ b/crates/gaparch-router/tests/pinned_views.rs
@@ -1,5 +1,5 @@
-//! What operators and scripts read of a router's core, as text: it must not change when names in the code do. The constants
-//! in `pinned/` were written by the build of commit bdb4937.
+//! Texts about a router's core that operators and scripts read: they must not change when names in the code
+//! do. The files in `pinned/` were written by the build of commit bdb4937.
 
 use gaparch_config::{server_id, Config, EXAMPLE};
 use gaparch_ops::OrderRegistry;
@@ -13,26 +13,26 @@
 
 const SECOND: Nanos = 1_000_000_000;
 
-struct Router {
+struct TestRouter {
     core: Core,
     now: Nanos,
     connections: BTreeMap<ServerId, ConnectionNumber>,
-    /// How requests ended, a line of JSON each.
-    endings: String,
+    /// How requests ended, one line of JSON each.
+    outcomes: String,
 }
 
-impl Router {
-    /// A router of the example's settings, with a class of each kind of effect, whose engines are connected.
-    fn new() -> Router {
+impl TestRouter {
+    /// A router with the example settings and a class of each idempotency, connected to all its engines.
+    fn new() -> TestRouter {
         let class = "<class id=\"purchase\" effect=\"unsafe\" aim=\"1s\" deadline=\"5s\" token-aim=\"50ms\" worth=\"1\" \
                      late-worth=\"0.1\" stream-limit=\"2m\" silence-limit=\"5s\"/></classes>";
-        let config = Config::parse(&EXAMPLE.replace("</classes>", class)).expect("sound settings");
+        let config = Config::parse(&EXAMPLE.replace("</classes>", class)).expect("valid settings");
         let engines = config.engines.clone();
         let mut out = Vec::new();
         let core = Core::new(config, OrderRegistry::default(), RouterRun(42), 1000 * SECOND, &mut out);
         let connections = BTreeMap::new();
-        let mut router = Router { core, now: 1000 * SECOND, connections, endings: String::new() };
-        router.take(&out);
+        let mut router = TestRouter { core, now: 1000 * SECOND, connections, outcomes: String::new() };
+        router.record(&out);
         for engine in engines {
             let role = if engine.kind == "reader" { Role::Prefill } else { Role::Decode };
             let facts = EngineFacts {
@@ -50,13 +50,13 @@
         router
     }
 
-    fn take(&mut self, out: &[Output]) {
+    fn record(&mut self, out: &[Output]) {
         for output in out {
             match output {
                 Output::Connect { engine, conn, .. } => drop(self.connections.insert(*engine, *conn)),
-                Output::RequestEnded(ending) => {
-                    self.endings += &serde_json::to_string(ending).expect("JSON");
-                    self.endings.push('\n');
+                Output::RequestEnded(outcome) => {
+                    self.outcomes += &serde_json::to_string(outcome).expect("JSON");
+                    self.outcomes.push('\n');
                 }
                 _ => {}
             }
@@ -66,33 +66,34 @@
     fn input(&mut self, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.core.handle(self.now, input, &mut out);
-        self.take(&out);
+        self.record(&out);
         out
     }
 
-    /// Lets time pass; what was sent meanwhile.
-    fn pass(&mut self, span: Nanos) -> Vec<Output> {
-        let until = self.now + span;
+    /// Advances the time and returns the outputs of the timers that were due.
+    fn advance(&mut self, duration: Nanos) -> Vec<Output> {
+        let until = self.now + duration;
         let mut out = Vec::new();
         while let Some(at) = self.core.next_timer_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.core.on_timers_due(self.now, &mut out);
         }
         self.now = until;
-        self.take(&out);
+        self.record(&out);
         out
     }
 
-    fn ask(&mut self, id: u64, class: usize) {
-        let ask = AcceptedRequest { class: ClassId(class), ..question() };
-        let out = self.input(Input::RequestArrived { id: RequestId(id), request: ask });
-        self.serve(out);
-        let out = self.pass(SECOND / 10);
-        self.serve(out);
+    fn send_request(&mut self, id: u64, class: usize) {
+        let request = AcceptedRequest { class: ClassId(class), ..request() };
+        let out = self.input(Input::RequestArrived { id: RequestId(id), request });
+        self.answer_as_engines(out);
+        let out = self.advance(SECOND / 10);
+        self.answer_as_engines(out);
     }
 
-    /// Engines do what is asked of them: reads of requests 3 and up fail, writes of request 2 stream on.
-    fn serve(&mut self, out: Vec<Output>) {
+    /// Plays the engines: prefills of requests 3 and up fail, the decode of request 1 completes, and that of
+    /// request 2 streams on.
+    fn answer_as_engines(&mut self, out: Vec<Output>) {
         for output in out {
             let Output::Engine { engine, frame } = output else { continue };
             match frame {
@@ -104,7 +105,7 @@
                         produced_tokens: 0,
                         report: None,
                     };
-                    self.frame(engine, failed);
+                    self.receive_frame(engine, failed);
                 }
                 EngineFrame::Prefill(job) => {
                     let done = EngineFrame::PrefillDone {
@@ -113,34 +114,34 @@
                         prompt_tokens: 500,
                         report: None,
                     };
-                    self.frame(engine, done);
+                    self.receive_frame(engine, done);
                 }
                 EngineFrame::Decode { job, .. } => {
                     let key = job.key;
-                    self.frame(
+                    self.receive_frame(
                         engine,
                         EngineFrame::Tokens { key, sent_before: 0, count: 1, text: "a".to_owned() },
                     );
                     if key.request == 1 {
                         let status = AttemptStatus::Ok;
-                        self.frame(
+                        self.receive_frame(
                             engine,
                             EngineFrame::Outcome { key, status, note: 0, produced_tokens: 1, report: None },
                         );
                     }
                 }
                 EngineFrame::Probe { nonce } => {
-                    self.frame(engine, EngineFrame::Probed { nonce, report: None });
+                    self.receive_frame(engine, EngineFrame::Probed { nonce, report: None });
                 }
                 _ => {}
             }
         }
     }
 
-    fn frame(&mut self, engine: ServerId, frame: EngineFrame) {
+    fn receive_frame(&mut self, engine: ServerId, frame: EngineFrame) {
         let conn = self.connections[&engine];
         let out = self.input(Input::EngineFrame { engine, conn, frame });
-        self.serve(out);
+        self.answer_as_engines(out);
     }
 
     /// The effect of an order, or why it is denied.
@@ -157,7 +158,7 @@
     }
 }
 
-fn question() -> AcceptedRequest {
+fn request() -> AcceptedRequest {
     AcceptedRequest {
         class: ClassId(0),
         tenant: None,
@@ -180,28 +181,28 @@
 }
 
 #[test]
-fn the_settings_in_force_are_listed_by_the_pinned_words() {
-    assert_eq!(lines(&Router::new().core.settings_listing()), include_str!("pinned/settings.jsonl"));
+fn the_settings_listing_matches_the_pinned_file() {
+    assert_eq!(lines(&TestRouter::new().core.settings_listing()), include_str!("pinned/settings.jsonl"));
 }
 
 #[test]
-fn the_limits_are_listed_by_the_pinned_words() {
-    assert_eq!(lines(&Router::new().core.limits()), include_str!("pinned/limits.jsonl"));
+fn the_limits_match_the_pinned_file() {
+    assert_eq!(lines(&TestRouter::new().core.limits()), include_str!("pinned/limits.jsonl"));
 }
 
 #[test]
-fn engines_requests_and_endings_are_shown_by_the_pinned_words() {
-    let mut router = Router::new();
+fn views_of_engines_and_requests_and_outcomes_match_the_pinned_file() {
+    let mut router = TestRouter::new();
     for id in 1..=4 {
-        router.ask(id, 0);
+        router.send_request(id, 0);
     }
-    router.ask(5, 1);
-    router.ask(6, 2);
+    router.send_request(5, 1);
+    router.send_request(6, 2);
     router.input(Input::ClientDisconnected(RequestId(6)));
     let engine = server_id("write-1");
     let conn = router.connections[&engine];
     router.input(Input::EngineDisconnected { engine, conn });
-    router.ask(7, 0);
+    router.send_request(7, 0);
     let change = ListEntry {
         engine: "read-2".to_owned(),
         address: "127.0.0.1:7102".to_owned(),
@@ -218,29 +219,29 @@
         base_version: 0,
         entries: vec![change],
     }));
-    let mut seen = lines(&router.core.engine_views());
-    seen += &lines(&[router.core.metrics()]);
-    seen += &lines(&router.core.open_request_views(10));
-    router.pass(10 * SECOND);
+    let mut actual = lines(&router.core.engine_views());
+    actual += &lines(&[router.core.metrics()]);
+    actual += &lines(&router.core.open_request_views(10));
+    router.advance(10 * SECOND);
     router.input(Input::StopNow);
-    seen += &router.endings;
+    actual += &router.outcomes;
     let reasons = router.core.reasons_by_kind();
     let counts = [&reasons.rejected, &reasons.failed, &reasons.attempts, &reasons.retries];
-    seen += &counts.map(|count| format!("{count}\n")).concat();
-    seen += &lines(&[router.core.metrics()]);
-    assert_eq!(seen, include_str!("pinned/views.jsonl"));
+    actual += &counts.map(|count| format!("{count}\n")).concat();
+    actual += &lines(&[router.core.metrics()]);
+    assert_eq!(actual, include_str!("pinned/views.jsonl"));
 }
 
 #[test]
-fn the_effects_of_orders_are_told_by_the_pinned_words() {
-    let mut router = Router::new();
-    let hold = |engine: &str, hold| Change::Drain { engine: engine.to_owned(), mode: hold };
+fn the_effects_of_orders_match_the_pinned_file() {
+    let mut router = TestRouter::new();
+    let drain = |engine: &str, mode| Change::Drain { engine: engine.to_owned(), mode };
     let limit = |value| Change::SetLimit { name: "open-requests".to_owned(), value };
     let orders = [
-        (hold("read-1", DrainMode::Drain), false),
-        (hold("read-2", DrainMode::Detach), false),
-        (hold("read-2", DrainMode::Detach), true),
-        (hold("read-3", DrainMode::Detach), false),
+        (drain("read-1", DrainMode::Drain), false),
+        (drain("read-2", DrainMode::Detach), false),
+        (drain("read-2", DrainMode::Detach), true),
+        (drain("read-3", DrainMode::Detach), false),
         (Change::Undrain { engine: "read-1".to_owned() }, false),
         (Change::Undrain { engine: "read-1".to_owned() }, false),
         (Change::Pause {}, false),
