--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -38,7 +38,7 @@
     pub deadline_at: Option<Nanos>,
     /// The text of the prompt.
     pub prompt: String,
-    /// A hash of the session and the prompt, by which retries are recognized.
+    /// A hash that is equal for the same prompt in the same session, by which retries are recognized.
     pub fingerprint: u64,
 }
 
