--- a/crates/gaparch-platform-router/src/buffered_socket.rs
+++ b/crates/gaparch-platform-router/src/buffered_socket.rs
@@ -1,4 +1,4 @@
-//! A TCP connection with the bytes that have been read from it and not yet decoded.
+//! A TCP connection with a buffer for bytes that were read but not yet decoded.
 
 use crate::transient_errors::{is_interrupted, lacks_memory, would_block, RETRY_DELAY};
 use bytes::{Bytes, BytesMut};
@@ -11,9 +11,9 @@
 use tokio::task::coop;
 use tokio::time::sleep;
 
-/// Bytes of space for one read.
+/// Minimum free buffer space for one read, in bytes.
 const READ_SIZE: usize = 8 * 1024;
-/// An empty buffer that has grown beyond this for one large message is freed after it.
+/// An empty buffer that a large message made grow beyond this capacity is freed.
 const MAX_IDLE_CAPACITY: usize = 32 * 1024;
 
 /// A connection with its read buffer.
@@ -23,10 +23,10 @@
     pub buffer: BytesMut,
 }
 
-/// Why the head of a response could not be read.
+/// Why a response head could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ResponseError {
-    #[error("the connection ended before the response")]
+    #[error("the connection closed before the response")]
     ConnectionEnded,
     #[error(transparent)]
     Head(#[from] HeadError),
@@ -34,7 +34,7 @@
     TooManyInterim,
 }
 
-/// Why a body could not be read. The text of some is sent to clients.
+/// Why a body could not be read. Some of these texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum BodyReadError {
     #[error("the connection ended")]
@@ -47,23 +47,23 @@
 
 impl BufferedSocket {
     pub fn new(stream: TcpStream) -> BufferedSocket {
-        // Small messages back and forth: waiting to fill a packet would only add latency.
+        // Messages are small and alternate between the sides: Nagle's algorithm would only add latency.
         let _ = stream.set_nodelay(true);
         BufferedSocket { stream, buffer: BytesMut::new() }
     }
 
-    /// Reads more bytes into the buffer and returns how many; 0 at the end of the connection. Nothing is lost where the
-    /// future is dropped.
+    /// Reads more bytes into the buffer and returns their number, or 0 at the end of the connection.
+    /// Cancel-safe.
     ///
     /// # Errors
-    /// When the connection is broken. A call that was interrupted, or lacked memory, is retried.
+    /// Returns an error if the connection is broken. Interrupted calls and lack of memory are retried.
     pub async fn read(&mut self) -> io::Result<usize> {
         loop {
-            // Many messages in the buffer must not keep other tasks waiting.
+            // A connection that always has data must not starve other tasks.
             coop::consume_budget().await;
             self.stream.readable().await?;
             self.buffer.reserve(READ_SIZE);
-            // A read that fills less than its space does not say that nothing is left: only one that would block does.
+            // A short read does not mean that nothing is left; only `WouldBlock` does.
             match self.stream.try_read_buf(&mut self.buffer) {
                 Err(error) if would_block(&error) => {}
                 Err(error) if is_interrupted(&error) => {}
@@ -73,14 +73,15 @@
         }
     }
 
-    /// Reads more bytes; `false` where there are none, since the connection has ended or is broken.
+    /// Reads more bytes; returns `false` if the connection has ended or is broken.
     pub async fn read_more(&mut self) -> bool {
         matches!(self.read().await, Ok(length) if length > 0)
     }
 
-    /// Reads what has arrived by now, with the result of [`BufferedSocket::read`]; `None` where nothing has.
+    /// Reads bytes that have already arrived, with the result of [`BufferedSocket::read`]; `None` if there
+    /// are none.
     pub async fn read_available(&mut self) -> Option<io::Result<usize>> {
-        // Bytes that have arrived are not noticed before the poller runs once more.
+        // Yield so that the poller runs and notices bytes that have already arrived.
         tokio::task::yield_now().await;
         tokio::select! {
             biased;
@@ -89,10 +90,11 @@
         }
     }
 
-    /// Reads the head of the next response that is not an interim one.
+    /// Reads the head of the next final response, skipping interim ones.
     ///
     /// # Errors
-    /// When the connection ends before it, or what comes is no head.
+    /// Returns an error if the connection ends before the head, the head is malformed, or there are too many
+    /// interim responses.
     pub async fn read_response_head(&mut self) -> Result<ResponseHead, ResponseError> {
         let mut interim_responses = 0;
         loop {
@@ -111,7 +113,7 @@
     /// Reads a complete body of at most `max_length` bytes.
     ///
     /// # Errors
-    /// When the body is longer or malformed, or the connection ends before it is complete.
+    /// Returns an error if the body is longer or malformed, or the connection ends before it is complete.
     pub async fn read_body(&mut self, framing: Framing, max_length: usize) -> Result<Bytes, BodyReadError> {
         if matches!(framing, Framing::Length(length) if length > max_length as u64) {
             return Err(BodyReadError::TooLong);
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Whether nothing has come and the other side has not closed, as far as this machine knows.
+    /// Whether, as far as this machine knows, no bytes have arrived and the peer has not closed the
+    /// connection.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [0];
         let result = self.stream.try_read(&mut byte);
--- a/crates/gaparch-platform-router/src/buffered_socket_tests.rs
+++ b/crates/gaparch-platform-router/src/buffered_socket_tests.rs
@@ -1,20 +1,22 @@
-//! Bytes that have arrived before the poller noticed them.
+//! Tests reads of bytes that arrived before the poller noticed them.
 
 use super::*;
 use std::io::Write;
 
-/// What has arrived since the poller was last asked is found, where a plain read would not know of it.
+/// `read_available` finds bytes that arrived since the poller last ran; a plain read would not notice them
+/// yet.
 #[tokio::test]
-async fn what_has_arrived_unnoticed_is_available() {
+async fn read_available_finds_bytes_that_the_poller_has_not_noticed() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let mut other = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
-    let mut socket = BufferedSocket::new(listener.accept().await.expect("it comes").0);
-    // The poller has said that nothing is there.
+    let mut peer =
+        std::net::TcpStream::connect(listener.local_addr().expect("local address")).expect("connected");
+    let mut socket = BufferedSocket::new(listener.accept().await.expect("accepted").0);
+    // The poller has reported that nothing is there.
     assert!(socket.read_available().await.is_none());
-    other.write_all(b"x").expect("written");
-    // Not a moment is given to the poller between the two.
+    peer.write_all(b"x").expect("written");
+    // The poller does not run between the write and the read.
     assert!(matches!(socket.read_available().await, Some(Ok(1))));
     assert!(socket.read_available().await.is_none());
-    drop(other);
+    drop(peer);
     assert!(matches!(socket.read_available().await, Some(Ok(0))));
 }
--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: a request at a time, each with exactly one response.
+//! One client connection, which serves one request at a time, each with exactly one response.
 
 use super::idle_connections::{IdleConnections, IdleGuard};
 use super::MAX_BYTES_AHEAD;
@@ -17,45 +17,49 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Time-out of a request from its first byte, and of the first byte of a first request from the start of the connection.
+/// Time-out of a request from its first byte, and of the first byte of the first request from the start of
+/// the connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time-out of a complete first request from the start of the connection: the platform wants an error or a close within
-/// 3 s.
+/// Time-out of the complete first request from the start of the connection. The platform requires an error
+/// response or a close within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2700);
-/// A client that reads none of its response for so long counts as disconnected.
+/// Time-out of a write to a client. A client that does not read its response counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long bytes are still read after the last response: closing over unread bytes resets the connection, and the response
-/// that is on its way is lost with it. Less than the time in which a permit has to come free ([`super::PERMIT_TIMEOUT`]).
+/// How long bytes are still read after the last response, since closing over unread bytes resets the
+/// connection and the client may lose the response. Shorter than the wait for a free permit
+/// ([`super::PERMIT_TIMEOUT`]).
 const LINGER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Most bytes that are read meanwhile.
+/// Maximum number of bytes that are read during that time.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// A client that sends so many bytes beyond those kept, ahead of its response, counts as disconnected: it reads nothing.
+/// A client that sends more than this ahead of its response, beyond the bytes kept, counts as disconnected,
+/// since it apparently does not read.
 const MAX_DROPPED_BYTES: usize = 4 * 1024 * 1024;
 
-/// A connection of a client, served by the task that owns this.
+/// A client connection, served by the task that owns this.
 pub(super) struct Connection {
     pub(super) socket: BufferedSocket,
     pub(super) shared: Arc<SharedState>,
     idle: Arc<IdleConnections>,
     connected_at: Instant,
-    /// Bytes ahead of a response that were not kept: where the next message begins is not known any more.
+    /// Number of bytes ahead of a response that were dropped. If there are any, the start of the next message
+    /// is lost.
     dropped_bytes: usize,
-    /// What a close by the client counts as at the moment.
+    /// The reason to count if the client closes the connection now.
     pub(super) reason_if_client_closes: CloseReason,
-    /// What the close after the last response counts as.
+    /// The reason to count if the connection closes after a response.
     pub(super) reason_after_response: CloseReason,
 }
 
-/// The head of a request that has arrived.
+/// A request head that was received.
 pub(super) struct ArrivedHead {
     pub head: RequestHead,
-    /// When its first byte arrived.
+    /// When the first byte of the request arrived.
     pub arrived_at: Instant,
     /// When the request has to be complete.
-    pub due: Instant,
+    pub deadline: Instant,
 }
 
-/// What follows a response.
+/// What happens to the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterResponse {
     KeepAlive,
@@ -72,19 +76,19 @@
     }
 }
 
-/// Why a connection ends without a response of the owner.
-pub(super) enum Stop {
-    /// The client has closed it, or reads nothing any more.
+/// Why a connection ends without a response from the owner.
+pub(super) enum ConnectionEnd {
+    /// The client closed the connection or stopped reading.
     ClientClosed,
-    /// It was asked to close.
+    /// The router closes the idle connection.
     CloseRequested,
-    /// A message of the client is rejected.
+    /// A message from the client is rejected.
     Rejected(Rejection),
 }
 
-impl From<Rejection> for Stop {
-    fn from(rejection: Rejection) -> Stop {
-        Stop::Rejected(rejection)
+impl From<Rejection> for ConnectionEnd {
+    fn from(rejection: Rejection) -> ConnectionEnd {
+        ConnectionEnd::Rejected(rejection)
     }
 }
 
@@ -95,7 +99,7 @@
 }
 
 impl Rejection {
-    /// The rejection of a request that is not complete in time.
+    /// Returns the response to a request that is not complete in time.
     pub fn request_timeout() -> Rejection {
         Rejection { status: 408, text: "the request did not come in time".to_owned() }
     }
@@ -137,7 +141,7 @@
     /// Serves requests until the connection ends.
     pub async fn serve(mut self) {
         let mut is_first = true;
-        let stop = loop {
+        let end = loop {
             self.reason_if_client_closes = CloseReason::ClientIdle;
             match self.serve_next(is_first).await {
                 Ok(AfterResponse::KeepAlive) if self.dropped_bytes == 0 => self.socket.shrink_buffer(),
@@ -145,51 +149,56 @@
                     self.shared.closes.count(self.reason_after_response);
                     return self.close().await;
                 }
-                Err(stop) => break stop,
+                Err(end) => break end,
             }
             is_first = false;
         };
-        match stop {
-            Stop::ClientClosed => self.shared.closes.count(self.reason_if_client_closes),
-            Stop::CloseRequested => {
+        match end {
+            ConnectionEnd::ClientClosed => self.shared.closes.count(self.reason_if_client_closes),
+            ConnectionEnd::CloseRequested => {
                 self.shared.closes.count(CloseReason::IdleClosed);
-                // On a connection without a request no response is on its way: its permit is needed now.
+                // An unused connection has no response in transit, so it needs no lingering close and frees
+                // its permit immediately.
                 if !is_first {
                     self.close().await;
                 }
             }
-            Stop::Rejected(rejection) => {
+            ConnectionEnd::Rejected(rejection) => {
                 self.shared.closes.count(CloseReason::BadMessage);
                 self.reject(&rejection).await;
             }
         }
     }
 
-    async fn serve_next(&mut self, is_first: bool) -> Result<AfterResponse, Stop> {
+    async fn serve_next(&mut self, is_first: bool) -> Result<AfterResponse, ConnectionEnd> {
         let arrived = self.read_head(is_first).await?;
         self.serve_request(arrived).await
     }
 
-    /// Waits for the head of a request. The connection counts as idle until its first byte.
-    async fn read_head(&mut self, is_first: bool) -> Result<ArrivedHead, Stop> {
+    /// Waits for a request head. The connection counts as idle until the first byte arrives.
+    async fn read_head(&mut self, is_first: bool) -> Result<ArrivedHead, ConnectionEnd> {
         let mut arrived_at = (!self.socket.buffer.is_empty()).then(Instant::now);
-        let carried = if is_first { ConnectionHistory::Unused } else { ConnectionHistory::CarriedRequests };
-        let mut idle_guard = arrived_at.is_none().then(|| self.idle.enter(carried));
+        let history = if is_first { ConnectionHistory::Unused } else { ConnectionHistory::CarriedRequests };
+        let mut idle_guard = arrived_at.is_none().then(|| self.idle.enter(history));
         let mut phase = self.shared.phase.subscribe();
         loop {
             if let Some(head) = decode_request(&mut self.socket.buffer).map_err(Rejection::from)? {
                 let arrived_at = arrived_at.unwrap_or_else(Instant::now);
-                return Ok(ArrivedHead { head, arrived_at, due: self.request_due(is_first, arrived_at) });
+                return Ok(ArrivedHead {
+                    head,
+                    arrived_at,
+                    deadline: self.request_deadline(is_first, arrived_at),
+                });
             }
             let is_idle = arrived_at.is_none();
             let timeout_at = match arrived_at {
-                Some(arrived_at) => Some(self.request_due(is_first, arrived_at)),
+                Some(arrived_at) => Some(self.request_deadline(is_first, arrived_at)),
                 None => is_first.then(|| self.connected_at + REQUEST_TIMEOUT),
             };
             let read = tokio::select! {
                 biased;
                 read = self.socket.read() => Some(read),
-                () = sleep_until_some(timeout_at) => {
+                () = sleep_until_or_forever(timeout_at) => {
                     if !is_idle {
                         return Err(Rejection::request_timeout().into());
                     }
@@ -200,11 +209,11 @@
             };
             let read = match read {
                 Some(read) => read,
-                // A request may have arrived in this very moment.
-                None => self.socket.read_available().await.ok_or(Stop::CloseRequested)?,
+                // A request may have arrived at the same time.
+                None => self.socket.read_available().await.ok_or(ConnectionEnd::CloseRequested)?,
             };
             match read {
-                Ok(0) | Err(_) => return Err(Stop::ClientClosed),
+                Ok(0) | Err(_) => return Err(ConnectionEnd::ClientClosed),
                 Ok(_) => {
                     arrived_at = arrived_at.or_else(|| Some(Instant::now()));
                     idle_guard = None;
@@ -213,19 +222,23 @@
         }
     }
 
-    /// Returns when a request whose first byte arrived then has to be complete.
-    fn request_due(&self, is_first: bool, arrived_at: Instant) -> Instant {
-        let due = arrived_at + REQUEST_TIMEOUT;
+    /// Returns when a request whose first byte arrived at `arrived_at` has to be complete.
+    fn request_deadline(&self, is_first: bool, arrived_at: Instant) -> Instant {
+        let deadline = arrived_at + REQUEST_TIMEOUT;
         if is_first {
-            due.min(self.connected_at + FIRST_REQUEST_TIMEOUT)
+            deadline.min(self.connected_at + FIRST_REQUEST_TIMEOUT)
         } else {
-            due
+            deadline
         }
     }
 
-    /// Waits for something while the client stays connected. What it sends meanwhile is read even where there is no space for
-    /// it: otherwise the end of the connection would not be noticed behind it.
-    pub(super) async fn while_connected<T>(&mut self, future: impl Future<Output = T>) -> Result<T, Stop> {
+    /// Waits for a future while the client stays connected. Bytes that the client sends meanwhile are always
+    /// read, even if there is no space to keep them, since otherwise the end of the connection would go
+    /// unnoticed behind them.
+    pub(super) async fn while_connected<T>(
+        &mut self,
+        future: impl Future<Output = T>,
+    ) -> Result<T, ConnectionEnd> {
         tokio::pin!(future);
         loop {
             tokio::select! {
@@ -233,7 +246,7 @@
                 output = &mut future => return Ok(output),
                 has_more = self.socket.read_more() => {
                     if !has_more || self.dropped_bytes > MAX_DROPPED_BYTES {
-                        return Err(Stop::ClientClosed);
+                        return Err(ConnectionEnd::ClientClosed);
                     }
                 }
             }
@@ -242,15 +255,16 @@
         }
     }
 
-    /// Writes a response or a part of one. `close` says what follows its end.
-    pub(super) async fn write(&mut self, bytes: &[u8], close: bool) -> Result<AfterResponse, Stop> {
+    /// Writes a response or part of one. `close` says whether the connection closes after the response.
+    pub(super) async fn write(&mut self, bytes: &[u8], close: bool) -> Result<AfterResponse, ConnectionEnd> {
         match timeout(WRITE_TIMEOUT, write_all(&self.socket.stream, &mut &bytes[..])).await {
             Ok(Ok(())) => Ok(AfterResponse::new(close)),
-            Ok(Err(_)) | Err(_) => Err(Stop::ClientClosed),
+            Ok(Err(_)) | Err(_) => Err(ConnectionEnd::ClientClosed),
         }
     }
 
-    /// Responds to a message that is rejected, and closes: where the next message would begin is not known.
+    /// Responds to a rejected message and closes the connection, since the start of the next message is
+    /// unknown.
     async fn reject(mut self, rejection: &Rejection) {
         tracing::debug!(status = rejection.status, reason = %rejection.text, "client message rejected");
         let response = encode_response(rejection.status, &[], &rejection.text, true);
@@ -259,8 +273,8 @@
         }
     }
 
-    /// Closes the sending side and reads what still comes, for a while, so that the client gets the last response and its
-    /// end instead of a reset.
+    /// Closes the sending side and keeps reading for a while, so that the client receives the last response
+    /// and a clean end instead of a reset.
     async fn close(mut self) {
         if self.socket.stream.shutdown().await.is_err() {
             return;
@@ -280,7 +294,7 @@
     }
 }
 
-async fn sleep_until_some(at: Option<Instant>) {
+async fn sleep_until_or_forever(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
--- a/crates/gaparch-platform-router/src/client/idle_connections.rs
+++ b/crates/gaparch-platform-router/src/client/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients without an open request, in the order in which they are closed for others.
+//! Client connections without an open request, in the order in which they are closed to make room for others.
 
 use crate::sync::lock;
 use gaparch_scheduler::policy::shutdown_intake::ConnectionHistory;
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The idle connections. Bounded, since connections are.
+/// The idle connections. Bounded by the number of client connections.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
     table: Mutex<IdleTable>,
@@ -19,10 +19,10 @@
     by_closing_order: BTreeMap<ClosingOrder, IdleEntry>,
 }
 
-/// What has carried nothing goes first, and among equals the one idle for longest.
+/// Connections that have carried no request are closed first, then the one idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ClosingOrder {
-    carried: ConnectionHistory,
+    history: ConnectionHistory,
     number: u64,
 }
 
@@ -32,7 +32,7 @@
     close: Arc<Notify>,
 }
 
-/// Keeps a connection in the table: it is idle until this is dropped.
+/// Keeps a connection in the table as idle until it is dropped.
 #[derive(Debug)]
 pub(super) struct IdleGuard {
     connections: Arc<IdleConnections>,
@@ -41,32 +41,32 @@
 }
 
 impl IdleConnections {
-    /// Enters a connection that is idle from now on.
-    pub fn enter(self: &Arc<IdleConnections>, carried: ConnectionHistory) -> IdleGuard {
+    /// Adds a connection that is idle from now on.
+    pub fn enter(self: &Arc<IdleConnections>, history: ConnectionHistory) -> IdleGuard {
         let close = Arc::new(Notify::new());
         let mut table = lock(&self.table);
         table.next_number += 1;
-        let order = ClosingOrder { carried, number: table.next_number };
+        let order = ClosingOrder { history, number: table.next_number };
         let entry = IdleEntry { since: Instant::now(), close: Arc::clone(&close) };
         table.by_closing_order.insert(order, entry);
         IdleGuard { connections: Arc::clone(self), order, close }
     }
 
-    /// Asks the first connection in order to close.
+    /// Asks the first connection in closing order to close.
     pub fn close_next(&self) {
         if let Some((_, entry)) = lock(&self.table).by_closing_order.pop_first() {
             entry.close.notify_one();
         }
     }
 
-    /// Asks all connections to close that have been idle for at least `age`.
+    /// Asks all connections that have been idle for at least `age` to close.
     pub fn close_older_than(&self, age: Duration) {
         lock(&self.table).by_closing_order.retain(|_, entry| {
-            let stays = entry.since.elapsed() < age;
-            if !stays {
+            let keep = entry.since.elapsed() < age;
+            if !keep {
                 entry.close.notify_one();
             }
-            stays
+            keep
         });
     }
 }
--- a/crates/gaparch-platform-router/src/client/idle_connections_tests.rs
+++ b/crates/gaparch-platform-router/src/client/idle_connections_tests.rs
@@ -1,9 +1,9 @@
-//! Which idle connection is asked to close.
+//! Tests which idle connections are asked to close.
 
 use super::*;
 
 #[tokio::test]
-async fn the_longest_idle_is_asked_first_and_who_asks_meanwhile_never() {
+async fn the_longest_idle_connection_is_closed_first_and_one_that_is_no_longer_idle_never() {
     let idle = Arc::new(IdleConnections::default());
     let (first, second, third) = (
         idle.enter(ConnectionHistory::CarriedRequests),
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn who_never_asked_is_asked_to_close_before_who_has() {
+async fn an_unused_connection_is_closed_before_one_that_carried_requests() {
     let idle = Arc::new(IdleConnections::default());
     let (used, unused) =
         (idle.enter(ConnectionHistory::CarriedRequests), idle.enter(ConnectionHistory::Unused));
--- a/crates/gaparch-platform-router/src/client/listener.rs
+++ b/crates/gaparch-platform-router/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients.
+//! Accepts client connections.
 
 use super::connection::Connection;
 use super::idle_connections::IdleConnections;
@@ -13,15 +13,15 @@
 use tokio::sync::{watch, OwnedSemaphorePermit};
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// Delay after an error of `accept` that persists, as with no descriptors left.
+/// Delay after a failed `accept`, since errors such as a lack of descriptors persist.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Interval between two log lines on such errors.
+/// Minimum interval between two log lines about such errors.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection has to be idle before it may be closed ahead of need.
+/// How long a connection has to be idle before it may be closed preemptively.
 const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
 /// Interval between two checks for such connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long connections are accepted that have arrived by the time at which the listener closes.
+/// Time-out for accepting the connections that are pending when the listener closes.
 const LAST_ARRIVALS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Accepts connections until the router is closing.
@@ -35,20 +35,21 @@
         tokio::select! {
             biased;
             () = until_closing(&mut phase) => break,
-            _ = idle_check.tick() => acceptor.close_idle_ahead_of_need(),
+            _ = idle_check.tick() => acceptor.close_idle_preemptively(),
             accepted = listener.accept() => acceptor.handle(accepted).await,
         }
     }
-    // Connections that the kernel has accepted would be reset with the listener. A flood must not delay the shutdown.
+    // Connections that are pending in the kernel would be reset when the listener closes. The time-out keeps
+    // a flood of connections from delaying the shutdown.
     let _ = timeout(LAST_ARRIVALS_TIMEOUT, acceptor.accept_arrived(&listener)).await;
 }
 
 async fn until_closing(phase: &mut watch::Receiver<Phase>) {
-    // An error says that the router has ended.
+    // An error means that the router has ended.
     let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
 }
 
-/// Gives accepted connections their tasks.
+/// Spawns a task for each accepted connection.
 struct Acceptor {
     budget: DescriptorBudget,
     shared: Arc<SharedState>,
@@ -58,8 +59,9 @@
 }
 
 impl Acceptor {
-    /// Closes connections that have been idle for long, so that half of the permits stay free.
-    fn close_idle_ahead_of_need(&self) {
+    /// Closes connections that have been idle for [`MIN_IDLE_TIME`] if fewer than half of the permits are
+    /// free.
+    fn close_idle_preemptively(&self) {
         if self.budget.clients.available_permits() < self.budget.max_clients / 2 {
             self.idle.close_older_than(MIN_IDLE_TIME);
         }
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Serves a connection on a task of its own, if there is a permit for it.
+    /// Serves a connection in a task of its own if there is a permit for it.
     async fn handle(&mut self, accepted: io::Result<(TcpStream, SocketAddr)>) {
         let socket = match accepted {
             Ok((socket, _)) => socket,
@@ -90,8 +92,8 @@
         });
     }
 
-    /// Returns a permit for a connection. Where none is left, an idle connection is closed for it; `None` where that does
-    /// not free one in time.
+    /// Returns a permit for a connection. If none is left, closes an idle connection; returns `None` if no
+    /// permit becomes free in time.
     async fn permit(&self) -> Option<OwnedSemaphorePermit> {
         let permits = &self.budget.clients;
         if let Ok(permit) = Arc::clone(permits).try_acquire_owned() {
@@ -101,10 +103,10 @@
         timeout(PERMIT_TIMEOUT, Arc::clone(permits).acquire_owned()).await.ok()?.ok()
     }
 
-    /// Accepts the connections that have arrived, and waits for no others.
+    /// Accepts the pending connections without waiting for further ones.
     async fn accept_arrived(&mut self, listener: &TcpListener) {
         loop {
-            // Connections that have just arrived are not noticed before the poller runs once more.
+            // Yield so that the poller runs and notices connections that have just arrived.
             tokio::task::yield_now().await;
             tokio::select! {
                 biased;
--- a/crates/gaparch-platform-router/src/client/request.rs
+++ b/crates/gaparch-platform-router/src/client/request.rs
@@ -1,6 +1,6 @@
-//! One request of a client, from its head to the response of the owner.
+//! Handling of one client request, from its head to the owner's response.
 
-use super::connection::{AfterResponse, ArrivedHead, Connection, Rejection, Stop};
+use super::connection::{AfterResponse, ArrivedHead, Connection, ConnectionEnd, Rejection};
 use crate::buffered_socket::BodyReadError;
 use crate::close_reason::CloseReason;
 use crate::forwarded_request::ForwardedRequest;
@@ -15,15 +15,16 @@
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tokio::time::{timeout_at, Instant};
 
-/// Body of the response to a request that was rejected by the owner.
+/// Response body for a request that the owner rejected.
 const REJECTED_TEXT: &str = "not done; a retry is harmless";
-/// Body of the response to a request that has failed.
+/// Response body for a request that failed.
 const FAILED_TEXT: &str = "not answered; it may have run";
-/// Body of the response to a request whose id is that of an open one.
+/// Response body for a request whose transaction id belongs to an open request.
 const CONFLICT_TEXT: &str = "a request of this id is open";
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// A request that is open with the owner. Dropped before its response is complete, its client counts as disconnected.
+/// Tracks a request that is open at the owner. If it is dropped before the response is complete, the client
+/// counts as disconnected.
 pub(super) struct RequestGuard {
     id: RequestId,
     forwarded: Arc<ForwardedRequest>,
@@ -32,7 +33,7 @@
 }
 
 impl RequestGuard {
-    /// Notes that the response is complete, as far as the owner has to know.
+    /// Marks the response as complete, so that the owner is not notified of a disconnect.
     pub fn complete(&mut self) {
         self.is_complete = true;
     }
@@ -41,7 +42,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         if !self.is_complete {
-            // An attempt that is about to be sent sees this, however long the owner's queue is.
+            // Attempts check this flag before they are sent, however long the owner's queue is.
             self.forwarded.set_client_disconnected();
             self.shared.notify_owner(OwnerMessage::ClientDisconnected(self.id));
         }
@@ -50,18 +51,21 @@
 
 impl Connection {
     /// Serves one request.
-    pub(super) async fn serve_request(&mut self, arrived: ArrivedHead) -> Result<AfterResponse, Stop> {
-        let ArrivedHead { head, arrived_at, due } = arrived;
+    pub(super) async fn serve_request(
+        &mut self,
+        arrived: ArrivedHead,
+    ) -> Result<AfterResponse, ConnectionEnd> {
+        let ArrivedHead { head, arrived_at, deadline } = arrived;
         if is_health_check(&head) {
             return self.respond_to_health_check(&head).await;
         }
         let settings = &self.shared.config.settings;
         let request = ClientRequest::from_head(&head, settings).map_err(Rejection::from)?;
-        let body = self.read_request_body(head.framing, due).await?;
+        let body = self.read_request_body(head.framing, deadline).await?;
         let request = request.with_body_length(body.len());
         let request_queue = Arc::clone(&self.shared.request_queue);
         let permit = self.while_connected(request_queue.acquire_owned()).await?;
-        let Ok(queue_permit) = permit else { return Err(Stop::CloseRequested) };
+        let Ok(queue_permit) = permit else { return Err(ConnectionEnd::CloseRequested) };
         if !self.shared.register_transaction(&request.transaction) {
             return Err(Rejection { status: 409, text: CONFLICT_TEXT.to_owned() }.into());
         }
@@ -78,7 +82,7 @@
                 let headers = retry_after_header(retry_after);
                 self.write(&encode_response(status, &headers, REJECTED_TEXT, close), close).await
             }
-            // An error says that the owner has ended: nothing is known of the request.
+            // An error means that the owner has ended, so the outcome of the request is unknown.
             Ok(ClientResponse::Failed) | Err(_) => {
                 open.complete();
                 self.write(&encode_response(500, &[], FAILED_TEXT, close), close).await
@@ -86,17 +90,21 @@
         }
     }
 
-    async fn respond_to_health_check(&mut self, head: &RequestHead) -> Result<AfterResponse, Stop> {
+    async fn respond_to_health_check(&mut self, head: &RequestHead) -> Result<AfterResponse, ConnectionEnd> {
         let is_ready = self.shared.phase() == Phase::Serving;
         let status = if is_ready { 200 } else { 503 };
         let close = head.close || !is_ready;
         self.write(&encode_response(status, &[], "", close), close).await
     }
 
-    async fn read_request_body(&mut self, framing: Framing, due: Instant) -> Result<Bytes, Stop> {
-        let body = match timeout_at(due, self.socket.read_body(framing, MAX_BODY_BYTES)).await {
+    async fn read_request_body(
+        &mut self,
+        framing: Framing,
+        deadline: Instant,
+    ) -> Result<Bytes, ConnectionEnd> {
+        let body = match timeout_at(deadline, self.socket.read_body(framing, MAX_BODY_BYTES)).await {
             Ok(Ok(body)) => body,
-            Ok(Err(BodyReadError::ConnectionEnded)) => return Err(Stop::ClientClosed),
+            Ok(Err(BodyReadError::ConnectionEnded)) => return Err(ConnectionEnd::ClientClosed),
             Ok(Err(error)) => return Err(Rejection::from(error).into()),
             Err(_) => return Err(Rejection::request_timeout().into()),
         };
@@ -106,7 +114,7 @@
         Ok(body)
     }
 
-    /// Hands a request to the owner.
+    /// Passes a request to the owner.
     fn open_request(
         &mut self,
         request: ClientRequest,
@@ -134,7 +142,7 @@
     head.target == HEALTH_PATH && head.method == "GET" && head.framing == Framing::Length(0)
 }
 
-/// Returns the header that states when the client may retry, in seconds; none for 0.
+/// Returns the `Retry-After` header with the time in seconds, or no header if the time is 0.
 fn retry_after_header(retry_after: Nanos) -> Vec<(&'static str, String)> {
     if retry_after == 0 {
         return Vec::new();
--- a/crates/gaparch-platform-router/src/client/response.rs
+++ b/crates/gaparch-platform-router/src/client/response.rs
@@ -1,6 +1,6 @@
-//! The stream of a worker as a response to its client.
+//! Writes the stream of a worker as the response to a client.
 
-use super::connection::{AfterResponse, Connection, Stop};
+use super::connection::{AfterResponse, Connection, ConnectionEnd};
 use super::request::RequestGuard;
 use crate::close_reason::CloseReason;
 use crate::messages::StreamPart;
@@ -9,26 +9,26 @@
 use gaparch_platform_protocol::head::event_stream_head;
 use tokio::sync::mpsc::{self, error::TryRecvError};
 
-/// Parts of a stream are joined into one write until it has so many bytes.
+/// Stream parts are combined into one write up to about this many bytes.
 const WRITE_SIZE: usize = 16 * 1024;
 
-/// A stream after the parts that were encoded last.
+/// State of a stream after the last encoded part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamState {
     Continues,
     Complete,
-    /// Its worker has broken it.
+    /// The worker's stream broke off.
     Broken,
 }
 
 impl Connection {
-    /// Writes a stream as it comes.
+    /// Writes a stream as its parts arrive.
     pub(super) async fn write_stream(
         &mut self,
         mut parts: mpsc::Receiver<StreamPart>,
         open: &mut RequestGuard,
         close: bool,
-    ) -> Result<AfterResponse, Stop> {
+    ) -> Result<AfterResponse, ConnectionEnd> {
         let mut out = BytesMut::from(event_stream_head(close));
         loop {
             let part = self.while_connected(parts.recv()).await?;
@@ -43,7 +43,8 @@
                     return Ok(after);
                 }
                 StreamState::Broken => {
-                    // The connection ends without the last chunk, which tells the client.
+                    // Closing the connection without the last chunk tells the client that the stream is
+                    // incomplete.
                     open.complete();
                     self.reason_after_response = CloseReason::StreamBroken;
                     return self.write(&out, true).await;
@@ -53,7 +54,7 @@
     }
 }
 
-/// Encodes a part and those that wait behind it, up to [`WRITE_SIZE`]. `None` is the end of a stream that broke.
+/// Encodes a part and those queued behind it, up to [`WRITE_SIZE`]. `None` means that the stream broke off.
 fn encode_available(
     first: Option<StreamPart>,
     parts: &mut mpsc::Receiver<StreamPart>,
--- a/crates/gaparch-platform-router/src/close_reason.rs
+++ b/crates/gaparch-platform-router/src/close_reason.rs
@@ -1,23 +1,23 @@
-//! Why connections of clients have ended, for the log.
+//! Why client connections closed, for the log.
 
 use gaparch_scheduler::counts::write_counts;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Why a connection of a client has ended.
+/// Why a client connection closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// The client closed it, or reads nothing any more, with no request open.
+    /// The client closed it or stopped reading, with no request open.
     ClientIdle,
-    /// The client closed it, or reads nothing any more, with a request open.
+    /// The client closed it or stopped reading, with a request open.
     ClientDisconnected,
-    /// It was idle, and its descriptor was needed or the router shuts down.
+    /// It was idle, and its descriptor was needed or the router was shutting down.
     IdleClosed,
     /// Its last response announced the close.
     ResponseComplete,
-    /// A stream broke, which the end of the connection without the last chunk tells the client.
+    /// A stream broke off. Closing the connection without the last chunk tells the client so.
     StreamBroken,
-    /// A message of the client was rejected.
+    /// A message from the client was malformed or invalid.
     BadMessage,
 }
 
@@ -31,7 +31,7 @@
         CloseReason::BadMessage,
     ];
 
-    /// Returns the name that the summary states.
+    /// Returns the name used in the log summary.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientIdle => "client_idle",
@@ -44,14 +44,14 @@
     }
 }
 
-/// How many connections of clients have ended, by reason.
+/// Counts of closed client connections by reason.
 #[derive(Debug, Default)]
 pub(crate) struct CloseCounts {
     counts: [AtomicU64; CloseReason::ALL.len()],
 }
 
 impl CloseCounts {
-    /// Counts and logs one connection.
+    /// Counts and logs a closed connection.
     pub fn count(&self, reason: CloseReason) {
         tracing::debug!(target: "gaparch_platform_router::client", ?reason, "connection closed");
         self.counts[reason as usize].fetch_add(1, Ordering::Relaxed);
--- a/crates/gaparch-platform-router/src/close_reason_tests.rs
+++ b/crates/gaparch-platform-router/src/close_reason_tests.rs
@@ -1,9 +1,9 @@
-//! How the reasons of closed connections are counted and written.
+//! Tests how close reasons are counted and formatted.
 
 use super::{CloseCounts, CloseReason};
 
 #[test]
-fn reasons_that_occurred_are_written_with_their_counts() {
+fn reasons_that_occurred_are_formatted_with_their_counts() {
     let closes = CloseCounts::default();
     assert_eq!(closes.to_string(), "");
     closes.count(CloseReason::StreamBroken);
--- a/crates/gaparch-platform-router/src/core_config.rs
+++ b/crates/gaparch-platform-router/src/core_config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration as the router's core takes it.
+//! Converts the platform's configuration into that of the router core.
 
 use crate::timeouts::connect_timeout;
 use gaparch_config::{Attempts, ClassTimes, Config, Limits, Links, ListConfig, Names};
@@ -8,7 +8,7 @@
 /// Returns the configuration of the core.
 pub(crate) fn core_config(config: &RouterConfig) -> Config {
     let settings = &config.settings;
-    // Streams are watched where they are read: the core sets them no bounds.
+    // The shell enforces the time limits of streams where it reads them, so the core sets none.
     let unbounded = ClassTimes { stream: Nanos::MAX, silence: Nanos::MAX };
     Config {
         router: config.name.clone(),
@@ -27,14 +27,14 @@
         list: Some(ListConfig { address: config.discovery }),
         links: Links::Exchanges,
         attempts: Attempts {
-            // The settings state no time-out for health checks: they get that of connecting.
+            // The settings have no time-out for health checks; the connect time-out is used instead.
             probe_timeout: connect_timeout(&settings.scheduler).as_nanos() as Nanos,
             reconnect_after: 0,
             reconnect_most: 0,
         },
         limits: Limits::default(),
         operations: None,
-        // Routers of the platform exchange gossip only.
+        // Routers on the platform exchange gossip only.
         fleet: None,
     }
 }
--- a/crates/gaparch-platform-router/src/descriptor_budget.rs
+++ b/crates/gaparch-platform-router/src/descriptor_budget.rs
@@ -1,25 +1,25 @@
-//! The budget of file descriptors, split once between clients and workers.
+//! The file descriptor budget, split once at startup between clients and workers.
 
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Descriptors held back for standard streams, the poller, listeners, signals, discovery, gossip, and one accepted
-/// connection that waits for its permit.
+/// Descriptors set aside for the standard streams, the poller, listeners, signals, discovery, gossip, and one
+/// accepted connection that waits for its permit.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Permits for sockets: who holds a socket holds one.
+/// Permits for sockets: every open socket holds one.
 #[derive(Clone, Debug)]
 pub(crate) struct DescriptorBudget {
     pub clients: Arc<Semaphore>,
     pub workers: Arc<Semaphore>,
-    /// Permits of `clients` in all.
+    /// Total number of `clients` permits.
     pub max_clients: usize,
-    /// Permits of `workers` in all.
+    /// Total number of `workers` permits.
     pub max_workers: usize,
 }
 
 impl DescriptorBudget {
-    /// Splits the budget in halves: an open request has one client and one worker.
+    /// Splits the budget in half, since an open request has one client and one worker connection.
     pub fn new(sockets: usize) -> DescriptorBudget {
         let available = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         let max_clients = available / 2;
--- a/crates/gaparch-platform-router/src/discovery/backoff.rs
+++ b/crates/gaparch-platform-router/src/discovery/backoff.rs
@@ -1,16 +1,17 @@
-//! Backoff between requests for the full list after one that was rejected.
+//! Backoff between requests for the full list after a list was rejected.
 
 use super::{ANSWER_TIMEOUT, RETRY_DELAY, WATCH_WAIT};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Longest delay. A change that is missed meanwhile is still known in time, since this delay takes the place of a watch.
+/// Longest delay. It replaces the wait of a watch and must not be longer, so that a change missed during the
+/// delay is still received in time.
 pub(super) const MAX_DELAY: Duration = Duration::from_millis(800);
 const _: () = assert!(MAX_DELAY.as_millis() <= WATCH_WAIT.as_millis() + ANSWER_TIMEOUT.as_millis());
 
-/// Exponential backoff from [`RETRY_DELAY`] to [`MAX_DELAY`] with jitter, so that many routers that reject the same list do
-/// not request it together.
+/// Exponential backoff from [`RETRY_DELAY`] to [`MAX_DELAY`] with jitter, so that many routers that reject
+/// the same list do not request it again at the same time.
 #[derive(Debug)]
 pub(super) struct Backoff {
     step: Duration,
@@ -18,17 +19,17 @@
 }
 
 impl Backoff {
-    /// Creates a backoff whose jitter follows from the seed.
+    /// Creates a backoff whose jitter is seeded with `seed`.
     pub fn new(seed: u64) -> Backoff {
         Backoff { step: RETRY_DELAY, jitter: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Starts again from the shortest delay.
+    /// Resets the delay to the shortest.
     pub fn reset(&mut self) {
         self.step = RETRY_DELAY;
     }
 
-    /// Returns the next delay: between half of the present step and all of it.
+    /// Returns the next delay, between half of the current step and the whole step.
     pub fn next_delay(&mut self) -> Duration {
         let step = self.step;
         self.step = (step * 2).min(MAX_DELAY);
--- a/crates/gaparch-platform-router/src/discovery/backoff_tests.rs
+++ b/crates/gaparch-platform-router/src/discovery/backoff_tests.rs
@@ -1,9 +1,9 @@
-//! The delays between two requests for a list that is rejected.
+//! Tests the delays between requests for a list that is rejected.
 
 use super::*;
 
 #[test]
-fn delays_grow_to_the_longest_and_start_anew_after_a_list() {
+fn delays_grow_to_the_maximum_and_restart_after_a_reset() {
     let mut backoff = Backoff::new(1);
     let delays: Vec<Duration> = (0..20).map(|_| backoff.next_delay()).collect();
     for (number, delay) in delays.iter().enumerate() {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn routers_do_not_retry_together() {
+fn routers_with_different_seeds_retry_at_different_times() {
     let delays = |seed| {
         let mut backoff = Backoff::new(seed);
         (0..8).map(|_| backoff.next_delay()).sum::<Duration>()
--- a/crates/gaparch-platform-router/src/discovery/connection.rs
+++ b/crates/gaparch-platform-router/src/discovery/connection.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 const STATUS_OK: u16 = 200;
-/// Bytes of a list that are parsed before other tasks have their turn.
+/// Bytes of a list that are parsed before yielding to other tasks.
 const YIELD_AFTER_BYTES: usize = 64 * 1024;
 
 /// A connection that carries one request at a time.
@@ -24,7 +24,7 @@
     /// Connects to the service.
     ///
     /// # Errors
-    /// When there is no connection within [`CONNECT_TIMEOUT`].
+    /// Returns an error if no connection is established within [`CONNECT_TIMEOUT`].
     pub async fn open(service: SocketAddr) -> Result<DiscoveryConnection, DiscoveryError> {
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(service)).await;
         let stream =
@@ -32,10 +32,10 @@
         Ok(DiscoveryConnection { socket: BufferedSocket::new(stream) })
     }
 
-    /// Sends a request and reads the list that answers it.
+    /// Sends a request and reads the list in its response.
     ///
     /// # Errors
-    /// When the connection breaks, or the answer is not a list within the limits.
+    /// Returns an error if the connection breaks, or the response is not a list within the limits.
     pub async fn request(
         &mut self,
         request: &str,
@@ -49,7 +49,7 @@
         self.read_list(&head, limits).await
     }
 
-    /// Reads a list as it comes, without a copy of its text.
+    /// Parses a list as its bytes arrive, without buffering the whole text.
     async fn read_list(
         &mut self,
         head: &ResponseHead,
--- a/crates/gaparch-platform-router/src/discovery/error.rs
+++ b/crates/gaparch-platform-router/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Faults of the discovery service.
+//! Errors when following the discovery service.
 
 use crate::buffered_socket::ResponseError;
 use gaparch_platform_protocol::body::BodyError;
@@ -6,7 +6,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a connection to the discovery service is given up.
+/// Why a connection to the discovery service was abandoned.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
     #[error("can't connect: {0}")]
@@ -21,27 +21,29 @@
     Response(#[from] ResponseError),
     #[error("malformed body: {0}")]
     Body(#[from] BodyError),
-    #[error("the connection ended within the list")]
+    #[error("the connection closed before the list was complete")]
     ListCutOff,
     #[error("status {0}")]
     Status(u16),
     #[error(transparent)]
     List(#[from] EndpointListError),
-    #[error("changes where the full list was requested")]
+    #[error("received a delta where the full list was requested")]
     NotFull,
 }
 
 impl DiscoveryError {
-    /// Whether the service was reached and may have sent a change that was lost: only the full list makes up for it.
-    pub fn loses_generation(&self) -> bool {
+    /// Whether the service was reached and may have sent a change that was lost. Only the full list recovers
+    /// from that.
+    pub fn requires_full_list(&self) -> bool {
         !matches!(
             self,
             DiscoveryError::Connect(_) | DiscoveryError::ConnectTimeout | DiscoveryError::AnswerTimeout
         )
     }
 
-    /// Whether the service has answered with something that is rejected: it would do so again at once.
-    pub fn rejects_list(&self) -> bool {
+    /// Whether the service sent a response that is rejected. It would probably send the same again
+    /// immediately.
+    pub fn is_rejected_response(&self) -> bool {
         matches!(
             self,
             DiscoveryError::Body(_)
--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Follows the endpoint list: the full list first, then one watch after the other on one connection. This task waits for no
-//! other, so that a watch never lapses.
+//! Follows the endpoint list: requests the full list first, then one watch after the other on the same
+//! connection. This task waits for no other task, so that there is always a watch.
 
 mod backoff;
 mod connection;
@@ -19,67 +19,70 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long the service may wait for a change before it answers a watch. A short wait notices a silent service early.
+/// How long the service may wait for a change before it answers a watch. A short wait detects an unresponsive
+/// service early.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// Time-out of an answer beyond that wait: the service answers immediately.
+/// Time-out of a response, in addition to that wait. A working service responds immediately.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time-out of connecting to the service.
+/// Time-out for connecting to the service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay between two attempts.
+/// Delay between two connection attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A change counts as known to the router so long after the service had it and could be reached, by the platform's rules.
+/// By the platform's rules, the router has to know a change this long after a reachable service has it.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
-/// Longest time of one attempt after a fault, up to the answer of its first request, which does not wait.
+/// Longest duration of one attempt after an error, up to the response to its first request, which the service
+/// answers without waiting.
 const ATTEMPT_TIME: Duration = Duration::from_millis(
     (RETRY_DELAY.as_millis() + CONNECT_TIMEOUT.as_millis() + ANSWER_TIMEOUT.as_millis()) as u64,
 );
-/// Longest time for which a change can be missed: a watch falls silent as it begins, the next connection is accepted and stays
-/// silent, too, and the one after it answers at the very end of its time. No delay here grows with the number of attempts, or
-/// this would not be all.
+/// Longest time for which a change can be missed: a watch gets no response, the next connection is accepted
+/// but gets none either, and the one after it is answered just before its time-out. This bound holds because
+/// no delay here grows with the number of attempts.
 const MAX_MISSED_TIME: Duration = Duration::from_millis(
     (WATCH_WAIT.as_millis() + ANSWER_TIMEOUT.as_millis() + 2 * ATTEMPT_TIME.as_millis()) as u64,
 );
-/// Margin for a process that gets so little processor time that it handles late what has arrived.
+/// Margin for a process that gets so little CPU time that it handles arrived data late.
 const STARVATION_MARGIN: Duration = Duration::from_secs(1);
 const _: () =
     assert!(MAX_MISSED_TIME.as_millis() + STARVATION_MARGIN.as_millis() < CHANGE_DEADLINE.as_millis());
 
-/// Interval between two log lines on a service that stays unreachable or whose lists are rejected.
+/// Interval between two log lines about a service that stays unreachable or whose lists are rejected.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the scheduler wants of the endpoint list.
+/// Which updates of the endpoint list the scheduler wants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Subscription {
-    /// Whether changes are wanted.
+    /// Whether the scheduler wants to receive changes.
     pub watch: bool,
-    /// How many full lists have been requested so far.
+    /// Number of full lists that the scheduler has requested so far.
     pub full_lists: u64,
 }
 
-/// How far the list is known, across connections.
+/// State of following the list that is kept across connections.
 #[derive(Debug, Default)]
-struct Progress {
-    /// The service that `generation` is of.
+struct FollowState {
+    /// The service that `generation` belongs to.
     service: Option<SocketAddr>,
-    /// `None` where only the full list brings the router up to date.
+    /// Generation of the last received list; `None` if the full list is needed.
     generation: Option<u64>,
-    /// How many requests for full lists have been answered.
+    /// Number of full list requests that have been answered.
     full_lists: u64,
     is_down: bool,
-    /// When a fault was last logged.
+    /// When an error was last logged.
     logged_at: Option<Instant>,
 }
 
-impl Progress {
-    /// Turns to a service. Generations are those of one service: another one has to send its full list.
-    fn turn_to(&mut self, service: SocketAddr) {
+impl FollowState {
+    /// Switches to a service. Generations are specific to a service, so a different one has to send its full
+    /// list.
+    fn switch_to(&mut self, service: SocketAddr) {
         if self.service.replace(service) != Some(service) {
             self.generation = None;
         }
     }
 
-    /// Whether a fault is to be logged now: the first one is, and then one in each [`LOG_INTERVAL`].
-    fn take_log_permit(&mut self) -> bool {
+    /// Whether to log an error now, at most once per [`LOG_INTERVAL`]. Records that it is logged.
+    fn should_log_error(&mut self) -> bool {
         let now = Instant::now();
         let is_due = self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL);
         if is_due {
@@ -95,31 +98,31 @@
     mut subscription: watch::Receiver<Subscription>,
     shared: Arc<SharedState>,
 ) {
-    let mut progress = Progress::default();
+    let mut state = FollowState::default();
     let mut backoff = Backoff::new(shared.config.settings.scheduler.seed);
     loop {
-        let is_wanted = |wanted: &Subscription| wanted.watch || wanted.full_lists > progress.full_lists;
+        let is_wanted = |wanted: &Subscription| wanted.watch || wanted.full_lists > state.full_lists;
         if subscription.wait_for(is_wanted).await.is_err() {
             return;
         }
         let service = *address.borrow_and_update();
         // The address may also have changed between two attempts, while nothing was requested.
-        progress.turn_to(service);
+        state.switch_to(service);
         let result = tokio::select! {
-            result = follow_service(service, &subscription, &mut progress, &shared) => result,
+            result = follow_service(service, &subscription, &mut state, &shared) => result,
             changed = address.changed() => {
                 if changed.is_err() {
                     return;
                 }
                 tracing::info!(address = %*address.borrow(), "discovery address changed");
-                // This holds for the same address, too: it is not known what was lost with an unfinished answer.
-                progress.generation = None;
+                // Also if the address is the same: the abandoned response may have contained changes.
+                state.generation = None;
                 continue;
             }
         };
         let Err(error) = result else { continue };
-        handle_error(service, &error, &mut progress, &shared);
-        if error.rejects_list() {
+        handle_error(service, &error, &mut state, &shared);
+        if error.is_rejected_response() {
             sleep(backoff.next_delay()).await;
         } else {
             backoff.reset();
@@ -128,38 +131,39 @@
     }
 }
 
-fn handle_error(service: SocketAddr, error: &DiscoveryError, progress: &mut Progress, shared: &SharedState) {
-    if error.loses_generation() {
-        progress.generation = None;
+fn handle_error(service: SocketAddr, error: &DiscoveryError, state: &mut FollowState, shared: &SharedState) {
+    if error.requires_full_list() {
+        state.generation = None;
     }
-    let is_first = !std::mem::replace(&mut progress.is_down, true);
-    if progress.take_log_permit() {
+    let is_first = !std::mem::replace(&mut state.is_down, true);
+    if state.should_log_error() {
         let is_waiting = shared.phase() == Phase::Starting;
         let consequence =
-            if is_waiting { "waiting for a first list" } else { "the last list stays in force" };
+            if is_waiting { "waiting for the first list" } else { "continuing with the last list" };
         tracing::warn!(%service, %error, "endpoint list unavailable: {consequence}");
     }
     if is_first {
         shared.notify_owner(OwnerMessage::DiscoveryDown);
-        // At the start the last known list serves once the discovery service is known not to answer.
+        // At startup the last known list is used once the discovery service is known to be unavailable.
         shared.start_serving_last_known_list();
     }
 }
 
-/// Follows the list of one service until something is wrong, or nothing more is wanted of it.
+/// Follows the list of one service until an error occurs or no further updates are wanted.
 async fn follow_service(
     service: SocketAddr,
     subscription: &watch::Receiver<Subscription>,
-    progress: &mut Progress,
+    state: &mut FollowState,
     shared: &SharedState,
 ) -> Result<(), DiscoveryError> {
     let mut connection = DiscoveryConnection::open(service).await?;
     let host = service.to_string();
-    // The first request on a connection is answered at once, so that a silent service is noticed early.
+    // The service answers the first request on a connection without waiting, so that an unresponsive service
+    // is detected early.
     let mut wait = Duration::ZERO;
     loop {
         let Subscription { watch, full_lists } = *subscription.borrow();
-        let after = progress.generation.filter(|_| full_lists <= progress.full_lists);
+        let after = state.generation.filter(|_| full_lists <= state.full_lists);
         let request = match after {
             Some(after) if watch => encode_watch_request(&host, after, wait.as_millis() as u64),
             Some(_) => return Ok(()),
@@ -171,27 +175,28 @@
         let requesting = connection.request(&request, limits);
         let list = timeout(answer_timeout, requesting).await.map_err(|_| DiscoveryError::AnswerTimeout)??;
         if after.is_none() {
-            progress.full_lists = full_lists;
+            state.full_lists = full_lists;
             if list.scope != Scope::Full {
                 return Err(DiscoveryError::NotFull);
             }
         }
-        if std::mem::take(&mut progress.is_down) {
+        if std::mem::take(&mut state.is_down) {
             tracing::info!("discovery service answers again");
         }
         let is_update = after != Some(list.generation) || !list.entries.is_empty();
-        progress.generation = Some(list.generation);
+        state.generation = Some(list.generation);
         if is_update {
             publish(list, after, shared);
         } else if !wait.is_zero() && requested_at.elapsed() < RETRY_DELAY {
-            // A service that does not wait must not be polled without a pause; the next request continues the watch.
+            // A service that answers without waiting must not be polled in a tight loop; the next request
+            // continues the watch.
             sleep(RETRY_DELAY).await;
         }
         wait = WATCH_WAIT;
     }
 }
 
-/// Passes a list on: first to the attempts that are about to be sent, then to the owner.
+/// Publishes a list, first to attempts that are about to be sent, then to the owner.
 fn publish(list: EndpointList, after: Option<u64>, shared: &SharedState) {
     if list.rejected_entries > 0 {
         tracing::warn!(entries = list.rejected_entries, "endpoint list entries rejected");
--- a/crates/gaparch-platform-router/src/forwarded_request.rs
+++ b/crates/gaparch-platform-router/src/forwarded_request.rs
@@ -1,13 +1,13 @@
-//! The request of a client as all its attempts forward it.
+//! A client's request in the form in which every attempt forwards it.
 
 use bytes::Bytes;
 use gaparch_platform_protocol::client_request::TransactionId;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A request, shared by its client's task, the owner and its attempts. The body is never copied.
+/// A request, shared by the client connection, the owner and the attempts. The body is never copied.
 #[derive(Debug)]
 pub(crate) struct ForwardedRequest {
-    /// Path and query as the client sent them.
+    /// Path and query string as the client sent them.
     pub target: String,
     pub transaction: TransactionId,
     pub body: Bytes,
@@ -19,7 +19,7 @@
         ForwardedRequest { target, transaction, body, client_disconnected: AtomicBool::new(false) }
     }
 
-    /// Notes that the client has disconnected: nothing more may be sent for the request.
+    /// Marks the client as disconnected: nothing more may be sent for the request.
     pub fn set_client_disconnected(&self) {
         self.client_disconnected.store(true, Ordering::Relaxed);
     }
--- a/crates/gaparch-platform-router/src/gossip_tests.rs
+++ b/crates/gaparch-platform-router/src/gossip_tests.rs
@@ -1,4 +1,4 @@
-//! Which datagrams are taken and which are sent.
+//! Tests which datagrams are accepted and which are sent.
 
 use super::*;
 
@@ -7,27 +7,27 @@
 }
 
 #[tokio::test]
-async fn only_routers_are_received_and_no_more_than_fit_in_the_queue() {
+async fn datagrams_that_are_oversized_or_from_strangers_or_exceed_the_queue_are_dropped() {
     let (router, stranger) = (socket().await, socket().await);
-    let routers = vec![([127, 0, 0, 9], 1).into(), router.local_addr().expect("it has one")];
+    let routers = vec![([127, 0, 0, 9], 1).into(), router.local_addr().expect("local address")];
     let addresses = GossipAddresses { listen: ([127, 0, 0, 1], 0).into(), routers, broadcast: None };
     let gossip = GossipSocket::bind(addresses).await.expect("bound");
-    let to = gossip.socket.local_addr().expect("it has one");
+    let gossip_address = gossip.socket.local_addr().expect("local address");
     let (queue, mut received) = mpsc::channel(2);
     let receiving = tokio::spawn(Arc::clone(&gossip).receive(queue));
-    stranger.send_to(b"x", to).await.expect("sent");
-    router.send_to(&[0; MAX_DATAGRAM_BYTES + 1], to).await.expect("sent");
+    stranger.send_to(b"x", gossip_address).await.expect("sent");
+    router.send_to(&[0; MAX_DATAGRAM_BYTES + 1], gossip_address).await.expect("sent");
     for n in 0..5 {
-        router.send_to(&[n], to).await.expect("sent");
+        router.send_to(&[n], gossip_address).await.expect("sent");
     }
-    // One of a stranger, one that is too long, and three that found the queue full.
+    // One from an unknown sender, one that is too long, and three that exceed the queue.
     while gossip.dropped() < 5 {
         tokio::task::yield_now().await;
     }
     assert_eq!(received.recv().await, Some(GossipMessage { from: 1, data: vec![0] }));
     assert_eq!(received.recv().await, Some(GossipMessage { from: 1, data: vec![1] }));
     receiving.abort();
-    // One that is too long is not sent, nor one to an unknown router.
+    // Neither an oversized message nor one to an unknown router is sent.
     gossip.send(Some(1), &[0; MAX_DATAGRAM_BYTES + 1]);
     gossip.send(Some(7), b"y");
     gossip.send(Some(1), b"z");
--- a/crates/gaparch-platform-router/src/lib.rs
+++ b/crates/gaparch-platform-router/src/lib.rs
@@ -1,18 +1,26 @@
-//! The router in service on the platform: a tokio shell around the one core that drives the scheduler.
+//! The router that runs on the platform: a tokio shell around the router core, which drives the scheduler.
 //!
-//! One task, the owner, has the core. Each connection of a client, exchange with a worker and call is a task of its own and
-//! talks to the owner in messages. Nothing here decides: a request goes where the core says, and the core is notified of
-//! the outcome with the time at which it was seen on the socket.
+//! A single task, the owner, holds the core. Each client connection, worker exchange and worker call is a
+//! task of its own that exchanges messages with the owner. The shell makes no scheduling decisions: it sends
+//! a request where the core says, and reports the outcome to the core with the time at which it was seen on
+//! the socket.
 //!
-//! | queue or table | bound | when it is full |
-//! | --- | --- | --- |
-//! | requests that wait for the owner | as many as clients may be connected | the client waits; the owner is never notified of one that disconnects meanwhile |
-//! | other messages to the owner | a few for each descriptor | can't be: who sends them holds a descriptor |
-//! | gossip of other routers | [`gossip::QUEUE_LENGTH`] | dropped and counted |
-//! | client connections | their part of the descriptors | the one idle for longest is closed, else the new one |
-//! | connections to workers | their part of the descriptors | an idle one is closed, else the attempt could not connect |
-//! | runs of events to one client | [`client::STREAM_QUEUE_LENGTH`] | its worker is not read from |
-//! | bytes ahead of a response from a client | [`client::MAX_BYTES_AHEAD`] | read and dropped, and its connection closes with the response; past a bound it counts as disconnected |
+//! Every queue and table is bounded:
+//!
+//! - Requests waiting for the owner: as many as there may be client connections. When the queue is full the
+//!   client waits; the owner never learns of a client that disconnects meanwhile.
+//! - Other messages to the owner: a few for each descriptor. This queue can't fill up, since every sender
+//!   holds a descriptor.
+//! - Gossip from other routers: [`gossip::QUEUE_LENGTH`] messages. Further ones are dropped and counted.
+//! - Client connections: their share of the descriptors. When it is used up, an idle connection is closed
+//!   (unused ones first, then the one idle longest); if none is idle, the new connection is closed.
+//! - Connections to workers: their share of the descriptors. When it is used up, an idle connection is
+//!   closed; if none is idle, the attempt fails to connect.
+//! - Event batches waiting for one client: [`client::STREAM_QUEUE_LENGTH`]. When the queue is full, the
+//!   router stops reading from the worker.
+//! - Bytes that a client sends ahead of a response: [`client::MAX_BYTES_AHEAD`]. Further bytes are read and
+//!   dropped, and the connection closes after the response; beyond a second limit the client counts as
+//!   disconnected.
 
 #![warn(missing_docs)]
 
@@ -36,4 +44,4 @@
 mod transient_errors;
 mod worker;
 
-pub use run::{run, serve, Order, RouterError};
+pub use run::{run, serve, Command, RouterError};
--- a/crates/gaparch-platform-router/src/messages.rs
+++ b/crates/gaparch-platform-router/src/messages.rs
@@ -11,37 +11,37 @@
 /// A message to the owner.
 #[derive(Debug)]
 pub(crate) enum OwnerMessage {
-    /// A client has sent a request.
+    /// A client sent a request.
     RequestArrived(Box<ArrivedRequest>),
-    /// A client has disconnected before its response was complete.
+    /// A client disconnected before its response was complete.
     ClientDisconnected(RequestId),
-    /// An attempt has made progress.
+    /// An attempt made progress.
     Attempt(AttemptUpdate),
-    /// A health check has finished.
+    /// A health check finished.
     ProbeFinished { server: ServerId, nonce: u64, at: Nanos, status: AttemptStatus },
-    /// The endpoint list, or a change of it.
+    /// The full endpoint list or a delta.
     EndpointsChanged(ListUpdate),
-    /// The discovery service does not answer.
+    /// The discovery service is unavailable.
     DiscoveryDown,
-    /// A question for the number of requests and releases that are not finished.
+    /// Asks for the number of unfinished requests and releases.
     CountOpen(oneshot::Sender<usize>),
-    /// Requests are rejected from that time on.
+    /// Reject new requests from this time on.
     StopAt(Nanos),
-    /// Requests that still run are ended.
+    /// End all requests that are still open.
     StopNow,
 }
 
-/// A request that has just arrived.
+/// A request on its way from its client connection to the owner.
 #[derive(Debug)]
 pub(crate) struct ArrivedRequest {
     pub id: RequestId,
     pub request: ClientRequest,
     pub forwarded: Arc<ForwardedRequest>,
-    /// When its first byte arrived.
+    /// When the first byte of the request arrived.
     pub arrived_at: Nanos,
-    /// Where its response goes.
+    /// Receives the response.
     pub response: oneshot::Sender<ClientResponse>,
-    /// Its place in the queue of the owner, free again once the message is taken.
+    /// The request's slot in the owner's queue; freed when the owner receives the message.
     pub queue_permit: OwnedSemaphorePermit,
 }
 
@@ -51,30 +51,30 @@
     pub server: ServerId,
     pub request: RequestId,
     pub attempt: AttemptNumber,
-    /// When it was seen on the socket.
+    /// When the event was seen on the socket.
     pub at: Nanos,
     pub event: AttemptEvent,
 }
 
-/// What has happened to an attempt.
+/// An event in the life of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
-    /// The first event of its stream has come. The owner sends back where the stream goes, or drops the sender where no
-    /// client waits for it any more.
+    /// The first event of the response stream arrived. The owner replies with the channel to the client, or
+    /// drops the sender if no client is waiting any more.
     FirstToken(oneshot::Sender<mpsc::Sender<StreamPart>>),
-    /// Its prompt is prefilled.
+    /// The prompt is prefilled.
     Prefilled { cached_prompt_tokens: u32 },
-    /// It has ended.
+    /// The attempt ended.
     Ended(AttemptEnd),
-    /// The reservation beside it has been answered.
+    /// The reservation made alongside the attempt was answered.
     ReservationAnswered { reserved: bool },
 }
 
-/// How an attempt has ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptEnd {
     pub status: AttemptStatus,
-    /// Whether the worker said that the KV cache that it was to decode from is not there.
+    /// Whether the worker reported that the KV cache to decode from does not exist.
     pub kv_cache_missing: bool,
 }
 
@@ -87,23 +87,23 @@
 /// The response to a client's request.
 #[derive(Debug)]
 pub(crate) enum ClientResponse {
-    /// Events follow.
+    /// The response is streamed through this channel.
     Stream(mpsc::Receiver<StreamPart>),
-    /// The request was rejected, and has not run.
+    /// The request was rejected and has not run.
     Rejected {
-        /// Whether the tenant's own quota stands in its way.
+        /// Whether it was rejected because the tenant is over quota.
         over_quota: bool,
-        /// When the client may retry, in nanoseconds from now; 0 where that is not stated.
+        /// Time until the client may retry; 0 if unspecified.
         retry_after: Nanos,
     },
-    /// The request has failed, and may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// A part of the stream from a worker to a client.
+/// Part of a stream from a worker to a client.
 #[derive(Debug)]
 pub(crate) enum StreamPart {
-    /// A run of complete events.
+    /// One or more complete events.
     Events(Bytes),
     /// The stream is complete.
     End,
--- a/crates/gaparch-platform-router/src/owner/attempts.rs
+++ b/crates/gaparch-platform-router/src/owner/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and calls at workers, as the core orders them.
+//! Executes the attempts and worker calls that the core requests.
 
 use super::open_request::RunningAttempt;
 use super::Owner;
@@ -15,24 +15,24 @@
 const NANOS_PER_MICRO: u64 = 1000;
 
 impl Owner {
-    /// Carries out what the core has ordered of a worker.
+    /// Executes a frame that the core addresses to a worker.
     pub(super) fn dispatch(&mut self, server: ServerId, frame: EngineFrame) {
         match frame {
             EngineFrame::Prefill(job) => self.send(server, &job, Stage::Prefill, SendRisk::TimeOnly),
             EngineFrame::Decode { job, kv_cache: state } => {
-                let carries = if state.is_some() { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
-                self.send(server, &job, Stage::Decode, carries);
+                let send_risk = if state.is_some() { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
+                self.send(server, &job, Stage::Decode, send_risk);
             }
             EngineFrame::Cancel(key) => self.cancel(key),
             EngineFrame::Reserve { job, .. } => self.reserve(server, job.key),
             EngineFrame::Release { request } => self.release(RequestId(request), server),
             EngineFrame::Probe { nonce } => self.probe(server, nonce),
-            // A router sends no other frames.
+            // Routers send no other frames to workers.
             _ => {}
         }
     }
 
-    fn send(&mut self, server: ServerId, job: &Job, stage: Stage, carries: SendRisk) {
+    fn send(&mut self, server: ServerId, job: &Job, stage: Stage, send_risk: SendRisk) {
         let id = RequestId(job.key.request);
         let number = AttemptNumber(job.key.attempt);
         if !self.open.contains_key(&id) {
@@ -54,11 +54,11 @@
             number,
             process,
             stage,
-            carries,
+            send_risk,
             deadline_at: self.core.deadline_at(id),
             forwarded: Arc::clone(&open.forwarded),
             previous,
-            releasing: open.releasing.take(),
+            release_done: open.release_done.take(),
             write_timeout: connect_timeout(settings),
             write_by: self.core.send_by(id),
             release_timeout: release_attempt_timeout(settings),
@@ -90,7 +90,7 @@
         );
     }
 
-    /// Ends an attempt at a worker that the core does not know any more.
+    /// Reports a connect failure for an attempt at a worker that the core no longer knows.
     fn notify_unknown_worker(&self, server: ServerId, request: RequestId, attempt: AttemptNumber) {
         self.shared.notify_owner(OwnerMessage::Attempt(AttemptUpdate {
             server,
@@ -103,7 +103,8 @@
 
     fn cancel(&mut self, key: AttemptKey) {
         let id = RequestId(key.request);
-        // This may be the last that happens to the request: its client has disconnected, or its time is up.
+        // This may be the last event of the request, after its client has disconnected or its deadline has
+        // passed.
         self.touched.push(id);
         tracing::debug!(
             target: "gaparch_platform_router::wire",
@@ -133,7 +134,8 @@
         self.calls.spawn(worker::reserve(reservation, Arc::clone(&self.pool), Arc::clone(&self.shared)));
     }
 
-    /// Releases what is held for a request. `prefill_worker` may hold it even if it is draining or removed.
+    /// Releases the resources held for a request. `prefill_worker` may hold them even if it is draining or
+    /// removed.
     fn release(&mut self, id: RequestId, prefill_worker: ServerId) {
         self.touched.push(id);
         tracing::debug!(
@@ -153,8 +155,8 @@
             processes,
             attempt_timeout: release_attempt_timeout(&self.shared.config.settings.scheduler),
         };
-        let (finished, releasing) = oneshot::channel();
-        open.releasing = Some(releasing);
+        let (finished, release_done) = oneshot::channel();
+        open.release_done = Some(release_done);
         let pool = Arc::clone(&self.pool);
         let clock = self.shared.clock;
         self.releases.spawn(async move {
@@ -174,12 +176,12 @@
         self.calls.spawn(probe);
     }
 
-    /// Returns the id that the client has given a request.
+    /// Returns the transaction id that the client gave the request.
     pub(super) fn transaction(&self, id: RequestId) -> Option<&str> {
         self.open.get(&id).map(|open| open.forwarded.transaction.as_str())
     }
 
-    /// Returns the process that the core knows of a worker.
+    /// Returns the current process of a worker, as known to the core.
     fn process(&self, server: ServerId) -> Option<WorkerProcess> {
         let (address, started_at) = self.core.endpoint_process(server)?;
         Some(WorkerProcess { server, address, started_at })
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the router's core, and the scheduler in it. It feeds the core with messages, gossip and timers, and
-//! carries out what the core orders.
+//! The task that owns the router core, including the scheduler. It feeds messages, gossip and timers to the
+//! core and executes the core's outputs.
 
 mod attempts;
 mod open_request;
@@ -29,17 +29,17 @@
 
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
-/// Note that a worker's rejection carries for the core where the KV cache is not there.
+/// Note that tells the core that a worker rejected an attempt because its KV cache is missing.
 const NOTE_KV_CACHE_MISSING: u64 = 1;
 
-/// Where the stream that begins in this step is sent from.
+/// A stream that an exchange has started, waiting for its channel to the client.
 struct StreamStart {
     request: RequestId,
-    /// Sends the exchange the queue of the client. Dropped, it says that no client waits.
+    /// Gives the exchange the channel to the client. If it is dropped, no client is waiting.
     reply: oneshot::Sender<mpsc::Sender<StreamPart>>,
 }
 
-/// The owner of the core, and what the shell keeps beside it.
+/// The owner of the core, and the state that the shell keeps for it.
 pub(crate) struct Owner {
     core: Core,
     shared: Arc<SharedState>,
@@ -49,21 +49,21 @@
     probe_timeout: Duration,
     /// The requests that the core knows.
     open: HashMap<RequestId, OpenRequest>,
-    /// Requests that may have left the core in this round.
+    /// Requests that the core may have finished in this round.
     touched: Vec<RequestId>,
     stream_start: Option<StreamStart>,
     releases: JoinSet<()>,
     /// Probes and reservations.
     calls: JoinSet<()>,
-    /// How late the timers were at most since the last summary.
+    /// Longest delay of a timer since the last summary.
     max_timer_lag: Duration,
-    /// KV caches that are held since then or longer were logged as not fetched.
+    /// Unfetched KV caches held since this time or longer have been logged.
     unfetched_logged_to: Nanos,
 }
 
 impl Owner {
-    /// Creates the owner. Where there is a last known endpoint list the core starts with it, so that nothing waits for a
-    /// silent discovery service.
+    /// Creates the owner. If there is a last known endpoint list, the core starts with it, so that an
+    /// unresponsive discovery service does not delay anything.
     pub fn new(
         config: Config,
         shared: Arc<SharedState>,
@@ -107,7 +107,7 @@
         owner
     }
 
-    /// Runs until nobody is left who could send a message.
+    /// Runs until all message senders are gone.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<OwnerMessage>,
@@ -137,7 +137,7 @@
             self.handle_round(&mut round, &mut out);
             let now = self.shared.clock.now();
             if !messages.is_empty() || self.core.next_timer_at().is_some_and(|at| at <= now) {
-                // Other tasks have their turn between two rounds, however many rounds there are.
+                // Yield to other tasks between two rounds, even if there is always more to do.
                 tokio::task::yield_now().await;
             }
         }
@@ -156,7 +156,7 @@
         self.remove_finished();
     }
 
-    /// Does what has to be done now and then.
+    /// Performs periodic maintenance.
     fn maintain(&mut self) {
         self.pool.remove_expired();
         self.log_unfetched_kv_caches();
@@ -196,7 +196,11 @@
         drop(queue_permit);
         self.touched.push(id);
         self.open.insert(id, OpenRequest::new(forwarded, response));
-        self.core.handle(now, Input::RequestArrived { id, request: accepted(&request, arrived_at) }, out);
+        self.core.handle(
+            now,
+            Input::RequestArrived { id, request: accepted_request(&request, arrived_at) },
+            out,
+        );
     }
 
     fn handle_attempt(&mut self, update: AttemptUpdate, out: &mut Vec<Output>) {
@@ -221,7 +225,7 @@
         self.core.handle(at, Input::EngineFrame { engine: server, conn, frame }, out);
     }
 
-    /// Carries out what the core has ordered.
+    /// Executes the outputs of the core.
     fn carry_out(&mut self, out: &mut Vec<Output>) {
         for output in out.drain(..) {
             match output {
@@ -236,11 +240,12 @@
                 }
                 Output::CloseIdleConnections(server) => self.pool.close_idle(server),
                 Output::Log(text) => tracing::info!(%text, "scheduler"),
-                // A worker has no connection of its own here, and the outcomes of requests are not stored.
+                // On the platform, workers have no permanent connections, and request outcomes are not
+                // stored.
                 Output::Connect { .. } | Output::Disconnect { .. } | Output::RequestEnded(_) => {}
             }
         }
-        // A stream that no client waits for any more: its exchange notices by this.
+        // Dropping the reply tells the exchange that no client is waiting for the stream.
         self.stream_start = None;
     }
 
@@ -252,13 +257,13 @@
         });
     }
 
-    /// Removes requests that the core does not know any more.
+    /// Removes requests that the core has finished.
     fn remove_finished(&mut self) {
         for id in self.touched.drain(..) {
             if self.core.phase(id).is_some() {
                 continue;
             }
-            // Its attempts have ended: only now may another request have its id.
+            // Its attempts have ended; only now may its transaction id be used again.
             if let Some(open) = self.open.remove(&id) {
                 self.shared.unregister_transaction(&open.forwarded.transaction);
             }
@@ -269,8 +274,8 @@
     }
 }
 
-/// Returns a client's request as the core takes it.
-fn accepted(request: &ClientRequest, arrived_at: Nanos) -> AcceptedRequest {
+/// Converts a client's request into the core's form.
+fn accepted_request(request: &ClientRequest, arrived_at: Nanos) -> AcceptedRequest {
     AcceptedRequest {
         class: request.class,
         tenant: request.tenant,
@@ -283,7 +288,7 @@
         client_retry: request.client_retry,
         client_reconnect: request.client_reconnect,
         deadline_at: Some(arrived_at.saturating_add(request.remaining)),
-        // The body goes from the client to the worker beside the core.
+        // The body is forwarded from the client to the worker without passing through the core.
         prompt: String::new(),
         fingerprint: 0,
     }
--- a/crates/gaparch-platform-router/src/owner/open_request.rs
+++ b/crates/gaparch-platform-router/src/owner/open_request.rs
@@ -1,4 +1,4 @@
-//! What the shell keeps of a request for as long as the core knows it.
+//! State that the shell keeps for a request for as long as the core knows the request.
 
 use crate::forwarded_request::ForwardedRequest;
 use crate::messages::ClientResponse;
@@ -10,16 +10,16 @@
 /// A request that the core knows.
 pub(super) struct OpenRequest {
     pub forwarded: Arc<ForwardedRequest>,
-    /// Where its response goes, until there is one.
+    /// Receives the response; `None` once it was sent.
     pub response: Option<oneshot::Sender<ClientResponse>>,
     pub last_attempt: Option<RunningAttempt>,
-    /// Closes with its last release: what is sent after that must not overtake it.
-    pub releasing: Option<oneshot::Receiver<()>>,
+    /// Closes when the last release is finished. Later attempts must not overtake the release.
+    pub release_done: Option<oneshot::Receiver<()>>,
 }
 
 impl OpenRequest {
     pub fn new(forwarded: Arc<ForwardedRequest>, response: oneshot::Sender<ClientResponse>) -> OpenRequest {
-        OpenRequest { forwarded, response: Some(response), last_attempt: None, releasing: None }
+        OpenRequest { forwarded, response: Some(response), last_attempt: None, release_done: None }
     }
 }
 
@@ -27,6 +27,6 @@
 pub(super) struct RunningAttempt {
     pub number: AttemptNumber,
     pub task: JoinHandle<()>,
-    /// Becomes `true` when the last byte of its request is written.
+    /// Becomes `true` when the last byte of the attempt's request is written.
     pub written: watch::Receiver<bool>,
 }
--- a/crates/gaparch-platform-router/src/owner/responses.rs
+++ b/crates/gaparch-platform-router/src/owner/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, as the core orders them.
+//! Sends the responses to clients that the core requests.
 
 use super::Owner;
 use crate::client::STREAM_QUEUE_LENGTH;
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 impl Owner {
-    /// Sends a client the response to its request.
+    /// Sends the response to a request to its client.
     pub(super) fn respond(&mut self, id: RequestId, event: ResponseEvent) {
         self.touched.push(id);
         let Some(open) = self.open.get_mut(&id) else { return };
@@ -45,10 +45,10 @@
                 );
                 ClientResponse::Failed
             }
-            // The events of a stream pass from its worker to its client beside the owner.
+            // Stream events go directly from the worker exchange to the client connection.
             ResponseEvent::Text { .. } | ResponseEvent::Finished { .. } => return,
         };
-        // Once a stream has begun, its end says what became of it.
+        // Once a stream has begun, the end of the stream tells the client its outcome.
         if let Some(client) = open.response.take() {
             let _ = client.send(response);
         }
--- a/crates/gaparch-platform-router/src/owner/round.rs
+++ b/crates/gaparch-platform-router/src/owner/round.rs
@@ -1,14 +1,14 @@
-//! What the owner takes in one round of its loop.
+//! The inputs that the owner handles in one round, an iteration of its loop.
 
 use crate::gossip::GossipMessage;
 use crate::messages::OwnerMessage;
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// Most messages of each kind in one round, so that timers are checked in between.
+/// Maximum number of messages of each kind in one round, so that timers are checked regularly.
 pub(super) const MAX_BATCH: usize = 64;
 
-/// Messages that were taken and not handled yet.
+/// Messages that were received and not handled yet.
 #[derive(Default)]
 pub(super) struct Round {
     pub messages: Vec<OwnerMessage>,
@@ -16,10 +16,11 @@
 }
 
 impl Round {
-    /// Waits for a message, gossip or the next timer, and takes what there is of all three. Where a round takes longer than the
-    /// time to the next timer, one is always due: nothing else would ever be taken.
+    /// Waits for a message, gossip or the next timer, then collects all available messages and gossip. If a
+    /// round takes longer than the time to the next timer, a timer is always due; messages must be received
+    /// nevertheless.
     ///
-    /// Returns `false` once nobody is left who could send a message. Nothing is lost where the future is dropped.
+    /// Returns `false` once all message senders are gone. Cancel-safe.
     pub async fn wait(
         &mut self,
         next_timer: Option<Instant>,
--- a/crates/gaparch-platform-router/src/owner/summary.rs
+++ b/crates/gaparch-platform-router/src/owner/summary.rs
@@ -1,18 +1,18 @@
-//! The owner's regular log lines: the summary, and KV caches that no decode worker has fetched.
+//! The owner's periodic log lines: the summary, and KV caches that no decode worker has fetched.
 
 use super::Owner;
 use gaparch_scheduler::api::Nanos;
 use std::time::Duration;
 
-/// Most KV caches that are named in the log at a time.
+/// Maximum number of unfetched KV caches that are logged at a time.
 const MAX_UNFETCHED_LINES: usize = 4;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The KV caches that are held for requests.
+/// Statistics of the KV caches held for requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct HeldKvCaches {
     count: usize,
-    /// How long the oldest one is held.
+    /// How long the oldest one has been held.
     longest: Nanos,
 }
 
@@ -27,8 +27,8 @@
         held
     }
 
-    /// Logs KV caches that are held for longer than the settings allow: no decode worker is known to have fetched them. Each
-    /// is logged once.
+    /// Logs KV caches that have been held longer than the settings allow without a decode worker being known
+    /// to have fetched them. Each is logged once.
     pub(super) fn log_unfetched_kv_caches(&mut self) {
         let now = self.shared.clock.now();
         let max_held = self.shared.config.settings.scheduler.kv_release_within;
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns the resident memory of this process in KiB; 0 where the kernel does not state it.
+/// Returns the resident memory of this process in KiB, or 0 if it can't be read.
 fn resident_memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/gaparch-platform-router/src/ready_workers.rs
+++ b/crates/gaparch-platform-router/src/ready_workers.rs
@@ -1,5 +1,6 @@
-//! Which workers are listed as ready, as the discovery task last read it. That task is ahead of the owner, whose queue may be
-//! deep, so an attempt checks here just before its first byte.
+//! The workers that the most recently read endpoint list names as ready. The discovery task updates this
+//! before the owner, whose queue may be deep, handles the list. Attempts therefore check it just before they
+//! send their first byte.
 
 use crate::sync::lock;
 use gaparch_config::server_id;
@@ -8,15 +9,15 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-/// The ready workers by id, each with the name that the id was made of. Bounded by the endpoint list.
+/// The ready workers by id, each with the name that the id was derived from. Bounded by the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyWorkers {
-    /// `None` until the first endpoint list: what is sent before goes by the last known one.
+    /// `None` until the first endpoint list arrives. Until then the last known list decides alone.
     names: Mutex<Option<HashMap<ServerId, String>>>,
 }
 
 impl ReadyWorkers {
-    /// Takes an endpoint list or a change of it.
+    /// Applies a full endpoint list or a delta.
     pub fn update(&self, scope: Scope, entries: &[ListEntry]) {
         let mut names = lock(&self.names);
         if scope == Scope::Full {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Whether a request may be sent to that worker, as far as the endpoint list says.
+    /// Whether the endpoint list allows requests to this worker.
     pub fn may_receive_requests(&self, server: ServerId) -> bool {
         lock(&self.names).as_ref().is_none_or(|names| names.contains_key(&server))
     }
@@ -36,7 +37,7 @@
 
 fn apply(names: &mut HashMap<ServerId, String>, entry: &ListEntry) {
     let server = server_id(&entry.engine);
-    // Another worker whose name gives the same id says nothing of the one that has it.
+    // On an id collision the worker that holds the id keeps it.
     if names.get(&server).is_some_and(|name| *name != entry.engine) {
         return;
     }
--- a/crates/gaparch-platform-router/src/ready_workers_tests.rs
+++ b/crates/gaparch-platform-router/src/ready_workers_tests.rs
@@ -1,4 +1,4 @@
-//! Which workers may be sent to, list by list.
+//! Tests which workers may receive requests after each endpoint list.
 
 use super::ReadyWorkers;
 use gaparch_config::server_id;
@@ -19,21 +19,24 @@
 }
 
 #[test]
-fn draining_removed_and_unlisted_workers_are_not_sent_to_and_all_are_before_the_first_list() {
+fn only_ready_workers_receive_requests_once_a_list_is_known() {
     let ready = ReadyWorkers::default();
-    let may = |name: &str| ready.may_receive_requests(server_id(name));
-    // A change without a list to change says nothing.
+    let may_receive = |name: &str| ready.may_receive_requests(server_id(name));
+    // A delta without a base list is ignored.
     ready.update(Scope::Delta, &[entry("a", ServerState::Draining)]);
-    assert!(may("a") && may("b"));
+    assert!(may_receive("a") && may_receive("b"));
     let listed =
         [entry("a", ServerState::Ready), entry("b", ServerState::Ready), entry("c", ServerState::Draining)];
     ready.update(Scope::Full, &listed);
-    assert_eq!((may("a"), may("b"), may("c"), may("d")), (true, true, false, false));
+    assert_eq!(
+        (may_receive("a"), may_receive("b"), may_receive("c"), may_receive("d")),
+        (true, true, false, false)
+    );
     ready.update(Scope::Delta, &[entry("a", ServerState::Draining), entry("d", ServerState::Ready)]);
-    assert_eq!((may("a"), may("b"), may("d")), (false, true, true));
+    assert_eq!((may_receive("a"), may_receive("b"), may_receive("d")), (false, true, true));
     ready.update(Scope::Delta, &[entry("a", ServerState::Ready), entry("b", ServerState::Removed)]);
-    assert_eq!((may("a"), may("b")), (true, false));
-    // A whole list forgets what it does not name.
+    assert_eq!((may_receive("a"), may_receive("b")), (true, false));
+    // A full list removes workers that it does not name.
     ready.update(Scope::Full, &[entry("b", ServerState::Ready)]);
-    assert_eq!((may("a"), may("b"), may("d")), (false, true, false));
+    assert_eq!((may_receive("a"), may_receive("b"), may_receive("d")), (false, true, false));
 }
--- a/crates/gaparch-platform-router/src/run/mod.rs
+++ b/crates/gaparch-platform-router/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Start, signals and shutdown of a router.
+//! Startup, signal handling and shutdown of a router.
 
 mod reload;
 mod shutdown;
@@ -29,14 +29,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, Instant};
 
-/// How long binding an address is retried as a router starts.
+/// How long binding an address is retried at startup.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay between two attempts.
+/// Delay between two attempts to bind an address.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Orders that wait to be taken.
-const ORDER_QUEUE_LENGTH: usize = 4;
+/// Capacity of the channel from the signal handler to the router.
+const COMMAND_QUEUE_LENGTH: usize = 4;
 
-/// Why a router can't start or go on.
+/// Why a router can't start or continue.
 #[derive(Debug, Error)]
 pub enum RouterError {
     /// The configuration file can't be read.
@@ -44,15 +44,15 @@
     Read {
         /// Path of the file.
         file: String,
-        /// The error of the system.
+        /// The operating system error.
         source: io::Error,
     },
-    /// The configuration file has a field that can't be used.
+    /// The configuration file has an invalid field.
     #[error("{file}: {source}")]
     Config {
         /// Path of the file.
         file: String,
-        /// The field and what is wrong with it.
+        /// The field and what is invalid about it.
         source: ConfigError,
     },
     /// An address can't be bound.
@@ -60,41 +60,42 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The operating system error.
         source: io::Error,
     },
-    /// Signals can't be handled.
-    #[error("signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("can't install signal handlers: {0}")]
     Signals(io::Error),
-    /// The task that owns the scheduler has ended, so that no request can be answered.
+    /// The task that owns the scheduler has ended, so no request can be answered.
     #[error("the scheduler task has ended{}", .0.as_ref().map(|reason| format!(": {reason}")).unwrap_or_default())]
     OwnerEnded(Option<String>),
 }
 
-/// An order to a running router.
+/// A command to a running router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Read the configuration again, as on SIGHUP.
+pub enum Command {
+    /// Reload the configuration, as on SIGHUP.
     Reload,
-    /// Finish open requests and end, as on SIGTERM.
+    /// Finish open requests and exit, as on SIGTERM.
     Shutdown,
 }
 
-/// Runs a router by the configuration in `file` until the process gets SIGTERM or SIGINT.
+/// Runs a router with the configuration in `file` until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the file can't be used, an address can't be bound, or the scheduler task ends.
+/// Returns an error if the file can't be used, an address can't be bound, or the scheduler task ends.
 pub async fn run(file: PathBuf) -> Result<(), RouterError> {
-    // A signal must not end the process once anybody can see that this router is ready.
+    // Signals must be handled before the router reports that it is ready: a signal must not kill it from then
+    // on.
     let signals = Signals::install(&[Signal::Terminate, Signal::Hangup]).map_err(RouterError::Signals)?;
-    let (orders, receiver) = mpsc::channel(ORDER_QUEUE_LENGTH);
+    let (commands, receiver) = mpsc::channel(COMMAND_QUEUE_LENGTH);
     tokio::spawn(async move {
         loop {
-            let order = match signals.next().await {
-                Signal::Hangup => Order::Reload,
-                Signal::Terminate | Signal::Interrupt => Order::Shutdown,
+            let command = match signals.next().await {
+                Signal::Hangup => Command::Reload,
+                Signal::Terminate | Signal::Interrupt => Command::Shutdown,
             };
-            if orders.send(order).await.is_err() {
+            if commands.send(command).await.is_err() {
                 return;
             }
         }
@@ -102,25 +103,26 @@
     serve(file, receiver).await
 }
 
-/// Runs a router by the configuration in `file` until it is ordered to shut down, or nobody is left who could order it.
+/// Runs a router with the configuration in `file` until it receives [`Command::Shutdown`] or all senders are
+/// gone.
 ///
 /// # Errors
-/// When the file can't be used, an address can't be bound, or the scheduler task ends.
-pub async fn serve(file: PathBuf, mut orders: mpsc::Receiver<Order>) -> Result<(), RouterError> {
+/// Returns an error if the file can't be used, an address can't be bound, or the scheduler task ends.
+pub async fn serve(file: PathBuf, mut commands: mpsc::Receiver<Command>) -> Result<(), RouterError> {
     let config = load_config(&file)?;
     let mut router = Router::start(config).await?;
     let mut reload = Reload::new(file, Arc::clone(&router.shared), router.discovery.clone());
     loop {
-        let order = tokio::select! {
-            order = next_order(&mut orders, &mut router.owner) => order?,
+        let command = tokio::select! {
+            command = next_command(&mut commands, &mut router.owner) => command?,
             () = reload.next_attempt_due() => {
                 reload.attempt();
                 continue;
             }
         };
-        match order {
-            Order::Reload => reload.start(),
-            Order::Shutdown => break,
+        match command {
+            Command::Reload => reload.start(),
+            Command::Shutdown => break,
         }
     }
     shut_down(router).await;
@@ -141,9 +143,9 @@
     discovery: watch::Sender<SocketAddr>,
     /// The task that owns the scheduler.
     owner: JoinHandle<()>,
-    /// The task that accepts clients.
+    /// The task that accepts client connections.
     listener: JoinHandle<()>,
-    /// A client's connection holds one of these permits.
+    /// Permits for client connections; each connection holds one.
     client_permits: Arc<Semaphore>,
     max_clients: usize,
 }
@@ -204,7 +206,7 @@
     }
 }
 
-/// Binds an address, which may be in use, or not exist, for a moment as a router starts.
+/// Binds an address. It may briefly be in use or not exist yet at startup, so this is retried.
 async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let until = Instant::now() + LISTEN_TIMEOUT;
     loop {
@@ -217,7 +219,7 @@
     }
 }
 
-/// Binds the address for gossip, where the settings allow gossip.
+/// Binds the gossip address if the settings allow gossip.
 async fn bind_gossip(config: &RouterConfig) -> Result<Option<Arc<GossipSocket>>, RouterError> {
     let addresses = config.gossip.clone().filter(|_| config.settings.scheduler.can_gossip);
     let Some(addresses) = addresses else { return Ok(None) };
@@ -226,16 +228,17 @@
     socket.map(Some).map_err(|source| RouterError::Listen { address, source })
 }
 
-/// Returns the next order; that to shut down where nobody is left who could give one.
+/// Returns the next command, or [`Command::Shutdown`] once all senders are gone.
 ///
 /// # Errors
-/// When the owner has ended: without it no request can be answered, and whoever watches the process has to notice.
-async fn next_order(
-    orders: &mut mpsc::Receiver<Order>,
+/// Returns an error if the owner has ended: without it no request can be answered, and the process supervisor
+/// has to notice.
+async fn next_command(
+    commands: &mut mpsc::Receiver<Command>,
     owner: &mut JoinHandle<()>,
-) -> Result<Order, RouterError> {
+) -> Result<Command, RouterError> {
     tokio::select! {
-        order = orders.recv() => Ok(order.unwrap_or(Order::Shutdown)),
+        command = commands.recv() => Ok(command.unwrap_or(Command::Shutdown)),
         ended = owner => Err(RouterError::OwnerEnded(ended.err().map(|error| error.to_string()))),
     }
 }
--- a/crates/gaparch-platform-router/src/run/reload.rs
+++ b/crates/gaparch-platform-router/src/run/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration while a router runs.
+//! Reloading the configuration of a running router.
 
 use super::{load_config, log_diagnostics};
 use crate::shared_state::SharedState;
@@ -10,17 +10,18 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// How long a configuration that can't be read is retried. The old discovery service closes 1.5 s after the order.
+/// How long reading the configuration is retried. The old discovery service closes 1.5 s after the reload
+/// command.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Delay between two attempts.
+/// Delay between two attempts to read the configuration.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Reloads of a configuration file.
+/// Reloads a configuration file, with retries.
 pub(super) struct Reload {
     file: PathBuf,
     shared: Arc<SharedState>,
     discovery: watch::Sender<SocketAddr>,
-    /// Until when it is retried, while a reload is ordered that could not be done.
+    /// When to give up on the pending reload; `None` if no reload is pending.
     retry_until: Option<Instant>,
 }
 
@@ -29,13 +30,13 @@
         Reload { file, shared, discovery, retry_until: None }
     }
 
-    /// Starts a reload, in place of one that is retried.
+    /// Starts a reload, replacing a pending one.
     pub fn start(&mut self) {
         self.retry_until = Some(Instant::now() + RELOAD_TIMEOUT);
         self.attempt();
     }
 
-    /// Waits for the next attempt; for ever, where there is none.
+    /// Waits until the next attempt is due; never completes if no reload is pending.
     pub async fn next_attempt_due(&self) {
         match self.retry_until {
             Some(_) => sleep(RELOAD_RETRY_DELAY).await,
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Reads the file. One that can't be read now, or is still being written, may be sound in a moment: where it is not in
-    /// time, the last configuration stays in force.
+    /// Reads the file and applies it. The file may be temporarily unreadable or still being written, so a
+    /// failure is retried. If no attempt succeeds in time, the previous configuration stays in force.
     pub fn attempt(&mut self) {
         match load_config(&self.file) {
             Ok(config) => {
@@ -55,14 +56,14 @@
                 self.retry_until = None;
                 tracing::error!(%error, "reload failed: the configuration stays as it was");
             }
-            Err(error) => tracing::debug!(%error, "reload retried"),
+            Err(error) => tracing::debug!(%error, "reload failed; retrying"),
         }
     }
 
     fn apply(&self, config: &RouterConfig) {
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
         if config.settings.scheduler != self.shared.config.settings.scheduler {
-            tracing::warn!("settings changed: they are applied at the next start");
+            tracing::warn!("settings changed; restart the router to apply them");
             log_diagnostics(config);
         }
         self.discovery.send_replace(config.discovery);
--- a/crates/gaparch-platform-router/src/run/run_tests.rs
+++ b/crates/gaparch-platform-router/src/run/run_tests.rs
@@ -1,23 +1,24 @@
-//! Orders to a router, and the end of the task that owns its scheduler.
+//! Tests the handling of commands and of the end of the task that owns the scheduler.
 
-use super::{next_order, Order, RouterError};
+use super::{next_command, Command, RouterError};
 use tokio::sync::mpsc;
 
-/// A router whose scheduler task has panicked would answer 500 to everything for ever, and call itself ready.
+/// Guards against a router that stays up after its scheduler task has panicked: it would answer every request
+/// with 500 while its health check reports ready.
 #[tokio::test]
-async fn a_router_ends_with_the_scheduler_task() {
-    let (_orders, mut taken) = mpsc::channel(1);
-    let mut owner = tokio::spawn(async { panic!("a mistake") });
-    let ended = next_order(&mut taken, &mut owner).await;
-    assert!(matches!(ended, Err(RouterError::OwnerEnded(Some(why))) if why.contains("a mistake")));
+async fn the_router_ends_when_the_scheduler_task_panics() {
+    let (_commands, mut receiver) = mpsc::channel(1);
+    let mut owner = tokio::spawn(async { panic!("test panic") });
+    let ended = next_command(&mut receiver, &mut owner).await;
+    assert!(matches!(ended, Err(RouterError::OwnerEnded(Some(reason))) if reason.contains("test panic")));
 }
 
 #[tokio::test]
-async fn orders_come_in_their_order_and_the_last_is_to_shut_down() {
-    let (orders, mut taken) = mpsc::channel(1);
+async fn commands_are_received_and_the_router_shuts_down_once_all_senders_are_gone() {
+    let (commands, mut receiver) = mpsc::channel(1);
     let mut owner = tokio::spawn(std::future::pending());
-    orders.send(Order::Reload).await.expect("it is taken");
-    assert_eq!(next_order(&mut taken, &mut owner).await.ok(), Some(Order::Reload));
-    drop(orders);
-    assert_eq!(next_order(&mut taken, &mut owner).await.ok(), Some(Order::Shutdown));
+    commands.send(Command::Reload).await.expect("sent");
+    assert_eq!(next_command(&mut receiver, &mut owner).await.ok(), Some(Command::Reload));
+    drop(commands);
+    assert_eq!(next_command(&mut receiver, &mut owner).await.ok(), Some(Command::Shutdown));
 }
--- a/crates/gaparch-platform-router/src/run/shutdown_tests.rs
+++ b/crates/gaparch-platform-router/src/run/shutdown_tests.rs
@@ -1,4 +1,4 @@
-//! The shutdown of a router, with the test in the owner's place: what it is asked and notified of, in which order.
+//! Tests the shutdown with the test in place of the owner: which messages it receives, and in which order.
 
 use super::{finish, OwnerMessage, SharedState};
 use crate::test_support::shared_state;
@@ -10,59 +10,62 @@
 use tokio::time::timeout;
 
 const CLIENTS: usize = 4;
-/// Far beyond what a question takes that is asked at all.
-const ASKED_WITHIN: Duration = Duration::from_secs(20);
+/// Far longer than the interval between two questions.
+const QUESTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The shutdown of a router whose clients have all disconnected.
-fn finishing(shared: &Arc<SharedState>) -> JoinHandle<()> {
+/// Starts the shutdown of a router whose clients have all disconnected.
+fn spawn_finish(shared: &Arc<SharedState>) -> JoinHandle<()> {
     let shared = Arc::clone(shared);
     tokio::spawn(async move { finish(&shared, &Semaphore::new(CLIENTS), CLIENTS).await })
 }
 
-/// Takes the next message, which must be the question what is open, and answers it.
-async fn asked_what_is_open(messages: &mut UnboundedReceiver<OwnerMessage>, open: usize) {
-    let message = timeout(ASKED_WITHIN, messages.recv()).await.expect("it is asked");
+/// Receives the next message, which must ask for the open count, and answers it.
+async fn answer_count_open(messages: &mut UnboundedReceiver<OwnerMessage>, open: usize) {
+    let message = timeout(QUESTION_TIMEOUT, messages.recv()).await.expect("asked in time");
     match message.expect("a message") {
-        OwnerMessage::CountOpen(reply) => reply.send(open).expect("it is waited for"),
-        other => panic!("not asked what is open: {other:?}"),
+        OwnerMessage::CountOpen(reply) => reply.send(open).expect("the reply is awaited"),
+        other => panic!("expected CountOpen, got {other:?}"),
     }
 }
 
-/// All that comes is rejected before it is asked what is open: whatever is read as that is answered is either waited for
-/// or rejected.
+/// New requests are rejected before the first question for the open count. So a request that is read while
+/// the question is answered is either counted or rejected.
 #[tokio::test]
-async fn what_comes_as_the_last_question_is_answered_is_waited_for() {
+async fn requests_are_rejected_before_open_ones_are_counted_and_releases_are_waited_for() {
     let (shared, mut messages) = shared_state(CLIENTS);
-    let end = finishing(&shared);
+    let end = spawn_finish(&shared);
     let stop = messages.recv().await;
-    assert!(matches!(stop, Some(OwnerMessage::StopAt(at)) if at <= shared.clock.now()), "from now on");
-    // One was taken just before.
-    asked_what_is_open(&mut messages, 1).await;
+    assert!(
+        matches!(stop, Some(OwnerMessage::StopAt(at)) if at <= shared.clock.now()),
+        "rejects from now on"
+    );
+    // One request was accepted just before.
+    answer_count_open(&mut messages, 1).await;
     assert!(!end.is_finished());
-    asked_what_is_open(&mut messages, 0).await;
-    // And what was ended meanwhile may have left something behind.
-    asked_what_is_open(&mut messages, 0).await;
+    answer_count_open(&mut messages, 0).await;
+    // Asked once more at the end, as requests that were ended by force may have started releases.
+    answer_count_open(&mut messages, 0).await;
     end.await.expect("no panic");
 }
 
-/// The releases of requests that had to be ended by force are still waited for.
+/// Releases of requests that were ended by force are still waited for.
 #[tokio::test(start_paused = true)]
-async fn releases_of_what_was_ended_by_force_are_waited_for() {
+async fn releases_of_requests_ended_by_force_are_waited_for() {
     let (shared, mut messages) = shared_state(CLIENTS);
-    let end = finishing(&shared);
+    let end = spawn_finish(&shared);
     let mut stopped = false;
     while !stopped {
         match messages.recv().await.expect("a message") {
-            // The last question is given up with the wait.
+            // Nobody awaits the reply to the last question, since the wait has timed out.
             OwnerMessage::CountOpen(reply) => drop(reply.send(1)),
             OwnerMessage::StopNow => stopped = true,
             OwnerMessage::StopAt(_) => {}
             other => panic!("{other:?}"),
         }
     }
-    asked_what_is_open(&mut messages, 1).await;
+    answer_count_open(&mut messages, 1).await;
     tokio::time::sleep(Duration::from_millis(1)).await;
     assert!(!end.is_finished());
-    asked_what_is_open(&mut messages, 0).await;
+    answer_count_open(&mut messages, 0).await;
     end.await.expect("no panic");
 }
--- a/crates/gaparch-platform-router/src/shared_state.rs
+++ b/crates/gaparch-platform-router/src/shared_state.rs
@@ -17,41 +17,42 @@
 /// Capacity that an empty table keeps.
 pub(crate) const IDLE_TABLE_CAPACITY: usize = 64;
 
-/// A router's way from its start to its shutdown, in order.
+/// Lifecycle of a router, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// There is no endpoint list yet.
+    /// No endpoint list has arrived yet.
     Starting,
     /// Requests are accepted.
     Serving,
-    /// The shutdown has begun, but new connections may still arrive.
+    /// Shutdown has begun, but new connections are still accepted.
     Draining,
-    /// Nothing new is accepted; open requests are finished.
+    /// No new connections are accepted; open requests are being finished.
     Closing,
 }
 
-/// State that the tasks of a router share. Its tables are bounded by the connections of clients and the endpoint list.
+/// State that the tasks of a router share. Its tables are bounded by the number of client connections and the
+/// size of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     pub config: RouterConfig,
     pub clock: Clock,
     pub phase: watch::Sender<Phase>,
     pub ready_workers: ReadyWorkers,
-    /// Places of requests in the owner's queue: without them, clients that come and go faster than the owner takes them
-    /// would fill the memory.
+    /// Slots for requests in the owner's queue. Without this limit, clients that connect and disconnect
+    /// faster than the owner handles their requests would exhaust memory.
     pub request_queue: Arc<Semaphore>,
-    /// How connections of clients have ended.
+    /// Counts of closed client connections by reason.
     pub closes: CloseCounts,
     owner: mpsc::UnboundedSender<OwnerMessage>,
     next_request_id: AtomicU64,
-    /// Ids of the requests that are open.
+    /// Transaction ids of open requests.
     open_transactions: Mutex<HashSet<TransactionId>>,
-    /// Attempts that were stopped just before their first byte.
+    /// Counts of attempts that were stopped just before their first byte.
     denials: Mutex<Denials>,
 }
 
 impl SharedState {
-    /// Creates the state of a router in which at most `max_queued_requests` wait for the owner.
+    /// Creates the state of a router in which at most `max_queued_requests` requests wait for the owner.
     pub fn new(
         config: RouterConfig,
         clock: Clock,
@@ -76,7 +77,7 @@
         *self.phase.borrow()
     }
 
-    /// Accepts requests from now on, since there is an endpoint list. A shutdown that has begun is not undone.
+    /// Starts accepting requests, now that there is an endpoint list. Has no effect once shutdown has begun.
     pub fn start_serving(&self) {
         self.phase.send_if_modified(|phase| {
             let is_first_list = *phase == Phase::Starting;
@@ -87,7 +88,8 @@
         });
     }
 
-    /// Accepts requests by the last known endpoint list, if there is one, since the discovery service does not answer.
+    /// Starts accepting requests based on the last known endpoint list, if there is one, while the discovery
+    /// service is unavailable.
     pub fn start_serving_last_known_list(&self) {
         if self.config.last_known_list.is_some() {
             self.start_serving();
@@ -98,7 +100,7 @@
         RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Sends a message to the owner. One that has ended does not need it.
+    /// Sends a message to the owner; the message is discarded if the owner has ended.
     pub fn notify_owner(&self, message: OwnerMessage) {
         let _ = self.owner.send(message);
     }
@@ -108,17 +110,18 @@
         lock(&self.denials).count(denial);
     }
 
-    /// Returns how many attempts were stopped just before their first byte, by reason.
+    /// Returns the counts of attempts that were stopped just before their first byte, by reason.
     pub fn denials(&self) -> Denials {
         *lock(&self.denials)
     }
 
-    /// Registers the id of a request until the owner unregisters it; `false` where a request of this id is open.
+    /// Registers a transaction id until the owner unregisters it; returns `false` if a request with this id
+    /// is open.
     pub fn register_transaction(&self, transaction: &TransactionId) -> bool {
         lock(&self.open_transactions).insert(transaction.clone())
     }
 
-    /// Frees the id of a request, none of whose attempts runs any more.
+    /// Frees the transaction id of a request that has no running attempts any more.
     pub fn unregister_transaction(&self, transaction: &TransactionId) {
         let mut open = lock(&self.open_transactions);
         open.remove(transaction);
--- a/crates/gaparch-platform-router/src/transient_errors.rs
+++ b/crates/gaparch-platform-router/src/transient_errors.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, as Linux documents them, and writes that survive such failures.
+//! Transient failures of system calls as documented for Linux, and writes that retry them.
 
 use bytes::Buf;
 use gaparch_scheduler::policy::connect::ConnectFailure;
@@ -8,28 +8,28 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Delay before a call for which the system had no memory is retried.
+/// Delay before retrying a call that failed for lack of memory.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Most parts of a message that one call writes.
+/// Maximum number of slices passed to one vectored write.
 const MAX_SLICES: usize = 4;
 
-/// Whether the call can do nothing now; the poller says when it can.
+/// Whether the call would block; the poller reports when it can be repeated.
 pub(crate) fn would_block(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock
 }
 
-/// Whether a signal interrupted the call: nothing was done, and nothing is wrong.
+/// Whether a signal interrupted the call before it did anything.
 pub(crate) fn is_interrupted(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
 }
 
-/// Whether the system had no memory or buffer for the call. The connection is as it was.
+/// Whether the system lacked memory or buffer space for the call. The connection is unaffected.
 pub(crate) fn lacks_memory(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Classifies why a connection could not be made: for a reason on this machine, on the way, or at the other side.
+/// Classifies a connect error by its cause: on this machine, in the network, or at the remote side.
 pub(crate) fn connect_failure(error: &io::Error) -> ConnectFailure {
     match Errno::from_io_error(error) {
         Some(
@@ -46,13 +46,13 @@
     }
 }
 
-/// A socket that is written to until it would block. A call that writes less than it was given does not say whether there is
-/// space for the rest.
+/// A socket that is written to until it would block. A short write alone does not mean that there is no space
+/// for the rest.
 pub(crate) trait WriteSocket {
     /// Waits until a write may succeed.
     async fn writable(&self) -> io::Result<()>;
 
-    /// Writes what the system takes at once.
+    /// Writes as many bytes as the system accepts in one call.
     fn try_write_vectored(&self, slices: &[IoSlice<'_>]) -> io::Result<usize>;
 }
 
@@ -66,10 +66,10 @@
     }
 }
 
-/// Writes all bytes, however many the system takes at a time and however often it is interrupted.
+/// Writes all bytes, handling short writes and retrying transient failures.
 ///
 /// # Errors
-/// When the connection is broken.
+/// Returns an error if the connection is broken.
 pub(crate) async fn write_all(socket: &impl WriteSocket, bytes: &mut impl Buf) -> io::Result<()> {
     while bytes.has_remaining() {
         socket.writable().await?;
--- a/crates/gaparch-platform-router/src/worker/call.rs
+++ b/crates/gaparch-platform-router/src/worker/call.rs
@@ -1,12 +1,12 @@
-//! A call without a body, as a probe, a reservation or a release.
+//! Calls without a request body: probes, reservations and releases.
 
 use super::pool::{ConnectionPool, LastExchange, WorkerConnection};
 use crate::transient_errors::write_all;
 use bytes::Bytes;
 use gaparch_platform_protocol::body::MAX_BODY_BYTES;
 
-/// Makes a call and returns the status of its response once that is complete; `None` where there is no response. The
-/// connection goes back to the pool if it can be used again.
+/// Makes a call and returns the status of the complete response, or `None` if there is no response. The
+/// connection is returned to the pool if it can be reused.
 pub(super) async fn call(
     mut connection: WorkerConnection,
     head: &Bytes,
--- a/crates/gaparch-platform-router/src/worker/exchange/mod.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! One attempt at a worker: its request is written, and the owner is notified of what comes back. Nothing is retried here.
+//! One attempt at a worker: writes the request and notifies the owner of the result. Nothing is retried here.
 
 mod stream;
 mod trace;
@@ -25,36 +25,37 @@
 use tokio::time::timeout;
 use trace::Trace;
 
-/// Most bytes of a response without events: a few numbers.
+/// Maximum length of a response body without events; it contains only a few numbers.
 const MAX_SHORT_BODY_BYTES: usize = 16 * 1024;
 
-/// An attempt of a request at a worker.
+/// An attempt at a worker.
 pub(crate) struct Attempt {
     pub request: RequestId,
     pub number: AttemptNumber,
     pub process: WorkerProcess,
     pub stage: Stage,
-    /// Whether something is reserved or cached for its request that it is to fetch.
-    pub carries: SendRisk,
-    /// When the client stops waiting for its first token.
+    /// Whether the attempt depends on resources held for its request, such as a KV cache to fetch.
+    pub send_risk: SendRisk,
+    /// When the client stops waiting for the first token.
     pub deadline_at: Nanos,
     pub forwarded: Arc<ForwardedRequest>,
-    /// The task of the attempt before it, whose connection must be closed before this one is written.
+    /// The task of the previous attempt. Its connection must be closed before this request is written.
     pub previous: Option<JoinHandle<()>>,
-    /// Closes with the last release for the request, which would also release what this attempt prefills.
-    pub releasing: Option<oneshot::Receiver<()>>,
-    /// Time-out of writing the request on a connection that is up.
+    /// Closes when the last release for the request is finished; a release still running would also free what
+    /// this attempt prefills.
+    pub release_done: Option<oneshot::Receiver<()>>,
+    /// Time-out for writing the request on an established connection.
     pub write_timeout: Duration,
-    /// When the last byte has to be written, whatever the connection takes.
+    /// Deadline for writing the last byte, including the time for connecting.
     pub write_by: Nanos,
-    /// Time-out of one attempt of a release, and of the short body behind a head that states all that matters.
+    /// Time-out of one release attempt, and of a short body whose head already states the outcome.
     pub release_timeout: Duration,
     /// Becomes `true` when the last byte is written.
     pub written: watch::Sender<bool>,
 }
 
 impl Attempt {
-    /// Returns a message to the owner.
+    /// Returns the message that notifies the owner of an event.
     fn update(&self, at: Nanos, event: AttemptEvent) -> OwnerMessage {
         OwnerMessage::Attempt(AttemptUpdate {
             server: self.process.server,
@@ -66,22 +67,22 @@
     }
 }
 
-/// A connection whose response has been read to its end.
+/// A connection whose response was read completely.
 struct FinishedConnection {
     connection: WorkerConnection,
     response: ResponseHead,
 }
 
-/// How an exchange has ended.
+/// How an exchange ended.
 struct ExchangeEnd {
-    /// What the owner is notified of; `None` where the request was given up meanwhile.
+    /// The event to notify the owner of; `None` if the request was given up meanwhile.
     event: Option<AttemptEvent>,
-    /// The connection, if it may be reused. Any other closes.
+    /// The connection, if it may be reused. Otherwise it is closed.
     finished: Option<FinishedConnection>,
 }
 
 impl ExchangeEnd {
-    /// The request was given up meanwhile: its connection closes, and nobody waits for the outcome.
+    /// The request was given up meanwhile: the connection is closed, and the outcome is not reported.
     const ABANDONED: ExchangeEnd = ExchangeEnd { event: None, finished: None };
 
     fn failed(status: AttemptStatus) -> ExchangeEnd {
@@ -89,22 +90,22 @@
     }
 }
 
-/// Makes an attempt. Where the future is dropped, its connection closes with it.
+/// Makes an attempt. Dropping the future closes its connection.
 pub(crate) async fn exchange(mut attempt: Attempt, pool: Arc<ConnectionPool>, shared: Arc<SharedState>) {
     if let Some(previous) = attempt.previous.take() {
-        // It was aborted: whatever it ended with, its connection is closed now.
+        // The previous attempt was aborted; once its task has ended, its connection is closed.
         let _ = previous.await;
     }
-    if let Some(releasing) = attempt.releasing.take() {
+    if let Some(release_done) = attempt.release_done.take() {
         // A worker that does not answer the release must not delay the attempt for long.
-        let _ = timeout(attempt.release_timeout, releasing).await;
+        let _ = timeout(attempt.release_timeout, release_done).await;
     }
     let mut trace = Trace::new(&attempt, shared.clock);
     let end = run(&attempt, &pool, &shared, &mut trace).await;
     let at = shared.clock.now();
     trace.log_end(end.event.as_ref());
     if let Some(FinishedConnection { connection, response }) = end.finished {
-        pool.put(connection, &response, LastExchange::Attempt(attempt.carries));
+        pool.put(connection, &response, LastExchange::Attempt(attempt.send_risk));
     }
     if let Some(event) = end.event {
         shared.notify_owner(attempt.update(at, event));
@@ -134,12 +135,12 @@
     attempt.written.send_replace(true);
     let response = match connection.socket.read_response_head().await {
         Ok(response) => response,
-        // It ended after the last byte was written: the request may have run.
+        // The connection ended after the request was written, so the request may have run.
         Err(ResponseError::ConnectionEnded) => {
             pool.record_break(&connection);
             return ExchangeEnd::failed(AttemptStatus::Reset);
         }
-        // Something else in place of a response: the request has run.
+        // The worker sent something other than a response: the request has run.
         Err(ResponseError::Head(_) | ResponseError::TooManyInterim) => {
             return ExchangeEnd::failed(AttemptStatus::Unknown);
         }
@@ -153,7 +154,8 @@
             ExchangeEnd { event: Some(event), finished: body.finished }
         }
         ResponseMeaning::Prefilled => {
-            // The head alone says that it is prefilled; a body that breaks off costs only the number of cached tokens.
+            // The head alone states that the prompt is prefilled. If the body breaks off, only the number of
+            // cached tokens is lost.
             let body = read_short_body(connection, response, attempt.release_timeout).await;
             let cached_prompt_tokens = cached_prompt_tokens(&body.bytes);
             let event = AttemptEvent::Prefilled { cached_prompt_tokens };
@@ -163,32 +165,34 @@
     }
 }
 
-/// Waits for a connection to the worker, until the request has to be written.
+/// Waits for a connection to the worker, at most until the request has to be written.
 async fn connect(
     attempt: &Attempt,
     pool: &ConnectionPool,
     shared: &SharedState,
 ) -> Result<WorkerConnection, AttemptStatus> {
     let remaining = Duration::from_nanos(attempt.write_by.saturating_sub(shared.clock.now()));
-    let connecting = pool.get_for(attempt.process, attempt.carries);
+    let connecting = pool.get_for(attempt.process, attempt.send_risk);
     let connection = match timeout(remaining, connecting).await {
         Ok(Ok(connection)) => connection,
         Ok(Err(failure)) => return Err(failure.status()),
         Err(_) => return Err(AttemptStatus::Expired),
     };
-    // A close or a change of the endpoint list that has arrived is not noticed before the poller runs once more.
+    // Yield so that the poller runs and notices a client's close or an endpoint list that has already
+    // arrived.
     tokio::task::yield_now().await;
     Ok(connection)
 }
 
-/// Checks whether an attempt whose connection is up may still be sent. Since it was decided on, its client may have
-/// disconnected, its time may be over, or its worker may be draining or removed by a list that the owner has not seen yet.
+/// Checks whether an attempt may still be sent once its connection is established. Since the scheduler's
+/// decision the client may have disconnected, the deadline may have passed, or a list that the owner has not
+/// handled yet may have drained or removed the worker.
 fn may_send(attempt: &Attempt, shared: &SharedState) -> Result<(), Denial> {
     send_guards::may_send(&SendFacts {
         now: shared.clock.now(),
         deadline_at: attempt.deadline_at,
         send_by: attempt.write_by,
-        // The attempt before it was waited for, and a response cancels what is in flight.
+        // The previous attempt has ended by now, and a response cancels attempts in flight.
         answered: false,
         attempt_in_flight: false,
         attempts_exhausted: false,
@@ -210,8 +214,8 @@
     );
 }
 
-/// Writes the request up to its last byte, before which it has not run. A worker that takes none of it must not get the rest
-/// when the time of a drain or of a retry is over.
+/// Writes the request. It has not run before its last byte is written. A worker that does not read it must
+/// not receive the rest after the time limit of a drain or a retry.
 async fn write_request(
     attempt: &Attempt,
     shared: &SharedState,
@@ -231,21 +235,21 @@
     }
 }
 
-/// Returns what is left to the client now, not when the attempt was decided on: at least 1 ms.
+/// Returns the time that the client has left now, not at the time of the scheduler's decision; at least 1 ms.
 fn remaining_ms(attempt: &Attempt, now: Nanos) -> u32 {
     let remaining = Duration::from_nanos(attempt.deadline_at.saturating_sub(now));
     u32::try_from(remaining.as_millis().max(1)).unwrap_or(u32::MAX)
 }
 
-/// A body without events.
+/// The body of a response without events.
 struct ShortBody {
-    /// Empty where it could not be read.
+    /// Empty if the body could not be read.
     bytes: Bytes,
     finished: Option<FinishedConnection>,
 }
 
-/// Reads a body without events. One that never ends must not delay what the head states: a KV cache is held for a limited time,
-/// and the client waits.
+/// Reads a body without events. A body that never ends must not delay the outcome stated by the head: a KV
+/// cache is held only for a limited time, and the client is waiting.
 async fn read_short_body(
     mut connection: WorkerConnection,
     response: ResponseHead,
--- a/crates/gaparch-platform-router/src/worker/exchange/stream.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/stream.rs
@@ -1,4 +1,4 @@
-//! Forwards the stream of a worker to its client.
+//! Forwards a worker's event stream to the client.
 
 use super::{Attempt, ExchangeEnd, FinishedConnection};
 use crate::messages::{AttemptEvent, StreamPart};
@@ -13,15 +13,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// A worker that is silent for so long within a stream is ended: the platform lets a client wait for 5 s after an event.
+/// Longest silence of a worker within a stream. The platform allows a client to wait 5 s after an event.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// Why a stream ends before its body does.
+/// Why forwarding ends before the body is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamError {
-    /// The request was given up: no client waits for the stream.
+    /// The request was given up; no client is waiting for the stream.
     Abandoned,
-    /// The attempt has failed with this status.
+    /// The attempt failed with this status.
     Failed(AttemptStatus),
 }
 
@@ -34,19 +34,19 @@
     }
 }
 
-/// A stream on its way.
+/// Forwards one stream.
 struct StreamForwarder<'a> {
     attempt: &'a Attempt,
     shared: &'a SharedState,
     events: EventStream,
-    /// Events that have come and were not forwarded yet. All that is buffered is checked first, so that a stream that is
-    /// malformed at once counts as not begun.
+    /// Events that arrived and were not forwarded yet. Everything that is buffered is validated before it is
+    /// forwarded, so a stream that is malformed from the start counts as not begun.
     pending: BytesMut,
-    /// Where the events go, once the first was forwarded.
+    /// The channel to the client; set when the first events are forwarded.
     client: Option<mpsc::Sender<StreamPart>>,
 }
 
-/// Forwards events as they come. Until the first valid one was forwarded, anything malformed is a failed attempt.
+/// Forwards events as they arrive. Malformed data before the first forwarded event makes the attempt fail.
 pub(super) async fn forward_stream(
     attempt: &Attempt,
     shared: &SharedState,
@@ -67,14 +67,14 @@
 }
 
 impl StreamForwarder<'_> {
-    /// Forwards all events of the body, up to its end.
+    /// Forwards all events of the body.
     async fn forward_body(
         &mut self,
         connection: &mut WorkerConnection,
         response: &ResponseHead,
     ) -> Result<(), StreamError> {
-        // A malformed stream is no broken connection, after which the worker would count as a new process: it is there and
-        // has run the request.
+        // A malformed stream is not reported as a broken connection, which would make the worker count as a
+        // new process: the worker is running and has run the request.
         const MALFORMED: StreamError = StreamError::Failed(AttemptStatus::Unknown);
         let mut decoder = BodyDecoder::new(response.framing);
         loop {
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Reads more of the body, and returns whether it ends with the connection instead.
+    /// Reads more of the body. Returns `true` if the connection ended and the body with it.
     async fn read_more(
         &self,
         connection: &mut WorkerConnection,
         decoder: &BodyDecoder,
     ) -> Result<bool, StreamError> {
-        // Before the first event the time-out of the attempt holds.
+        // Before the first event the attempt's own time-out applies.
         let read_timeout = if self.client.is_some() { SILENCE_TIMEOUT } else { Duration::MAX };
         match timeout(read_timeout, connection.socket.read()).await {
             Ok(Ok(length)) if length > 0 => Ok(false),
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Forwards the pending events. A full queue of the client stops the reading here, and so the worker: nothing is lost.
+    /// Forwards the pending events. If the client's queue is full, this waits, which applies back pressure to
+    /// the worker instead of losing events.
     async fn forward_pending(&mut self) -> Result<(), StreamError> {
         if self.pending.is_empty() {
             return Ok(());
@@ -128,7 +129,7 @@
         client.send(StreamPart::Events(events)).await.map_err(|_| StreamError::Abandoned)
     }
 
-    /// Asks the owner where the stream goes.
+    /// Asks the owner for the channel to the client.
     async fn request_client(&self) -> Result<mpsc::Sender<StreamPart>, StreamError> {
         let (reply, client) = oneshot::channel();
         let at = self.shared.clock.now();
@@ -136,7 +137,7 @@
         client.await.map_err(|_| StreamError::Abandoned)
     }
 
-    /// Ends the stream after its body: it is complete if its last event was there.
+    /// Ends the stream after its body. The stream is complete if its final event arrived.
     async fn finish(self, connection: WorkerConnection, response: ResponseHead) -> ExchangeEnd {
         let is_complete = self.events.is_complete();
         let Some(client) = self.client.filter(|_| is_complete) else {
--- a/crates/gaparch-platform-router/src/worker/exchange/trace.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/trace.rs
@@ -1,4 +1,4 @@
-//! The log line of an exchange: its times on the socket, to be compared with what the scheduler believes.
+//! The log line of an exchange, with its times on the socket for comparison with the scheduler's view.
 
 use super::Attempt;
 use crate::forwarded_request::ForwardedRequest;
@@ -13,16 +13,17 @@
 
 const NANOS_PER_MICRO: Nanos = 1000;
 
-/// How an exchange has ended of which the owner is not notified.
+/// How an exchange ended if the owner is not notified of an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WithoutOutcome {
-    /// The request was given up when its stream began, or its client disconnected within it.
+    /// The request was given up when its stream began, or its client disconnected during the stream.
     Abandoned,
     /// The attempt was cancelled.
     Cancelled,
 }
 
-/// The times of an exchange. Where it is dropped before its end, the line says `Cancelled` and how far it had come.
+/// The times of an exchange. If it is dropped before the exchange ends, the line says `Cancelled` and shows
+/// how far the exchange had progressed.
 pub(super) struct Trace {
     request: RequestId,
     attempt: AttemptNumber,
@@ -32,9 +33,9 @@
     clock: Clock,
     is_logged: bool,
     started_at: Nanos,
-    /// How long its connection was idle before, if it is not new.
+    /// How long its connection was idle before; `None` if it is new.
     idle_time: Option<Duration>,
-    /// 0 until it is connected, as are the following before their moments.
+    /// 0 until it is connected. Likewise the following times are 0 until they are recorded.
     connected_at: Nanos,
     written_at: Nanos,
     first_byte_at: Nanos,
@@ -71,7 +72,7 @@
         self.first_byte_at = self.clock.now();
     }
 
-    /// Logs the end of the exchange; `None` where the request was given up meanwhile.
+    /// Logs the end of the exchange; `event` is `None` if the request was given up meanwhile.
     pub fn log_end(&mut self, event: Option<&AttemptEvent>) {
         match event {
             Some(event) => self.log(event),
--- a/crates/gaparch-platform-router/src/worker/mod.rs
+++ b/crates/gaparch-platform-router/src/worker/mod.rs
@@ -1,4 +1,5 @@
-//! Workers: one exchange for each attempt and calls beside them, on connections that carry one request at a time.
+//! Communication with workers: one exchange per attempt, plus calls such as probes and releases, on
+//! connections that carry one request at a time.
 
 mod call;
 mod exchange;
--- a/crates/gaparch-platform-router/src/worker/pool.rs
+++ b/crates/gaparch-platform-router/src/worker/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle connections to workers. The most recently used is reused first.
+//! The pool of idle connections to workers. The most recently used connection is reused first.
 
 use crate::buffered_socket::BufferedSocket;
 use crate::sync::lock;
@@ -14,48 +14,52 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Most idle connections to one worker.
+/// Maximum number of idle connections to one worker.
 const MAX_IDLE_PER_WORKER: usize = 32;
-/// Part of a worker's own idle time-out after which a connection is not reused: a request on it could end in a reset.
+/// Share of a worker's own idle time-out after which a connection is no longer reused, since a request on it
+/// could be reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
-/// Idle time-out where the settings state none of the workers'.
+/// Idle time-out if the settings do not specify that of the workers.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long idle connections are not reused after one has broken under a request before any response. On a network that drops
-/// them a quarter of the requests on them were reset, of those on new ones one in twenty.
+/// How long idle connections are not reused after one has broken before the response to a request. On a
+/// network that drops idle connections, a quarter of the requests on them were reset, compared with one in
+/// twenty on new connections.
 const REUSE_BACKOFF: Duration = Duration::from_secs(2);
-/// How long a connection is not reused after a request. Bytes that belong to no message may follow a response some
-/// milliseconds late, and would be taken for the response to the next request.
+/// How long a connection is not reused after a request. Stray bytes may follow a response some milliseconds
+/// later and would be taken for the response to the next request.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
-/// A worker that has not responded for so long is forgotten here; the endpoint list brings it back.
+/// A worker without a response for this long is removed from the pool. It is added again when it next
+/// responds.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Capacity that the table of a worker without idle connections keeps.
+/// Capacity that a worker's list of idle connections keeps when it shrinks.
 const MIN_IDLE_CAPACITY: usize = 4;
 
-/// One process of a worker. Another start or address is another process, whose connections are not these.
+/// One process of a worker. A different start time or address means a different process, with connections of
+/// its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct WorkerProcess {
     pub server: ServerId,
     pub address: SocketAddr,
-    /// When it started, on the clock of the endpoint list.
+    /// When the process started, according to the endpoint list.
     pub started_at: Nanos,
 }
 
-/// A connection with its permit of the descriptor budget.
+/// A connection with its permit from the descriptor budget.
 #[derive(Debug)]
 pub(crate) struct WorkerConnection {
     pub socket: BufferedSocket,
     pub process: WorkerProcess,
-    /// How long it was idle before this use; `None` where it is new.
+    /// How long the connection was idle before this use; `None` if it is new.
     pub idle_time: Option<Duration>,
     _permit: OwnedSemaphorePermit,
 }
 
-/// What the pool knows of a worker.
+/// A worker known to the pool.
 #[derive(Debug)]
 struct Worker {
     process: WorkerProcess,
     last_response_at: Instant,
-    /// In the order of their last use.
+    /// In order of last use.
     idle: Vec<IdleConnection>,
 }
 
@@ -69,31 +73,31 @@
 struct IdleConnection {
     connection: WorkerConnection,
     since: Instant,
-    /// When it may be reused.
-    settled_at: Instant,
+    /// When the connection may be reused.
+    reusable_at: Instant,
 }
 
-/// What the last exchange on a connection was.
+/// The kind of the last exchange on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LastExchange {
-    /// An attempt of a request, whose response may be followed by bytes some milliseconds late.
+    /// An attempt, whose response may be followed by stray bytes some milliseconds later.
     Attempt(SendRisk),
-    /// A call without a body, as a probe or a release.
+    /// A call without a body, such as a probe or a release.
     Call,
 }
 
-/// Connections to workers, within a budget of descriptors.
+/// Connections to workers, within a descriptor budget.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     workers: Mutex<HashMap<ServerId, Worker>>,
     permits: Arc<Semaphore>,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    /// When an idle connection last broke under a request.
+    /// When a reused connection last broke before the response to a request.
     last_break: Mutex<Option<Instant>>,
 }
 
-/// How many workers and idle connections the pool knows.
+/// Numbers of workers and idle connections in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PoolSize {
     pub workers: usize,
@@ -120,29 +124,30 @@
         }
     }
 
-    /// Returns a connection for what is sent: an idle one where that may be reused, else a new one.
+    /// Returns a connection for a message with this risk: an idle one if it may be reused, otherwise a new
+    /// one.
     ///
     /// # Errors
-    /// When a new connection can't be made.
+    /// Returns an error if a new connection can't be established.
     pub async fn get_for(
         &self,
         process: WorkerProcess,
-        carries: SendRisk,
+        send_risk: SendRisk,
     ) -> Result<WorkerConnection, ConnectFailure> {
-        if carries.may_reuse_connection() {
+        if send_risk.may_reuse_connection() {
             self.get(process).await
         } else {
             self.connect(process).await
         }
     }
 
-    /// Returns an idle connection that is still good, or a new one.
+    /// Returns a usable idle connection, or a new one.
     ///
     /// # Errors
-    /// When a new connection can't be made.
+    /// Returns an error if a new connection can't be established.
     pub async fn get(&self, process: WorkerProcess) -> Result<WorkerConnection, ConnectFailure> {
         if let Some(connection) = self.take_idle(process) {
-            // A close or bytes that have arrived are not noticed before the poller runs once more.
+            // Yield so that the poller runs and notices a close or stray bytes that have already arrived.
             tokio::task::yield_now().await;
             if connection.socket.is_quiet() {
                 return Ok(connection);
@@ -151,10 +156,11 @@
         self.connect(process).await
     }
 
-    /// Makes a new connection. Where this machine lacks a descriptor, port or buffer it is retried within the connect time-out.
+    /// Establishes a new connection. If this machine lacks a descriptor, port or buffer, it is retried within
+    /// the connect time-out.
     ///
     /// # Errors
-    /// When no connection was made within the time-out.
+    /// Returns an error if no connection is established within the time-out.
     pub async fn connect(&self, process: WorkerProcess) -> Result<WorkerConnection, ConnectFailure> {
         let mut last_failure = ConnectFailure::Remote;
         let attempts = async {
@@ -170,7 +176,7 @@
         result.unwrap_or(Err(last_failure))
     }
 
-    /// Makes one attempt of a new connection, with a second one beside it if the first is slow.
+    /// Tries to connect, and starts a second attempt in parallel if the first one is slow.
     async fn connect_hedged(&self, process: WorkerProcess) -> Result<WorkerConnection, ConnectFailure> {
         let first = self.connect_once(process);
         tokio::pin!(first);
@@ -202,8 +208,8 @@
         Ok(WorkerConnection { socket, process, idle_time: None, _permit: permit })
     }
 
-    /// Takes the most recently used idle connection that is still good; `None` where there is none, or while connections
-    /// break elsewhere.
+    /// Takes the most recently used idle connection that is still usable. Returns `None` if there is none, or
+    /// if a reused connection to any worker broke recently.
     pub fn take_idle(&self, process: WorkerProcess) -> Option<WorkerConnection> {
         let broke_recently = lock(&self.last_break).is_some_and(|at| at.elapsed() < REUSE_BACKOFF);
         if broke_recently {
@@ -214,10 +220,10 @@
         let mut index = worker.idle.len();
         while index > 0 {
             index -= 1;
-            if worker.idle[index].settled_at > Instant::now() {
+            if worker.idle[index].reusable_at > Instant::now() {
                 continue;
             }
-            // One that is not good is dropped, and so closed.
+            // An unusable connection is dropped, which closes it.
             let IdleConnection { mut connection, since, .. } = worker.idle.remove(index);
             let idle_time = since.elapsed();
             if idle_time < self.idle_timeout && connection.socket.is_quiet() {
@@ -228,7 +234,8 @@
         None
     }
 
-    /// Returns a permit for a new connection. Where none is left, the connection that is idle for longest is closed for it.
+    /// Returns a permit for a new connection. If none is left, closes the connection that has been idle
+    /// longest.
     fn permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() {
             return Some(permit);
@@ -237,7 +244,8 @@
         Arc::clone(&self.permits).try_acquire_owned().ok()
     }
 
-    /// Closes the connection that is idle for longest at any worker; `None` where there is none.
+    /// Closes the connection that has been idle longest at any worker; returns `None` if there is no idle
+    /// connection.
     fn close_longest_idle(&self) -> Option<()> {
         let mut workers = lock(&self.workers);
         let with_idle = workers.values_mut().filter(|worker| !worker.idle.is_empty());
@@ -246,14 +254,14 @@
         Some(())
     }
 
-    /// Notes that a connection has broken before any response to a request on it.
+    /// Records that a connection broke before the response to a request.
     pub fn record_break(&self, connection: &WorkerConnection) {
         if connection.idle_time.is_some() {
             *lock(&self.last_break) = Some(Instant::now());
         }
     }
 
-    /// Notes that a worker has responded.
+    /// Records that a worker responded.
     pub fn record_response(&self, process: WorkerProcess) {
         let mut workers = lock(&self.workers);
         let now = Instant::now();
@@ -261,14 +269,14 @@
         if worker.process != process && worker.process.started_at <= process.started_at {
             *worker = Worker::new(process, now);
         }
-        // The response of a process that another one has replaced says nothing of that.
+        // A response from a replaced process says nothing about its successor.
         if worker.process == process {
             worker.last_response_at = now;
         }
     }
 
-    /// Takes back a connection after a response, if it can be reused. Bytes behind the response belong to no message: the
-    /// connection is closed.
+    /// Returns a connection to the pool after a response if it can be reused. A connection with stray bytes
+    /// behind the response is closed.
     pub fn put(&self, mut connection: WorkerConnection, response: &ResponseHead, exchange: LastExchange) {
         if response.close || !connection.socket.buffer.is_empty() {
             return;
@@ -279,16 +287,18 @@
         let worker = workers.get_mut(&process.server).filter(|worker| worker.process == process);
         let Some(worker) = worker else { return };
         let (max_idle, settle_time) = match exchange {
-            LastExchange::Attempt(carries) => (carries.idle_connections(MAX_IDLE_PER_WORKER), SETTLE_TIME),
+            LastExchange::Attempt(send_risk) => {
+                (send_risk.idle_connections(MAX_IDLE_PER_WORKER), SETTLE_TIME)
+            }
             LastExchange::Call => (MAX_IDLE_PER_WORKER, Duration::ZERO),
         };
         let surplus = (worker.idle.len() + 1).saturating_sub(max_idle);
         worker.idle.drain(..surplus);
         let since = Instant::now();
-        worker.idle.push(IdleConnection { connection, since, settled_at: since + settle_time });
+        worker.idle.push(IdleConnection { connection, since, reusable_at: since + settle_time });
     }
 
-    /// Returns when that process last responded to anything, if it is known.
+    /// Returns when this process last responded, if it is known.
     pub fn last_response_at(&self, process: WorkerProcess) -> Option<Instant> {
         let workers = lock(&self.workers);
         let worker = workers.get(&process.server).filter(|worker| worker.process == process)?;
@@ -302,8 +312,8 @@
         }
     }
 
-    /// Closes connections that are idle for too long or closed at the other side, and forgets workers that have not responded
-    /// for long.
+    /// Closes connections that have been idle too long or were closed by the worker, and removes workers
+    /// without idle connections that have not responded for [`FORGET_AFTER`].
     pub fn remove_expired(&self) {
         let is_usable = |idle: &IdleConnection| {
             idle.since.elapsed() < self.idle_timeout && idle.connection.socket.is_quiet()
@@ -315,7 +325,7 @@
         });
     }
 
-    /// Returns how many workers and idle connections are known.
+    /// Returns the numbers of workers and idle connections.
     pub fn size(&self) -> PoolSize {
         let workers = lock(&self.workers);
         let idle_connections = workers.values().map(|worker| worker.idle.len()).sum();
--- a/crates/gaparch-platform-router/src/worker/pool_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/pool_tests.rs
@@ -1,4 +1,4 @@
-//! Idle connections on which something comes in the moment of their use.
+//! Tests the reuse of idle connections, connection hedging, and waiting for descriptor permits.
 
 use super::{ConnectionPool, LastExchange, ResponseHead, WorkerProcess, SETTLE_TIME};
 use bytes::BytesMut;
@@ -14,13 +14,13 @@
 
 fn response_head() -> ResponseHead {
     let mut bytes = BytesMut::from(&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..]);
-    decode_response(&mut bytes).expect("sound").expect("complete")
+    decode_response(&mut bytes).expect("valid").expect("complete")
 }
 
-/// A pool with one idle connection to a worker, and that worker's end of it.
+/// Returns a pool with one idle connection to a worker, and the worker's end of that connection.
 async fn pool_with_idle() -> (ConnectionPool, WorkerProcess, TcpListener, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("local address");
     let process = WorkerProcess { server: ServerId(1), address, started_at: 0 };
     let pool = ConnectionPool::new(Arc::new(Semaphore::new(8)), Duration::from_secs(5), None);
     let connection = pool.connect(process).await.expect("it listens");
@@ -32,22 +32,22 @@
 }
 
 #[tokio::test]
-async fn an_idle_connection_is_reused_once_it_has_settled() {
+async fn an_idle_connection_is_reused_after_its_settle_time() {
     let (pool, process, _listener, _socket) = pool_with_idle().await;
     let connection = pool.get(process).await.expect("it is idle");
     assert!(connection.idle_time.is_some());
     pool.put(connection, &response_head(), LastExchange::Attempt(SendRisk::TimeOnly));
-    // Bytes that belong to no message may still be on their way.
+    // Stray bytes may still arrive.
     assert!(pool.take_idle(process).is_none());
-    // Behind a probe there are none, and the prefill that was probed for follows at once.
+    // No stray bytes follow a probe, and the prefill that it was made for follows immediately.
     let connection = pool.connect(process).await.expect("it listens");
     pool.put(connection, &response_head(), LastExchange::Call);
     assert!(pool.take_idle(process).is_some());
 }
 
-/// Nothing is awaited between the worker's write or close and the use: the poller does not know of it yet.
+/// The poller does not run between the worker's write or close and the reuse, so it has not noticed either.
 #[tokio::test]
-async fn what_comes_in_the_moment_of_its_use_closes_an_idle_connection() {
+async fn an_idle_connection_with_an_unnoticed_close_or_stray_bytes_is_not_reused() {
     for close in [false, true] {
         let (pool, process, _listener, mut socket) = pool_with_idle().await;
         match close {
@@ -59,25 +59,27 @@
     }
 }
 
-/// A connection that is lost on its way costs no attempt: a second one is tried beside it.
+/// Guards against counting a worker as unreachable because one packet was lost while connecting: a second
+/// connection is tried in parallel.
 #[tokio::test]
-async fn a_connection_that_does_not_come_up_has_a_second_one_tried_beside_it() {
+async fn a_second_connection_is_tried_while_the_first_is_not_established() {
     let stuck = Stuck::start();
-    // The first one's next try of its own comes a second after its first.
+    // The kernel retransmits the first connection request only after a second.
     let pool = ConnectionPool::new(Arc::new(Semaphore::new(8)), Duration::from_millis(900), None);
     let process = WorkerProcess { server: ServerId(1), address: stuck.address, started_at: 0 };
     let (connection, _) = tokio::join!(pool.connect(process), async {
         tokio::time::sleep(Duration::from_millis(100)).await;
         stuck.make_room();
     });
-    assert!(connection.is_ok(), "one lost packet counts as a worker that can't be reached");
+    assert!(connection.is_ok(), "one lost packet made the worker count as unreachable");
 }
 
-/// Without a permit of the router's own budget nothing is known of the worker; with one in time it is reached.
+/// A lack of permits in the router's own budget is a local failure and not the worker's. If a permit becomes
+/// free in time, the worker is reached.
 #[tokio::test]
-async fn a_permit_of_the_own_budget_is_waited_for_and_its_lack_blames_no_worker() {
+async fn a_missing_permit_is_waited_for_and_counts_as_a_local_failure() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("local address");
     let process = WorkerProcess { server: ServerId(1), address, started_at: 0 };
     let permits = Arc::new(Semaphore::new(1));
     let pool = ConnectionPool::new(Arc::clone(&permits), Duration::from_millis(200), None);
--- a/crates/gaparch-platform-router/src/worker/probe.rs
+++ b/crates/gaparch-platform-router/src/worker/probe.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Part of a probe's time-out that its response may take on an idle connection.
+/// Share of a probe's time-out that it may spend on an idle connection.
 const IDLE_CONNECTION_SHARE: f64 = 0.5;
 
 /// Probes a worker and notifies the owner of the result.
@@ -39,9 +39,9 @@
     pool: &ConnectionPool,
 ) -> AttemptStatus {
     let head = encode_probe(&process.address.to_string());
-    // An idle connection that breaks says nothing of the worker, and reported as a failure to connect it would count as a
-    // new process in slow start. One that has fallen silent says nothing either. A probe is idempotent, so a new connection
-    // gets the rest of the time.
+    // An idle connection that breaks or gets no response says nothing about the worker; reported as a connect
+    // failure, it would make the worker count as a new process in slow start. A probe is idempotent, so it is
+    // retried on a new connection for the rest of the time.
     if let Some(connection) = pool.take_idle(process) {
         let idle_timeout = probe_timeout.mul_f64(IDLE_CONNECTION_SHARE);
         if let Ok(Some(status)) = timeout(idle_timeout, call(connection, &head, pool)).await {
@@ -54,7 +54,7 @@
     };
     match call(connection, &head, pool).await {
         Some(status) => interpret_probe(status),
-        // A worker that closes on a probe might as well not have been reached.
+        // A worker that closes the connection without a response counts as unreachable.
         None => AttemptStatus::ConnectFailed,
     }
 }
--- a/crates/gaparch-platform-router/src/worker/release.rs
+++ b/crates/gaparch-platform-router/src/worker/release.rs
@@ -1,4 +1,4 @@
-//! Releases of what workers hold for a request: reserved capacity and KV cache.
+//! Releases of the reserved capacity and KV cache that workers hold for a request.
 
 use super::call::call;
 use super::pool::{ConnectionPool, WorkerProcess};
@@ -14,32 +14,34 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// A release for one request.
+/// The release of all resources held for one request.
 pub(crate) struct Release {
     pub transaction: TransactionId,
-    /// Workers that may be called: each of them releases what is held at any worker.
+    /// Workers that may be called. Each of them can release resources that are held at any worker.
     pub processes: Vec<WorkerProcess>,
     /// Time-out of each attempt.
     pub attempt_timeout: Duration,
 }
 
-/// Releases all that is held for a request. It is retried until a running worker has answered: one that does not answer may
-/// never have got the call, and others are called.
+/// Releases all resources held for a request. The call is repeated at other workers until one of them
+/// answers, since a worker that does not answer may never have received it.
 pub(crate) async fn release(release: Release, pool: Arc<ConnectionPool>, clock: Clock) {
     let Release { transaction, mut processes, attempt_timeout } = release;
-    // A worker that responded last is most likely to run. Where a prefill is unanswered that is another than its worker.
+    // The worker that responded most recently is the most likely to be running. If a prefill is unanswered,
+    // that is not the worker that has the prefill.
     processes.sort_by_key(|process| Reverse(pool.last_response_at(*process)));
     let mut rounds = ReleaseRounds::new(processes.len(), clock.now());
     let mut attempts = JoinSet::new();
     let round_interval = Duration::from_nanos(next_round_after(attempt_timeout.as_nanos() as Nanos));
     while let Some(round) = rounds.next(clock.now()) {
         sleep(Duration::from_nanos(round.pause)).await;
-        let carries = if round.needs_fresh_connections { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
+        let send_risk =
+            if round.needs_fresh_connections { SendRisk::HeldKvCache } else { SendRisk::TimeOnly };
         for process in round.servers.iter().filter_map(|index| processes.get(*index)) {
             let pool = Arc::clone(&pool);
-            attempts.spawn(attempt_release(transaction.clone(), *process, carries, attempt_timeout, pool));
+            attempts.spawn(attempt_release(transaction.clone(), *process, send_risk, attempt_timeout, pool));
         }
-        // One answer is enough: the others are not waited for.
+        // One answer is enough; the others are not awaited.
         if timeout(round_interval, any_succeeds(&mut attempts)).await == Ok(true) {
             return;
         }
@@ -50,7 +52,7 @@
     tracing::warn!(txn = transaction.as_str(), "release failed: no worker answers");
 }
 
-/// Whether one of the attempts succeeds; `false` once none of them is left.
+/// Waits until one of the attempts succeeds; returns `false` once all have failed.
 async fn any_succeeds(attempts: &mut JoinSet<bool>) -> bool {
     while let Some(result) = attempts.join_next().await {
         if result.is_ok_and(|succeeded| succeeded) {
@@ -60,17 +62,17 @@
     false
 }
 
-/// Makes one attempt of a release, and returns whether the worker has answered.
+/// Makes one release attempt and returns whether the worker answered.
 async fn attempt_release(
     transaction: TransactionId,
     process: WorkerProcess,
-    carries: SendRisk,
+    send_risk: SendRisk,
     attempt_timeout: Duration,
     pool: Arc<ConnectionPool>,
 ) -> bool {
     let head = encode_release(&transaction, &process.address.to_string());
     let attempt = async {
-        let connection = pool.get_for(process, carries).await.ok()?;
+        let connection = pool.get_for(process, send_risk).await.ok()?;
         call(connection, &head, &pool).await
     };
     let status = timeout(attempt_timeout, attempt).await.ok().flatten();
--- a/crates/gaparch-platform-router/src/worker/release_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/release_tests.rs
@@ -1,4 +1,4 @@
-//! Releases beside workers that do not answer.
+//! Tests releases when some workers do not answer.
 
 use super::{release, Clock, ConnectionPool, Release};
 use crate::worker::WorkerProcess;
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Semaphore;
 
-/// Long, so that a round that waits for the one before it is told apart from one that does not on a busy machine.
+/// Long enough to tell, on a busy machine, whether a round waits for the time-out of the one before it.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn worker(number: u32) -> (WorkerProcess, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("local address");
     (WorkerProcess { server: ServerId(number), address, started_at: 0 }, listener)
 }
 
@@ -25,10 +25,11 @@
     let _ = socket.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// The three workers that responded last are cut off. The KV cache has some tenths of a second in all: a worker that runs is
-/// called long before the first of them would have to have answered.
+/// The three workers that responded most recently are unreachable, and the KV cache has to be released within
+/// some tenths of a second. A running worker has to be called before the attempts at the unreachable ones
+/// time out.
 #[tokio::test]
-async fn a_release_does_not_wait_for_workers_that_are_cut_off() {
+async fn a_release_does_not_wait_for_unreachable_workers() {
     let (silent, listeners): (Vec<WorkerProcess>, Vec<TcpListener>) = (1..=3).map(worker).unzip();
     let (running, listener) = worker(4);
     let (called, calls) = mpsc::channel();
@@ -43,8 +44,8 @@
     let processes = [vec![running], silent].concat();
     let transaction = TransactionId::new("txn").expect("an id");
     let started = Instant::now();
-    let one = Release { transaction, processes, attempt_timeout: ATTEMPT_TIMEOUT };
-    release(one, pool, Clock::default()).await;
+    let request = Release { transaction, processes, attempt_timeout: ATTEMPT_TIMEOUT };
+    release(request, pool, Clock::default()).await;
     let called = calls.try_recv().expect("it was called") - started;
     assert!(called < ATTEMPT_TIMEOUT, "called after {called:?}");
     drop(listeners);
--- a/crates/gaparch-platform-router/src/worker/reserve.rs
+++ b/crates/gaparch-platform-router/src/worker/reserve.rs
@@ -1,4 +1,4 @@
-//! Reservations of capacity at a decode worker beside a prefill.
+//! Reservations of capacity at a decode worker, made alongside a prefill.
 
 use super::call::call;
 use super::pool::{ConnectionPool, WorkerProcess};
@@ -12,21 +12,22 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Time-out of a reservation. A worker answers within 0.3 s; the prefill before it may take longer to be written.
+/// Time-out of a reservation. A worker answers within 0.3 s, but writing the prefill request before it may
+/// take longer.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A reservation beside an attempt.
+/// A reservation made alongside an attempt.
 pub(crate) struct ReservationRequest {
     pub request: RequestId,
     pub attempt: AttemptNumber,
     pub transaction: TransactionId,
-    /// Where capacity is reserved.
+    /// The decode worker at which capacity is reserved.
     pub process: WorkerProcess,
-    /// Becomes `true` with the last byte of the attempt's prefill.
+    /// Becomes `true` when the last byte of the prefill request is written.
     pub prefill_written: watch::Receiver<bool>,
 }
 
-/// Reserves capacity directly after the last byte of the prefill, and notifies the owner of the result.
+/// Reserves capacity as soon as the prefill request is written, and notifies the owner of the result.
 pub(crate) async fn reserve(
     mut reservation: ReservationRequest,
     pool: Arc<ConnectionPool>,
--- a/crates/gaparch-platform-router/tests/common/mod.rs
+++ b/crates/gaparch-platform-router/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A router on a thread of its own, on the scripted platform. Each test file uses a part of it.
 #![allow(dead_code)]
 
-use gaparch_platform_router::{serve, Order, RouterError};
+use gaparch_platform_router::{serve, Command, RouterError};
 use gaparch_testbed::platform::{head_and_body, until, Platform, Step, LONG};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -14,7 +14,7 @@
 /// A router that runs, with the platform around it.
 pub struct RunningRouter {
     platform: Platform,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     thread: JoinHandle<Result<(), RouterError>>,
 }
 
@@ -29,19 +29,19 @@
 impl RunningRouter {
     pub fn with(change: impl FnOnce(&mut Value)) -> RunningRouter {
         let platform = Platform::new(change);
-        let (orders, taken) = mpsc::channel(4);
+        let (commands, receiver) = mpsc::channel(4);
         let file = platform.file.clone();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.expect("a runtime").block_on(serve(file, taken))
+            runtime.expect("a runtime").block_on(serve(file, receiver))
         });
-        let router = RunningRouter { platform, orders, thread };
+        let router = RunningRouter { platform, commands, thread };
         until("the router is ready", || router.health() == 200);
         router
     }
 
-    pub fn order(&self, order: Order) {
-        self.orders.blocking_send(order).expect("it runs");
+    pub fn send(&self, command: Command) {
+        self.commands.blocking_send(command).expect("the router runs");
     }
 
     /// Waits until it has shut down, as it was ordered to.
--- a/crates/gaparch-platform-router/tests/exchange_log.rs
+++ b/crates/gaparch-platform-router/tests/exchange_log.rs
@@ -1,4 +1,5 @@
-//! The log of the exchanges names the reason of each step by the enum of what decided it, as docs/operators/in-service.md says.
+//! The log of the exchanges names the reason of each step by the enum of what decided it, as
+//! docs/operators/in-service.md says.
 
 mod common;
 
--- a/crates/gaparch-platform-router/tests/faults_by_stage.rs
+++ b/crates/gaparch-platform-router/tests/faults_by_stage.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{put, RunningRouter};
-use gaparch_platform_router::Order;
+use gaparch_platform_router::Command;
 use gaparch_testbed::platform::{
     ask, events, head_and_body, judge, read, stream, until, Facts, Platform, Step, LONG,
 };
@@ -98,7 +98,8 @@
     client
 }
 
-/// The client disconnects by `go`: nothing more is sent for it, what workers hold for it is released, and others are served.
+/// The client disconnects by `go`: nothing more is sent for it, what workers hold for it is released, and
+/// others are served.
 fn leaves(go: fn(TcpStream)) {
     std::thread::scope(|all| {
         for stage in STAGES {
@@ -154,7 +155,8 @@
     });
 }
 
-/// The client stays connected: it gets one complete response and nothing after it, whatever is done to its router.
+/// The client stays connected: it gets one complete response and nothing after it, whatever is done to its
+/// router.
 fn stays(ends: bool, fault: fn(&RunningRouter, &mut Facts)) {
     std::thread::scope(|all| {
         for stage in STAGES {
@@ -210,7 +212,7 @@
 #[test]
 fn a_shutdown_ordered_at_any_stage() {
     stays(true, |router, _| {
-        router.order(Order::Shutdown);
+        router.send(Command::Shutdown);
         until("it is shutting down", || router.health() != 200);
         router.catalogue.set(Platform::list(&router.readers, &router.writers));
     });
@@ -220,10 +222,10 @@
 fn a_configuration_read_again_at_any_stage() {
     stays(false, |router, _| {
         std::fs::write(&router.file, "{").expect("written");
-        router.order(Order::Reload);
+        router.send(Command::Reload);
         std::thread::sleep(Duration::from_millis(50));
         std::fs::write(&router.file, router.config.to_string()).expect("written");
-        router.order(Order::Reload);
+        router.send(Command::Reload);
         router.catalogue.set(Platform::list(&router.readers, &router.writers));
     });
 }
--- a/crates/gaparch-platform-router/tests/guards.rs
+++ b/crates/gaparch-platform-router/tests/guards.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ms, put, RunningRouter};
-use gaparch_platform_router::Order;
+use gaparch_platform_router::Command;
 use gaparch_testbed::platform::{
     ask, head_and_body, instance, raw, read, until, Got, Platform, Step, Stuck, Worker, LONG,
 };
@@ -167,7 +167,7 @@
             client
         })
         .collect();
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     let from = Instant::now();
     let asking = clients.into_iter().enumerate().map(|(number, mut client)| {
         std::thread::spawn(move || {
@@ -244,7 +244,7 @@
 #[test]
 fn an_answer_before_the_end_of_its_connection_outlives_what_comes_behind_the_request() {
     let router = RunningRouter::with(|_| {});
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     until("it is shutting down", || router.health() != 200);
     let mut client = TcpStream::connect(router.listen).expect("new connections still arrive");
     client.write_all(&head_and_body("last", "{}")).expect("written");
@@ -278,7 +278,7 @@
                 rustix::net::sockopt::set_socket_recv_buffer_size(&client, 64 * 1024).expect("set");
                 client.write_all(&head_and_body("long", "{}")).expect("written");
                 until("it is written", || router.writes("long") == 1);
-                router.order(Order::Shutdown);
+                router.send(Command::Shutdown);
                 // It reads nothing for a while.
                 std::thread::sleep(ms(900));
                 let bytes = end(&mut client).unwrap_or_else(|e| panic!("{length}: {e}"));
@@ -343,8 +343,8 @@
     assert_eq!(router.health(), 200);
 }
 
-/// Silent connections come by the hundred: a request behind them does not wait for each of them to end, or its attempts
-/// would state more time than its client has left.
+/// Silent connections come by the hundred: a request behind them does not wait for each of them to end, or
+/// its attempts would state more time than its client has left.
 #[test]
 fn a_burst_of_silent_connections_does_not_delay_a_request_behind_it() {
     let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(64));
--- a/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
+++ b/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
@@ -1,5 +1,6 @@
-//! Decode workers that hang while their machines accept connections and bytes: a decode request that was sent has not
-//! arrived. Its KV cache is fetched by a running decode worker or released in time, whatever else holds for the request.
+//! Decode workers that hang while their machines accept connections and bytes: a decode request that was sent
+//! has not arrived. Its KV cache is fetched by a running decode worker or released in time, whatever else
+//! holds for the request.
 
 mod common;
 
@@ -76,8 +77,9 @@
     }
 }
 
-/// As reported: the prefill is answered, the decode request goes out on a new connection to a worker that hangs, and nothing
-/// more comes of it. Whether or not it may be retried, attempts cancelled and workers probed, the KV cache is released.
+/// As reported: the prefill is answered, the decode request goes out on a new connection to a worker that
+/// hangs, and nothing more comes of it. Whether or not it may be retried, attempts cancelled and workers
+/// probed, the KV cache is released.
 #[test]
 fn the_kv_cache_is_released_while_its_only_decode_worker_hangs() {
     std::thread::scope(|all| {
@@ -117,8 +119,8 @@
     hanging.router.no_second_copies();
 }
 
-/// A decode request whose KV cache was released is rejected once its worker resumes, so that it has not run: it is prefilled
-/// again and served, also if it may run only once.
+/// A decode request whose KV cache was released is rejected once its worker resumes, so that it has not run:
+/// it is prefilled again and served, also if it may run only once.
 #[test]
 fn a_decode_worker_that_resumes_rejects_the_request_and_it_is_prefilled_again() {
     let hanging = HangingPlatform::with(1, class_of("single_shot"));
@@ -135,7 +137,8 @@
     hanging.router.no_second_copies();
 }
 
-/// A client disconnects while its decode request hangs and can't be cancelled, or the router is ordered to shut down just then.
+/// A client disconnects while its decode request hangs and can't be cancelled, or the router is ordered to
+/// shut down just then.
 #[test]
 fn the_kv_cache_is_released_though_its_client_disconnects_or_its_router_shuts_down() {
     let left = HangingPlatform::with(1, |config| config["settings"]["caps"]["cancel"] = json!(false));
@@ -151,7 +154,7 @@
     ending.relays[0].hang();
     let asked = ending.asks("ends");
     ending.read_at("ends");
-    ending.router.order(gaparch_platform_router::Order::Shutdown);
+    ending.router.send(gaparch_platform_router::Command::Shutdown);
     ending.is_not_pinned("ends");
     assert_ne!(asked.join().expect("no panic").status, 0);
     ending.router.wait_for_shutdown();
--- a/crates/gaparch-platform-router/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-router/tests/pinned_bytes.rs
@@ -1,9 +1,10 @@
-//! Bytes that the router writes to clients and workers, as a build before the code's names changed wrote them.
+//! Bytes that the router writes to clients and workers, as a build before the code's names changed wrote
+//! them.
 
 mod common;
 
 use common::{put, RunningRouter};
-use gaparch_platform_router::Order;
+use gaparch_platform_router::Command;
 use gaparch_testbed::platform::{events, head_and_body, instance, raw, until, Platform, Step, LONG};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -267,7 +268,7 @@
 #[test]
 fn health_of_a_router_that_shuts_down() {
     let router = RunningRouter::with(|_| {});
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     until("it says so", || router.health() == 503);
     let expected = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 0\r\n\
         Connection: close\r\n\r\n";
--- a/crates/gaparch-platform-router/tests/races.rs
+++ b/crates/gaparch-platform-router/tests/races.rs
@@ -1,10 +1,10 @@
-//! Two events at the same time, their order forced by scripted peers: a drain and a connection that comes up, a moved
-//! discovery service and the delay between two attempts, a response and what comes late behind it.
+//! Two events at the same time, their order forced by scripted peers: a drain and a connection that comes up,
+//! a moved discovery service and the delay between two attempts, a response and what comes late behind it.
 
 mod common;
 
 use common::{ms, put, RunningRouter};
-use gaparch_platform_router::Order;
+use gaparch_platform_router::Command;
 use gaparch_testbed::platform::{
     ask, head_and_body, instance, judge, read, stream, until, Catalogue, Facts, Got, Platform, Seen, Step,
     Stuck, LONG,
@@ -156,8 +156,8 @@
     assert_eq!(read(&mut client, LONG).status, 200);
 }
 
-/// Two hundred clients wait for a decode worker. They disconnect as decode workers are listed again, in both orders: the owner
-/// has all of their requests, their disconnects and the list to handle at once.
+/// Two hundred clients wait for a decode worker. They disconnect as decode workers are listed again, in both
+/// orders: the owner has all of their requests, their disconnects and the list to handle at once.
 #[test]
 fn requests_of_clients_that_disconnect_as_decode_workers_come_back_are_not_forwarded() {
     for disconnect_first in [true, false] {
@@ -197,7 +197,8 @@
     }
 }
 
-/// Generations are those of one service. The address changes while nothing is requested: between two attempts.
+/// Generations are those of one service. The address changes while nothing is requested: between two
+/// attempts.
 #[test]
 fn a_discovery_service_that_moves_between_two_attempts_is_asked_for_its_full_list() {
     let router = RunningRouter::with(|_| {});
@@ -212,7 +213,7 @@
     let mut config = router.config.clone();
     config["discovery"] = json!(new.address.to_string());
     std::fs::write(&router.file, config.to_string()).expect("written");
-    router.order(Order::Reload);
+    router.send(Command::Reload);
     until("the new one is asked", || new.calls() > 1);
     for number in 0..6 {
         assert_eq!(ask(router.listen, &format!("txn-{number}")).status, 200);
@@ -222,7 +223,8 @@
     assert!(asked.iter().all(|(worker, _)| !drained.contains(&worker.as_str())), "{asked:?}");
 }
 
-/// A change that counts as known 6 s after the watch fell silent is received, though two connections after it stay silent, too.
+/// A change that counts as known 6 s after the watch fell silent is received, though two connections after it
+/// stay silent, too.
 #[test]
 fn a_change_is_received_in_time_past_two_connections_that_stay_silent() {
     let router = RunningRouter::with(|_| {});
@@ -261,7 +263,8 @@
     }
 }
 
-/// The id of a request is taken for as long as an attempt of it is in flight, though its client has disconnected.
+/// The id of a request is taken for as long as an attempt of it is in flight, though its client has
+/// disconnected.
 #[test]
 fn an_id_is_free_only_once_no_attempt_of_it_is_in_flight() {
     // Attempts can't be cancelled here.
@@ -302,7 +305,7 @@
         .collect();
     std::thread::sleep(ms(300));
     let from = Instant::now();
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     router.wait_for_shutdown();
     let took = from.elapsed();
     OVER.store(true, Ordering::Relaxed);
@@ -310,8 +313,8 @@
     assert!(took < ms(4000) + SLACK, "{took:?}");
 }
 
-/// A client was in the middle of its request as the router was ordered to shut down. What would be accepted so late could
-/// still run when the process is killed: it is rejected, and nothing is sent for it.
+/// A client was in the middle of its request as the router was ordered to shut down. What would be accepted
+/// so late could still run when the process is killed: it is rejected, and nothing is sent for it.
 #[test]
 fn a_request_whose_last_byte_comes_long_after_the_shutdown_was_ordered_is_rejected() {
     let router = RunningRouter::with(|_| {});
@@ -323,7 +326,7 @@
     let mut streaming = TcpStream::connect(router.listen).expect("it listens");
     streaming.write_all(&head_and_body("streaming", "{}")).expect("written");
     until("its decode attempt is sent", || router.writes("streaming") == 1);
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     std::thread::sleep(ms(300));
     let mut late = TcpStream::connect(router.listen).expect("connections still arrive");
     let whole = head_and_body("late", "{}");
@@ -338,14 +341,14 @@
     router.wait_for_shutdown();
 }
 
-/// The file is still being written as the router is ordered to read it, or can't be opened for a moment. The old discovery
-/// service will close: without the new one the router would receive no change any more.
+/// The file is still being written as the router is ordered to read it, or can't be opened for a moment. The
+/// old discovery service will close: without the new one the router would receive no change any more.
 #[test]
 fn a_configuration_that_is_half_written_as_it_is_read_is_read_again() {
     let router = RunningRouter::with(|_| {});
     let moved = Catalogue::start(Platform::list(&router.readers, &router.writers));
     std::fs::write(&router.file, "{\"name\":\"n0\",").expect("written");
-    router.order(Order::Reload);
+    router.send(Command::Reload);
     std::thread::sleep(ms(200));
     let mut config = router.config.clone();
     config["discovery"] = json!(moved.address.to_string());
--- a/crates/gaparch-platform-router/tests/shutdown.rs
+++ b/crates/gaparch-platform-router/tests/shutdown.rs
@@ -1,10 +1,10 @@
-//! The shutdown of a router whose clients go on sending: what comes late is rejected at once, whatever else arrives, since the
-//! process may be killed soon after.
+//! The shutdown of a router whose clients go on sending: what comes late is rejected at once, whatever else
+//! arrives, since the process may be killed soon after.
 
 mod common;
 
 use common::{ms, started_stream, RunningRouter};
-use gaparch_platform_router::Order;
+use gaparch_platform_router::Command;
 use gaparch_testbed::platform::{events, head_and_body, read, stream, Step, LONG};
 use serde_json::json;
 use std::io::Write;
@@ -19,7 +19,8 @@
     vec![Step::Put(first.to_vec()), Step::Wait(after), Step::Put(rest.to_vec())]
 }
 
-/// Connections that come from then on for so long and begin a request each: none of them can be closed for another.
+/// Connections that come from then on for so long and begin a request each: none of them can be closed for
+/// another.
 fn burst(
     router: &RunningRouter,
     from: Instant,
@@ -38,15 +39,15 @@
     })
 }
 
-/// The platform counts from 0.7 s after the order. A router that is busy with connections that come just then must not
-/// accept what comes on an open one all the same.
+/// The platform counts from 0.7 s after the order. A router that is busy with connections that come just then
+/// must not accept what comes on an open one all the same.
 #[test]
 fn what_comes_late_on_an_open_connection_is_rejected_during_a_burst_of_connections() {
     let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(64));
     router.next_write(&slow_stream(ms(850)));
     let mut client = started_stream(&router, "early");
     let ordered_at = Instant::now();
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     let burst = burst(&router, ordered_at + ms(350), ms(500));
     // Its response did not say that the connection would close: the client goes on with it.
     assert!(read(&mut client, LONG).whole, "its answer is cut off");
@@ -60,7 +61,8 @@
     router.wait_for_shutdown();
 }
 
-/// Nothing of this takes long: a late request is rejected within a moment, for as long as the router has open connections.
+/// Nothing of this takes long: a late request is rejected within a moment, for as long as the router has open
+/// connections.
 #[test]
 fn what_comes_on_open_connections_is_rejected_at_once_until_the_last_stream_ends() {
     let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(256));
@@ -71,7 +73,7 @@
         })
         .collect();
     let ordered_at = Instant::now();
-    router.order(Order::Shutdown);
+    router.send(Command::Shutdown);
     let mut late_requests = 0;
     for (number, mut client) in clients.into_iter().enumerate() {
         assert!(read(&mut client, LONG).whole, "early-{number} is cut off");
--- a/crates/gaparch-platform-router/tests/silent_connections.rs
+++ b/crates/gaparch-platform-router/tests/silent_connections.rs
@@ -17,8 +17,8 @@
     router.floor.log().into_iter().find(|(_, seen)| fits(seen)).map(|(at, _)| at)
 }
 
-/// The only decode worker's idle connections fall silent between two requests. A decode request that has not arrived does not
-/// count: the KV cache is fetched or released in time all the same.
+/// The only decode worker's idle connections fall silent between two requests. A decode request that has not
+/// arrived does not count: the KV cache is fetched or released in time all the same.
 #[test]
 fn the_kv_cache_is_not_pinned_by_a_decode_request_on_a_connection_that_fell_silent() {
     let router = RunningRouter::with(|_| {});
@@ -50,8 +50,8 @@
     router.no_second_copies();
 }
 
-/// All idle connections fall silent at once, two to each worker, and a client disconnects while its prompt is prefilled. What
-/// that leaves behind is released in time: by then some worker has to have got the release.
+/// All idle connections fall silent at once, two to each worker, and a client disconnects while its prompt is
+/// prefilled. What that leaves behind is released in time: by then some worker has to have got the release.
 #[test]
 fn a_release_reaches_a_worker_though_all_idle_connections_fell_silent() {
     let router = RunningRouter::with(|_| {});
@@ -83,10 +83,12 @@
     assert!(held < RELEASE_WITHIN, "held for {held:?}");
 }
 
-/// A worker behind idle connections that fell silent answers probes: one on an idle connection leaves time for a new one.
+/// A worker behind idle connections that fell silent answers probes: one on an idle connection leaves time
+/// for a new one.
 #[test]
 fn a_probe_on_a_connection_that_fell_silent_is_retried_on_a_new_one() {
-    // A probe times out as connecting does: after 3 s here, so that half of it is told apart from all of it on a busy machine.
+    // A probe times out as connecting does: after 3 s here, so that half of it is told apart from all of it
+    // on a busy machine.
     let router = RunningRouter::with(|config| {
         let settings = &mut config["settings"];
         settings["caps"]["connectTimeoutNs"] = json!(3_000_000_000u64);
