--- a/crates/gaparch-platform-router/tests/common/mod.rs
+++ b/crates/gaparch-platform-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router on a thread of its own, on the scripted platform. Each test file uses a part of it.
+//! Runs a router on its own thread within the scripted platform. Each test file uses a part of these helpers.
 #![allow(dead_code)]
 
 use gaparch_platform_router::{serve, Command, RouterError};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A router that runs, with the platform around it.
+/// A running router and the scripted platform around it.
 pub struct RunningRouter {
     platform: Platform,
     commands: mpsc::Sender<Command>,
@@ -27,6 +27,7 @@
 }
 
 impl RunningRouter {
+    /// Starts a router with a changed configuration and waits until it is ready.
     pub fn with(change: impl FnOnce(&mut Value)) -> RunningRouter {
         let platform = Platform::new(change);
         let (commands, receiver) = mpsc::channel(4);
@@ -44,9 +45,9 @@
         self.commands.blocking_send(command).expect("the router runs");
     }
 
-    /// Waits until it has shut down, as it was ordered to.
+    /// Waits until the router has shut down without an error.
     pub fn wait_for_shutdown(self) {
-        until("the router has ended", || self.thread.is_finished());
+        until("the router has shut down", || self.thread.is_finished());
         self.thread.join().expect("no panic").expect("no error");
     }
 }
@@ -55,12 +56,12 @@
     Duration::from_millis(n)
 }
 
-/// A client whose response has begun: all but its first byte is still to be read.
+/// Connects a client, sends a request and reads the first byte of the response.
 pub fn started_stream(router: &RunningRouter, txn: &str) -> TcpStream {
-    let mut client = TcpStream::connect(router.listen).expect("it listens");
+    let mut client = TcpStream::connect(router.listen).expect("connected");
     client.write_all(&head_and_body(txn, "{}")).expect("written");
     client.set_read_timeout(Some(LONG)).expect("set");
-    client.read_exact(&mut [0; 1]).expect("its answer begins");
+    client.read_exact(&mut [0; 1]).expect("the response begins");
     client
 }
 
--- a/crates/gaparch-platform-router/tests/exchange_log.rs
+++ b/crates/gaparch-platform-router/tests/exchange_log.rs
@@ -1,5 +1,5 @@
-//! The log of the exchanges names the reason of each step by the enum of what decided it, as
-//! docs/operators/in-service.md says.
+//! Tests that the log lines of exchanges name the reason of each step by its enum variant, as documented in
+//! docs/operators/in-service.md.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The lines that were logged.
+/// Captured log output.
 #[derive(Clone, Default)]
 struct Log(Arc<Mutex<Vec<u8>>>);
 
 impl Log {
-    /// Takes all that is logged in this process.
+    /// Captures everything that this process logs.
     fn capture() -> Log {
         let log = Log::default();
         let subscriber = tracing_subscriber::fmt()
@@ -23,24 +23,24 @@
             .with_ansi(false)
             .with_writer(log.clone())
             .finish();
-        tracing::subscriber::set_global_default(subscriber).expect("the only one");
+        tracing::subscriber::set_global_default(subscriber).expect("no other global subscriber");
         log
     }
 
-    fn has_line(&self, words: &[&str]) -> bool {
-        let bytes = self.0.lock().expect("no panic");
+    fn has_line(&self, fragments: &[&str]) -> bool {
+        let bytes = self.0.lock().expect("not poisoned");
         let text = String::from_utf8_lossy(&bytes);
-        text.lines().any(|line| words.iter().all(|word| line.contains(word)))
+        text.lines().any(|line| fragments.iter().all(|fragment| line.contains(fragment)))
     }
 
-    fn wait_for_line(&self, words: &[&str]) {
-        until(&format!("a line with {words:?}"), || self.has_line(words));
+    fn wait_for_line(&self, fragments: &[&str]) {
+        until(&format!("a line with {fragments:?}"), || self.has_line(fragments));
     }
 }
 
 impl Write for Log {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("no panic").extend_from_slice(bytes);
+        self.0.lock().expect("not poisoned").extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn each_line_of_an_exchange_names_its_reason() {
+fn the_log_lines_of_an_exchange_name_their_reasons() {
     let log = Log::capture();
     let router = RunningRouter::with(|_| {});
 
@@ -88,7 +88,7 @@
     assert_eq!(ask(router.listen, "reset").status, 200);
     log.wait_for_line(&["exchange ended", "txn=\"reset\"", "status: Reset, "]);
 
-    // The client of a stream that has begun disconnects.
+    // The client disconnects after its stream has begun.
     let first_event = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\ndata: {}\n\n\r\n";
     router.next_write(&[common::put(first_event), Step::Hang]);
     drop(started_stream(&router, "left"));
@@ -100,10 +100,10 @@
     assert_eq!(ask(router.listen, "rejected").status, 503);
     log.wait_for_line(&["request rejected", "txn=\"rejected\"", "cause=", "waited_for=Some("]);
 
-    let once =
+    let single_shot =
         RunningRouter::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
-    once.next_write(&[Step::Close]);
-    assert_eq!(ask(once.listen, "failed").status, 500);
+    single_shot.next_write(&[Step::Close]);
+    assert_eq!(ask(single_shot.listen, "failed").status, 500);
     log.wait_for_line(&["request failed", "txn=\"failed\"", "cause=", "detail="]);
     log.wait_for_line(&["KV cache released", "txn=\"failed\"", "prefill_worker="]);
     log.wait_for_line(&["release attempted", "txn=\"failed\"", "status=Some(204)"]);
--- a/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
+++ b/crates/gaparch-platform-router/tests/hanging_decode_workers.rs
@@ -1,6 +1,6 @@
-//! Decode workers that hang while their machines accept connections and bytes: a decode request that was sent
-//! has not arrived. Its KV cache is fetched by a running decode worker or released in time, whatever else
-//! holds for the request.
+//! Tests decode workers whose process hangs while the kernel still accepts connections and bytes, so that a
+//! decode request that was sent is never handled. The KV cache has to be fetched by a running decode worker
+//! or released in time in every case.
 
 mod common;
 
@@ -13,10 +13,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The settings' release time and what the platform adds to it.
-const RELEASE_WITHIN: Duration = Duration::from_millis(500 + 300);
+/// The release time of the settings plus the platform's tolerance.
+const MAX_HELD_TIME: Duration = Duration::from_millis(500 + 300);
 
-/// A platform whose only decode workers are its first, each behind a relay that may hang.
+/// A platform with only the first few decode workers, each behind a relay that can hang.
 struct HangingPlatform {
     router: RunningRouter,
     relays: Vec<HangingRelay>,
@@ -38,64 +38,64 @@
         HangingPlatform { router, relays }
     }
 
-    fn asks(&self, txn: &str) -> JoinHandle<Got> {
+    fn send_request(&self, txn: &str) -> JoinHandle<Got> {
         let (listen, txn) = (self.router.listen, txn.to_owned());
         std::thread::spawn(move || ask(listen, &txn))
     }
 
-    /// When its prefill arrived, which is answered at once.
-    fn read_at(&self, txn: &str) -> Instant {
-        let reads = |seen: &Seen| matches!(seen, Seen::Asked { worker, txn: of, .. } if of == txn && worker.starts_with('r'));
-        until("it is prefilled", || self.first(&reads).is_some());
-        self.first(&reads).expect("read")
+    /// Returns when the prefill arrived. The prefill is answered immediately.
+    fn prefilled_at(&self, txn: &str) -> Instant {
+        let is_prefill = |seen: &Seen| matches!(seen, Seen::Asked { worker, txn: of, .. } if of == txn && worker.starts_with('r'));
+        until("it is prefilled", || self.first_time(&is_prefill).is_some());
+        self.first_time(&is_prefill).expect("prefilled")
     }
 
-    fn first(&self, fits: &dyn Fn(&Seen) -> bool) -> Option<Instant> {
-        self.router.floor.log().into_iter().find(|(_, seen)| fits(seen)).map(|(at, _)| at)
+    fn first_time(&self, matches: &dyn Fn(&Seen) -> bool) -> Option<Instant> {
+        self.router.floor.log().into_iter().find(|(_, seen)| matches(seen)).map(|(at, _)| at)
     }
 
-    /// Its KV cache is fetched by a running decode worker, or released, in time.
-    fn is_not_pinned(&self, txn: &str) {
-        let read_at = self.read_at(txn);
-        let done = |seen: &Seen| match seen {
+    /// Asserts that the KV cache is fetched by a running decode worker or released in time.
+    fn assert_kv_cache_not_pinned(&self, txn: &str) {
+        let prefilled_at = self.prefilled_at(txn);
+        let is_done = |seen: &Seen| match seen {
             Seen::Asked { worker, txn: of, .. } => of == txn && worker.starts_with('w'),
             Seen::Released { txn: of, .. } => of == txn,
             _ => false,
         };
-        until("its KV cache is fetched or released", || self.first(&done).is_some());
-        let held = self.first(&done).expect("done").saturating_duration_since(read_at);
-        assert!(held < RELEASE_WITHIN, "{txn}: held for {held:?}");
+        until("its KV cache is fetched or released", || self.first_time(&is_done).is_some());
+        let held = self.first_time(&is_done).expect("done").saturating_duration_since(prefilled_at);
+        assert!(held < MAX_HELD_TIME, "{txn}: held for {held:?}");
     }
 }
 
-fn class_of(effect: &str) -> impl FnOnce(&mut Value) + use<'_> {
+fn with_idempotency(idempotency: &str) -> impl FnOnce(&mut Value) + use<'_> {
     move |config| {
         let class = &mut config["settings"]["services"][0];
-        class["idempotency"] = json!(effect);
+        class["idempotency"] = json!(idempotency);
         class["dedupScope"] = json!("all");
         class["dedupWindowNs"] = json!(2_000_000_000u64);
     }
 }
 
-/// As reported: the prefill is answered, the decode request goes out on a new connection to a worker that
-/// hangs, and nothing more comes of it. Whether or not it may be retried, attempts cancelled and workers
-/// probed, the KV cache is released.
+/// Guards against a KV cache that stays held while its only decode worker hangs. The prefill is answered and
+/// the decode request is sent on a new connection, but gets no response. The KV cache has to be released
+/// whether or not the request may be retried, attempts cancelled and workers probed.
 #[test]
 fn the_kv_cache_is_released_while_its_only_decode_worker_hangs() {
     std::thread::scope(|all| {
-        for effect in ["free", "guarded", "single_shot"] {
+        for idempotency in ["free", "guarded", "single_shot"] {
             for (cancel, probes) in [(true, true), (true, false), (false, true), (false, false)] {
                 all.spawn(move || {
                     let hanging = HangingPlatform::with(1, |config| {
-                        class_of(effect)(config);
+                        with_idempotency(idempotency)(config);
                         config["settings"]["caps"]["cancel"] = json!(cancel);
                         config["settings"]["caps"]["probes"] = json!(probes);
                     });
                     hanging.relays[0].hang();
-                    let asked = hanging.asks("held");
-                    hanging.is_not_pinned("held");
-                    let status = asked.join().expect("no panic").status;
-                    assert_ne!(status, 0, "{effect}, cancel {cancel}, probes {probes}: no answer");
+                    let request = hanging.send_request("held");
+                    hanging.assert_kv_cache_not_pinned("held");
+                    let status = request.join().expect("no panic").status;
+                    assert_ne!(status, 0, "{idempotency}, cancel {cancel}, probes {probes}: no response");
                     hanging.router.no_second_copies();
                 });
             }
@@ -103,59 +103,60 @@
     });
 }
 
-/// One of two decode workers hangs: a request that may be retried is served by the other one.
+/// If one of two decode workers hangs, a request that may be retried is served by the other one.
 #[test]
 fn the_kv_cache_is_fetched_by_another_decode_worker_while_one_hangs() {
     let hanging = HangingPlatform::with(2, |_| {});
     assert_eq!(ask(hanging.router.listen, "before").status, 200);
     hanging.relays[0].hang();
     let names: Vec<String> = (0..12).map(|number| format!("held-{number}")).collect();
-    let asked: BTreeMap<&str, JoinHandle<Got>> =
-        names.iter().map(|name| (name.as_str(), hanging.asks(name))).collect();
-    for (name, answer) in asked {
+    let requests: BTreeMap<&str, JoinHandle<Got>> =
+        names.iter().map(|name| (name.as_str(), hanging.send_request(name))).collect();
+    for (name, answer) in requests {
         assert_eq!(answer.join().expect("no panic").status, 200, "{name}");
-        hanging.is_not_pinned(name);
+        hanging.assert_kv_cache_not_pinned(name);
     }
     hanging.router.no_second_copies();
 }
 
-/// A decode request whose KV cache was released is rejected once its worker resumes, so that it has not run:
-/// it is prefilled again and served, also if it may run only once.
+/// A decode request whose KV cache was released is rejected when its worker resumes. Since it has not run, it
+/// is prefilled again and served, even if it may run only once.
 #[test]
 fn a_decode_worker_that_resumes_rejects_the_request_and_it_is_prefilled_again() {
-    let hanging = HangingPlatform::with(1, class_of("single_shot"));
+    let hanging = HangingPlatform::with(1, with_idempotency("single_shot"));
     let gone = "HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     hanging.router.next_write(&[common::put(gone)]);
     hanging.relays[0].hang();
-    let asked = hanging.asks("again");
-    hanging.is_not_pinned("again");
-    until("it is released", || hanging.router.released("again"));
+    let request = hanging.send_request("again");
+    hanging.assert_kv_cache_not_pinned("again");
+    until("the KV cache is released", || hanging.router.released("again"));
     hanging.relays[0].resume();
-    let answer = asked.join().expect("no panic");
+    let answer = request.join().expect("no panic");
     assert_eq!(answer.status, 200, "{}", answer.head);
     assert_eq!(hanging.router.writes("again"), 2);
     hanging.router.no_second_copies();
 }
 
-/// A client disconnects while its decode request hangs and can't be cancelled, or the router is ordered to
-/// shut down just then.
+/// The client disconnects, or the router shuts down, while a decode request hangs. In the first case it can't
+/// be cancelled.
 #[test]
-fn the_kv_cache_is_released_though_its_client_disconnects_or_its_router_shuts_down() {
-    let left = HangingPlatform::with(1, |config| config["settings"]["caps"]["cancel"] = json!(false));
-    left.relays[0].hang();
-    let mut client = TcpStream::connect(left.router.listen).expect("it listens");
+fn the_kv_cache_is_released_if_the_client_disconnects_or_the_router_shuts_down() {
+    let disconnecting =
+        HangingPlatform::with(1, |config| config["settings"]["caps"]["cancel"] = json!(false));
+    disconnecting.relays[0].hang();
+    let mut client = TcpStream::connect(disconnecting.router.listen).expect("connected");
     client.write_all(&head_and_body("leaves", "{}")).expect("written");
-    left.read_at("leaves");
+    disconnecting.prefilled_at("leaves");
     std::thread::sleep(Duration::from_millis(50));
     drop(client);
-    left.is_not_pinned("leaves");
+    disconnecting.assert_kv_cache_not_pinned("leaves");
 
-    let ending = HangingPlatform::with(1, |_| {});
-    ending.relays[0].hang();
-    let asked = ending.asks("ends");
-    ending.read_at("ends");
-    ending.router.send(gaparch_platform_router::Command::Shutdown);
-    ending.is_not_pinned("ends");
-    assert_ne!(asked.join().expect("no panic").status, 0);
-    ending.router.wait_for_shutdown();
+    let shutting_down = HangingPlatform::with(1, |_| {});
+    shutting_down.relays[0].hang();
+    let request = shutting_down.send_request("ends");
+    shutting_down.prefilled_at("ends");
+    shutting_down.router.send(gaparch_platform_router::Command::Shutdown);
+    shutting_down.assert_kv_cache_not_pinned("ends");
+    assert_ne!(request.join().expect("no panic").status, 0);
+    shutting_down.router.wait_for_shutdown();
 }
--- a/crates/gaparch-platform-router/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-router/tests/pinned_bytes.rs
@@ -1,5 +1,4 @@
-//! Bytes that the router writes to clients and workers, as a build before the code's names changed wrote
-//! them.
+//! Tests that the bytes the router writes to clients and workers stay the same as those of earlier builds.
 
 mod common;
 
@@ -12,25 +11,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// All that comes back for these bytes, up to the end of the connection.
-fn answer_to(router: &RunningRouter, request: &[u8]) -> String {
-    let mut client = TcpStream::connect(router.listen).expect("it listens");
+/// Sends these bytes and returns everything that comes back until the connection ends.
+fn response_to(router: &RunningRouter, request: &[u8]) -> String {
+    let mut client = TcpStream::connect(router.listen).expect("connected");
     client.write_all(request).expect("written");
     client.set_read_timeout(Some(LONG)).expect("set");
     let mut bytes = Vec::new();
-    client.read_to_end(&mut bytes).expect("its end");
+    client.read_to_end(&mut bytes).expect("the end");
     String::from_utf8(bytes).expect("text")
 }
 
-/// An answer with a text, after which the connection closes.
-fn closing(status: &str, text: &str) -> String {
+/// Returns a response with a text body, after which the connection closes.
+fn closing_response(status: &str, text: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{text}",
         text.len()
     )
 }
 
-/// A request of one that closes the connection after its answer.
+/// Returns a request that asks to close the connection after the response.
 fn last_request(txn: &str, remaining_ms: u32) -> Vec<u8> {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nX-Txn: {txn}\r\nX-Lane: chat\r\nX-Remaining-Ms: {remaining_ms}\r\n\
@@ -40,15 +39,15 @@
 }
 
 #[test]
-fn health_and_messages_that_are_rejected() {
+fn health_checks_and_rejected_messages() {
     let router = RunningRouter::with(|_| {});
     let health =
         "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    let asked = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    assert_eq!(answer_to(&router, asked), health);
+    let request = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    assert_eq!(response_to(&router, request), health);
 
     let post = "POST /v1/chat/completions HTTP/1.1\r\n";
-    let sound = "X-Txn: a\r\nX-Lane: chat\r\nX-Remaining-Ms: 100\r\n";
+    let valid = "X-Txn: a\r\nX-Lane: chat\r\nX-Remaining-Ms: 100\r\n";
     let cases = [
         ("GET / HTTP/1.1\r\n\r\n".to_owned(), "404 Not Found", "nothing is served there"),
         (
@@ -68,29 +67,29 @@
             "X-Remaining-Ms must be a whole number of milliseconds",
         ),
         (
-            format!("{post}{sound}X-Org: a\r\nX-Org: b\r\n\r\n"),
+            format!("{post}{valid}X-Org: a\r\nX-Org: b\r\n\r\n"),
             "400 Bad Request",
             "X-Org, X-Entity, X-Labels and X-Resent may be there once each",
         ),
-        (format!("{post}{sound}Content-Length: 0\r\n\r\n"), "400 Bad Request", "a request must have a body"),
+        (format!("{post}{valid}Content-Length: 0\r\n\r\n"), "400 Bad Request", "a request must have a body"),
         (format!("{post}Content-Length: 1, 1\r\n\r\n"), "400 Bad Request", "a length that can't be told"),
         ("noise\r\n\r\n".to_owned(), "400 Bad Request", "no HTTP/1.1 head"),
         (
-            format!("{post}{sound}Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
+            format!("{post}{valid}Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
             "400 Bad Request",
             "a chunk whose size can't be read",
         ),
         (
-            format!("{post}{sound}Transfer-Encoding: chunked\r\n\r\n3\r\nabcd"),
+            format!("{post}{valid}Transfer-Encoding: chunked\r\n\r\n3\r\nabcd"),
             "400 Bad Request",
             "a chunk that does not end where its size says",
         ),
         (
-            format!("{post}{sound}Transfer-Encoding: chunked\r\n\r\n50000\r\n"),
+            format!("{post}{valid}Transfer-Encoding: chunked\r\n\r\n50000\r\n"),
             "400 Bad Request",
             "a chunk of more bytes than a body may have",
         ),
-        (format!("{post}{sound}Content-Length: 300000\r\n\r\n"), "413 Content Too Large", "too long"),
+        (format!("{post}{valid}Content-Length: 300000\r\n\r\n"), "413 Content Too Large", "too long"),
         (
             format!("{post}X: {}\r\n\r\n", "x".repeat(9000)),
             "431 Request Header Fields Too Large",
@@ -99,12 +98,16 @@
         (post.to_owned(), "408 Request Timeout", "the request did not come in time"),
     ];
     for (request, status, text) in cases {
-        assert_eq!(answer_to(&router, request.as_bytes()), closing(status, text), "{request:.200}");
+        assert_eq!(
+            response_to(&router, request.as_bytes()),
+            closing_response(status, text),
+            "{request:.200}"
+        );
     }
 }
 
 #[test]
-fn a_stream_and_one_that_breaks() {
+fn complete_and_broken_streams() {
     let router = RunningRouter::with(|_| {});
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\
         Connection: close\r\n\r\n";
@@ -112,12 +115,12 @@
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     router.next_write(&[put(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{all}", all.len()))]);
     let expected = format!("{head}{}0\r\n\r\n", chunk(&all));
-    assert_eq!(answer_to(&router, &last_request("complete", 5000)), expected);
+    assert_eq!(response_to(&router, &last_request("complete", 5000)), expected);
 
     let first = &events()[0];
     let begun = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(first));
     router.next_write(&[put(&begun), Step::Wait(Duration::from_millis(200)), Step::Close]);
-    assert_eq!(answer_to(&router, &last_request("broken", 5000)), format!("{head}{}", chunk(first)));
+    assert_eq!(response_to(&router, &last_request("broken", 5000)), format!("{head}{}", chunk(first)));
 }
 
 #[test]
@@ -127,22 +130,22 @@
         config["settings"]["caps"]["retryAfter"] = json!(false);
     });
     router.next_write(&[Step::Wait(Duration::from_millis(100)), Step::Close]);
-    let failed = closing("500 Internal Server Error", "not answered; it may have run");
-    assert_eq!(answer_to(&router, &last_request("failed", 5000)), failed);
+    let failed = closing_response("500 Internal Server Error", "not answered; it may have run");
+    assert_eq!(response_to(&router, &last_request("failed", 5000)), failed);
 
     let list = Platform::list(&router.readers, &router.writers);
     router.tell(Platform::without_writers(&list));
-    let mut open = TcpStream::connect(router.listen).expect("it listens");
+    let mut open = TcpStream::connect(router.listen).expect("connected");
     open.write_all(&head_and_body("open", "{}")).expect("written");
     std::thread::sleep(Duration::from_millis(100));
-    let conflict = closing("409 Conflict", "a request of this id is open");
-    assert_eq!(answer_to(&router, &last_request("open", 5000)), conflict);
+    let conflict = closing_response("409 Conflict", "a request of this id is open");
+    assert_eq!(response_to(&router, &last_request("open", 5000)), conflict);
 
-    let rejected = closing("503 Service Unavailable", "not done; a retry is harmless");
-    assert_eq!(answer_to(&router, &last_request("rejected", 300)), rejected);
+    let rejected = closing_response("503 Service Unavailable", "not done; a retry is harmless");
+    assert_eq!(response_to(&router, &last_request("rejected", 300)), rejected);
 }
 
-/// A worker that records each message byte by byte, and answers all of them well.
+/// A worker that records the bytes of each message and answers all of them successfully.
 #[derive(Clone)]
 struct Recorder {
     address: String,
@@ -153,7 +156,7 @@
 impl Recorder {
     fn start(answer: &'static str) -> Recorder {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound").to_string();
+        let address = listener.local_addr().expect("local address").to_string();
         let recorder = Recorder { address, answer, messages: Arc::default() };
         let this = recorder.clone();
         std::thread::spawn(move || {
@@ -169,7 +172,7 @@
         while let Some(message) = read_message(&mut socket) {
             let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             let answer = if message.contains(" /v1/") { self.answer } else { ok };
-            self.messages.lock().expect("no panic").push(message);
+            self.messages.lock().expect("not poisoned").push(message);
             socket.write_all(answer.as_bytes()).expect("written");
         }
     }
@@ -181,14 +184,14 @@
         entry
     }
 
-    /// The messages that begin so.
-    fn recorded(&self, start: &str) -> Vec<String> {
-        let messages = self.messages.lock().expect("no panic");
-        messages.iter().filter(|message| message.starts_with(start)).cloned().collect()
+    /// Returns the recorded messages that begin with `prefix`.
+    fn recorded(&self, prefix: &str) -> Vec<String> {
+        let messages = self.messages.lock().expect("not poisoned");
+        messages.iter().filter(|message| message.starts_with(prefix)).cloned().collect()
     }
 }
 
-/// Lists these two, and the workers of the platform as gone.
+/// Lists only these two workers, and those of the platform as gone.
 fn list_only(router: &RunningRouter, prefill: &Recorder, decode: &Recorder) {
     let mut list = Platform::list(&router.readers, &router.writers);
     list.iter_mut().for_each(|entry| entry["lifecycle"] = json!("gone"));
@@ -197,7 +200,7 @@
     router.tell(list);
 }
 
-/// A message with its body, whose length the head states; `None` at the end of the connection.
+/// Reads a message with its body, whose length the head states; returns `None` at the end of the connection.
 fn read_message(socket: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
@@ -218,15 +221,15 @@
     Some(head + std::str::from_utf8(&body).expect("text"))
 }
 
-/// The request without the value of its one header that tells a time, and that value.
+/// Returns the request without the value of `X-Remaining-Ms`, which varies, and that value.
 fn without_remaining(request: &str) -> (String, u64) {
     let (before, rest) = request.split_once("X-Remaining-Ms: ").expect("the header");
-    let (value, after) = rest.split_once("\r\n").expect("its end");
+    let (value, after) = rest.split_once("\r\n").expect("the end");
     (format!("{before}X-Remaining-Ms: \r\n{after}"), value.parse().expect("a number"))
 }
 
 #[test]
-fn messages_as_workers_get_them() {
+fn requests_and_probes_to_workers() {
     let router = RunningRouter::with(|_| {});
     let prefill = Recorder::start("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}");
     let decode = Recorder::start("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\ndata: [DONE]\n\n");
@@ -248,9 +251,9 @@
     }
 }
 
-/// What was prefilled is released where the decode worker has failed it.
+/// The KV cache is released after the decode worker has failed the request.
 #[test]
-fn a_release_as_workers_get_it() {
+fn releases_to_workers() {
     let router =
         RunningRouter::with(|config| config["settings"]["services"][0]["idempotency"] = json!("single_shot"));
     let prefill = Recorder::start("HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}");
@@ -258,7 +261,7 @@
     list_only(&router, &prefill, &decode);
     assert_eq!(raw(router.listen, &head_and_body("bytes", "{}"), LONG).status, 500);
     let released = || [prefill.recorded("DELETE"), decode.recorded("DELETE")].concat();
-    until("it is released", || !released().is_empty());
+    until("the KV cache is released", || !released().is_empty());
     let expected = |worker: &Recorder| {
         format!("DELETE /internal/reservations/bytes HTTP/1.1\r\nHost: {}\r\n\r\n", worker.address)
     };
@@ -266,16 +269,16 @@
 }
 
 #[test]
-fn health_of_a_router_that_shuts_down() {
+fn health_check_of_a_router_that_is_shutting_down() {
     let router = RunningRouter::with(|_| {});
     router.send(Command::Shutdown);
-    until("it says so", || router.health() == 503);
+    until("the router is shutting down", || router.health() == 503);
     let expected = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 0\r\n\
         Connection: close\r\n\r\n";
-    let mut client = TcpStream::connect(router.listen).expect("it still accepts");
+    let mut client = TcpStream::connect(router.listen).expect("still accepting connections");
     client.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
     let mut text = String::new();
-    client.read_to_string(&mut text).expect("its end");
+    client.read_to_string(&mut text).expect("the end");
     assert_eq!(text, expected);
     router.wait_for_shutdown();
 }
--- a/crates/gaparch-platform-router/tests/shutdown.rs
+++ b/crates/gaparch-platform-router/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! The shutdown of a router whose clients go on sending: what comes late is rejected at once, whatever else
-//! arrives, since the process may be killed soon after.
+//! Tests the shutdown of a router whose clients keep sending. Late requests are rejected immediately,
+//! whatever else arrives, since the process may be killed soon after.
 
 mod common;
 
@@ -11,26 +11,26 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A stream whose first event comes at once and the rest after that time.
-fn slow_stream(after: Duration) -> Vec<Step> {
+/// Returns a stream whose first event is sent immediately and the rest after a delay.
+fn slow_stream(delay: Duration) -> Vec<Step> {
     let whole = stream(&events());
     let first = whole.windows(4).position(|w| w == b"\n\n\r\n").expect("an event") + 4;
     let (first, rest) = whole.split_at(first);
-    vec![Step::Put(first.to_vec()), Step::Wait(after), Step::Put(rest.to_vec())]
+    vec![Step::Put(first.to_vec()), Step::Wait(delay), Step::Put(rest.to_vec())]
 }
 
-/// Connections that come from then on for so long and begin a request each: none of them can be closed for
-/// another.
-fn burst(
+/// Opens connections from a given time on, for a given duration. Each begins a request, so that none of them
+/// can be closed for another.
+fn spawn_connection_burst(
     router: &RunningRouter,
-    from: Instant,
-    for_how_long: Duration,
+    start: Instant,
+    duration: Duration,
 ) -> std::thread::JoinHandle<Vec<TcpStream>> {
     let listen = router.listen;
     std::thread::spawn(move || {
-        std::thread::sleep(from.saturating_duration_since(Instant::now()));
+        std::thread::sleep(start.saturating_duration_since(Instant::now()));
         let mut all = Vec::new();
-        while from.elapsed() < for_how_long && all.len() < 60 {
+        while start.elapsed() < duration && all.len() < 60 {
             let Ok(mut client) = TcpStream::connect(listen) else { break };
             let _ = client.write_all(b"POST /v1/chat/completions HTTP/1.1\r\n");
             all.push(client);
@@ -39,32 +39,32 @@
     })
 }
 
-/// The platform counts from 0.7 s after the order. A router that is busy with connections that come just then
-/// must not accept what comes on an open one all the same.
+/// The platform requires that requests are rejected from 0.7 s after the shutdown command. Guards against a
+/// router that is busy with a burst of new connections at that time and still accepts a request on an open
+/// connection.
 #[test]
-fn what_comes_late_on_an_open_connection_is_rejected_during_a_burst_of_connections() {
+fn a_late_request_on_an_open_connection_is_rejected_during_a_burst_of_connections() {
     let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(64));
     router.next_write(&slow_stream(ms(850)));
     let mut client = started_stream(&router, "early");
-    let ordered_at = Instant::now();
+    let shutdown_at = Instant::now();
     router.send(Command::Shutdown);
-    let burst = burst(&router, ordered_at + ms(350), ms(500));
-    // Its response did not say that the connection would close: the client goes on with it.
-    assert!(read(&mut client, LONG).whole, "its answer is cut off");
+    let burst = spawn_connection_burst(&router, shutdown_at + ms(350), ms(500));
+    // The response did not announce that the connection closes, so the client continues to use it.
+    assert!(read(&mut client, LONG).whole, "the response is cut off");
     let _ = client.write_all(&head_and_body("late", "{}"));
-    assert!(ordered_at.elapsed() > ms(700), "the machine is faster than the test");
+    assert!(shutdown_at.elapsed() > ms(700), "the stream ended too early for the request to be late");
     let answer = read(&mut client, LONG);
-    assert_ne!(answer.status, 200, "taken {:?} after the order", ordered_at.elapsed());
+    assert_ne!(answer.status, 200, "accepted {:?} after the shutdown command", shutdown_at.elapsed());
     assert!(router.floor.asked().iter().all(|(_, txn)| txn != "late"));
     drop(burst.join().expect("no panic"));
     drop(client);
     router.wait_for_shutdown();
 }
 
-/// Nothing of this takes long: a late request is rejected within a moment, for as long as the router has open
-/// connections.
+/// A late request is rejected promptly for as long as the router has open connections.
 #[test]
-fn what_comes_on_open_connections_is_rejected_at_once_until_the_last_stream_ends() {
+fn late_requests_on_open_connections_are_rejected_promptly_until_the_last_stream_ends() {
     let router = RunningRouter::with(|config| config["limits"]["sockets"] = json!(256));
     let clients: Vec<TcpStream> = (0..6)
         .map(|number| {
@@ -72,21 +72,21 @@
             started_stream(&router, &format!("early-{number}"))
         })
         .collect();
-    let ordered_at = Instant::now();
+    let shutdown_at = Instant::now();
     router.send(Command::Shutdown);
     let mut late_requests = 0;
     for (number, mut client) in clients.into_iter().enumerate() {
         assert!(read(&mut client, LONG).whole, "early-{number} is cut off");
-        let late = ordered_at.elapsed() > ms(700);
-        late_requests += usize::from(late);
-        let asked = Instant::now();
+        let is_late = shutdown_at.elapsed() > ms(700);
+        late_requests += usize::from(is_late);
+        let sent_at = Instant::now();
         let _ = client.write_all(&head_and_body(&format!("late-{number}"), "{}"));
         let answer = read(&mut client, LONG);
-        assert!(!late || [0, 503].contains(&answer.status), "{}", answer.status);
-        assert!(!late || asked.elapsed() < ms(500), "rejected after {:?}", asked.elapsed());
+        assert!(!is_late || [0, 503].contains(&answer.status), "{}", answer.status);
+        assert!(!is_late || sent_at.elapsed() < ms(500), "rejected after {:?}", sent_at.elapsed());
         let was_forwarded = router.floor.asked().iter().any(|(_, txn)| *txn == format!("late-{number}"));
-        assert!(!late || !was_forwarded, "late-{number} was forwarded");
+        assert!(!is_late || !was_forwarded, "late-{number} was forwarded");
     }
-    assert!(late_requests >= 4, "{late_requests} came late");
+    assert!(late_requests >= 4, "only {late_requests} requests were late");
     router.wait_for_shutdown();
 }
--- a/crates/gaparch-platform-router/tests/silent_connections.rs
+++ b/crates/gaparch-platform-router/tests/silent_connections.rs
@@ -1,4 +1,5 @@
-//! Open connections that fall silent with no error: what is sent on them never arrives, and nobody says so.
+//! Tests connections that go silent without an error: data sent on them never arrives, and neither side is
+//! notified.
 
 mod common;
 
@@ -9,18 +10,19 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The settings' release time and what the platform adds to it.
-const RELEASE_WITHIN: Duration = Duration::from_millis(500 + 300);
+/// The release time of the settings plus the platform's tolerance.
+const MAX_HELD_TIME: Duration = Duration::from_millis(500 + 300);
 
-/// When a worker first saw something of a request that fits.
-fn first(router: &RunningRouter, fits: impl Fn(&Seen) -> bool) -> Option<Instant> {
-    router.floor.log().into_iter().find(|(_, seen)| fits(seen)).map(|(at, _)| at)
+/// Returns when a worker first saw a matching event.
+fn first_time(router: &RunningRouter, matches: impl Fn(&Seen) -> bool) -> Option<Instant> {
+    router.floor.log().into_iter().find(|(_, seen)| matches(seen)).map(|(at, _)| at)
 }
 
-/// The only decode worker's idle connections fall silent between two requests. A decode request that has not
-/// arrived does not count: the KV cache is fetched or released in time all the same.
+/// The idle connections to the only decode worker go silent between two requests, so a decode request sent on
+/// one of them does not arrive. Guards against a KV cache that stays held because of it: the cache is fetched
+/// or released in time.
 #[test]
-fn the_kv_cache_is_not_pinned_by_a_decode_request_on_a_connection_that_fell_silent() {
+fn the_kv_cache_is_not_pinned_by_a_decode_request_on_a_connection_that_went_silent() {
     let router = RunningRouter::with(|_| {});
     let relay = SilentRelay::start(router.writers[0].address);
     let mut entry = instance(&router.writers[0], "decode", "ready");
@@ -29,31 +31,32 @@
         [Platform::without_writers(&Platform::list(&router.readers, &router.writers)), vec![entry]].concat(),
     );
     assert_eq!(ask(router.listen, "before").status, 200);
-    // Past the time in which bytes behind its response could still come on it.
+    // Wait until the connections may be reused after the response.
     std::thread::sleep(Duration::from_millis(100));
     relay.silence_open_connections();
-    let asked = std::thread::spawn({
+    let request = std::thread::spawn({
         let listen = router.listen;
         move || ask(listen, "after")
     });
-    let read = |seen: &Seen| matches!(seen, Seen::Asked { worker, txn, .. } if txn == "after" && worker.starts_with('r'));
-    until("it is prefilled", || first(&router, read).is_some());
-    let done = |seen: &Seen| match seen {
+    let is_prefill = |seen: &Seen| matches!(seen, Seen::Asked { worker, txn, .. } if txn == "after" && worker.starts_with('r'));
+    until("it is prefilled", || first_time(&router, is_prefill).is_some());
+    let is_done = |seen: &Seen| match seen {
         Seen::Asked { worker, txn, .. } => txn == "after" && worker.starts_with('w'),
         Seen::Released { txn, .. } => txn == "after",
         _ => false,
     };
-    until("its KV cache is fetched or released", || first(&router, done).is_some());
-    let held = first(&router, done).expect("done") - first(&router, read).expect("read");
-    assert!(held < RELEASE_WITHIN, "held for {held:?}");
-    assert_eq!(asked.join().expect("no panic").status, 200);
+    until("its KV cache is fetched or released", || first_time(&router, is_done).is_some());
+    let held =
+        first_time(&router, is_done).expect("done") - first_time(&router, is_prefill).expect("prefilled");
+    assert!(held < MAX_HELD_TIME, "held for {held:?}");
+    assert_eq!(request.join().expect("no panic").status, 200);
     router.no_second_copies();
 }
 
-/// All idle connections fall silent at once, two to each worker, and a client disconnects while its prompt is
-/// prefilled. What that leaves behind is released in time: by then some worker has to have got the release.
+/// All idle connections, two to each worker, go silent at once, and a client disconnects while its prompt is
+/// being prefilled. Some worker has to receive the release in time.
 #[test]
-fn a_release_reaches_a_worker_though_all_idle_connections_fell_silent() {
+fn a_release_reaches_a_worker_if_all_idle_connections_went_silent() {
     let router = RunningRouter::with(|_| {});
     let workers = router.readers.iter().chain(&router.writers);
     let relays: Vec<SilentRelay> = workers.map(|worker| SilentRelay::start(worker.address)).collect();
@@ -71,23 +74,23 @@
     });
     std::thread::sleep(Duration::from_millis(100));
     router.readers[0].then(vec![Step::Wait(Duration::from_millis(300)), Step::Hang]);
-    let mut client = TcpStream::connect(router.listen).expect("it listens");
+    let mut client = TcpStream::connect(router.listen).expect("connected");
     client.write_all(&head_and_body("leaves", "{}")).expect("written");
-    until("it is being prefilled", || router.floor.asked().iter().any(|(_, txn)| txn == "leaves"));
+    until("the request is being prefilled", || router.floor.asked().iter().any(|(_, txn)| txn == "leaves"));
     relays.iter().for_each(SilentRelay::silence_open_connections);
     drop(client);
-    let left = Instant::now();
-    let released = |seen: &Seen| matches!(seen, Seen::Released { txn, .. } if txn == "leaves");
-    until("the KV cache is released", || first(&router, released).is_some());
-    let held = first(&router, released).expect("done") - left;
-    assert!(held < RELEASE_WITHIN, "held for {held:?}");
+    let disconnected_at = Instant::now();
+    let is_release = |seen: &Seen| matches!(seen, Seen::Released { txn, .. } if txn == "leaves");
+    until("the KV cache is released", || first_time(&router, is_release).is_some());
+    let held = first_time(&router, is_release).expect("released") - disconnected_at;
+    assert!(held < MAX_HELD_TIME, "held for {held:?}");
 }
 
-/// A worker behind idle connections that fell silent answers probes: one on an idle connection leaves time
-/// for a new one.
+/// A worker whose idle connections went silent still answers probes. A probe on an idle connection leaves
+/// enough time for another one on a new connection.
 #[test]
 fn a_probe_on_a_connection_that_fell_silent_is_retried_on_a_new_one() {
-    // A probe times out as connecting does: after 3 s here, so that half of it is told apart from all of it
+    // Probes use the connect time-out. It is 3 s here, so that half of it can be distinguished from all of it
     // on a busy machine.
     let router = RunningRouter::with(|config| {
         let settings = &mut config["settings"];
@@ -101,19 +104,19 @@
     router.tell(list);
     assert_eq!(ask(router.listen, "before").status, 200);
     let probes = || {
-        let of_reader = |seen: &Seen| matches!(seen, Seen::Probed { worker } if worker == "r-1");
-        router.floor.seen().iter().filter(|seen| of_reader(seen)).count()
+        let is_probe = |seen: &Seen| matches!(seen, Seen::Probed { worker } if worker == "r-1");
+        router.floor.seen().iter().filter(|seen| is_probe(seen)).count()
     };
     // Long enough for the prefill worker to be probed before the next prefill.
     std::thread::sleep(Duration::from_millis(1_200));
     relay.silence_open_connections();
-    let (before, began) = (probes(), Instant::now());
-    let asked = std::thread::spawn({
+    let (probes_before, started_at) = (probes(), Instant::now());
+    let request = std::thread::spawn({
         let listen = router.listen;
         move || ask(listen, "after")
     });
-    until("the prefill worker is probed on a new connection", || probes() > before);
-    assert!(began.elapsed() < Duration::from_millis(2_800), "after {:?}", began.elapsed());
+    until("the prefill worker is probed on a new connection", || probes() > probes_before);
+    assert!(started_at.elapsed() < Duration::from_millis(2_800), "after {:?}", started_at.elapsed());
     // The prefill itself may go out on an idle connection, and is then cancelled and retried.
-    assert_eq!(asked.join().expect("no panic").status, 200);
+    assert_eq!(request.join().expect("no panic").status, 200);
 }
