--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -80,7 +80,7 @@
 pub(super) enum ConnectionEnd {
     /// The client closed the connection or stopped reading.
     ClientClosed,
-    /// The router closes the idle connection.
+    /// The router closes the connection, which has no open request.
     CloseRequested,
     /// A message from the client is rejected.
     Rejected(Rejection),
--- a/crates/gaparch-platform-router/src/client/idle_connections.rs
+++ b/crates/gaparch-platform-router/src/client/idle_connections.rs
@@ -32,7 +32,7 @@
     close: Arc<Notify>,
 }
 
-/// Keeps a connection in the table as idle until it is dropped.
+/// Keeps a connection in the table; dropping the guard removes it, since the connection is no longer idle.
 #[derive(Debug)]
 pub(super) struct IdleGuard {
     connections: Arc<IdleConnections>,
--- a/crates/gaparch-platform-router/src/gossip_tests.rs
+++ b/crates/gaparch-platform-router/src/gossip_tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_that_are_oversized_or_from_strangers_or_exceed_the_queue_are_dropped() {
+async fn oversized_datagrams_those_from_unknown_senders_and_those_beyond_the_queue_are_dropped() {
     let (router, stranger) = (socket().await, socket().await);
     let routers = vec![([127, 0, 0, 9], 1).into(), router.local_addr().expect("local address")];
     let addresses = GossipAddresses { listen: ([127, 0, 0, 1], 0).into(), routers, broadcast: None };
--- a/crates/gaparch-platform-router/src/messages.rs
+++ b/crates/gaparch-platform-router/src/messages.rs
@@ -31,7 +31,7 @@
     StopNow,
 }
 
-/// A request on its way from its client connection to the owner.
+/// A request that a client connection passes to the owner.
 #[derive(Debug)]
 pub(crate) struct ArrivedRequest {
     pub id: RequestId,
@@ -56,7 +56,7 @@
     pub event: AttemptEvent,
 }
 
-/// An event in the life of an attempt.
+/// An event of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
     /// The first event of the response stream arrived. The owner replies with the channel to the client, or
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -103,7 +103,7 @@
             max_timer_lag: Duration::ZERO,
             unfetched_logged_to: 0,
         };
-        owner.carry_out(&mut out);
+        owner.execute_outputs(&mut out);
         owner
     }
 
@@ -146,13 +146,13 @@
     fn handle_round(&mut self, round: &mut Round, out: &mut Vec<Output>) {
         for message in round.messages.drain(..) {
             self.handle_message(message, out);
-            self.carry_out(out);
+            self.execute_outputs(out);
         }
         for GossipMessage { from, data } in round.gossip.drain(..) {
             self.core.handle(self.shared.clock.now(), Input::GossipReceived { from, data }, out);
         }
         self.core.on_timers_due(self.shared.clock.now(), out);
-        self.carry_out(out);
+        self.execute_outputs(out);
         self.remove_finished();
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// Executes the outputs of the core.
-    fn carry_out(&mut self, out: &mut Vec<Output>) {
+    fn execute_outputs(&mut self, out: &mut Vec<Output>) {
         for output in out.drain(..) {
             match output {
                 Output::Client { id, event } => self.respond(id, event),
--- a/crates/gaparch-platform-router/src/worker/pool_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/pool_tests.rs
@@ -23,7 +23,7 @@
     let address = listener.local_addr().expect("local address");
     let process = WorkerProcess { server: ServerId(1), address, started_at: 0 };
     let pool = ConnectionPool::new(Arc::new(Semaphore::new(8)), Duration::from_secs(5), None);
-    let connection = pool.connect(process).await.expect("it listens");
+    let connection = pool.connect(process).await.expect("connected");
     let (socket, _) = listener.accept().expect("accepted");
     pool.record_response(process);
     pool.put(connection, &response_head(), LastExchange::Attempt(SendRisk::TimeOnly));
@@ -34,13 +34,13 @@
 #[tokio::test]
 async fn an_idle_connection_is_reused_after_its_settle_time() {
     let (pool, process, _listener, _socket) = pool_with_idle().await;
-    let connection = pool.get(process).await.expect("it is idle");
+    let connection = pool.get(process).await.expect("a connection");
     assert!(connection.idle_time.is_some());
     pool.put(connection, &response_head(), LastExchange::Attempt(SendRisk::TimeOnly));
     // Stray bytes may still arrive.
     assert!(pool.take_idle(process).is_none());
     // No stray bytes follow a probe, and the prefill that it was made for follows immediately.
-    let connection = pool.connect(process).await.expect("it listens");
+    let connection = pool.connect(process).await.expect("connected");
     pool.put(connection, &response_head(), LastExchange::Call);
     assert!(pool.take_idle(process).is_some());
 }
@@ -54,7 +54,7 @@
             true => drop(socket),
             false => socket.write_all(b"HTTP/1.1 200 OK\r\n").expect("written"),
         }
-        let connection = pool.get(process).await.expect("it listens");
+        let connection = pool.get(process).await.expect("connected");
         assert!(connection.idle_time.is_none(), "reused, close: {close}");
     }
 }
--- a/crates/gaparch-platform-router/src/worker/release_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/release_tests.rs
@@ -46,7 +46,7 @@
     let started = Instant::now();
     let request = Release { transaction, processes, attempt_timeout: ATTEMPT_TIMEOUT };
     release(request, pool, Clock::default()).await;
-    let called = calls.try_recv().expect("it was called") - started;
+    let called = calls.try_recv().expect("the running worker was called") - started;
     assert!(called < ATTEMPT_TIMEOUT, "called after {called:?}");
     drop(listeners);
 }
--- a/crates/gaparch-platform-router/tests/guards.rs
+++ b/crates/gaparch-platform-router/tests/guards.rs
@@ -248,7 +248,7 @@
     let router = RunningRouter::with(|_| {});
     router.send(Command::Shutdown);
     until("the router is shutting down", || router.health() != 200);
-    let mut client = TcpStream::connect(router.listen).expect("new connections still arrive");
+    let mut client = TcpStream::connect(router.listen).expect("still accepting connections");
     client.write_all(&head_and_body("last", "{}")).expect("written");
     // The client keeps sending until the connection no longer accepts data.
     let mut sender = client.try_clone().expect("cloned");
