--- a/crates/gaparch-platform-router/tests/common/mod.rs
+++ b/crates/gaparch-platform-router/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A router on a thread of its own, on the scripted platform. Each test file uses a part of it.
+//! Runs a router on its own thread within the scripted platform. Each test file uses a part of these helpers.
 #![allow(dead_code)]
 
-use gaparch_platform_router::{serve, Order, RouterError};
+use gaparch_platform_router::{serve, Command, RouterError};
 use gaparch_testbed::platform::{head_and_body, until, Platform, Step, LONG};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A router that runs, with the platform around it.
+/// A running router and the scripted platform around it.
 pub struct RunningRouter {
     platform: Platform,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     thread: JoinHandle<Result<(), RouterError>>,
 }
 
@@ -27,26 +27,27 @@
 }
 
 impl RunningRouter {
+    /// Starts a router with a changed configuration and waits until it is ready.
     pub fn with(change: impl FnOnce(&mut Value)) -> RunningRouter {
         let platform = Platform::new(change);
-        let (orders, taken) = mpsc::channel(4);
+        let (commands, receiver) = mpsc::channel(4);
         let file = platform.file.clone();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            runtime.expect("a runtime").block_on(serve(file, taken))
+            runtime.expect("a runtime").block_on(serve(file, receiver))
         });
-        let router = RunningRouter { platform, orders, thread };
+        let router = RunningRouter { platform, commands, thread };
         until("the router is ready", || router.health() == 200);
         router
     }
 
-    pub fn order(&self, order: Order) {
-        self.orders.blocking_send(order).expect("it runs");
+    pub fn send(&self, command: Command) {
+        self.commands.blocking_send(command).expect("the router runs");
     }
 
-    /// Waits until it has shut down, as it was ordered to.
+    /// Waits until the router has shut down without an error.
     pub fn wait_for_shutdown(self) {
-        until("the router has ended", || self.thread.is_finished());
+        until("the router has shut down", || self.thread.is_finished());
         self.thread.join().expect("no panic").expect("no error");
     }
 }
@@ -55,12 +56,12 @@
     Duration::from_millis(n)
 }
 
-/// A client whose response has begun: all but its first byte is still to be read.
+/// Connects a client, sends a request and reads the first byte of the response.
 pub fn started_stream(router: &RunningRouter, txn: &str) -> TcpStream {
-    let mut client = TcpStream::connect(router.listen).expect("it listens");
+    let mut client = TcpStream::connect(router.listen).expect("connected");
     client.write_all(&head_and_body(txn, "{}")).expect("written");
     client.set_read_timeout(Some(LONG)).expect("set");
-    client.read_exact(&mut [0; 1]).expect("its answer begins");
+    client.read_exact(&mut [0; 1]).expect("the response begins");
     client
 }
 
