--- a/crates/gaparch-audit/src/log/audit_log.rs
+++ b/crates/gaparch-audit/src/log/audit_log.rs
@@ -38,7 +38,7 @@
             log.chain.push(&segment);
             log.remember(segment);
         }
-        log.chain.witness(last_written);
+        log.chain.expect_segment(last_written);
         log.chain.close_open_process();
         log.chain.skip_to(last_written);
         log
--- a/crates/gaparch-audit/src/log/chain.rs
+++ b/crates/gaparch-audit/src/log/chain.rs
@@ -41,7 +41,7 @@
         /// The number of the last segment.
         after: u64,
         /// The number of the segment that was written.
-        witnessed: u64,
+        written: u64,
     },
 }
 
@@ -59,8 +59,8 @@
                 f,
                 "process {run_id:x} did not shut down gracefully; what it sent after {after} ns is not known"
             ),
-            LogGap::Truncated { after, witnessed } => {
-                write!(f, "the log ends with segment {after}, though segment {witnessed} was written")
+            LogGap::Truncated { after, written } => {
+                write!(f, "the log ends with segment {after}, though segment {written} was written")
             }
         }
     }
@@ -131,11 +131,11 @@
         }
     }
 
-    /// Records that a segment with this number was written.
-    pub fn witness(&mut self, number: u64) {
+    /// Adds a gap if the chain ends before this segment, which is known to have been written.
+    pub fn expect_segment(&mut self, number: u64) {
         let after = self.last_number();
         if number > after {
-            self.add_gap(LogGap::Truncated { after, witnessed: number });
+            self.add_gap(LogGap::Truncated { after, written: number });
         }
     }
 
--- a/crates/gaparch-audit/src/log/log_tests.rs
+++ b/crates/gaparch-audit/src/log/log_tests.rs
@@ -29,10 +29,10 @@
     segments
 }
 
-fn gaps(segments: &[AuditSegment], witnessed: u64) -> Vec<LogGap> {
+fn gaps(segments: &[AuditSegment], written: u64) -> Vec<LogGap> {
     let mut chain = ChainVerifier::default();
     segments.iter().for_each(|segment| chain.push(segment));
-    chain.witness(witnessed);
+    chain.expect_segment(written);
     chain.gaps().to_vec()
 }
 
@@ -64,7 +64,7 @@
     swapped.swap(1, 3);
     assert!(gaps(&swapped, 6).iter().any(|gap| matches!(gap, LogGap::OutOfOrder { .. })));
     let cut = &sound[..4];
-    assert!(gaps(cut, 6).contains(&LogGap::Truncated { after: 4, witnessed: 6 }));
+    assert!(gaps(cut, 6).contains(&LogGap::Truncated { after: 4, written: 6 }));
     let killed = log(2, log(1, Vec::new(), 2, false), 1, true);
     assert!(matches!(gaps(&killed, 5)[..], [LogGap::UncleanShutdown { run_id: 1, .. }]), "{killed:?}");
     let at_once = log(2, log(1, Vec::new(), 0, false), 1, true);
@@ -89,7 +89,7 @@
 fn numbers_of_a_cut_record_are_not_given_anew() {
     let sound = log(1, Vec::new(), 5, true);
     let mut log = AuditLog::new(2, sound[..3].to_vec(), 6);
-    assert!(log.gaps().contains(&LogGap::Truncated { after: 3, witnessed: 6 }));
+    assert!(log.gaps().contains(&LogGap::Truncated { after: 3, written: 6 }));
     let mut tally = SendTally::default();
     tally.record(1, SendKind::Probe, 0, 0, 9);
     log.append(&tally.take(context(1), 9, name));
--- a/crates/gaparch-router/src/shell/fleet/audit_record.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_record.rs
@@ -83,7 +83,7 @@
         from_bytes(body).iter().for_each(|segment| chain.push(segment));
     })?;
     let (_, found) = Journal::open(folder, "audit-mark", SCHEMA)?;
-    chain.witness(highest_number(&found.records));
+    chain.expect_segment(highest_number(&found.records));
     Ok(chain)
 }
 
