--- a/crates/gaparch-audit/src/lib.rs
+++ b/crates/gaparch-audit/src/lib.rs
@@ -1,13 +1,15 @@
 //! Keeps the routers of a site on the same endpoint list and the same operators' orders, and records what
-//! each of them sent under which list. Without I/O, clock or randomness but its seed.
+//! each of them sent under which list. The crate does no I/O and reads no clock; its random choices depend on
+//! a seed only.
 //!
-//! - [`ActiveList`] is the list that a router acts on. It takes what the list service and other routers say, and never
-//!   replaces a version by an older one.
-//! - [`ListFollower`] exchanges list versions with the other routers. It fetches a version that enough of them have from
-//!   the service where this router's own link to the service is silent, or answers old versions.
+//! - [`ActiveList`] is the list that a router acts on. It accepts updates from the list service and lists
+//!   from other routers, and replaces neither a confirmed nor a corroborated version by an older one.
+//! - [`ListFollower`] exchanges list versions with the other routers. Where the list service does not answer
+//!   this router, or answers old versions, it fetches the later version from another router, if enough of
+//!   them have it from the service.
 //! - [`FleetOrders`] replicates operators' orders to all routers.
-//! - [`SendTally`] and [`AuditLog`] record what was sent under which version; [`AuditQuery`] reads the logs of all
-//!   routers.
+//! - [`SendTally`] and [`AuditLog`] record what was sent under which version; [`AuditQuery`] reads the logs
+//!   of all routers.
 //!
 //! Times are nanoseconds of one monotonic clock, except in the log, which has wall-clock times.
 
@@ -27,7 +29,7 @@
 };
 pub use orders::{subject, FleetOrders, OrderAck, OrderEvent, OrderOutput, SupersededOrder};
 
-/// An instant or a span of a monotonic clock, in nanoseconds.
+/// An instant or a duration of a monotonic clock, in nanoseconds.
 pub type Nanos = u64;
 
 /// The greatest number of entries of an endpoint list.
--- a/crates/gaparch-audit/src/log/audit_log.rs
+++ b/crates/gaparch-audit/src/log/audit_log.rs
@@ -1,4 +1,4 @@
-//! The audit log of one router: the segment being filled, and the closed ones that can be asked about.
+//! The audit log of one router: the open segment, and the closed segments that can be queried.
 
 use super::chain::{ChainVerifier, LogGap};
 use super::rows::Rows;
@@ -7,9 +7,9 @@
 use gaparch_protocol::versions::{AuditFilter, AuditRow, AuditSegment, SendCounts, SendRecord};
 use std::collections::VecDeque;
 
-/// The number of segments that can be asked about; older ones are on disk only.
+/// The number of closed segments kept in memory for queries; older ones are on disk only.
 const MAX_SEGMENTS: usize = 2048;
-/// A segment is closed after so many nanoseconds: the most that a kill loses.
+/// The time after which a segment is closed, in nanoseconds: the most that a killed process loses of its log.
 const MAX_SEGMENT_DURATION: u64 = 5_000_000_000;
 
 /// The audit log of one router.
@@ -18,14 +18,14 @@
     run_id: u64,
     chain: ChainVerifier,
     segments: VecDeque<AuditSegment>,
-    /// The segment that is being filled.
+    /// The segment to which batches are added.
     open: Option<AuditSegment>,
     has_started: bool,
 }
 
 impl AuditLog {
-    /// Starts with the segments that are on disk, in their order, and the number of the last one that was
-    /// written there.
+    /// Continues the log whose segments are on disk, in their order. `last_written` is the number of the last
+    /// segment that is known to have been written.
     pub fn new(run_id: u64, stored: impl IntoIterator<Item = AuditSegment>, last_written: u64) -> AuditLog {
         let mut log = AuditLog {
             run_id,
@@ -36,7 +36,7 @@
         };
         for segment in stored {
             log.chain.push(&segment);
-            log.remember(segment);
+            log.push_segment(segment);
         }
         log.chain.expect_segment(last_written);
         log.chain.close_open_process();
@@ -44,14 +44,14 @@
         log
     }
 
-    fn remember(&mut self, segment: AuditSegment) {
+    fn push_segment(&mut self, segment: AuditSegment) {
         if self.segments.len() >= MAX_SEGMENTS {
             self.segments.pop_front();
         }
         self.segments.push_back(segment);
     }
 
-    /// The gaps of the log on disk, as it was found at the start.
+    /// The gaps that the log on disk had at the start.
     pub fn gaps(&self) -> &[LogGap] {
         self.chain.gaps()
     }
@@ -61,14 +61,14 @@
         self.chain.last_number()
     }
 
-    /// Starts the log of this process. The segment returned says so, and is to be written before anything is
-    /// sent, so that a kill leaves a trace however soon it comes.
+    /// Starts the log of this process, and returns the segment that marks the start. It has to be written
+    /// before anything is sent, so that a process that is killed at once is found in the log, too.
     pub fn start(&mut self, at: u64) -> Option<AuditSegment> {
         self.append(&SendBatch { at, ..SendBatch::default() });
         self.close_segment(false)
     }
 
-    /// Appends a batch; returns the segment that is to be written now, if one is closed by it.
+    /// Appends a batch. If that closes a segment, returns it to be written.
     pub fn append(&mut self, batch: &SendBatch) -> Option<AuditSegment> {
         let closed = match &self.open {
             Some(open) if open.context != batch.context => self.close_segment(false),
@@ -86,17 +86,16 @@
         }
     }
 
-    /// Closes the segment being filled, and returns it to be written. `ends_process` says that the process
-    /// shuts down gracefully.
+    /// Closes the open segment, and returns it to be written. `ends_process` marks a graceful shutdown.
     pub fn close_segment(&mut self, ends_process: bool) -> Option<AuditSegment> {
         let mut segment = self.open.take()?;
         segment.ends_process = ends_process;
         self.chain.append(&mut segment);
-        self.remember(segment.clone());
+        self.push_segment(segment.clone());
         Some(segment)
     }
 
-    /// Ends the log of this process: the last segment says that it shuts down gracefully.
+    /// Ends the log of this process with a segment that marks a graceful shutdown.
     pub fn finish(&mut self, at: u64) -> Option<AuditSegment> {
         let last = self.open.as_ref().or(self.segments.back());
         let context = last.map(|segment| segment.context.clone()).unwrap_or_default();
@@ -104,7 +103,7 @@
         self.close_segment(true)
     }
 
-    /// What was sent, by version and server.
+    /// The counts of sends that the filter selects, by list version and server.
     pub fn rows(&self, filter: &AuditFilter) -> Vec<AuditRow> {
         let mut rows = Rows::new(filter);
         for segment in self.segments.iter().chain(&self.open) {
@@ -150,7 +149,7 @@
     }
 }
 
-/// Adds the counts of one server; returns its position.
+/// Adds the counts of one server; returns its position in `all`.
 fn add_counts(all: &mut Vec<SendCounts>, counts: &SendCounts) -> usize {
     let Some(position) = all.iter().position(|known| known.engine == counts.engine) else {
         all.push(counts.clone());
@@ -160,7 +159,7 @@
     position
 }
 
-/// Adds counts of the same server.
+/// Adds `other` to the counts of the same server.
 pub(super) fn merge_counts(known: &mut SendCounts, other: &SendCounts) {
     known.prefills += other.prefills;
     known.decodes += other.decodes;
--- a/crates/gaparch-audit/src/log/chain.rs
+++ b/crates/gaparch-audit/src/log/chain.rs
@@ -6,37 +6,37 @@
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// The number of gaps that are listed.
+/// The greatest number of gaps that are recorded.
 const MAX_GAPS: usize = 1000;
 
-/// Where something is missing in a log.
+/// A place where a log is incomplete or was altered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogGap {
-    /// Segments between two numbers are not there, or can't be read.
+    /// Segments between two numbers are missing, or can't be read.
     Missing {
         /// The number of the last segment before the gap.
         after: u64,
         /// The number of the first segment after the gap.
         before: u64,
     },
-    /// A segment does not have the hash of the one before: one of the two was altered.
+    /// A segment does not contain the hash of the one before it: one of the two was altered.
     HashMismatch {
         /// The number of the segment.
         at: u64,
     },
-    /// A segment is out of order.
+    /// The number of a segment is not higher than that of an earlier one.
     OutOfOrder {
         /// The number of the segment.
         at: u64,
     },
-    /// A process did not shut down gracefully: what it sent last is not known.
+    /// A process did not shut down gracefully: its last sends may be missing.
     UncleanShutdown {
-        /// The random number of the process.
+        /// The run id of the process.
         run_id: u64,
         /// The end of its last segment, in nanoseconds since the Unix epoch.
         after: u64,
     },
-    /// A later segment than the last one is known to have been written.
+    /// The log ends before a segment that is known to have been written.
     Truncated {
         /// The number of the last segment.
         after: u64,
@@ -52,7 +52,10 @@
                 write!(f, "segments {} to {} are missing", after + 1, before - 1)
             }
             LogGap::HashMismatch { at } => {
-                write!(f, "segment {at} does not have the hash of the one before: one of them was altered")
+                write!(
+                    f,
+                    "segment {at} does not contain the hash of the one before it: one of them was altered"
+                )
             }
             LogGap::OutOfOrder { at } => write!(f, "segment {at} is out of order"),
             LogGap::UncleanShutdown { run_id, after } => write!(
@@ -66,7 +69,7 @@
     }
 }
 
-/// The hash of a segment, by which the next one refers to it.
+/// The hash of a segment, which the next one contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct SegmentHash {
     pub high: u64,
@@ -80,18 +83,18 @@
     }
 }
 
-/// The end of a chain, to which the next segment is to be joined.
+/// The last segment of a chain, to which the next one is linked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ChainEnd {
     pub number: u64,
     pub hash: SegmentHash,
 }
 
-/// A process whose last segment so far does not end it.
+/// A process whose latest segment does not mark a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct OpenProcess {
     run_id: u64,
-    last_segment_to: u64,
+    last_segment_end: u64,
 }
 
 /// Verifies segments, in the order in which they are stored.
@@ -104,14 +107,14 @@
 }
 
 impl ChainVerifier {
-    /// Takes the next segment.
+    /// Verifies the next segment.
     pub fn push(&mut self, segment: &AuditSegment) {
         self.segments += 1;
         self.check_link(segment);
         if self.open_process.is_some_and(|process| process.run_id != segment.run_id) {
             self.close_open_process();
         }
-        let process = OpenProcess { run_id: segment.run_id, last_segment_to: segment.to_at };
+        let process = OpenProcess { run_id: segment.run_id, last_segment_end: segment.to_at };
         self.open_process = (!segment.ends_process).then_some(process);
         if self.end.is_none_or(|end| segment.number > end.number) {
             self.end = Some(ChainEnd { number: segment.number, hash: SegmentHash::of(segment) });
@@ -139,10 +142,10 @@
         }
     }
 
-    /// Records that no further segment of the last process follows.
+    /// Adds a gap if the last process did not shut down gracefully: no further segment of it follows.
     pub(super) fn close_open_process(&mut self) {
-        if let Some(OpenProcess { run_id, last_segment_to }) = self.open_process.take() {
-            self.add_gap(LogGap::UncleanShutdown { run_id, after: last_segment_to });
+        if let Some(OpenProcess { run_id, last_segment_end }) = self.open_process.take() {
+            self.add_gap(LogGap::UncleanShutdown { run_id, after: last_segment_end });
         }
     }
 
@@ -152,19 +155,19 @@
         }
     }
 
-    /// The end of the chain.
+    /// The last segment of the chain; its number is 0 if there is none.
     pub(super) fn end(&self) -> ChainEnd {
         self.end.unwrap_or_default()
     }
 
-    /// Continues the chain after a number whose segment is lost: its number is not given anew.
+    /// Continues the chain after the number of a lost segment, so that the number is not used again.
     pub(super) fn skip_to(&mut self, number: u64) {
         if number > self.last_number() {
             self.end = Some(ChainEnd { number, hash: SegmentHash::default() });
         }
     }
 
-    /// Joins a new segment to the end of the chain.
+    /// Numbers a new segment, and links it to the end of the chain.
     pub(super) fn append(&mut self, segment: &mut AuditSegment) {
         let end = self.end();
         segment.number = end.number + 1;
@@ -179,12 +182,12 @@
         self.end().number
     }
 
-    /// The number of segments.
+    /// The number of segments that were verified or appended.
     pub fn segments(&self) -> u64 {
         self.segments
     }
 
-    /// The gaps that were found, the first ones if there are very many.
+    /// The gaps that were found; only the first ones if there are very many.
     pub fn gaps(&self) -> &[LogGap] {
         &self.gaps
     }
--- a/crates/gaparch-audit/src/log/log_tests.rs
+++ b/crates/gaparch-audit/src/log/log_tests.rs
@@ -12,7 +12,7 @@
     format!("engine-{engine}")
 }
 
-/// A log of so many segments, each under another version.
+/// The segments of a log that continues `stored` with `count` segments, each under another list version.
 fn log(run_id: u64, stored: Vec<AuditSegment>, count: u64, ends: bool) -> Vec<AuditSegment> {
     let written = stored.last().map_or(0, |segment| segment.number);
     let mut segments = stored.clone();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_sound_record_has_no_gap_over_restarts_and_counts_exactly() {
+fn an_intact_log_has_no_gaps_across_restarts_and_exact_counts() {
     let first = log(1, Vec::new(), 4, true);
     let both = log(2, first, 3, true);
     assert_eq!(gaps(&both, 9), []);
@@ -52,30 +52,34 @@
 }
 
 #[test]
-fn whatever_is_done_to_a_record_is_named() {
-    let sound = log(1, Vec::new(), 5, true);
-    let mut removed = sound.clone();
+fn every_kind_of_damage_to_a_log_is_reported() {
+    let intact = log(1, Vec::new(), 5, true);
+    let mut removed = intact.clone();
     removed.remove(2);
     assert_eq!(gaps(&removed, 6), [LogGap::Missing { after: 2, before: 4 }]);
-    let mut altered = sound.clone();
+    let mut altered = intact.clone();
     altered[2].counts[0].prefills -= 1;
-    assert_eq!(gaps(&altered, 6), [LogGap::HashMismatch { at: 4 }], "a suppressed send");
-    let mut swapped = sound.clone();
+    assert_eq!(
+        gaps(&altered, 6),
+        [LogGap::HashMismatch { at: 4 }],
+        "a send that was removed from the counts"
+    );
+    let mut swapped = intact.clone();
     swapped.swap(1, 3);
     assert!(gaps(&swapped, 6).iter().any(|gap| matches!(gap, LogGap::OutOfOrder { .. })));
-    let cut = &sound[..4];
-    assert!(gaps(cut, 6).contains(&LogGap::Truncated { after: 4, written: 6 }));
+    let truncated = &intact[..4];
+    assert!(gaps(truncated, 6).contains(&LogGap::Truncated { after: 4, written: 6 }));
     let killed = log(2, log(1, Vec::new(), 2, false), 1, true);
     assert!(matches!(gaps(&killed, 5)[..], [LogGap::UncleanShutdown { run_id: 1, .. }]), "{killed:?}");
-    let at_once = log(2, log(1, Vec::new(), 0, false), 1, true);
+    let killed_at_once = log(2, log(1, Vec::new(), 0, false), 1, true);
     assert!(
-        matches!(gaps(&at_once, 3)[..], [LogGap::UncleanShutdown { run_id: 1, .. }]),
-        "before it had sent anything"
+        matches!(gaps(&killed_at_once, 3)[..], [LogGap::UncleanShutdown { run_id: 1, .. }]),
+        "killed before it had sent anything"
     );
 }
 
 #[test]
-fn what_finds_no_room_one_by_one_is_counted_all_the_same() {
+fn sends_beyond_the_record_limit_are_still_counted() {
     let mut tally = SendTally::default();
     (0..5000).for_each(|n| tally.record(1, SendKind::Decode, n, 1, n));
     let mut log = AuditLog::new(1, Vec::new(), 0);
@@ -86,9 +90,9 @@
 }
 
 #[test]
-fn numbers_of_a_cut_record_are_not_given_anew() {
-    let sound = log(1, Vec::new(), 5, true);
-    let mut log = AuditLog::new(2, sound[..3].to_vec(), 6);
+fn segment_numbers_of_a_truncated_log_are_not_reused() {
+    let intact = log(1, Vec::new(), 5, true);
+    let mut log = AuditLog::new(2, intact[..3].to_vec(), 6);
     assert!(log.gaps().contains(&LogGap::Truncated { after: 3, written: 6 }));
     let mut tally = SendTally::default();
     tally.record(1, SendKind::Probe, 0, 0, 9);
--- a/crates/gaparch-audit/src/log/mod.rs
+++ b/crates/gaparch-audit/src/log/mod.rs
@@ -1,8 +1,8 @@
 //! The audit log: what a router sent under which endpoint list, in segments that are chained by hashes.
 //!
-//! [`SendTally`] counts on the hot path and never waits. What it has counted goes to the [`AuditLog`], which makes
-//! segments of it. A segment that was removed, altered, reordered or never written shows as a [`LogGap`], and so does a
-//! process that did not shut down gracefully: nobody knows what it sent last.
+//! [`SendTally`] counts sends on the hot path and never blocks. Its batches go to the [`AuditLog`], which
+//! groups them into segments. A segment that was removed, altered, reordered or never written is reported as
+//! a [`LogGap`], and so is a process that did not shut down gracefully: its last sends may not be in the log.
 
 mod audit_log;
 mod chain;
@@ -15,7 +15,7 @@
 pub use query::{answer_pages, AuditAnswer, AuditQuery};
 pub use tally::{SendBatch, SendKind, SendTally};
 
-/// The number of records of single sends that one batch, and one segment, has room for.
+/// The greatest number of records of single sends in one batch, and in one segment.
 const MAX_RECORDS: usize = 512;
 
 #[cfg(test)]
--- a/crates/gaparch-audit/src/log/query.rs
+++ b/crates/gaparch-audit/src/log/query.rs
@@ -1,33 +1,33 @@
-//! A query of the audit logs of all routers, in bounded time.
+//! A query of the audit logs of all routers, which ends after a fixed time.
 
 use crate::{Nanos, MILLISECOND};
 use gaparch_protocol::ops::to_bytes;
 use gaparch_protocol::versions::{AuditFilter, AuditRow, ReplicationMessage};
 use std::collections::BTreeMap;
 
-/// How long all routers have to answer.
+/// The time within which all routers have to answer.
 const QUERY_TIMEOUT: Nanos = 1_800 * MILLISECOND;
 /// The time after which a router that has not answered in full is asked again.
 const RETRY_INTERVAL: Nanos = 200 * MILLISECOND;
-/// Bytes of rows in one datagram.
+/// The greatest number of bytes of rows in one datagram.
 const PAGE_BYTES: usize = 700;
-/// The number of pages that are sent on one request.
+/// The greatest number of pages sent per request.
 const MAX_PAGES: usize = 8;
-/// The greatest number of rows that is taken of one router.
+/// The greatest number of rows accepted from one router.
 const MAX_ROWS: u32 = 4096;
 
-/// What one router has answered.
+/// The answer of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AuditAnswer {
     /// The name of the router.
     pub router: String,
-    /// The rows of its log, with times by the clock here.
+    /// The rows of its log, with times converted to the local clock.
     pub rows: Vec<AuditRow>,
     /// The number of gaps in its log; `None` if it did not answer in full.
     pub gaps: Option<u32>,
 }
 
-/// The part of the answer that has come from one router.
+/// The part of one router's answer that was received.
 #[derive(Clone, Debug, Default)]
 struct PartialAnswer {
     rows: BTreeMap<u32, AuditRow>,
@@ -56,18 +56,18 @@
 }
 
 impl AuditQuery {
-    /// Begins a query of these routers.
+    /// Starts a query of these routers.
     pub fn new(nonce: u64, filter: AuditFilter, routers: Vec<String>, now: Nanos) -> AuditQuery {
         let answers = routers.into_iter().map(|router| (router, PartialAnswer::default())).collect();
         AuditQuery { nonce, filter, answers, deadline: now + QUERY_TIMEOUT, next_attempt_at: now }
     }
 
-    /// What is asked for.
+    /// The filter of the query.
     pub fn filter(&self) -> &AuditFilter {
         &self.filter
     }
 
-    /// When [`on_timer`](AuditQuery::on_timer) or [`is_over`](AuditQuery::is_over) has something to do.
+    /// When [`on_timer`](AuditQuery::on_timer) or [`is_over`](AuditQuery::is_over) has to be called next.
     pub fn next_timer_at(&self) -> Nanos {
         self.next_attempt_at.min(self.deadline)
     }
@@ -76,8 +76,7 @@
         ReplicationMessage::AuditRequest { nonce: self.nonce, filter: self.filter.clone(), first }
     }
 
-    /// Asks the routers that have not answered in full. Requests are added to `out` with the names of their
-    /// receivers.
+    /// Adds a request for each router that has not answered in full to `out`, with the name of that router.
     pub fn on_timer(&mut self, now: Nanos, out: &mut Vec<(String, ReplicationMessage)>) {
         if now < self.next_attempt_at {
             return;
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Takes a page of rows; messages that answer another query are left alone.
+    /// Handles a page of rows. Any other message, and a page of another query, is ignored.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -107,7 +106,7 @@
         }
         let Some(answer) = self.answers.get_mut(from) else { return };
         if answer.total != Some(*total) {
-            // Its log has grown meanwhile: it is read anew.
+            // The selected rows have changed since: all of them are read again.
             *answer = PartialAnswer { total: Some(*total), ..PartialAnswer::default() };
         }
         answer.gaps = *gaps;
@@ -122,12 +121,12 @@
         }
     }
 
-    /// Whether all have answered, or their time is over.
+    /// Whether all routers have answered in full, or the timeout has passed.
     pub fn is_over(&self, now: Nanos) -> bool {
         now >= self.deadline || self.answers.values().all(PartialAnswer::is_complete)
     }
 
-    /// What each router has answered, in the order of their names.
+    /// The answers of all routers, in the order of their names.
     pub fn into_answers(self) -> Vec<AuditAnswer> {
         let answer = |(router, answer): (String, PartialAnswer)| AuditAnswer {
             router,
@@ -138,8 +137,8 @@
     }
 }
 
-/// The row of a sender whose clock shows `sender_now` while the clock here shows `now`: clocks may be hours
-/// apart.
+/// Converts the times of a row to the local clock, which shows `now` when the sender's shows `sender_now`:
+/// the clocks of two routers may be hours apart.
 fn with_local_times(row: &AuditRow, sender_now: u64, now: u64) -> AuditRow {
     let local = |time: u64| match now >= sender_now {
         true => time.saturating_add(now - sender_now),
@@ -151,7 +150,7 @@
     row
 }
 
-/// The pages with which a router answers a query of its own log.
+/// The pages with which a router answers a query of its own log, from the row at index `first` on.
 pub fn answer_pages(
     nonce: u64,
     now: Nanos,
--- a/crates/gaparch-audit/src/log/query_tests.rs
+++ b/crates/gaparch-audit/src/log/query_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `query`.
+//! Tests of queries of the audit logs of all routers.
 
 use super::*;
 use gaparch_protocol::versions::SendCounts;
@@ -16,8 +16,8 @@
     (0..count).map(row).collect()
 }
 
-/// Plays a query; pages of which every third is lost.
-fn play(silent: &str) -> Vec<AuditAnswer> {
+/// Runs a query of two routers where every third page is lost; the router `silent` does not answer.
+fn run_query(silent: &str) -> Vec<AuditAnswer> {
     let routers = vec!["a".to_owned(), "b".to_owned()];
     let mut query = AuditQuery::new(7, AuditFilter::default(), routers, 0);
     let (mut now, mut count) = (0, 0);
@@ -30,7 +30,7 @@
             if to == silent {
                 continue;
             }
-            // Its clock is an hour ahead.
+            // The clock of the answering router is an hour ahead.
             for page in answer_pages(nonce, now + 3_600_000 * MILLISECOND, 0, &rows(100), first) {
                 count += 1;
                 if count % 3 > 0 {
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn all_rows_come_whatever_is_lost_and_who_is_silent_is_unknown() {
-    for answer in play("none") {
+fn all_rows_arrive_despite_lost_pages_and_a_silent_router_has_no_gap_count() {
+    for answer in run_query("none") {
         assert_eq!((answer.rows.len(), answer.gaps), (100, Some(0)));
         assert_eq!(answer.rows[99].counts.prefills, 99);
     }
-    let answers = play("b");
+    let answers = run_query("b");
     assert_eq!((answers[0].gaps, answers[1].gaps), (Some(0), None));
 }
--- a/crates/gaparch-audit/src/log/rows.rs
+++ b/crates/gaparch-audit/src/log/rows.rs
@@ -3,10 +3,10 @@
 use super::audit_log::merge_counts;
 use gaparch_protocol::versions::{AuditFilter, AuditRow, AuditSegment, ListVersion, SendCounts};
 
-/// The number of rows of one answer.
+/// The greatest number of rows of one answer.
 const MAX_ROWS: usize = 512;
 
-/// Rows by list version and server, in the order in which these first come.
+/// Rows by list version and server, in the order of their first segments.
 pub(super) struct Rows<'a> {
     filter: &'a AuditFilter,
     rows: Vec<AuditRow>,
@@ -21,7 +21,7 @@
         self.rows
     }
 
-    /// Adds what the filter selects of a segment; returns `false` once there is no more room.
+    /// Adds the counts of a segment that the filter selects; returns `false` once there is no more room.
     pub fn add_segment(&mut self, segment: &AuditSegment) -> bool {
         let list = segment.context.list;
         if self.filter.below_version.is_some_and(|below| list.version >= below) {
@@ -37,9 +37,9 @@
     }
 
     fn selects(&self, counts: &SendCounts) -> bool {
-        let is_server = self.filter.engine.as_ref().is_none_or(|engine| *engine == counts.engine);
+        let is_selected_server = self.filter.engine.as_ref().is_none_or(|engine| *engine == counts.engine);
         let until = self.filter.until.unwrap_or(u64::MAX);
-        is_server && counts.last_at >= self.filter.since && counts.first_at <= until
+        is_selected_server && counts.last_at >= self.filter.since && counts.first_at <= until
     }
 
     fn selects_request(&self, segment: &AuditSegment, position: usize) -> bool {
