--- a/crates/gaparch-audit/src/endpoint_list/active.rs
+++ b/crates/gaparch-audit/src/endpoint_list/active.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The number of epochs remembered. After that many new epochs an old one counts as new.
+/// The greatest number of epochs remembered. An epoch that was forgotten counts as new.
 const MAX_EPOCHS: usize = 16;
 
 /// Why a list is not adopted.
@@ -21,9 +21,9 @@
         /// The version that was offered.
         offered: ListVersion,
     },
-    /// It is of an epoch of the service that another one has followed.
+    /// It is of an epoch of the list service that a later one has replaced.
     #[error(
-        "it is of epoch {}, which epoch {} has followed: a service that went back, or a second one",
+        "it is of epoch {}, which epoch {} has replaced: the service was restored, or there are two services",
         .offered.rank, .in_use.rank
     )]
     ReplacedEpoch {
@@ -32,28 +32,28 @@
         /// The version that was offered.
         offered: ListVersion,
     },
-    /// Its entries are not those that its digest was made of.
-    #[error("its entries do not fit its digest")]
+    /// Its entries do not match its digest, or differ from those in use under the same version.
+    #[error("its entries do not match its digest")]
     DigestMismatch,
 }
 
-/// What became of a list, or of changes to it, that were offered.
+/// The outcome of an update or a list that was offered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListOutcome {
     /// It was adopted.
     Adopted {
-        /// Whether the list service began anew.
+        /// Whether the list before was of another epoch.
         new_epoch: bool,
     },
-    /// It states what is known already.
+    /// It contains nothing new.
     Unchanged,
-    /// Changes before it were missed: the whole list has to be requested.
+    /// Earlier changes were missed: the whole list has to be requested.
     Incomplete,
     /// It was rejected.
     Rejected(ListRejection),
 }
 
-/// An epoch of the list service, and its place in the order of epochs.
+/// An epoch of the list service, and its rank in the order of epochs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RankedEpoch {
     epoch: u64,
@@ -75,8 +75,8 @@
     epochs: Vec<RankedEpoch>,
     /// Whether it was fetched from another router, and the service has not confirmed it here.
     is_from_peer: bool,
-    /// A version that more than one router has from the service itself: nothing older is adopted from
-    /// anybody.
+    /// The latest version that more than one router has from the service itself: the list in use does not go
+    /// back to an older one.
     floor: Option<ListVersion>,
 }
 
@@ -92,7 +92,7 @@
         Arc::new(ListSnapshot { version: self.version.unwrap_or_default(), digest: self.digest, entries })
     }
 
-    /// The rank of an epoch: one more than any known if it is new.
+    /// The rank of an epoch; a new one ranks above all known ones.
     fn rank_of(&mut self, epoch: u64) -> u32 {
         if let Some(known) = self.epochs.iter().find(|known| known.epoch == epoch) {
             return known.rank;
@@ -113,7 +113,7 @@
     }
 
     /// Records that several routers have this version from the service itself. If they rank its epoch higher,
-    /// so does this router from now on: one that started later has seen fewer epochs.
+    /// this router adopts their rank: a router that started later has seen fewer epochs.
     pub fn corroborate(&mut self, version: ListVersion) {
         self.floor = self.floor.max(Some(version));
         let mut known = self.epochs.iter();
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Takes what the list service says. `is_first` tells whether it is the first update on its connection: a
-    /// service that does not state its epoch (0) may have begun anew there, and nowhere else.
+    /// Applies an update of the list service. `is_first` tells whether it is the first one on its connection:
+    /// a service that does not state its epoch (0) may have started a new one there, and nowhere else.
     pub fn apply_service_update(
         &mut self,
         epoch: u64,
@@ -144,16 +144,16 @@
             if epoch == 0 && in_use.epoch == 0 && is_first && is_full {
                 offered.rank = in_use.rank.saturating_add(1);
                 self.remember_epoch(RankedEpoch::of(&offered));
-            } else if !(is_full && self.may_go_back_to(&offered)) {
+            } else if !(is_full && self.may_revert_to(&offered)) {
                 return ListOutcome::Rejected(outdated(in_use, offered));
             }
         }
-        let rejected = match scope {
+        let not_adopted = match scope {
             Scope::Full => self.replace_entries(offered, entries),
             Scope::Delta => self.change_entries(offered, entries),
         };
-        if let Some(update) = rejected {
-            return update;
+        if let Some(outcome) = not_adopted {
+            return outcome;
         }
         self.version = Some(offered);
         self.is_from_peer = false;
@@ -161,18 +161,18 @@
         ListOutcome::Adopted { new_epoch }
     }
 
-    /// Whether an older version of the service is right: one router alone has stated the one in use, and the
-    /// service itself does not.
-    fn may_go_back_to(&self, offered: &ListVersion) -> bool {
+    /// Whether the service may replace the list in use by an older one: the list in use is from a single
+    /// router, which may be faulty, and the service itself does not confirm it.
+    fn may_revert_to(&self, offered: &ListVersion) -> bool {
         self.is_from_peer && self.floor.is_none_or(|floor| !floor.is_later_than(offered))
     }
 
-    /// Replaces all entries by those of a full update; returns what became of it if it is not adopted.
+    /// Replaces all entries by those of a full update; returns the outcome if it is not adopted.
     fn replace_entries(&mut self, offered: ListVersion, entries: &[ListEntry]) -> Option<ListOutcome> {
         let entries = by_name(entries);
         let offered_digest = digest(entries.values());
         if self.version.is_some_and(|in_use| in_use.is_same_list(&offered)) {
-            // The same version with other entries is a defect of the service: the first statement holds.
+            // The same version with other entries is a defect of the service: the list in use is kept.
             self.is_from_peer = false;
             let is_same = offered_digest == self.digest;
             return Some(match is_same {
@@ -185,7 +185,7 @@
         None
     }
 
-    /// Applies the changes of a delta; returns what became of it if it is not adopted.
+    /// Applies the changes of a delta; returns the outcome if it is not adopted.
     fn change_entries(&mut self, offered: ListVersion, entries: &[ListEntry]) -> Option<ListOutcome> {
         let in_use = self.version.unwrap_or_default();
         let is_same_epoch = self.version.is_some() && RankedEpoch::of(&in_use) == RankedEpoch::of(&offered);
@@ -211,7 +211,7 @@
         self.digest = self.digest.wrapping_add(if is_removed { 0 } else { entry_digest(entry) });
     }
 
-    /// Takes a list that another router has forwarded, as if the service had sent it.
+    /// Adopts a list that was fetched from another router if it is later than the one in use.
     pub fn apply_peer_list(&mut self, list: &ListSnapshot) -> ListOutcome {
         let in_use = self.version.unwrap_or_default();
         if self.version.is_some() && !list.version.is_later_than(&in_use) {
--- a/crates/gaparch-audit/src/endpoint_list/claims.rs
+++ b/crates/gaparch-audit/src/endpoint_list/claims.rs
@@ -1,36 +1,36 @@
 //! What routers claim to have from the list service itself, and which of these versions is believed.
 //!
-//! A version is believed once two routers have it from the service, or the only one that the service still
-//! speaks to. So one router that states versions from the future misleads nobody while another hears the
-//! service, whatever it states; and a site whose service reaches one router alone catches up through that
-//! one.
+//! A version is believed once two routers have it from the service, or once the only router that the service
+//! still reaches has it. So a single faulty router that states versions that do not exist yet misleads no
+//! other router while one of them is reached by the service; and a site whose service reaches a single router
+//! catches up through that router.
 //!
-//! A router passes on what it has received from a claimant itself, with the claimant's name and the claim's
-//! age; what it has received about claimants from others it does not pass on. So each claim rests on two
-//! routers at most, the claimant and the one that passed it on, and **two claims corroborate each other only
-//! where they rest on no router in common**. A router that makes up claimants, or claims of others, gains
-//! nothing by it. Entries have to fit the digest that was stated with their version.
+//! A router relays the claims that it has received from the claimants themselves, with the claimant's name
+//! and the claim's age; it does not relay relayed claims. So each claim depends on two routers at most, the
+//! claimant and the one that relayed it, and **two claims corroborate each other only if they depend on no
+//! router in common**. A router that makes up claimants, or claims of others, gains nothing by it. Entries
+//! have to match the digest that was stated with their version.
 
 use crate::{Nanos, MILLISECOND};
 use gaparch_protocol::versions::{Claim, ListVersion};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of claims remembered, of claimants themselves and, apart from these, of claims passed on.
+/// The greatest number of direct claims that are kept, and also the greatest number of relayed ones.
 const MAX_CLAIMS: usize = 2048;
-/// The number of claims that are compared: those of the latest versions.
+/// The greatest number of claims that are compared: those of the latest versions.
 const MAX_COMPARED: usize = 64;
-/// Versions that a service may be ahead of the list in use; a claim further ahead is a defect.
+/// How many versions a claim may be ahead of the list in use; one that is further ahead is a defect.
 const MAX_VERSIONS_AHEAD: u64 = 1 << 32;
-/// Epochs that a service may be ahead of the list in use.
+/// How many epochs a claim may be ahead of the list in use.
 const MAX_EPOCHS_AHEAD: u32 = 64;
 
-/// What a router is claimed to have from the service.
+/// The list that a router is claimed to have from the service.
 #[derive(Clone, Copy, Debug)]
 struct ClaimedList {
     version: ListVersion,
     digest: u64,
-    /// When the service confirmed it, by the clock here.
+    /// When the service confirmed it, by the local clock.
     confirmed_at: Nanos,
 }
 
@@ -39,24 +39,24 @@
         self.version.is_same_list(&other.version) && self.digest == other.digest
     }
 
-    fn is_current(&self, since: Nanos, in_use: Option<ListVersion>) -> bool {
+    fn is_valid(&self, since: Nanos, in_use: Option<ListVersion>) -> bool {
         self.confirmed_at >= since && is_plausible(self.version, in_use)
     }
 }
 
-/// A claim, and the routers that it rests on.
+/// A claim, and the routers that it depends on.
 #[derive(Clone, Copy, Debug)]
-struct Testimony<'a> {
+struct SourcedClaim<'a> {
     version: ListVersion,
     digest: u64,
     claimant: &'a str,
-    passed_on_by: &'a str,
+    relayed_by: &'a str,
 }
 
-impl Testimony<'_> {
-    fn is_independent_of(&self, other: &Testimony<'_>) -> bool {
-        let sources = [other.claimant, other.passed_on_by];
-        !sources.contains(&self.claimant) && !sources.contains(&self.passed_on_by)
+impl SourcedClaim<'_> {
+    fn is_independent_of(&self, other: &SourcedClaim<'_>) -> bool {
+        let sources = [other.claimant, other.relayed_by];
+        !sources.contains(&self.claimant) && !sources.contains(&self.relayed_by)
     }
 
     fn believed(&self) -> BelievedList {
@@ -73,27 +73,27 @@
     pub is_corroborated: bool,
 }
 
-/// A claim that was passed on: whose it is, and who passed it on.
+/// The claimant of a relayed claim, and the router that relayed it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct PassedOnKey {
+struct RelayedKey {
     claimant: String,
-    passed_on_by: String,
+    relayed_by: String,
 }
 
-/// A router that alone states a later version than the one believed.
+/// A router that states a later version than the one believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct OutlierClaim {
     pub router: String,
     pub stated: ListVersion,
 }
 
-/// All claims that are remembered.
+/// All claims that are kept.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claims {
     /// Claims received from the claimants themselves.
     direct: BTreeMap<String, ClaimedList>,
-    /// Claims that other routers passed on.
-    passed_on: BTreeMap<PassedOnKey, ClaimedList>,
+    /// Claims that other routers relayed.
+    relayed: BTreeMap<RelayedKey, ClaimedList>,
 }
 
 fn is_plausible(version: ListVersion, in_use: Option<ListVersion>) -> bool {
@@ -105,7 +105,7 @@
 }
 
 impl Claims {
-    /// Records a claim that `from` has stated: its own, or that of another router.
+    /// Records a claim that `from` has sent: its own, or one that it relays.
     pub fn record(&mut self, claim: &Claim, from: &str, now: Nanos) {
         let confirmed_at = now.saturating_sub(u64::from(claim.age_ms) * MILLISECOND);
         let claimed = ClaimedList { version: claim.version, digest: claim.digest, confirmed_at };
@@ -115,19 +115,19 @@
             }
             return;
         }
-        let key = PassedOnKey { claimant: claim.router.clone(), passed_on_by: from.to_owned() };
-        if self.passed_on.len() < MAX_CLAIMS || self.passed_on.contains_key(&key) {
-            self.passed_on.insert(key, claimed);
+        let key = RelayedKey { claimant: claim.router.clone(), relayed_by: from.to_owned() };
+        if self.relayed.len() < MAX_CLAIMS || self.relayed.contains_key(&key) {
+            self.relayed.insert(key, claimed);
         }
     }
 
     /// Forgets claims that were last confirmed before an instant.
     pub fn forget_before(&mut self, at: Nanos) {
         self.direct.retain(|_, claimed| claimed.confirmed_at >= at);
-        self.passed_on.retain(|_, claimed| claimed.confirmed_at >= at);
+        self.relayed.retain(|_, claimed| claimed.confirmed_at >= at);
     }
 
-    /// The latest claims that claimants themselves have stated, to be passed on to `receiver`.
+    /// The latest claims received from the claimants themselves, to be relayed to `receiver`.
     pub fn latest(
         &self,
         limit: usize,
@@ -142,40 +142,40 @@
             .collect();
         claims.sort_by_key(|(_, claimed)| Reverse((claimed.version, claimed.confirmed_at)));
         claims.truncate(limit);
-        claims.into_iter().map(|(router, claimed)| passed_on_claim(router, claimed, now)).collect()
+        claims.into_iter().map(|(router, claimed)| relayed_claim(router, claimed, now)).collect()
     }
 
     /// The list that is believed, by claims that were confirmed at `since` or later. `in_use` is the version
     /// in use here.
     pub fn believed(&self, since: Nanos, in_use: Option<ListVersion>) -> Option<BelievedList> {
-        let mut testimonies = self.testimonies(since, in_use);
-        rank_epochs_alike(&mut testimonies, in_use);
-        testimonies.sort_by_key(|testimony| Reverse((testimony.version, testimony.digest)));
-        testimonies.truncate(MAX_COMPARED);
-        corroborated(&testimonies).or_else(|| self.uncorroborated(since, in_use))
+        let mut claims = self.valid_claims(since, in_use);
+        unify_epoch_ranks(&mut claims, in_use);
+        claims.sort_by_key(|claim| Reverse((claim.version, claim.digest)));
+        claims.truncate(MAX_COMPARED);
+        corroborated(&claims).or_else(|| self.uncorroborated(since, in_use))
     }
 
-    fn testimonies(&self, since: Nanos, in_use: Option<ListVersion>) -> Vec<Testimony<'_>> {
+    fn valid_claims(&self, since: Nanos, in_use: Option<ListVersion>) -> Vec<SourcedClaim<'_>> {
         let direct =
             self.direct.iter().map(|(claimant, claimed)| (claimant.as_str(), claimant.as_str(), claimed));
-        let passed_on = self
-            .passed_on
+        let relayed = self
+            .relayed
             .iter()
-            .map(|(key, claimed)| (key.claimant.as_str(), key.passed_on_by.as_str(), claimed));
+            .map(|(key, claimed)| (key.claimant.as_str(), key.relayed_by.as_str(), claimed));
         direct
-            .chain(passed_on)
-            .filter(|(_, _, claimed)| claimed.is_current(since, in_use))
-            .map(|(claimant, passed_on_by, claimed)| Testimony {
+            .chain(relayed)
+            .filter(|(_, _, claimed)| claimed.is_valid(since, in_use))
+            .map(|(claimant, relayed_by, claimed)| SourcedClaim {
                 version: claimed.version,
                 digest: claimed.digest,
                 claimant,
-                passed_on_by,
+                relayed_by,
             })
             .collect()
     }
 
-    /// Where nothing is corroborated: the claim of the only claimant, and of several that do not agree the
-    /// oldest.
+    /// The list that is believed where no claim is corroborated: that of the only claimant, or the oldest one
+    /// of several. `None` if claimants state different digests of it.
     fn uncorroborated(&self, since: Nanos, in_use: Option<ListVersion>) -> Option<BelievedList> {
         let claimants = self.claimants(since).into_iter();
         let claimed: Vec<ClaimedList> =
@@ -193,26 +193,26 @@
 
     /// All claimants, in the order of their names.
     fn claimants(&self, since: Nanos) -> BTreeSet<&String> {
-        let is_current = |claimed: &ClaimedList| claimed.confirmed_at >= since;
-        let direct = self.direct.iter().filter(|(_, claimed)| is_current(claimed));
-        let passed_on = self.passed_on.iter().filter(|(_, claimed)| is_current(claimed));
+        let is_recent = |claimed: &ClaimedList| claimed.confirmed_at >= since;
+        let direct = self.direct.iter().filter(|(_, claimed)| is_recent(claimed));
+        let relayed = self.relayed.iter().filter(|(_, claimed)| is_recent(claimed));
         let direct = direct.map(|(claimant, _)| claimant);
-        direct.chain(passed_on.map(|(key, _)| &key.claimant)).collect()
+        direct.chain(relayed.map(|(key, _)| &key.claimant)).collect()
     }
 
-    /// What one claimant has, as far as is known: by its own claim, or by that which two others passed on
-    /// alike, whichever is the fresher. A router that passes on what nobody said is alone with it.
+    /// The list that one claimant has: by its own claim, or by a claim that two other routers have relayed
+    /// alike, whichever was confirmed later. A claim that a router makes up is relayed by that router only.
     fn claimed_by(&self, claimant: &str, since: Nanos, in_use: Option<ListVersion>) -> Option<ClaimedList> {
-        let own = self.direct.get(claimant).filter(|claimed| claimed.is_current(since, in_use)).copied();
-        let passed_on: Vec<ClaimedList> = self
-            .passed_on
+        let own = self.direct.get(claimant).filter(|claimed| claimed.is_valid(since, in_use)).copied();
+        let relayed: Vec<ClaimedList> = self
+            .relayed
             .iter()
-            .filter(|(key, claimed)| key.claimant == claimant && claimed.is_current(since, in_use))
+            .filter(|(key, claimed)| key.claimant == claimant && claimed.is_valid(since, in_use))
             .map(|(_, claimed)| *claimed)
             .collect();
         let is_stated_twice =
-            |claimed: &&ClaimedList| passed_on.iter().filter(|other| claimed.agrees_with(other)).count() > 1;
-        let stated_twice = passed_on.iter().filter(is_stated_twice).copied();
+            |claimed: &&ClaimedList| relayed.iter().filter(|other| claimed.agrees_with(other)).count() > 1;
+        let stated_twice = relayed.iter().filter(is_stated_twice).copied();
         own.into_iter().chain(stated_twice).max_by_key(|claimed| claimed.confirmed_at)
     }
 
@@ -228,8 +228,8 @@
     }
 }
 
-fn passed_on_claim(router: &str, claimed: &ClaimedList, now: Nanos) -> Claim {
-    // Rounded up: nothing looks fresher for having been passed on.
+fn relayed_claim(router: &str, claimed: &ClaimedList, now: Nanos) -> Claim {
+    // Rounded up, so that a claim does not look fresher after being relayed.
     let age_ms = now.saturating_sub(claimed.confirmed_at).div_ceil(MILLISECOND);
     Claim {
         router: router.to_owned(),
@@ -239,44 +239,44 @@
     }
 }
 
-/// Gives each epoch the highest rank that anybody counts it by.
-fn rank_epochs_alike(testimonies: &mut [Testimony<'_>], in_use: Option<ListVersion>) {
+/// Gives each epoch the highest rank that any claim, or the list in use, has for it.
+fn unify_epoch_ranks(claims: &mut [SourcedClaim<'_>], in_use: Option<ListVersion>) {
     let mut ranks: BTreeMap<u64, u32> = in_use.iter().map(|in_use| (in_use.epoch, in_use.rank)).collect();
-    for testimony in testimonies.iter() {
-        let rank = ranks.entry(testimony.version.epoch).or_default();
-        *rank = (*rank).max(testimony.version.rank);
+    for claim in claims.iter() {
+        let rank = ranks.entry(claim.version.epoch).or_default();
+        *rank = (*rank).max(claim.version.rank);
     }
-    for testimony in testimonies {
-        testimony.version.rank = ranks[&testimony.version.epoch];
+    for claim in claims {
+        claim.version.rank = ranks[&claim.version.epoch];
     }
 }
 
-/// The latest list that independent testimonies corroborate, which are sorted by falling versions.
-fn corroborated(testimonies: &[Testimony<'_>]) -> Option<BelievedList> {
+/// The latest list that independent claims corroborate. The claims are sorted from the latest version down.
+fn corroborated(claims: &[SourcedClaim<'_>]) -> Option<BelievedList> {
     let mut first = 0;
-    while first < testimonies.len() {
-        let version = testimonies[first].version;
-        let end = testimonies.iter().position(|other| other.version < version).unwrap_or(testimonies.len());
-        let (later, same_version) = (&testimonies[..first], &testimonies[first..end]);
-        if let Some(testimony) = corroborated_version(same_version, later) {
-            return Some(testimony.believed());
+    while first < claims.len() {
+        let version = claims[first].version;
+        let end = claims.iter().position(|other| other.version < version).unwrap_or(claims.len());
+        let (later, same_version) = (&claims[..first], &claims[first..end]);
+        if let Some(claim) = corroborated_claim(same_version, later) {
+            return Some(claim.believed());
         }
         first = end;
     }
     None
 }
 
-/// A testimony of one version that is corroborated: by another that states the same, or by one of a later
+/// A claim of one version that is corroborated: by another claim of the same list, or by a claim of a later
 /// version, whose claimant must have had this one, too.
-fn corroborated_version<'a, 'b>(
-    same_version: &'b [Testimony<'a>],
-    later: &[Testimony<'a>],
-) -> Option<&'b Testimony<'a>> {
-    let is_stated_twice = |one: &&Testimony<'_>| {
+fn corroborated_claim<'a, 'b>(
+    same_version: &'b [SourcedClaim<'a>],
+    later: &[SourcedClaim<'a>],
+) -> Option<&'b SourcedClaim<'a>> {
+    let is_stated_twice = |one: &&SourcedClaim<'_>| {
         same_version.iter().any(|other| other.digest == one.digest && one.is_independent_of(other))
     };
-    if let Some(testimony) = same_version.iter().find(is_stated_twice) {
-        return Some(testimony);
+    if let Some(claim) = same_version.iter().find(is_stated_twice) {
+        return Some(claim);
     }
     let first = same_version.first()?;
     if same_version.iter().any(|other| other.digest != first.digest) {
--- a/crates/gaparch-audit/src/endpoint_list/event.rs
+++ b/crates/gaparch-audit/src/endpoint_list/event.rs
@@ -1,29 +1,29 @@
-//! Events of the endpoint list that an operator may want to know of.
+//! Events of the endpoint list that are reported to operators.
 
 use crate::Nanos;
 use gaparch_protocol::versions::ListVersion;
 use std::fmt;
 
-/// A change in how this router's list compares with what others have.
+/// A change in the relation of this router's list to those of other routers and of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListEvent {
-    /// The list service has confirmed nothing to this router for too long.
+    /// The list service has confirmed no list to this router for too long.
     Unconfirmed {
         /// For how long, in nanoseconds.
         silent_for: Nanos,
     },
     /// The list service confirms the list in use again.
     Confirmed,
-    /// Others have a later version.
+    /// Other routers have had a later version for some time.
     Behind {
         /// The version in use here.
         in_use: ListVersion,
-        /// The version that others have.
+        /// The version that other routers have.
         believed: ListVersion,
         /// For how long, in nanoseconds.
         lag: Nanos,
     },
-    /// The list in use is the one that others have.
+    /// The list in use is up to date again.
     CaughtUp {
         /// The version in use.
         version: ListVersion,
@@ -39,30 +39,31 @@
         /// For how long this router was behind, in nanoseconds.
         after: Nanos,
     },
-    /// The list service answers versions that others have left behind.
+    /// The list service sends an older version than other routers have from it.
     SourceOutdated {
         /// The version in use here.
         in_use: ListVersion,
-        /// The version that others have.
+        /// The version that other routers have.
         believed: ListVersion,
     },
-    /// The list service is of another epoch than that of others: there are two, or one has begun anew unseen.
+    /// The list service is at another epoch than that of other routers: there are two services, or one has
+    /// started a new epoch that some routers have not seen.
     SourcesDiffer {
         /// The version in use here.
         in_use: ListVersion,
-        /// The version that others have.
+        /// The version that other routers have.
         believed: ListVersion,
     },
-    /// One router states a version that nobody else has.
+    /// One router states a version that no other router has.
     Outlier {
         /// The router.
         router: String,
         /// The version that it states.
         stated: ListVersion,
-        /// The version that others have.
+        /// The version that is believed instead.
         believed: ListVersion,
     },
-    /// A list that was fetched from a router does not fit the digest that was stated with it.
+    /// A list that was fetched from a router does not match the digest that was stated with it.
     DigestMismatch {
         /// The router.
         by: String,
@@ -75,7 +76,7 @@
     time as f64 / 1e9
 }
 
-/// A version as operators see it: rank of the epoch and count.
+/// A version in the form shown to operators: the rank of its epoch and its number.
 struct ShortVersion<'a>(&'a ListVersion);
 
 impl fmt::Display for ShortVersion<'_> {
@@ -93,14 +94,14 @@
             ListEvent::Confirmed => f.write_str("the list service confirms the list in use"),
             ListEvent::Behind { in_use, believed, lag } => write!(
                 f,
-                "the list in use here is {}, others have had {} for {:.1} s",
+                "the list in use here is {}, other routers have had {} for {:.1} s",
                 ShortVersion(in_use),
                 ShortVersion(believed),
                 seconds(*lag)
             ),
             ListEvent::CaughtUp { version, after } => write!(
                 f,
-                "the list in use here is {}, as others have it, after {:.1} s",
+                "the list in use here has caught up with {}, which other routers have, after {:.1} s",
                 ShortVersion(version),
                 seconds(*after)
             ),
@@ -112,7 +113,7 @@
             ),
             ListEvent::SourceOutdated { in_use, believed } => write!(
                 f,
-                "the list service answers {}, though others have {} from it: it is not believed",
+                "the list service answers {}, though other routers have {} from it: its answer is not used",
                 ShortVersion(in_use),
                 ShortVersion(believed)
             ),
@@ -126,13 +127,13 @@
             }
             ListEvent::Outlier { router, stated, believed } => write!(
                 f,
-                "router {router} states list {}, nobody else more than {}: its claim is not passed on",
+                "router {router} states list {}, no other router a later one than {}: its claim is not used",
                 ShortVersion(stated),
                 ShortVersion(believed)
             ),
             ListEvent::DigestMismatch { by, version } => write!(
                 f,
-                "list {} that was fetched from router {by} does not fit its digest",
+                "list {} that was fetched from router {by} does not match its digest",
                 ShortVersion(version)
             ),
         }
--- a/crates/gaparch-audit/src/endpoint_list/fetch.rs
+++ b/crates/gaparch-audit/src/endpoint_list/fetch.rs
@@ -8,11 +8,12 @@
 use gaparch_protocol::versions::{ListVersion, ReplicationMessage};
 use std::collections::BTreeMap;
 
-/// Without a page for so long another router is asked.
+/// The time without a page after which another router is asked.
 pub(super) const PAGE_TIMEOUT: Nanos = 250 * MILLISECOND;
-/// The number of pages that are sent on one request.
+/// The greatest number of pages sent per request.
 const MAX_PAGES: usize = 8;
-/// Bytes of entries in one page: what a datagram has room for beside the longest description of its sender.
+/// The greatest number of bytes of entries in one page: what fits into a datagram next to the longest
+/// description of its sender.
 const PAGE_BYTES: usize = 720;
 
 /// A page of a list, as it was received.
@@ -36,14 +37,14 @@
     total: Option<u32>,
 }
 
-/// What became of a fetch by a page.
+/// The effect of a page on a fetch.
 #[derive(Debug, PartialEq)]
 pub(super) enum FetchProgress {
     /// Entries are missing, from this index on.
     Incomplete { first_missing: u32 },
-    /// The list is complete, and fits its digest.
+    /// The list is complete, and matches its digest.
     Complete(ListSnapshot),
-    /// The page, or the complete list, does not fit what was stated of it.
+    /// The page, or the complete list, contradicts the digest or the length that was stated for it.
     DigestMismatch,
     /// The page is of another list.
     Unrelated,
@@ -54,7 +55,7 @@
         Fetch { requested, source, requested_at: now, entries: BTreeMap::new(), total: None }
     }
 
-    /// When another router is asked if no page comes before.
+    /// When another router is asked if no page arrives before.
     pub fn times_out_at(&self) -> Nanos {
         self.requested_at + PAGE_TIMEOUT
     }
@@ -68,7 +69,7 @@
         ReplicationMessage::ListRequest { version: self.requested.version, first: self.first_missing() }
     }
 
-    /// Continues with another router. What came stays, for the digest is checked at the end.
+    /// Continues with another router. Received entries are kept, since the digest is checked at the end.
     pub fn switch_source(&mut self, source: String, now: Nanos) {
         self.source = source;
         self.requested_at = now;
@@ -109,7 +110,7 @@
     }
 }
 
-/// The pages of a list from an entry on, as many as one request is answered with.
+/// The pages that answer one request for a list, from the entry at index `first` on.
 pub(super) fn pages(list: &ListSnapshot, first: u32) -> Vec<ReplicationMessage> {
     let total = u32::try_from(list.entries.len()).unwrap_or(u32::MAX);
     let mut pages = Vec::new();
@@ -120,7 +121,7 @@
         let (version, digest) = (list.version, list.digest);
         pages.push(ReplicationMessage::ListPage { version, digest, first: next, total, entries });
         if count == 0 {
-            // An entry that fits into no datagram can't be sent, nor can what follows it.
+            // An entry that is larger than a page can't be sent, nor can the entries after it.
             break;
         }
         next += count;
--- a/crates/gaparch-audit/src/endpoint_list/follower/evaluate.rs
+++ b/crates/gaparch-audit/src/endpoint_list/follower/evaluate.rs
@@ -6,17 +6,17 @@
 use crate::{Nanos, MILLISECOND};
 use gaparch_protocol::versions::ListVersion;
 
-/// How long the service may take to send here what others have received from it already.
+/// How long the service may take to send this router a list that others have received from it already.
 const SERVICE_DELAY: Nanos = 400 * MILLISECOND;
-/// Times the confirmation time after which a claim is forgotten.
+/// The number of confirmation times after which a claim is forgotten.
 const CLAIM_LIFETIME: u64 = 4;
-/// Times the confirmation time after which the status of a router that is not present is forgotten.
+/// The number of confirmation times after which the status of a router that is not present is forgotten.
 const STATUS_LIFETIME: u64 = 20;
-/// Times the confirmation time for which a router has to be an outlier before it is reported.
-const OUTLIER_PATIENCE: u64 = 2;
+/// The number of confirmation times for which a router has to be an outlier before it is reported.
+const OUTLIER_REPORT_DELAY: u64 = 2;
 
 impl ListFollower {
-    /// Determines which list is believed, whether it is the one in use, and starts a fetch if it has to.
+    /// Determines which list is believed, compares it with the one in use, and starts a fetch if necessary.
     pub(super) fn evaluate(&mut self, out: &mut Vec<FollowerOutput>) {
         self.forget_old();
         self.check_confirmation(out);
@@ -39,7 +39,7 @@
         self.peers.retain(|name, status| status.reported_at >= oldest || present.contains(name));
     }
 
-    /// Reports that the service has confirmed nothing for too long, or confirms again.
+    /// Reports that the service has confirmed no list for too long, or that it confirms again.
     fn check_confirmation(&mut self, out: &mut Vec<FollowerOutput>) {
         let silent_since = self.confirmed_at.unwrap_or(self.started_at);
         let is_unconfirmed = self.now > silent_since + self.settings.confirm_within;
@@ -70,7 +70,7 @@
         self.believed = believed;
     }
 
-    /// Whether the list in use is of the same epoch, which others rank higher.
+    /// Whether the list in use is of the same epoch, and that epoch has a lower rank here.
     fn ranks_lower_than(&self, version: &ListVersion) -> bool {
         self.version().is_some_and(|own| own.epoch == version.epoch && own.rank < version.rank)
     }
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Others have a later list from the service.
+    /// Handles that the believed list is later than the one in use.
     fn on_behind(&mut self, believed: BelievedList, out: &mut Vec<FollowerOutput>) {
         let since = *self.behind_since.get_or_insert(self.now);
         let in_use = self.version().unwrap_or_default();
         let has_lasted = self.now >= since + self.settings.confirm_within;
         if self.is_confirmed() && in_use.epoch != believed.version.epoch {
-            // Both services confirm their own list; which one is right only people know.
+            // Each service confirms its own list; only operators can decide which one is right.
             if has_lasted && !std::mem::replace(&mut self.reported.sources_differ, true) {
                 let believed = believed.version;
                 out.push(FollowerOutput::Event(ListEvent::SourcesDiffer { in_use, believed }));
@@ -99,7 +99,8 @@
             return;
         }
         if self.is_confirmed() && (!self.is_service_delay_over(since) || !believed.is_corroborated) {
-            // The service will send it here, too; if not, it is a stale replica.
+            // The service is expected to send the list to this router, too; if it does not, this router is
+            // connected to a stale replica of it.
             return;
         }
         self.report_behind(in_use, believed.version, since, has_lasted, out);
@@ -120,7 +121,7 @@
         has_lasted: bool,
         out: &mut Vec<FollowerOutput>,
     ) {
-        // The service has confirmed the older list here since others had the later one.
+        // The service has confirmed the older list to this router since other routers have the later one.
         let is_source_outdated = self.is_confirmed() && self.confirmed_at > Some(since);
         if !has_lasted && !is_source_outdated {
             return;
@@ -134,7 +135,7 @@
         }));
     }
 
-    /// Reports routers that have stated versions for long that nobody else has.
+    /// Reports routers that have long stated versions that no other router has.
     fn check_outliers(&mut self, since: Nanos, out: &mut Vec<FollowerOutput>) {
         let believed = match self.believed {
             Some(believed) if believed.is_corroborated => believed.version,
@@ -143,11 +144,11 @@
         };
         let claims = self.claims.outliers(since, believed);
         self.outliers.retain(|router, _| claims.iter().any(|claim| claim.router == *router));
-        let patience = self.settings.confirm_within * OUTLIER_PATIENCE;
+        let report_delay = self.settings.confirm_within * OUTLIER_REPORT_DELAY;
         for claim in claims {
             let first_seen = Outlier { since: self.now, is_reported: false };
             let outlier = self.outliers.entry(claim.router.clone()).or_insert(first_seen);
-            if self.now < outlier.since + patience || outlier.is_reported {
+            if self.now < outlier.since + report_delay || outlier.is_reported {
                 continue;
             }
             outlier.is_reported = true;
--- a/crates/gaparch-audit/src/endpoint_list/follower/mod.rs
+++ b/crates/gaparch-audit/src/endpoint_list/follower/mod.rs
@@ -1,5 +1,5 @@
-//! One router's part in keeping all routers on the same version of the endpoint list: what it sends and
-//! receives.
+//! The follower of one router, which keeps it on the same version of the endpoint list as the other routers:
+//! the messages that it sends and receives.
 
 mod evaluate;
 
@@ -16,16 +16,16 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// The number of routers that each status is sent to.
+/// The number of routers to which each status is sent.
 const STATUS_FANOUT: usize = 3;
 /// The longest time between two statuses.
 const STATUS_INTERVAL: Nanos = 500 * MILLISECOND;
-/// The least number of statuses in the time for which a list may go unconfirmed.
+/// The least number of statuses within the time for which a list may go unconfirmed.
 const STATUSES_PER_CONFIRMATION: u64 = 6;
-/// Changes that follow one another faster than this are announced together.
+/// The delay after which a change is announced, so that changes in quick succession are announced together.
 const CHANGE_DELAY: Nanos = 50 * MILLISECOND;
 /// The number of earlier lists that can still be fetched: a fetch must not fail because the list changes
-/// meanwhile.
+/// while it runs.
 const MAX_PAST_LISTS: usize = 8;
 /// The number of routers whose status is remembered.
 const MAX_PEERS: usize = 2048;
@@ -64,14 +64,14 @@
     Event(ListEvent),
 }
 
-/// An outlier, and whether it was reported.
+/// Since when a router has been an outlier, and whether that was reported.
 #[derive(Clone, Copy, Debug)]
 struct Outlier {
     since: Nanos,
     is_reported: bool,
 }
 
-/// Which lasting conditions were reported, so that each is reported once.
+/// The lasting conditions that were reported, so that each is reported once.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reported {
     unconfirmed: bool,
@@ -89,7 +89,7 @@
     past: VecDeque<Arc<ListSnapshot>>,
     /// When the service itself last confirmed the list in use.
     confirmed_at: Option<Nanos>,
-    /// Since when a confirmation is waited for, if there was none.
+    /// Since when a confirmation is awaited, while there is none.
     started_at: Nanos,
     claims: Claims,
     peers: BTreeMap<String, PeerListStatus>,
@@ -106,7 +106,7 @@
 }
 
 impl ListFollower {
-    /// A follower that knows of no list yet.
+    /// A follower without any list.
     pub fn new(settings: FollowerSettings, now: Nanos) -> ListFollower {
         ListFollower {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
@@ -130,7 +130,7 @@
         }
     }
 
-    /// When [`on_timer`](ListFollower::on_timer) has something to do.
+    /// When [`on_timer`](ListFollower::on_timer) has to be called next.
     pub fn next_timer_at(&self) -> Nanos {
         let timeout = self.fetch.as_ref().map(Fetch::times_out_at);
         timeout.map_or(self.next_status_at, |at| at.min(self.next_status_at))
@@ -148,7 +148,7 @@
         self.current.as_ref().map(|list| list.version)
     }
 
-    /// Takes the list in use, and when the service itself last confirmed it: `None` if it was fetched from
+    /// Sets the list in use, and when the service itself last confirmed it: `None` if it was fetched from
     /// another router.
     pub fn on_list(&mut self, now: Nanos, list: Option<Arc<ListSnapshot>>, confirmed_at: Option<Nanos>) {
         self.advance(now);
@@ -164,14 +164,14 @@
         self.next_status_at = self.next_status_at.min(self.now + CHANGE_DELAY);
     }
 
-    /// The process was paused: the list in use has to be confirmed anew.
+    /// To be called after the process was paused: the list in use has to be confirmed again.
     pub fn on_resumed(&mut self, now: Nanos) {
         self.advance(now);
         self.confirmed_at = None;
         self.started_at = self.now;
     }
 
-    /// Does what has fallen due. `present` names the routers that are present.
+    /// Carries out the actions that are due. `present` has the names of the routers that are present.
     pub fn on_timer(&mut self, now: Nanos, present: Vec<String>, out: &mut Vec<FollowerOutput>) {
         self.advance(now);
         self.present = present;
@@ -206,8 +206,8 @@
         out.push(FollowerOutput::Send { to: to.to_owned(), message });
     }
 
-    /// Takes a message of another router, whose name is authenticated. Messages of other components are left
-    /// alone.
+    /// Handles a message of another router, whose name is authenticated. Messages for other components are
+    /// ignored.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -238,14 +238,14 @@
         version: ListVersion,
         digest: u64,
         confirmed_ms_ago: Option<u32>,
-        passed_on: &[Claim],
+        relayed: &[Claim],
     ) {
         if let Some(age_ms) = confirmed_ms_ago {
             let claim = Claim { router: from.to_owned(), version, digest, age_ms };
             self.claims.record(&claim, from, self.now);
         }
-        for claim in passed_on.iter().take(MAX_CLAIMS) {
-            // Nobody knows better than oneself what one has, nor than the sender what it has.
+        for claim in relayed.iter().take(MAX_CLAIMS) {
+            // This router knows its own list, and the sender has stated its own in the status itself.
             if claim.router != self.settings.router && claim.router != from {
                 self.claims.record(claim, from, self.now);
             }
@@ -322,7 +322,7 @@
         out.push(FollowerOutput::Event(ListEvent::DigestMismatch { by, version }));
     }
 
-    /// A router that has the requested list, or at least a later one of its epoch, chosen at random.
+    /// A random router that has the requested list; if none has it, one that has a later list of its epoch.
     fn choose_source(&mut self, requested: &BelievedList, excluded: Option<&str>) -> Option<String> {
         let has_version = |status: &&PeerListStatus| {
             status.version.epoch == requested.version.epoch
@@ -348,8 +348,8 @@
         self.fetch = Some(fetch);
     }
 
-    /// Asks another router where no page has come for a while, or starts anew if another list is believed
-    /// meanwhile.
+    /// When the fetch has timed out, asks another router, or starts a new fetch if another list is believed
+    /// by then.
     fn check_fetch(&mut self, out: &mut Vec<FollowerOutput>) {
         let now = self.now;
         let Some(mut fetch) = self.fetch.take_if(|fetch| now >= fetch.times_out_at()) else { return };
@@ -364,7 +364,7 @@
         self.fetch = Some(fetch);
     }
 
-    /// The lists of all routers, as this one sees them.
+    /// The lists of all routers, as far as this one knows them.
     pub fn view(&self) -> ListView {
         let confirmed_at = self.confirmed_at.filter(|_| self.is_confirmed());
         ListView {
--- a/crates/gaparch-audit/src/endpoint_list/mod.rs
+++ b/crates/gaparch-audit/src/endpoint_list/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the version in use here, what other routers have, and how a router that lags catches
+//! The endpoint list: the version in use, the versions of other routers, and how a router that lags catches
 //! up.
 
 mod active;
--- a/crates/gaparch-audit/src/endpoint_list/snapshot.rs
+++ b/crates/gaparch-audit/src/endpoint_list/snapshot.rs
@@ -18,13 +18,13 @@
 }
 
 /// The digest of a list: the wrapping sum of the first eight bytes of each entry's SHA-256. So it does not
-/// depend on the order of entries, and a change of one entry costs one hash. It guards against defects, not
-/// against forgers: those are kept out by the site's key.
+/// depend on the order of entries, and a change of one entry costs one or two hashes. It detects defects, not
+/// forgery: the site's key protects against that.
 pub fn digest<'a>(entries: impl IntoIterator<Item = &'a ListEntry>) -> u64 {
     entries.into_iter().fold(0, |sum, entry| sum.wrapping_add(entry_digest(entry)))
 }
 
-/// The part of one entry in the digest of its list.
+/// The number that one entry adds to the digest of its list.
 pub(super) fn entry_digest(entry: &ListEntry) -> u64 {
     hash_part(&Sha256::digest(to_bytes(entry)), 0)
 }
