--- a/crates/gaparch-audit/src/orders/event.rs
+++ b/crates/gaparch-audit/src/orders/event.rs
@@ -1,31 +1,31 @@
-//! Events of fleet orders that an operator may want to know of.
+//! Events of fleet orders that are reported to operators.
 
 use gaparch_protocol::ops::intent::Change;
 use gaparch_protocol::versions::FleetOrder;
 use std::fmt;
 
-/// Something that went wrong with an order.
+/// An order that was superseded or could not be accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderEvent {
-    /// Of two orders that knew nothing of each other, one has given way.
+    /// Of two orders that were given without knowledge of each other, one has replaced the other.
     Superseded {
-        /// The order that has given way.
+        /// The order that was replaced.
         order: Box<FleetOrder>,
         /// The order that is in force.
         by: Box<FleetOrder>,
     },
-    /// A router states an order whose number can't be right.
+    /// A router has sent an order with an implausible number.
     Implausible {
-        /// The router.
+        /// The router that sent it.
         router: String,
-        /// The number.
+        /// The number of the order.
         number: u64,
     },
-    /// There are too many subjects of orders.
+    /// An order was rejected because there are too many subjects.
     TableFull,
 }
 
-/// An order as operators see it: the command, who gave it where, and why.
+/// An order in the form shown to operators: the command, the operator, the router and the reason.
 struct Described<'a>(&'a FleetOrder);
 
 impl fmt::Display for Described<'_> {
--- a/crates/gaparch-audit/src/orders/mod.rs
+++ b/crates/gaparch-audit/src/orders/mod.rs
@@ -1,14 +1,15 @@
-//! Operators' orders that hold for all routers of a site.
+//! Operators' orders that apply to all routers of a site.
 //!
-//! Of each subject of orders (a server, the intake, a limit) the latest order is in force everywhere: the one
-//! with the higher number, of equal numbers the more restrictive one, then that of the router whose name
-//! comes later. A number is one more than any its router knew of (a logical clock), so that an order given by
-//! somebody who has seen another replaces that one; no wall clock is read. Of two orders that knew nothing of
-//! each other the one that gives way is reported as superseded, and remembered. Orders that end something are
-//! kept as such, so that a restored state folder brings nothing back. Health never makes or lifts an order.
+//! For each subject of orders (a server, the intake, a limit) the latest order is in force on all routers: the
+//! one with the highest number; of equal numbers the more restrictive one; then that of the router whose name
+//! sorts later. A number is one more than any that its router knew of (a Lamport clock), so that an order
+//! given in knowledge of another one replaces it; no wall clock is read. Of two orders that were given without
+//! knowledge of each other, the one that is not in force is reported as superseded, and remembered. Orders
+//! that lift another one, such as resume, are kept like any other, so that a state folder restored from a
+//! backup does not bring the lifted order back. The health of servers never gives or lifts an order.
 //!
-//! A router acknowledges an order when it is in force there and on its disk. Messages may be lost, late or
-//! doubled: routers compare digests of what each holds for ever, and request what differs.
+//! A router acknowledges an order when it is in force there and on its disk. Messages may be lost, delayed or
+//! duplicated: routers keep comparing digests of their orders, and request the orders where digests differ.
 
 mod event;
 mod output;
--- a/crates/gaparch-audit/src/orders/output.rs
+++ b/crates/gaparch-audit/src/orders/output.rs
@@ -1,4 +1,4 @@
-//! What the order replication wants done by its shell, and what it shows of its state.
+//! The effects that order replication requests of its shell, and its state as shown to operators.
 
 use super::event::OrderEvent;
 use crate::Nanos;
@@ -22,21 +22,21 @@
     Event(OrderEvent),
 }
 
-/// Whether one router has all orders of this one in force and on disk.
+/// Whether one router has acknowledged all orders that this one knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderAck {
     /// The name of the router.
     pub router: String,
-    /// Whether it has.
+    /// Whether all of these orders are in force and on disk there.
     pub is_complete: bool,
-    /// When it last reported what it has; `None` if it never did.
+    /// When it last sent a summary; `None` if it never did.
     pub reported_at: Option<Nanos>,
 }
 
-/// An order that gave way to another one, where neither knew of the other.
+/// An order that was replaced by another one, where both were given without knowledge of each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SupersededOrder {
-    /// The order that gave way.
+    /// The order that was replaced.
     pub order: FleetOrder,
     /// The order that is in force in its place.
     pub by: FleetOrder,
--- a/crates/gaparch-audit/src/orders/replication.rs
+++ b/crates/gaparch-audit/src/orders/replication.rs
@@ -1,4 +1,4 @@
-//! One router's part in keeping all routers on the same orders.
+//! The replication of orders, as one router carries it out.
 
 use super::event::OrderEvent;
 use super::output::{OrderAck, OrderOutput, SupersededOrder};
@@ -12,27 +12,28 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The number of routers to which a router passes on an order that is new to it.
+/// The number of routers to which a router forwards an order that is new to it.
 const FORWARD_FANOUT: usize = 3;
-/// The number of routers to which an order is sent where it is given.
+/// The number of routers to which a router sends an order that an operator has given to it.
 const ISSUE_FANOUT: usize = 8;
-/// The number of routers that are asked at once while an acknowledgement is waited for.
+/// The number of routers that are queried at once while acknowledgements are awaited.
 const QUERY_FANOUT: usize = 8;
 /// The time between two such queries.
 const QUERY_INTERVAL: Nanos = 200 * MILLISECOND;
-/// The time between two comparisons with others where nothing is waited for.
+/// The time between two comparisons with another router while no acknowledgement is awaited.
 const COMPARE_INTERVAL: Nanos = 1_000 * MILLISECOND;
-/// For how long acknowledgements are waited for after an order was given.
+/// How long acknowledgements are awaited after an order was given.
 const WAIT_AFTER_ORDER: Nanos = 30_000 * MILLISECOND;
-/// For how long acknowledgements are waited for after somebody asked for them.
+/// How long acknowledgements are awaited after a client has asked for them.
 const WAIT_AFTER_QUERY: Nanos = 5_000 * MILLISECOND;
-/// The number of orders sent on one request.
+/// The greatest number of orders sent per request.
 const PAGE_LENGTH: usize = 16;
 /// The number of superseded orders that are remembered.
 const MAX_SUPERSEDED: usize = 64;
 /// The number of routers whose summary is remembered.
 const MAX_PEERS: usize = 2048;
-/// A number so far ahead of any known is a defect, and would precede all further orders.
+/// How far a number may be ahead of all known ones. A higher one is a defect: it would override all further
+/// orders.
 const MAX_NUMBERS_AHEAD: u64 = 1 << 32;
 /// The number of characters of an operator's name that fit into a datagram.
 const MAX_OPERATOR_CHARS: usize = 60;
@@ -72,11 +73,11 @@
     /// The names of the routers that are present.
     present: Vec<String>,
     superseded: VecDeque<SupersededOrder>,
-    /// Until then somebody here waits for all routers to acknowledge.
+    /// Until when the acknowledgements of all routers are awaited.
     waits_until: Nanos,
     next_timer_at: Nanos,
     pending_page: Option<PendingPage>,
-    /// The subject of the last order received: the next page begins after it.
+    /// The subject of the last order received, after which the next requested page begins.
     cursor: String,
 }
 
@@ -113,7 +114,7 @@
         orders
     }
 
-    /// When [`on_timer`](FleetOrders::on_timer) has something to do.
+    /// When [`on_timer`](FleetOrders::on_timer) has to be called next.
     pub fn next_timer_at(&self) -> Nanos {
         self.next_timer_at
     }
@@ -122,12 +123,12 @@
         self.now = now.max(self.now);
     }
 
-    /// All orders, those that end something among them.
+    /// All orders, including those that lift another one.
     pub fn all(&self) -> Vec<FleetOrder> {
         self.table.all()
     }
 
-    /// Orders that gave way to another one, the latest last.
+    /// The superseded orders, the latest last.
     pub fn superseded(&self) -> impl Iterator<Item = &SupersededOrder> {
         self.superseded.iter()
     }
@@ -137,7 +138,7 @@
         self.incarnation = self.incarnation.max(incarnation);
     }
 
-    /// Takes an order that an operator has given here; it is in force already.
+    /// Replicates an order that an operator has given to this router, where it is in force already.
     pub fn issue(&mut self, now: Nanos, change: &Change, note: &ChangeNote, out: &mut Vec<OrderOutput>) {
         self.advance(now);
         let Some(subject) = subject(change) else { return };
@@ -186,7 +187,7 @@
         }
     }
 
-    /// An order of another router is in force here now.
+    /// To be called when an order of another router has been put in force here.
     pub fn on_applied(&mut self, now: Nanos, id: &OrderId, out: &mut Vec<OrderOutput>) {
         self.advance(now);
         if self.table.mark_in_force(id) {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// These orders are on disk now.
+    /// To be called when these orders are on disk.
     pub fn on_stored(&mut self, now: Nanos, orders: &[FleetOrder], out: &mut Vec<OrderOutput>) {
         self.advance(now);
         let mut issuers = BTreeSet::new();
@@ -209,8 +210,8 @@
         }
     }
 
-    /// Reports to the router that issued an order: it waits for all routers to have the order in force and
-    /// stored.
+    /// Sends a summary to the router that issued an order, which waits until all routers have the order in
+    /// force and stored.
     fn acknowledge(&self, issuer: &str, out: &mut Vec<OrderOutput>) {
         if issuer != self.router {
             self.send_summary(issuer, false, out);
@@ -226,7 +227,7 @@
         out.push(OrderOutput::Send { to: to.to_owned(), message });
     }
 
-    /// Takes a message of another router. Messages of other components are left alone.
+    /// Handles a message of another router. Messages for other components are ignored.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -244,7 +245,7 @@
                 self.continue_page(from, is_new, out);
             }
             ReplicationMessage::OrderRequest { after } => {
-                // From the beginning again once there is nothing more.
+                // The page wraps around to the first subject after the last one.
                 for order in self.table.all_after(after).take(PAGE_LENGTH) {
                     out.push(send_order(from.to_owned(), order));
                 }
@@ -286,7 +287,7 @@
         out.push(OrderOutput::Send { to: peer.to_owned(), message });
     }
 
-    /// Requests the next page at once after one that brought new orders: where much is missing, more follows.
+    /// Requests the next page at once after one that brought new orders: more of them may be missing.
     fn continue_page(&mut self, from: &str, is_new: bool, out: &mut Vec<OrderOutput>) {
         let Some(page) = self.pending_page.as_mut().filter(|page| page.peer == from) else { return };
         page.has_new_orders |= is_new;
@@ -296,7 +297,7 @@
         }
     }
 
-    /// Takes an order of another router; returns whether it is new here.
+    /// Handles an order of another router; returns whether it was adopted.
     fn on_order(&mut self, from: &str, order: &FleetOrder, out: &mut Vec<OrderOutput>) -> bool {
         let Some(subject) = subject(&order.change) else { return false };
         self.cursor.clone_from(&subject);
@@ -318,7 +319,7 @@
             return false;
         }
         if current.id > order.id {
-            // The sender does not know the later one.
+            // The sender does not know the later order.
             out.push(send_order(from.to_owned(), &current));
             self.report_if_superseded(order, &current, out);
             return false;
@@ -340,7 +341,7 @@
         self.forward(order, FORWARD_FANOUT, Some(from), out);
     }
 
-    /// Reports and remembers an order that gives way to one that did not know of it.
+    /// Reports and remembers an order that is replaced by one that was given without knowledge of it.
     fn report_if_superseded(&mut self, order: &FleetOrder, by: &FleetOrder, out: &mut Vec<OrderOutput>) {
         let is_known = self.superseded.iter().any(|known| known.order.id == order.id);
         if knew_of(by, order) || is_known {
@@ -354,7 +355,7 @@
         out.push(OrderOutput::Event(OrderEvent::Superseded { order, by }));
     }
 
-    /// Does what has fallen due. `present` names the routers that are present.
+    /// Carries out the actions that are due. `present` has the names of the routers that are present.
     pub fn on_timer(&mut self, now: Nanos, present: Vec<String>, out: &mut Vec<OrderOutput>) {
         self.advance(now);
         self.present = present;
@@ -363,18 +364,19 @@
         if self.now < self.next_timer_at {
             return;
         }
-        // What found no room, or was rejected as this router stood then, is handed over again.
+        // Orders that the shell had no room for, or that this router rejected in its state at that time, are
+        // handed to the shell again.
         out.extend(self.table.not_in_force().take(PAGE_LENGTH).cloned().map(OrderOutput::Apply));
         self.compare_with_others(out);
     }
 
-    /// Asks others for their summaries: those that have not acknowledged while somebody waits, else one
-    /// chosen at random.
+    /// Asks other routers for their summaries: while acknowledgements are awaited, those that have not
+    /// acknowledged; otherwise a random one.
     fn compare_with_others(&mut self, out: &mut Vec<OrderOutput>) {
         let is_waiting = self.now < self.waits_until;
         let digest = self.table.digest();
-        let is_open = |router: &&String| !is_waiting || !self.is_acknowledged_by(router, digest);
-        let mut receivers: Vec<String> = self.present.iter().filter(is_open).cloned().collect();
+        let is_pending = |router: &&String| !is_waiting || !self.is_acknowledged_by(router, digest);
+        let mut receivers: Vec<String> = self.present.iter().filter(is_pending).cloned().collect();
         let (fanout, interval) = match is_waiting && !receivers.is_empty() {
             true => (QUERY_FANOUT, QUERY_INTERVAL),
             false => (1, COMPARE_INTERVAL),
@@ -390,13 +392,13 @@
         self.next_timer_at = self.now + interval;
     }
 
-    /// Whether a router has all orders whose digest this is.
+    /// Whether a router has acknowledged all orders that this digest covers.
     fn is_acknowledged_by(&self, router: &str, digest: u64) -> bool {
         self.summaries.get(router).is_some_and(|summary| summary.complete_digest == digest)
     }
 
-    /// Whether each of these routers has acknowledged all orders that are known here, this one first. Those
-    /// that have not are asked, for somebody waits for it.
+    /// Whether each of these routers has acknowledged all orders that are known here, this one first. For a
+    /// while from now on, those that have not are queried often, since a client waits for the result.
     pub fn acknowledgements(&mut self, routers: &[String]) -> Vec<OrderAck> {
         self.waits_until = self.waits_until.max(self.now + WAIT_AFTER_QUERY);
         self.next_timer_at = self.next_timer_at.min(self.now + QUERY_INTERVAL);
@@ -423,7 +425,7 @@
     OrderOutput::Send { to, message: ReplicationMessage::Order { order: order.clone() } }
 }
 
-/// Whether whoever gave an order knew of the other one, or of one that replaced it.
+/// Whether an order was given in knowledge of the other one, or of one that replaced it.
 fn knew_of(order: &FleetOrder, other: &FleetOrder) -> bool {
     order.replaces.as_ref().is_some_and(|replaced| *replaced >= other.id)
 }
--- a/crates/gaparch-audit/src/orders/table.rs
+++ b/crates/gaparch-audit/src/orders/table.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// The greatest number of subjects; orders on further ones are rejected.
+/// The greatest number of subjects; orders on further subjects are rejected.
 const MAX_SUBJECTS: usize = 4096;
 
 /// The latest order on one subject.
@@ -19,8 +19,8 @@
     is_stored: bool,
 }
 
-/// The latest order on each subject. Digests are wrapping sums over orders, so that they do not depend on an
-/// order of subjects.
+/// The latest order on each subject. Digests are wrapping sums over all orders, so that they do not depend on
+/// the sequence of subjects.
 #[derive(Debug, Default)]
 pub(super) struct OrderTable {
     entries: BTreeMap<String, Entry>,
@@ -69,7 +69,7 @@
         self.entries.values().filter(|entry| !entry.is_in_force).map(|entry| &entry.order)
     }
 
-    /// Marks an order as in force; returns whether that makes it complete, that is in force and stored.
+    /// Marks an order as in force; returns whether that makes it complete, that is, in force and stored.
     pub fn mark_in_force(&mut self, id: &OrderId) -> bool {
         let Some(entry) = self.entries.values_mut().find(|entry| entry.order.id == *id) else {
             return false;
@@ -77,7 +77,7 @@
         !std::mem::replace(&mut entry.is_in_force, true) && entry.is_stored
     }
 
-    /// Marks an order as stored; returns whether that makes it complete, that is in force and stored.
+    /// Marks an order as stored; returns whether that makes it complete, that is, in force and stored.
     pub fn mark_stored(&mut self, subject: &str, id: &OrderId) -> bool {
         let entry = self.entries.get_mut(subject).filter(|entry| entry.order.id == *id);
         entry.is_some_and(|entry| !std::mem::replace(&mut entry.is_stored, true) && entry.is_in_force)
