--- a/crates/gaparch-membership/src/counters.rs
+++ b/crates/gaparch-membership/src/counters.rs
@@ -1,23 +1,23 @@
 //! Counters of one member.
 
-/// What a member has counted since its start.
+/// Counts of one member since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages sent.
     pub sent: u64,
-    /// Bytes of these messages, as datagrams.
+    /// Total length of these messages as datagrams, in bytes.
     pub sent_bytes: u64,
     /// Messages received with a valid tag.
     pub received: u64,
-    /// Messages dropped since their sequence number was seen before.
+    /// Messages dropped because their sequence number was already seen.
     pub replayed: u64,
-    /// Messages dropped since they were for another member, or of a process that is over.
+    /// Messages dropped because they were addressed to another member or came from a superseded process.
     pub misdirected: u64,
-    /// Messages not sent since the send budget was spent.
+    /// Messages not sent because the send budget was exhausted.
     pub throttled: u64,
-    /// Members not admitted since the member table was full.
+    /// Members not admitted because the member table was full.
     pub rejected_members: u64,
-    /// Suspicions that began.
+    /// Suspicions started.
     pub suspicions: u64,
     /// Members declared dead.
     pub deaths: u64,
--- a/crates/gaparch-membership/src/duplicate.rs
+++ b/crates/gaparch-membership/src/duplicate.rs
@@ -1,44 +1,44 @@
-//! Detection of two processes that run under one name.
+//! Detection of two processes that run under the same name.
 
 use crate::replay::ReplayWindow;
 use crate::{Nanos, SECOND};
 use gaparch_protocol::fleet::MemberInfo;
 
-/// A process whose message was received this recently is running.
-pub(crate) const RECENT: Nanos = 3 * SECOND;
-/// A second process has to be seen to run on for so many milliseconds of its own clock.
+/// A process counts as running if a message from it was received within this time.
+pub(crate) const RECENT_WINDOW: Nanos = 3 * SECOND;
+/// The heartbeat of a second process must advance by this many milliseconds before it is confirmed.
 const MIN_HEARTBEAT_PROGRESS_MS: u64 = 1_000;
-/// A second process is forgotten when nothing was received from it for so long.
-const FORGET_AFTER: Nanos = 30 * SECOND;
+/// A second process is forgotten once nothing was received from it for this long.
+const DUPLICATE_RETENTION: Nanos = 30 * SECOND;
 
 /// Another process that claims to be the same member.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct DuplicateProcess {
     /// The process as it last described itself.
     pub info: MemberInfo,
-    /// The sequence numbers seen of it.
+    /// The sequence numbers received from it.
     pub replay_window: ReplayWindow,
-    /// Its heartbeat in the first message.
+    /// The heartbeat of its first message.
     pub first_heartbeat: u64,
-    /// When it last gave a new heartbeat.
+    /// When a new heartbeat was last received from it.
     pub last_received_at: Nanos,
-    /// Whether it goes on while the first process does: two processes have one name.
+    /// Whether it was seen to run at the same time as the first process.
     pub is_confirmed: bool,
 }
 
-/// What a message of another process of a known name shows.
+/// What a message from another process of a known name shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DuplicateObservation {
-    /// The message was seen before.
+    /// The message was received before.
     Replayed,
     /// Nothing new.
     Unconfirmed,
-    /// It is now known that the process runs beside the first one.
+    /// This message is the first to prove that the process runs beside the first one.
     Confirmed,
 }
 
 impl DuplicateProcess {
-    /// A process that was just met.
+    /// A process whose first message was just received.
     pub fn new(info: MemberInfo, now: Nanos) -> DuplicateProcess {
         DuplicateProcess {
             first_heartbeat: info.heartbeat,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records a message of another process in `slot`. The first process of the name last lived at
-    /// `original_alive_at`.
+    /// Records a message from another process in `slot`. The first process of the name was last known to be
+    /// alive at `original_alive_at`.
     pub fn observe(
         slot: &mut Option<DuplicateProcess>,
         from: &MemberInfo,
@@ -69,17 +69,17 @@
             duplicate.info = from.clone();
             duplicate.last_received_at = now;
         }
-        let original_runs = now.saturating_sub(original_alive_at) < RECENT;
-        let least = duplicate.first_heartbeat + MIN_HEARTBEAT_PROGRESS_MS;
-        if !original_runs || duplicate.is_confirmed || duplicate.info.heartbeat < least {
+        let original_runs = now.saturating_sub(original_alive_at) < RECENT_WINDOW;
+        let min_heartbeat = duplicate.first_heartbeat + MIN_HEARTBEAT_PROGRESS_MS;
+        if !original_runs || duplicate.is_confirmed || duplicate.info.heartbeat < min_heartbeat {
             return DuplicateObservation::Unconfirmed;
         }
         duplicate.is_confirmed = true;
         DuplicateObservation::Confirmed
     }
 
-    /// Whether nothing was received from the process for so long that it no longer counts.
+    /// Whether nothing was received from the process for so long that it is forgotten.
     pub fn is_outdated(&self, now: Nanos) -> bool {
-        now >= self.last_received_at.saturating_add(FORGET_AFTER)
+        now >= self.last_received_at.saturating_add(DUPLICATE_RETENTION)
     }
 }
--- a/crates/gaparch-membership/src/event.rs
+++ b/crates/gaparch-membership/src/event.rs
@@ -1,13 +1,13 @@
-//! Events of membership that an operator may want to know of.
+//! Membership events reported to operators.
 
 use crate::Nanos;
 use gaparch_protocol::fleet::MemberState;
 use std::fmt;
 
-/// A change in the membership of the fleet, or in this router's own place in it.
+/// A change in the membership of the fleet, or in this router's own state within it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A member not known before was met.
+    /// A previously unknown member was discovered.
     Joined {
         /// The member.
         name: String,
@@ -26,7 +26,7 @@
         /// Who suspects it.
         by: String,
     },
-    /// A suspicion was refuted by a later heartbeat.
+    /// A later heartbeat refuted a suspicion.
     Refuted {
         /// The member.
         name: String,
@@ -42,7 +42,7 @@
     Returned {
         /// The member.
         name: String,
-        /// Its state before.
+        /// Its previous state.
         was: MemberState,
     },
     /// A member left gracefully.
@@ -64,14 +64,14 @@
         /// The receiving end.
         to: String,
     },
-    /// Two running processes use one name.
+    /// Two running processes use the same name.
     DuplicateName {
         /// The name.
         name: String,
         /// The addresses of the two processes.
         addresses: [String; 2],
     },
-    /// This process resumed after it was stopped, or got no processor.
+    /// This process resumed after it was stopped or not scheduled by the operating system.
     Resumed {
         /// For how long it did not run, in nanoseconds.
         paused_for: Nanos,
@@ -85,7 +85,7 @@
     Isolated,
     /// This router receives messages from other members again.
     IsolationEnded,
-    /// This router receives messages from others, but none of them answers its pings.
+    /// This router receives messages from other members, but none of them answers its pings.
     Unanswered,
     /// This router's pings are answered again.
     AnsweredAgain,
@@ -103,18 +103,18 @@
         /// The number of routers that may be running.
         counted: u32,
     },
-    /// The disk returned an incarnation that other members know to be over.
+    /// The disk returned an incarnation older than one that other members have witnessed.
     IncarnationRolledBack {
         /// The incarnation on disk.
         stored: u64,
         /// The incarnation that other members have witnessed.
         witnessed: u64,
     },
-    /// More routers are present than the settings allow.
+    /// More routers are present than the settings state.
     TooManyRouters {
         /// The number of present routers.
         present: u32,
-        /// The number that the settings state.
+        /// The maximum number of routers in the settings.
         max_routers: u32,
     },
 }
@@ -146,11 +146,11 @@
             MembershipEvent::Suspected { name, by } => {
                 write!(
                     f,
-                    "router {name} is suspected: {by} had no answer from it, directly or through others"
+                    "router {name} is suspected: {by} got no answer from it, directly or through others"
                 )
             }
             MembershipEvent::Refuted { name } => {
-                write!(f, "router {name} has given a sign of life: it is suspected no longer")
+                write!(f, "router {name} is no longer suspected: a later heartbeat is known")
             }
             MembershipEvent::Died { name, by } => {
                 write!(f, "router {name} is declared dead by {by}; ")?;
--- a/crates/gaparch-membership/src/lib.rs
+++ b/crates/gaparch-membership/src/lib.rs
@@ -1,18 +1,20 @@
 //! Membership among the routers of a site: failure detection, dissemination and quorum, without I/O or clock.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips,
-//! Currey 2018). `docs/design-notes/membership.md` says what is taken from them, what differs and why. In
-//! short:
+//! Currey 2018). `docs/design-notes/membership.md` describes which parts are adopted, and where and why this
+//! implementation differs. In short:
 //!
-//! - In each probe interval one member is pinged, through other members if it does not answer, and suspected if none of
-//!   them gets an answer.
-//! - **A member is alive while anybody receives its messages.** A suspicion claims "no heartbeat later than
-//!   this one", and any later heartbeat, whoever received it, refutes it. So a link that fails in one direction
-//!   does not make a member flap.
-//! - A router that was paused, is late, or receives nothing distrusts itself first ([Lifeguard's local health]).
-//! - [`quorum`]: how many routers may be running, never fewer than truly are.
+//! - In each probe interval one member is pinged. If it does not answer, other members are asked to ping it;
+//!   if none of them gets an answer either, it is suspected.
+//! - **A member is alive as long as any member receives its messages.** A suspicion claims "no heartbeat
+//!   later than this one", and any later heartbeat refutes it, whichever member received it. A link that
+//!   fails in one direction therefore does not make a member flap.
+//! - A router that was paused, is late, or receives nothing doubts its own health first
+//!   ([Lifeguard's local health]).
+//! - [`quorum`]: an upper bound on the number of routers that are running.
 //!
-//! [`Membership`] takes messages and the time, and returns [`Output`]s; [`SiteKey`] authenticates datagrams.
+//! [`Membership`] is given messages and the current time, and returns [`Output`]s; [`SiteKey`] authenticates
+//! datagrams.
 //!
 //! [Lifeguard's local health]: View::local_health
 
@@ -45,7 +47,7 @@
 pub use site_key::{OpenError, SiteKey, TAG_BYTES};
 pub use view::{LinkFailure, MemberView, View};
 
-/// An instant or a span of a monotonic clock, in nanoseconds.
+/// A point in time of a monotonic clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
--- a/crates/gaparch-membership/src/link_failures.rs
+++ b/crates/gaparch-membership/src/link_failures.rs
@@ -1,25 +1,25 @@
-//! Links that fail in one direction, as the members at their receiving ends say.
+//! Links that failed in one direction, as reported by the members at their receiving ends.
 
 use crate::view::LinkFailure;
 use crate::{Nanos, SECOND};
 use gaparch_protocol::fleet::Update;
 use std::collections::BTreeMap;
 
-/// The size of the table; further failures are not recorded.
+/// The maximum size of the table; further failures are not recorded.
 const MAX_LINKS: usize = 512;
-/// The number of failures that one member may report.
+/// The maximum number of failures that one member may report at a time.
 const MAX_LINKS_PER_REPORTER: usize = 8;
-/// For how long a recovery is remembered, so that it reaches all members.
-const KEEP_RECOVERED: Nanos = 60 * SECOND;
+/// How long a recovery is kept in the table, so that it is disseminated to all members.
+const RECOVERED_LINK_RETENTION: Nanos = 60 * SECOND;
 
-/// The receiving end of a link, which reports its state, and the sending end.
+/// A link, ordered by its receiving end, which reports the state of the link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LinkKey {
     to: String,
     from: String,
 }
 
-/// The instant of a report by the reporter's own count; the later report holds.
+/// When a report was made, by the reporter's own incarnation and heartbeat; the latest report wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReportedAt {
     pub incarnation: u64,
@@ -33,7 +33,7 @@
     since: Nanos,
 }
 
-/// The table of links that fail, or have recovered of late.
+/// The table of links that are failed or have recently recovered.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkFailures {
     links: BTreeMap<LinkKey, LinkState>,
@@ -50,7 +50,7 @@
         now: Nanos,
     ) -> bool {
         let key = LinkKey { to: to.to_owned(), from: from.to_owned() };
-        // A link that works is what all take it for.
+        // Links are assumed to work, so a working link needs no entry of its own.
         let is_recordable = failed && self.links.len() < MAX_LINKS && self.can_report(to);
         match self.links.get_mut(&key) {
             Some(link) if reported_at <= link.reported_at => false,
@@ -71,17 +71,18 @@
         }
     }
 
-    /// Whether a member may report one more failure.
+    /// Whether the member has not yet reached its limit of reported failures.
     pub fn can_report(&self, reporter: &str) -> bool {
         let first = LinkKey { to: reporter.to_owned(), from: String::new() };
         let reported = self.links.range(first..).take_while(|(key, _)| key.to == reporter);
         reported.filter(|(_, link)| link.failed).count() < MAX_LINKS_PER_REPORTER
     }
 
-    /// Forgets links of members that are no longer present, and recoveries that all members know of.
+    /// Removes links of members that are no longer present, and recoveries whose retention time is over.
     pub fn retain(&mut self, is_present: impl Fn(&str) -> bool, now: Nanos) {
-        let is_over = |link: &LinkState| !link.failed && now >= link.since.saturating_add(KEEP_RECOVERED);
-        self.links.retain(|key, link| is_present(&key.to) && is_present(&key.from) && !is_over(link));
+        let is_expired =
+            |link: &LinkState| !link.failed && now >= link.since.saturating_add(RECOVERED_LINK_RETENTION);
+        self.links.retain(|key, link| is_present(&key.to) && is_present(&key.from) && !is_expired(link));
     }
 
     /// The update that disseminates the state of a link.
@@ -96,7 +97,7 @@
         })
     }
 
-    /// All links that fail.
+    /// All failed links.
     pub fn view(&self) -> Vec<LinkFailure> {
         let failed = self.links.iter().filter(|(_, link)| link.failed);
         failed
--- a/crates/gaparch-membership/src/local_health.rs
+++ b/crates/gaparch-membership/src/local_health.rs
@@ -1,44 +1,44 @@
-//! A member's estimate of its own health: the first thing to doubt where others do not answer.
+//! A member's estimate of its own health, which it doubts first when others do not answer.
 
 use crate::settings::Settings;
 use crate::Nanos;
 
-/// The greatest score of Lifeguard's local health multiplier.
+/// The maximum score of Lifeguard's local health multiplier.
 const MAX_SCORE: u32 = 8;
-/// Probe intervals without any answer, though messages of others are received, after which a router counts as
-/// unanswered.
+/// The number of probe intervals without any answer, although messages are received, after which a router
+/// counts as unanswered.
 const UNANSWERED_INTERVALS: u64 = 15;
 
-/// How far this router's messages get out, and those of others come in.
+/// Whether this router's messages reach other members, and theirs reach this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Connectivity {
-    /// It receives messages of others, and its pings are answered; or it knows of no other router.
+    /// It receives messages from others and its pings are answered, or no other router is present.
     #[default]
     Connected,
-    /// It receives messages from no other member, though there are others.
+    /// It receives messages from no other member, although others are present.
     Isolated,
     /// It receives messages from others, but none of them answers its pings.
     Unanswered,
 }
 
-/// Whether this router's messages get out, whether it receives those of others, and how far it may judge
-/// them.
+/// This router's connectivity and its local health score, which decide whether it may suspect others, and
+/// after which timeout.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalHealth {
     /// Lifeguard's local health multiplier, less one.
     score: u32,
-    /// Set when the router resumes after a pause or isolation: the number of the last ping sent before. The
-    /// router suspects nobody until a later ping is answered. Pings are identified by number, for on slow
-    /// links an answer comes while another member is being probed.
+    /// The nonce of the last ping sent before the router resumed after a pause or isolation. The router
+    /// suspects nobody until a later ping is answered. The nonce identifies the ping, since on slow links an
+    /// answer arrives while another member is being probed.
     recovering_after: Option<u64>,
-    /// When a message of any member was last received.
+    /// When a message from any member was last received.
     last_received_at: Nanos,
     /// When any member last answered a ping.
     last_answered_at: Nanos,
     connectivity: Connectivity,
 }
 
-/// Which judgements have changed.
+/// Which connectivity conditions have begun or ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectivityChange {
     pub isolation: bool,
@@ -65,17 +65,17 @@
         self.connectivity
     }
 
-    /// Whether the router receives messages from no other, though there are others.
+    /// Whether the router receives messages from no other member, although others are present.
     pub fn is_isolated(&self) -> bool {
         self.connectivity == Connectivity::Isolated
     }
 
-    /// Whether the router waits for an answer after a pause or isolation.
+    /// Whether the router still waits for an answered ping after a pause or isolation.
     pub fn is_recovering(&self) -> bool {
         self.recovering_after.is_some()
     }
 
-    /// The factor by which probe timeouts are stretched.
+    /// The factor by which the probe timeout is extended.
     pub fn timeout_factor(&self) -> u64 {
         u64::from(self.score) + 1
     }
@@ -88,7 +88,7 @@
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A message has come from any member.
+    /// A message was received from some member.
     pub fn on_received(&mut self, now: Nanos) {
         self.last_received_at = now;
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The process was paused after it had sent the ping `last_nonce`.
+    /// The process resumed after a pause. The last ping before the pause had the nonce `last_nonce`.
     pub fn on_resumed(&mut self, last_nonce: u64, now: Nanos) {
         self.recovering_after = Some(last_nonce);
         self.degrade(1);
@@ -109,7 +109,7 @@
         self.last_answered_at = now;
     }
 
-    /// Judges both directions anew, given the number of other members that are present.
+    /// Re-evaluates the connectivity, given the number of other members that are present.
     pub fn check(
         &mut self,
         others: usize,
@@ -118,7 +118,7 @@
         now: Nanos,
     ) -> ConnectivityChange {
         let before = self.connectivity;
-        self.connectivity = self.judge(others, settings, now);
+        self.connectivity = self.evaluate(others, settings, now);
         let has_changed = |to: Connectivity| (before == to) != (self.connectivity == to);
         let change = ConnectivityChange {
             isolation: has_changed(Connectivity::Isolated),
@@ -130,7 +130,7 @@
         change
     }
 
-    fn judge(&self, others: usize, settings: &Settings, now: Nanos) -> Connectivity {
+    fn evaluate(&self, others: usize, settings: &Settings, now: Nanos) -> Connectivity {
         let isolated_at = self.last_received_at.saturating_add(settings.isolation_timeout());
         let unanswered_timeout = settings.probe_interval * UNANSWERED_INTERVALS;
         let unanswered_at = self.last_answered_at.saturating_add(unanswered_timeout);
@@ -138,7 +138,7 @@
             return Connectivity::Connected;
         }
         if now >= isolated_at {
-            // A router that receives nothing can't know whether its messages get out.
+            // A router that receives nothing can't know whether its messages reach others.
             return Connectivity::Isolated;
         }
         match now >= unanswered_at {
--- a/crates/gaparch-membership/src/member.rs
+++ b/crates/gaparch-membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one member, and how claims about it change its state.
+//! What is known about one member, and how claims about it change its state.
 
 use crate::duplicate::DuplicateProcess;
 use crate::replay::ReplayWindow;
@@ -12,32 +12,32 @@
     /// The member as it last described itself.
     pub info: MemberInfo,
     pub state: MemberState,
-    /// When it entered that state, by the clock here.
+    /// When it entered that state, by the local clock.
     pub state_since: Nanos,
     /// When its last new heartbeat became known, from any member.
     pub last_alive_at: Nanos,
-    /// By how many milliseconds its heartbeat is ahead of the clock here, by the message that travelled
-    /// fastest. Members have no clock in common: with this, an instant here becomes a heartbeat there, and a
-    /// claim that travelled for long looks no newer than it is.
+    /// By how many milliseconds its heartbeat is ahead of the local clock, as estimated from the message with
+    /// the shortest delay. Members have no common clock; the offset converts a local time to a heartbeat of
+    /// the member, so that a claim that was long in transit does not look newer than it is.
     clock_offset_ms: i64,
-    /// When this router itself last received a message of it.
+    /// When this router itself last received a message from it.
     pub last_received_at: Option<Nanos>,
     pub suspicion: Option<Suspicion>,
-    /// Of a dead member: the last heartbeat that was known to whoever declared it dead.
+    /// For a dead member: the last heartbeat known to the member that declared it dead.
     pub reported_heartbeat: u64,
-    /// Of a dead member: who declared it dead.
+    /// For a dead member: the member that declared it dead.
     pub reported_by: String,
     pub replay_window: ReplayWindow,
-    /// Another process of the same name.
+    /// Another process with the same name.
     pub duplicate: Option<DuplicateProcess>,
-    /// The number of members from which it reports to receive messages.
+    /// The number of members from which it reports having recently received messages.
     pub direct_peers: u16,
-    /// How often this router has pinged it without an answer while its messages reach others; `None` without
-    /// such a doubt.
+    /// The number of unanswered pings while its messages reach other members; `None` if the link is not in
+    /// doubt.
     pub unanswered_pings: Option<u32>,
     /// Whether this router has reported that it does not receive the member's messages.
     pub link_failed: bool,
-    /// Of a dead member: whether it is no longer counted.
+    /// For a dead member: whether the dead hold is over, so that it is no longer counted.
     pub hold_expired: bool,
 }
 
@@ -46,15 +46,15 @@
 pub(crate) enum Transition {
     /// Nothing that other members need to know.
     Unchanged,
-    /// The claim is older than what is known here, and has to be disputed.
+    /// The claim is older than what is known here; the newer state is disseminated to dispute it.
     Disputed,
-    /// A new process has taken the place of a present one.
+    /// A new process has replaced one that was present.
     Restarted,
     /// A member that was dead or had left is alive.
     Returned(MemberState),
-    /// A suspicion is over.
+    /// A suspicion was refuted.
     Refuted,
-    /// A suspicion began.
+    /// A suspicion was started.
     Suspected,
     /// A suspicion has one more accuser.
     Confirmed,
@@ -67,7 +67,7 @@
 }
 
 impl Member {
-    /// A member that was just met.
+    /// A member that was just discovered.
     pub fn new(info: MemberInfo, now: Nanos) -> Member {
         Member {
             clock_offset_ms: clock_offset_ms(&info, now),
@@ -88,29 +88,29 @@
         }
     }
 
-    /// Whether it may be running, as far as is known here.
+    /// Whether it may be running, according to its last known state.
     pub fn is_present(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Whether two processes run under its name.
+    /// Whether two processes are known to run under its name.
     pub fn has_duplicate(&self) -> bool {
         self.duplicate.as_ref().is_some_and(|duplicate| duplicate.is_confirmed)
     }
 
-    /// The number of processes that run under its name, as far as is known here.
+    /// The number of processes that are known to run under its name.
     pub fn processes(&self) -> u32 {
         1 + u32::from(self.has_duplicate())
     }
 
-    /// The heartbeat that it would have stated at that instant.
+    /// The estimated heartbeat of the member at the local time `at`.
     pub fn heartbeat_at(&self, at: Nanos) -> u64 {
-        let here_ms = i64::try_from(at / MILLISECOND).unwrap_or(i64::MAX);
-        let there_ms = here_ms.saturating_add(self.clock_offset_ms);
-        u64::try_from(there_ms).unwrap_or(0).max(self.info.heartbeat)
+        let local_ms = i64::try_from(at / MILLISECOND).unwrap_or(i64::MAX);
+        let heartbeat_ms = local_ms.saturating_add(self.clock_offset_ms);
+        u64::try_from(heartbeat_ms).unwrap_or(0).max(self.info.heartbeat)
     }
 
-    /// Takes a sign of life of the process and the heartbeat in `info`.
+    /// Handles evidence that the process in `info` was alive at the heartbeat in `info`.
     pub fn observe_alive(&mut self, info: &MemberInfo, now: Nanos) -> Transition {
         if info.incarnation < self.info.incarnation {
             return Transition::Unchanged;
@@ -136,12 +136,12 @@
                 self.enter(MemberState::Alive, now);
                 Transition::Returned(MemberState::Dead)
             }
-            // A member that has left comes back as a new process only.
+            // A member that has left can return only with a higher incarnation.
             _ => Transition::Unchanged,
         }
     }
 
-    /// Takes the claim of `accuser` that it knows of no heartbeat later than `last_heartbeat`.
+    /// Handles the claim of `accuser` that it knows of no heartbeat later than `last_heartbeat`.
     pub fn observe_suspicion(
         &mut self,
         info: &MemberInfo,
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Takes the claim of `reporter` that the member is dead, with no heartbeat later than `last_heartbeat`.
+    /// Handles the claim of `reporter` that the member is dead, with no heartbeat later than
+    /// `last_heartbeat`.
     pub fn observe_death(
         &mut self,
         info: &MemberInfo,
@@ -186,7 +187,7 @@
         Transition::Died
     }
 
-    /// Takes the member's own statement that it leaves.
+    /// Handles the member's own announcement that it leaves.
     pub fn observe_leave(&mut self, info: &MemberInfo, now: Nanos) -> Transition {
         if info.incarnation < self.info.incarnation || self.state == MemberState::Left {
             return Transition::Unchanged;
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Remembers the current process as a possible duplicate, for it may go on beside the new one. If the new
-    /// one is the duplicate known so far, the two change places.
+    /// Keeps the current process as a possible duplicate, since it may continue to run beside the new one. If
+    /// the new one was the known duplicate, the two are swapped.
     fn replace_process(&mut self, new_run_id: u64, now: Nanos) {
         let known = self.duplicate.take().filter(|duplicate| duplicate.info.run_id == new_run_id);
         let is_confirmed = known.as_ref().is_some_and(|duplicate| duplicate.is_confirmed);
@@ -242,15 +243,15 @@
         self.last_received_at = None;
     }
 
-    /// Judges a claim of suspicion or death by its age: the transition if it is outdated, `None` if it
-    /// counts.
+    /// Checks a claim of suspicion or death against newer knowledge: returns the transition if the claim is
+    /// outdated, `None` if it is to be applied.
     fn reject_outdated(&mut self, info: &MemberInfo, last_heartbeat: u64, now: Nanos) -> Option<Transition> {
         if info.incarnation < self.info.incarnation {
             let disputed = self.is_present();
             return Some(if disputed { Transition::Disputed } else { Transition::Unchanged });
         }
         if info.incarnation > self.info.incarnation {
-            // A process that is new here: it was running until then.
+            // The claim names a process not known here yet: it must have been running until then.
             self.begin_incarnation(info, now);
             return None;
         }
--- a/crates/gaparch-membership/src/membership/connectivity.rs
+++ b/crates/gaparch-membership/src/membership/connectivity.rs
@@ -1,16 +1,16 @@
-//! This router's own connectivity: isolation, unanswered pings, and links that fail in one direction.
+//! This router's own connectivity: isolation, unanswered pings, and links that failed in one direction.
 
 use super::Membership;
 use crate::dissemination::Topic;
-use crate::duplicate::RECENT;
+use crate::duplicate::RECENT_WINDOW;
 use crate::event::MembershipEvent;
 use crate::link_failures::ReportedAt;
 use crate::local_health::Connectivity;
 use crate::member::Member;
 use crate::output::Output;
 
-/// Pings without an answer, and without any other message, after which a link counts as failed in one
-/// direction.
+/// The number of unanswered pings, with no other message received either, after which a link counts as failed
+/// in one direction.
 const LINK_FAILED_AFTER_PINGS: u32 = 15;
 
 impl Membership {
@@ -34,10 +34,10 @@
     }
 
     fn count_direct_peers(&mut self) {
-        let heard_since = self.now.saturating_sub(RECENT);
-        let is_heard = |member: &&Member| member.last_received_at.is_some_and(|at| at >= heard_since);
-        let heard = self.members.values().filter(is_heard).count();
-        self.direct_peers = u16::try_from(heard).unwrap_or(u16::MAX);
+        let recent_since = self.now.saturating_sub(RECENT_WINDOW);
+        let is_direct = |member: &&Member| member.last_received_at.is_some_and(|at| at >= recent_since);
+        let direct_peers = self.members.values().filter(is_direct).count();
+        self.direct_peers = u16::try_from(direct_peers).unwrap_or(u16::MAX);
     }
 
     fn on_isolation_changed(&mut self, out: &mut Vec<Output>) {
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Reports members whose messages reach others, but not this router.
+    /// Reports members whose messages reach other members, but not this router.
     fn report_failed_links(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let is_unheard = |member: &Member| {
+        let has_failed_link = |member: &Member| {
             member.is_present()
                 && !member.link_failed
                 && member.unanswered_pings.is_some_and(|pings| pings >= LINK_FAILED_AFTER_PINGS)
         };
-        let unheard = self.members.iter().filter(|(_, member)| is_unheard(member));
-        let names: Vec<String> = unheard.map(|(name, _)| name.clone()).collect();
+        let failed = self.members.iter().filter(|(_, member)| has_failed_link(member));
+        let names: Vec<String> = failed.map(|(name, _)| name.clone()).collect();
         for name in names {
             let Some(member) = self.members.get_mut(&name) else { continue };
-            if now.saturating_sub(member.last_alive_at) >= RECENT * 2 {
+            if now.saturating_sub(member.last_alive_at) >= RECENT_WINDOW * 2 {
                 continue;
             }
             member.link_failed = true;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reports that this router does not receive messages of a member, or receives them again.
+    /// Reports that this router does not receive a member's messages, or receives them again.
     pub(super) fn report_link(&mut self, from: &str, failed: bool, out: &mut Vec<Output>) {
         let local = self.settings.name.clone();
         if failed && !self.links.can_report(&local) {
--- a/crates/gaparch-membership/src/output.rs
+++ b/crates/gaparch-membership/src/output.rs
@@ -1,4 +1,4 @@
-//! What the membership core wants done by its shell.
+//! Effects that the membership core requests from its shell.
 
 use crate::event::MembershipEvent;
 use gaparch_protocol::fleet::Message;
@@ -14,16 +14,16 @@
         /// The message, to be sealed with the site's key.
         message: Message,
     },
-    /// Store this incarnation on disk; nothing waits for it.
+    /// Store this incarnation on disk; the core does not wait for the write.
     PersistIncarnation {
         /// The incarnation in use.
         incarnation: u64,
     },
-    /// From now on this many routers share the site's limits.
+    /// The site's limits are divided by this number of routers from now on.
     RouterCount(u32),
     /// Report an event to operators.
     Event(MembershipEvent),
-    /// Hand a message to the component that it is for.
+    /// Pass a message of another component on to that component.
     Payload {
         /// The name of the sending member.
         from: String,
--- a/crates/gaparch-membership/src/probes.rs
+++ b/crates/gaparch-membership/src/probes.rs
@@ -1,11 +1,11 @@
-//! The probes under way: which member is probed next, and which pings wait for an answer.
+//! The probe schedule: which member is probed next, and which pings are unanswered.
 
 use crate::Nanos;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The number of pings on behalf of others that wait for their answer; further requests are dropped.
+/// The maximum number of unanswered pings on behalf of others; further requests are dropped.
 const MAX_RELAYED_PINGS: usize = 64;
 
 /// A ping that waits for its answer.
@@ -14,11 +14,12 @@
     pub target: String,
     pub nonce: u64,
     pub sent_at: Nanos,
-    /// The heartbeat of the target when the ping was sent; a later one is a sign of life since.
+    /// The estimated heartbeat of the target when the ping was sent; a later one proves that it was alive
+    /// after that.
     pub last_heartbeat: u64,
-    /// The number of helpers that were asked to ping the target, too.
+    /// The number of helpers that were asked to ping the target as well.
     pub helpers: usize,
-    /// The number of helpers that said that they had no answer either.
+    /// The number of helpers that reported that they got no answer either.
     pub nacks: usize,
 }
 
@@ -34,7 +35,7 @@
     pub requester: String,
     /// The nonce of the requester's probe.
     pub nonce: u64,
-    /// When the requester is sent a nack, for want of an answer.
+    /// When the requester is sent a nack if there is no answer.
     pub deadline: Nanos,
 }
 
@@ -43,17 +44,17 @@
 pub(crate) struct Probes {
     /// The probe of the current interval.
     pub current: Option<Probe>,
-    /// When the next probe begins.
+    /// When the next probe starts.
     pub next_at: Nanos,
-    /// The members that are still to be probed in this round.
+    /// The members not yet probed in this round.
     round: VecDeque<String>,
-    /// Relayed pings by the nonce under which they were sent.
+    /// Unanswered relayed pings, by the nonce with which they were sent.
     relayed: BTreeMap<u64, RelayedPing>,
 }
 
 impl Probes {
-    /// The next member to probe. Each round probes every member once, in an order drawn anew, so that the
-    /// time until a member is probed is bounded.
+    /// The next member to probe. Each round probes every member once, in a new random order, so that the time
+    /// until a member is probed is bounded.
     pub fn next_target<'a>(
         &mut self,
         rng: &mut ChaCha8Rng,
@@ -85,7 +86,7 @@
         self.relayed.remove(&nonce)
     }
 
-    /// Removes the relayed pings that have had no answer in time.
+    /// Removes the relayed pings that were not answered in time.
     pub fn take_overdue(&mut self, now: Nanos) -> Vec<RelayedPing> {
         let overdue = self.relayed.iter().filter(|(_, ping)| ping.deadline <= now);
         let nonces: Vec<u64> = overdue.map(|(nonce, _)| *nonce).collect();
--- a/crates/gaparch-membership/src/replay.rs
+++ b/crates/gaparch-membership/src/replay.rs
@@ -1,13 +1,13 @@
-//! Detection of messages that were received before.
+//! Detection of replayed messages.
 
-/// The number of sequence numbers that are remembered; an older one counts as seen.
+/// The number of sequence numbers that the window covers; older ones count as seen.
 const WINDOW_LENGTH: u64 = 128;
 
 /// A sliding window over the sequence numbers of one process, as in IPsec (RFC 4303, appendix A2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReplayWindow {
     highest: u64,
-    /// Bit `n` is set if the number `highest - n` was seen.
+    /// Bit `n` is set if the sequence number `highest - n` was seen.
     seen: u128,
 }
 
@@ -22,7 +22,7 @@
             return true;
         }
         let behind = self.highest - seq;
-        // Number 0 is never used, so that a new window has seen nothing.
+        // Sequence numbers start at 1; 0 is the initial value of `highest`, not a number that was seen.
         if seq == 0 || behind >= WINDOW_LENGTH || self.seen & (1 << behind) != 0 {
             return false;
         }
--- a/crates/gaparch-membership/src/site_key.rs
+++ b/crates/gaparch-membership/src/site_key.rs
@@ -1,4 +1,4 @@
-//! The authentication of datagrams by the site's key.
+//! Authentication of datagrams with the site's shared key.
 
 use gaparch_protocol::fleet::{DecodeError, Message, MAX_DATAGRAM_BYTES};
 use hmac::{Hmac, KeyInit, Mac};
@@ -9,7 +9,7 @@
 /// allows.
 pub const TAG_BYTES: usize = 16;
 
-/// The site's shared key. Whoever has it can speak as any router.
+/// The site's shared key. Whoever has it can send messages in the name of any router.
 #[derive(Clone)]
 pub struct SiteKey(Hmac<Sha256>);
 
@@ -20,19 +20,19 @@
     }
 }
 
-/// Why a datagram is dropped.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OpenError {
-    /// It is longer than any router sends.
+    /// It is longer than any datagram that a router sends.
     #[error("the datagram is too long")]
     TooLong,
-    /// Its tag does not fit: it was forged, damaged on its way, or sealed with another key.
-    #[error("the authentication tag does not fit")]
+    /// Its authentication tag does not match: it was forged, damaged in transit, or sealed with another key.
+    #[error("the authentication tag does not match")]
     BadTag,
-    /// It was sealed with the site's key, but is not a message.
+    /// It was sealed with the site's key, but its content is not a valid message.
     #[error("the datagram is malformed")]
     Malformed,
-    /// It is of another version of the protocol.
+    /// It has another version of the protocol.
     #[error("unsupported protocol version {0}")]
     UnsupportedVersion(u8),
 }
@@ -47,7 +47,7 @@
 }
 
 impl SiteKey {
-    /// Makes a key of its bytes; `None` for an empty key.
+    /// Creates a key from its bytes; `None` if there are none.
     pub fn new(key: &[u8]) -> Option<SiteKey> {
         if key.is_empty() {
             return None;
@@ -55,7 +55,7 @@
         Hmac::new_from_slice(key).ok().map(SiteKey)
     }
 
-    /// Encodes a message with its tag; `None` if the datagram would be too long.
+    /// Encodes a message and appends its tag; `None` if the datagram would be too long.
     pub fn seal(&self, message: &Message) -> Option<Vec<u8>> {
         let mut bytes = message.to_bytes();
         let tag = self.0.clone().chain_update(&bytes).finalize().into_bytes();
@@ -63,16 +63,16 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Checks the tag of a datagram, and decodes its message.
+    /// Verifies the tag of a datagram, and decodes its message.
     ///
     /// # Errors
-    /// What is wrong with the datagram. Its content is not decoded before the tag is found right.
+    /// If the datagram is not valid. Its content is decoded only after the tag has been verified.
     pub fn open(&self, datagram: &[u8]) -> Result<Message, OpenError> {
         if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(OpenError::TooLong);
         }
         let (body, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(OpenError::BadTag)?;
-        // In constant time: a forger learns nothing from how long it takes.
+        // The comparison takes constant time, so that its duration reveals nothing to a forger.
         self.0.clone().chain_update(body).verify_truncated_left(tag).map_err(|_| OpenError::BadTag)?;
         Ok(Message::from_bytes(body)?)
     }
--- a/crates/gaparch-membership/src/suspicion.rs
+++ b/crates/gaparch-membership/src/suspicion.rs
@@ -1,27 +1,27 @@
-//! A suspicion against one member.
+//! A suspicion that one member has failed.
 
 use crate::Nanos;
 
-/// The number of accusers remembered; more do not shorten a suspicion.
+/// The number of accusers stored; more do not shorten a suspicion any further.
 const MAX_ACCUSERS: usize = 4;
 
-/// The claim that no heartbeat of a member is known that is later than a given one.
+/// The claim that no heartbeat of a member later than a given one is known.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Suspicion {
-    /// The accusers know of no later heartbeat than this one.
+    /// The accusers know of no heartbeat later than this one.
     pub last_heartbeat: u64,
-    /// When the suspicion timeout began here.
+    /// When the suspicion timeout started on this router.
     pub started_at: Nanos,
     /// The members that share the suspicion, in the order in which they became known.
     pub accusers: Vec<String>,
-    /// When this router first pinged the suspect itself without an answer.
+    /// When this router itself first pinged the suspect since the timeout started.
     pub probed_since: Option<Nanos>,
-    /// How often it has done so.
+    /// The number of pings that it has sent to the suspect since then.
     pub attempts: u32,
 }
 
 impl Suspicion {
-    /// Begins a suspicion.
+    /// Starts a suspicion with one accuser.
     pub fn new(accuser: &str, last_heartbeat: u64, now: Nanos) -> Suspicion {
         Suspicion {
             last_heartbeat,
@@ -32,14 +32,14 @@
         }
     }
 
-    /// Begins the timeout anew: time in which this router could receive nothing proves nothing.
+    /// Restarts the timeout: silence while this router could receive nothing is no evidence.
     pub fn restart(&mut self, now: Nanos) {
         self.started_at = now;
         self.probed_since = None;
         self.attempts = 0;
     }
 
-    /// Adds an accuser; returns whether it is a new one.
+    /// Adds an accuser; returns whether it was added as a new one.
     pub fn confirm(&mut self, accuser: &str, last_heartbeat: u64) -> bool {
         self.last_heartbeat = self.last_heartbeat.max(last_heartbeat);
         let is_known = self.accusers.iter().any(|known| known == accuser);
