--- a/crates/gaparch-membership/src/membership/identity.rs
+++ b/crates/gaparch-membership/src/membership/identity.rs
@@ -7,25 +7,26 @@
 use crate::{Nanos, MILLISECOND, SECOND};
 use gaparch_protocol::fleet::{MemberInfo, MemberState};
 
-/// A router that meets an earlier process of its own name within this time after its start has a disk that
-/// was rolled back; later it is another process that was started.
+/// If a router learns of another process of its own name within this time after its start, its disk was
+/// rolled back; if later, the other process was started after it.
 const ROLLBACK_WINDOW: Nanos = 10 * SECOND;
-/// The most milliseconds by which a heartbeat is pushed forward: about a year. No clock is wrong by more.
+/// The maximum number of milliseconds by which a heartbeat is pushed forward: about a year. No clock is off
+/// by more.
 const MAX_HEARTBEAT_PUSH_MS: u64 = 1 << 35;
 
-/// Who this router is.
+/// This router's own incarnation and heartbeat, and what it knows of other processes of its name.
 #[derive(Debug)]
 pub(super) struct LocalIdentity {
     started_at: Nanos,
     incarnation: u64,
     /// The incarnation that was on disk at the start.
     stored_incarnation: u64,
-    /// Milliseconds by which the heartbeat was pushed past accusations.
+    /// Milliseconds by which the heartbeat was pushed forward to be later than accusations.
     heartbeat_push_ms: u64,
-    /// Another process of this router's own name.
+    /// Another process with this router's own name.
     duplicate: Option<DuplicateProcess>,
-    /// The other process that this one last outbid with a higher incarnation.
-    outbid_run_id: Option<u64>,
+    /// The run id of the other process that this one last superseded with a higher incarnation.
+    superseded_run_id: Option<u64>,
 }
 
 impl LocalIdentity {
@@ -36,7 +37,7 @@
             stored_incarnation: incarnation.saturating_sub(1),
             heartbeat_push_ms: 0,
             duplicate: None,
-            outbid_run_id: None,
+            superseded_run_id: None,
         }
     }
 
@@ -44,13 +45,13 @@
         self.incarnation
     }
 
-    /// The heartbeat at that instant: milliseconds since the start, at least 1.
+    /// The heartbeat at the given time: milliseconds since the start plus the push, at least 1.
     pub fn heartbeat(&self, now: Nanos) -> u64 {
         now.saturating_sub(self.started_at) / MILLISECOND + 1 + self.heartbeat_push_ms
     }
 
-    /// Forgets another process of this name from which nothing was received for long.
-    pub fn forget_duplicate(&mut self, now: Nanos) {
+    /// Removes the other process of this name if nothing was received from it for long.
+    pub fn remove_outdated_duplicate(&mut self, now: Nanos) {
         self.duplicate.take_if(|duplicate| duplicate.is_outdated(now));
     }
 
@@ -60,8 +61,8 @@
 }
 
 impl Membership {
-    /// Takes a message that bears this router's own name.
-    pub(super) fn on_message_of_own_name(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) {
+    /// Handles a message whose sender has this router's own name.
+    pub(super) fn on_message_with_own_name(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) {
         self.counters.misdirected += 1;
         if from.run_id == self.settings.run_id {
             return;
@@ -71,10 +72,10 @@
         if observation == DuplicateObservation::Confirmed {
             self.report_own_duplicate(&from.address, out);
         }
-        self.outbid(from, out);
+        self.supersede(from, out);
     }
 
-    /// Takes a claim about this router.
+    /// Handles a claim about this router.
     pub(super) fn on_claim_about_self(
         &mut self,
         info: &MemberInfo,
@@ -84,7 +85,7 @@
         out: &mut Vec<Output>,
     ) {
         if info.run_id != self.settings.run_id {
-            return self.outbid(info, out);
+            return self.supersede(info, out);
         }
         if info.incarnation < self.identity.incarnation || state == MemberState::Alive {
             return;
@@ -100,12 +101,12 @@
         }
     }
 
-    /// Makes all further messages a refutation of an accusation that knows of `last_heartbeat`: each states a
-    /// heartbeat, and from now on a later one.
+    /// Refutes an accusation that knows of `last_heartbeat`: every message states the heartbeat, which from
+    /// now on is later than that one.
     fn refute(&mut self, last_heartbeat: u64, out: &mut Vec<Output>) {
         let behind_ms = last_heartbeat.saturating_sub(self.heartbeat());
         if behind_ms > MAX_HEARTBEAT_PUSH_MS {
-            // A new incarnation ends the claim, whatever it was.
+            // A new incarnation invalidates the claim, whatever heartbeat it states.
             self.identity.incarnation = self.identity.incarnation.saturating_add(1);
             self.persist_incarnation(out);
         } else {
@@ -113,18 +114,18 @@
         }
     }
 
-    /// Takes an incarnation above that of another process of this name, which others have witnessed.
-    fn outbid(&mut self, info: &MemberInfo, out: &mut Vec<Output>) {
+    /// Takes an incarnation above that of another process of this name, which other members have witnessed.
+    fn supersede(&mut self, info: &MemberInfo, out: &mut Vec<Output>) {
         let witnessed = info.incarnation;
-        // Two processes that run would outbid each other for ever.
+        // Two running processes would supersede each other endlessly.
         if witnessed < self.identity.incarnation || self.identity.has_duplicate() {
             return;
         }
-        if self.identity.outbid_run_id == Some(info.run_id) {
-            self.on_outbid_process_answered(info, out);
+        if self.identity.superseded_run_id == Some(info.run_id) {
+            self.on_superseded_process_running(info, out);
             return;
         }
-        self.identity.outbid_run_id = Some(info.run_id);
+        self.identity.superseded_run_id = Some(info.run_id);
         if self.now < self.identity.started_at + ROLLBACK_WINDOW {
             let stored = self.identity.stored_incarnation;
             out.push(Output::Event(MembershipEvent::IncarnationRolledBack { stored, witnessed }));
@@ -133,9 +134,9 @@
         self.persist_incarnation(out);
     }
 
-    /// A process that was outbid has taken a higher incarnation in turn: it runs.
-    fn on_outbid_process_answered(&mut self, info: &MemberInfo, out: &mut Vec<Output>) {
-        self.identity.outbid_run_id = None;
+    /// The superseded process has taken a higher incarnation in turn, which proves that it is running.
+    fn on_superseded_process_running(&mut self, info: &MemberInfo, out: &mut Vec<Output>) {
+        self.identity.superseded_run_id = None;
         self.report_own_duplicate(&info.address, out);
         let mut duplicate = DuplicateProcess::new(info.clone(), self.now);
         duplicate.is_confirmed = true;
--- a/crates/gaparch-membership/src/membership/mod.rs
+++ b/crates/gaparch-membership/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! The membership core of one router: what it receives, what it decides and what it sends.
 //!
-//! [`Membership`] owns all state. Its methods stand in one module a concern; each concern's own state is a type of its
-//! own with a narrow interface.
+//! [`Membership`] owns all state. Its methods are split into one module per concern, and the state that
+//! belongs to one concern is a separate type with a narrow interface.
 
 mod connectivity;
 mod identity;
@@ -34,12 +34,12 @@
 use std::collections::BTreeMap;
 use sync::SyncSchedule;
 
-/// How long members that are dead or have left are remembered, so that old updates do not bring them back.
-const REMEMBER_GONE: Nanos = 3_600 * SECOND;
-/// The shortest pause of the process that is worth an event.
+/// How long members that are dead or have left are kept, so that old updates do not bring them back.
+const GONE_MEMBER_RETENTION: Nanos = 3_600 * SECOND;
+/// The shortest pause of the process that is reported as an event.
 const MIN_REPORTED_PAUSE: Nanos = SECOND;
 
-/// One member of the fleet.
+/// The membership protocol state machine of one router.
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
@@ -55,27 +55,28 @@
     sync: SyncSchedule,
     budget: SendBudget,
     counters: Counters,
-    /// The number of routers by which this one divides the site's limits, as last announced.
+    /// The number of routers by which this one divides the site's limits, as last output.
     divisor: u32,
-    /// The number of members from which messages were received of late, as of the last tick.
+    /// The number of members from which messages were recently received, as of the last tick.
     direct_peers: u16,
-    /// The sequence number of the last message.
+    /// The sequence number of the last message sent.
     seq: u64,
-    /// The nonce of the last ping.
+    /// The nonce of the last ping sent.
     nonce: u64,
     probe_rounds: u64,
     tick_at: Nanos,
-    /// When members in doubt are probed next: each interval, however patient this router is with others.
+    /// When members in doubt are probed next: in every probe interval, even while the probe timeout is
+    /// extended.
     probe_doubtful_at: Nanos,
     has_too_many_routers: bool,
     has_left: bool,
 }
 
 impl Membership {
-    /// Starts a member that knows of no other.
+    /// Starts a member that does not know any other member yet.
     pub fn new(settings: Settings, now: Nanos, out: &mut Vec<Output>) -> Membership {
         let mut rng = seeded_rng(&settings);
-        // Routers that are started together must not probe in step for ever.
+        // A random offset keeps routers that were started together from probing in lockstep.
         let tick_at = now + rng.random_range(0..settings.probe_interval.max(1));
         let mut membership = Membership {
             rng,
@@ -106,22 +107,22 @@
         membership
     }
 
-    /// When [`on_timer`](Membership::on_timer) has something to do.
+    /// When [`on_timer`](Membership::on_timer) is to be called next.
     pub fn next_timer_at(&self) -> Nanos {
         self.tick_at
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The number of routers by which this one divides what all share.
+    /// The number of routers by which this one divides the limits that all share.
     pub fn divisor(&self) -> u32 {
         self.divisor
     }
 
-    /// Does what has fallen due.
+    /// Carries out the work that is due.
     pub fn on_timer(&mut self, now: Nanos, out: &mut Vec<Output>) {
         self.advance(now);
         if self.now < self.tick_at || self.has_left {
@@ -140,7 +141,7 @@
         }
         self.start_sync_if_due(out);
         self.check_connectivity(out);
-        self.forget_gone();
+        self.remove_expired();
         self.recount(out);
     }
 
@@ -148,11 +149,11 @@
         self.now = now.max(self.now);
     }
 
-    /// Schedules the next tick, and notices a pause of the process.
+    /// Schedules the next tick, and detects a pause of the process.
     fn schedule_tick(&mut self, out: &mut Vec<Output>) {
         let late = self.now - self.tick_at;
         let tick = (self.settings.probe_interval / 2).max(1);
-        // Missed ticks are not made up for: a burst of outdated pings helps nobody.
+        // Missed ticks are skipped: catching up would only send a burst of outdated pings.
         self.tick_at = if late > tick { self.now + tick } else { self.tick_at + tick };
         if late > self.settings.pause_threshold() {
             self.on_resumed(late, out);
@@ -161,7 +162,8 @@
         }
     }
 
-    /// The process was paused: all that rests on elapsed time is given up before it is acted on.
+    /// The process was paused: discards or restarts everything that is based on elapsed time, before it takes
+    /// effect.
     fn on_resumed(&mut self, paused_for: Nanos, out: &mut Vec<Output>) {
         if !self.settings.use_extensions {
             return;
@@ -184,16 +186,17 @@
         }
     }
 
-    /// Forgets members that went long ago, and what was known of them.
-    fn forget_gone(&mut self) {
+    /// Removes members that have been gone for long, outdated duplicates, and outdated link states.
+    fn remove_expired(&mut self) {
         let now = self.now;
-        let is_forgotten =
-            |member: &Member| !member.is_present() && now >= member.state_since.saturating_add(REMEMBER_GONE);
+        let is_expired = |member: &Member| {
+            !member.is_present() && now >= member.state_since.saturating_add(GONE_MEMBER_RETENTION)
+        };
         self.members.retain(|_, member| {
             member.duplicate.take_if(|duplicate| duplicate.is_confirmed && duplicate.is_outdated(now));
-            !is_forgotten(member)
+            !is_expired(member)
         });
-        self.identity.forget_duplicate(now);
+        self.identity.remove_outdated_duplicate(now);
         let members = &self.members;
         let local = &self.settings.name;
         let is_present = |name: &str| name == local || members.get(name).is_some_and(Member::is_present);
@@ -209,7 +212,7 @@
         self.present().map(|(name, _)| name.clone()).collect()
     }
 
-    /// This router, as it describes itself now.
+    /// This router's current description of itself.
     pub fn local_info(&self) -> MemberInfo {
         MemberInfo {
             name: self.settings.name.clone(),
@@ -226,7 +229,7 @@
         self.identity.heartbeat(self.now)
     }
 
-    /// The fleet as this router sees it.
+    /// The current state of the fleet as this router sees it.
     pub fn view(&self) -> View {
         View {
             local: self.local_info(),
--- a/crates/gaparch-membership/src/membership/probing.rs
+++ b/crates/gaparch-membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: which members are pinged, and what a missing answer means.
+//! Probing: which members are pinged, and what follows from a missing answer.
 
 use super::Membership;
 use crate::dissemination::Topic;
@@ -10,19 +10,19 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// The number of members that are asked to ping one that does not answer.
+/// The number of members that are asked to ping a member that does not answer.
 const HELPERS: usize = 3;
-/// The number of members in doubt that are pinged in one interval, beside the one whose turn it is.
+/// The maximum number of members in doubt that are pinged in one interval, beside the regular probe.
 const MAX_DOUBTFUL_PINGS: usize = 6;
-/// The number of pings of a suspect after which helpers are asked, too.
-const PINGS_PER_HELP: u32 = super::suspicions::MIN_PINGS_BEFORE_DEATH / 2;
-/// Every so many rounds a dead member, and a seed at which no member is known, is pinged: a partition may
-/// have healed.
+/// Helpers are asked to ping a suspect as well after each such number of this router's own pings.
+const PINGS_PER_HELP_REQUEST: u32 = super::suspicions::MIN_PINGS_BEFORE_DEATH / 2;
+/// The number of probe rounds between pings of a dead member and of a seed at which no member is present: a
+/// partition may have healed.
 const REJOIN_ROUNDS: u64 = 5;
 
 impl Membership {
-    /// Judges the probe under way: asks helpers after half of its timeout, and acts on a missing answer after
-    /// all of it.
+    /// Checks the current probe: asks helpers after half of the timeout, and treats the probe as failed after
+    /// the full timeout.
     pub(super) fn check_probe(&mut self, out: &mut Vec<Output>) {
         let Some(mut probe) = self.probes.current.take() else { return };
         let target = self.members.get(&probe.target);
@@ -43,12 +43,12 @@
         self.on_probe_failed(&probe, out);
     }
 
-    /// The probe interval, stretched by this router's doubt in itself.
+    /// The probe interval, extended according to this router's local health.
     pub(super) fn probe_timeout(&self) -> u64 {
         self.settings.probe_interval * self.health.timeout_factor()
     }
 
-    /// Asks some members to ping the target, too, and returns how many.
+    /// Asks some members to ping the target as well; returns how many.
     fn ask_helpers(&mut self, probe: &Probe, out: &mut Vec<Output>) -> usize {
         let Some(target) = self.members.get(&probe.target) else { return 0 };
         let address = target.info.address.clone();
@@ -64,8 +64,8 @@
         helpers.len()
     }
 
-    /// Chooses helpers at random, those of other zones first: what isolates one zone may leave the others
-    /// connected.
+    /// Chooses helpers at random, preferring other zones: a failure that isolates this zone may leave the
+    /// others connected.
     fn choose_helpers(&mut self, target: &str) -> Vec<String> {
         let members = self.members.values();
         let eligible =
@@ -77,7 +77,7 @@
             })
             .collect();
         ranked.sort_unstable();
-        // One helper is of the own zone, if there is any.
+        // One helper is from this router's own zone, if it has another live member.
         let first_same_zone = ranked.iter().position(|(is_same_zone, ..)| *is_same_zone);
         if let Some(position) = first_same_zone.filter(|position| *position >= HELPERS) {
             ranked.swap(position, HELPERS - 1);
@@ -92,13 +92,13 @@
             return;
         }
         if member.info.heartbeat > probe.last_heartbeat {
-            // Others receive its messages: what fails is the link to it.
+            // Other members receive its messages, so only the link to this router is in doubt.
             member.unanswered_pings.get_or_insert(0);
             self.health.improve();
             return;
         }
         if self.settings.use_extensions {
-            // Lifeguard: helpers that sent no nack either speak against this router itself.
+            // Lifeguard: helpers that did not even send a nack indicate a fault of this router itself.
             let missing_nacks = probe.helpers.saturating_sub(probe.nacks) as u32;
             self.health.degrade(1 + missing_nacks.min(1));
         }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Starts the next probe, and now and then pings of a dead member and of a seed.
+    /// Starts the next probe; in some rounds, also pings a dead member and a seed.
     pub(super) fn start_probe(&mut self, out: &mut Vec<Output>) {
         self.probe_rounds += 1;
         self.probes.next_at = self.now + self.probe_timeout();
@@ -131,8 +131,9 @@
         self.probes.next_target(&mut self.rng, is_present, present)
     }
 
-    /// Pings suspects, and members whose messages reach others but not this router. Every member that knows
-    /// of a suspicion asks for itself: that makes a false one short, and a true one certain.
+    /// Pings suspects, and members whose messages reach other members but not this router. Every member that
+    /// knows of a suspicion pings the suspect itself, so that false suspicions are refuted quickly and true
+    /// ones are confirmed.
     pub(super) fn probe_doubtful(&mut self, out: &mut Vec<Output>) {
         let is_doubtful = |member: &Member| member.suspicion.is_some() || member.unanswered_pings.is_some();
         let doubtful = self.present().filter(|(_, member)| is_doubtful(member));
@@ -146,7 +147,7 @@
             }
             let Some(suspicion) = &mut member.suspicion else { continue };
             suspicion.count_attempt(self.now);
-            if !has_asked_helpers && suspicion.attempts.is_multiple_of(PINGS_PER_HELP) {
+            if !has_asked_helpers && suspicion.attempts.is_multiple_of(PINGS_PER_HELP_REQUEST) {
                 has_asked_helpers = true;
                 let probe = Probe::new(name, nonce, self.now, suspicion.last_heartbeat);
                 self.ask_helpers(&probe, out);
@@ -179,8 +180,7 @@
 
     fn ping(&mut self, name: &str, out: &mut Vec<Output>) -> u64 {
         let nonce = self.next_nonce();
-        // Lifeguard's buddy system: a suspect learns of the suspicion with the ping, so that it can refute
-        // it.
+        // Lifeguard's buddy system: the ping tells a suspect of the suspicion, so that it can refute it.
         let is_accused = self.members.get(name).is_some_and(|member| member.state != MemberState::Alive);
         let topic = is_accused.then(|| Topic::Member(name.to_owned()));
         self.send_to_member(name, MessageBody::Ping { nonce }, topic.as_slice(), out);
--- a/crates/gaparch-membership/src/membership/quorum_count.rs
+++ b/crates/gaparch-membership/src/membership/quorum_count.rs
@@ -1,4 +1,4 @@
-//! Announces changes of the quorum and of the number of routers that share the site's limits.
+//! Outputs changes of the quorum and of the number of routers by which the site's limits are divided.
 
 use super::Membership;
 use crate::event::MembershipEvent;
@@ -29,8 +29,8 @@
         }));
     }
 
-    /// Reports once if more routers are present than the settings state: the argument of [`crate::quorum`]
-    /// rests on that number.
+    /// Reports once if more routers are present than the settings state: the bound in [`crate::quorum`]
+    /// relies on that number.
     fn check_router_count(&mut self, out: &mut Vec<Output>) {
         let present = self.quorum.present;
         let max_routers = self.settings.max_routers;
--- a/crates/gaparch-membership/src/membership/receive.rs
+++ b/crates/gaparch-membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! The receive path: which messages are taken, and what their bodies ask for.
+//! The receive path: which messages are accepted, and how their bodies are handled.
 
 use super::Membership;
 use crate::dissemination::Topic;
@@ -11,7 +11,7 @@
 use gaparch_protocol::fleet::{MemberInfo, Message, MessageBody};
 
 impl Membership {
-    /// Takes a message whose tag was valid.
+    /// Handles a message whose authentication tag was valid.
     pub fn on_message(&mut self, now: Nanos, message: Message, out: &mut Vec<Output>) {
         self.advance(now);
         if self.has_left {
@@ -24,7 +24,7 @@
             return;
         }
         if from.name == self.settings.name {
-            return self.on_message_of_own_name(&from, seq, out);
+            return self.on_message_with_own_name(&from, seq, out);
         }
         if !self.admit(&from, seq, out) {
             return;
@@ -36,10 +36,10 @@
         self.on_body(&from, body, out);
     }
 
-    /// Whether a message is new, and of the process that has the name now.
+    /// Whether a message is new and comes from the current process of its sender's name.
     fn admit(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
         let Some(member) = self.members.get_mut(&from.name) else {
-            return self.meet(from, seq, out);
+            return self.admit_new_member(from, seq, out);
         };
         let known = &member.info;
         if from.run_id == known.run_id && from.incarnation >= known.incarnation {
@@ -58,7 +58,7 @@
         false
     }
 
-    /// Takes a message of a process that should be over, since another one has its name.
+    /// Handles a message from a process that should have ended, since another one has superseded it.
     fn on_outdated_process(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) {
         self.counters.misdirected += 1;
         let Some(member) = self.members.get_mut(&from.name) else { return };
@@ -74,15 +74,15 @@
             let event = MembershipEvent::DuplicateName { name: name.clone(), addresses };
             out.push(Output::Event(event));
         }
-        // Its disk may have been rolled back: it is sent the known incarnation at once, or its messages would
-        // be dropped until it is probed by chance.
+        // Its disk may have been rolled back. It is sent the known incarnation at once; otherwise its
+        // messages would be dropped until it happens to be probed.
         if let Ok(address) = from.address.parse() {
             let topic = Topic::Member(name.clone());
             self.send(address, name, MessageBody::Nack { nonce: 0 }, &[topic], out);
         }
     }
 
-    fn meet(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
+    fn admit_new_member(&mut self, from: &MemberInfo, seq: u64, out: &mut Vec<Output>) -> bool {
         if self.members.len() >= MAX_MEMBERS {
             self.counters.rejected_members += 1;
             return false;
@@ -91,7 +91,8 @@
         member.replay_window.admit(seq);
         self.members.insert(from.name.clone(), member);
         self.on_joined(&from.name, out);
-        // A new member may know of others, and what a synchronization brings need not be disseminated.
+        // A new member may know others, and state that is received by synchronization need not be
+        // disseminated.
         if !self.sync.is_pending() {
             self.request_sync(&from.name, String::new(), out);
         }
@@ -131,9 +132,9 @@
     }
 
     fn on_ack(&mut self, from: &MemberInfo, nonce: u64, out: &mut Vec<Output>) {
-        self.pass_on_ack(&from.name, nonce, out);
-        // Any answer shows that messages get out; only an answer to a later ping shows that they come in
-        // since the router resumed.
+        self.forward_ack(&from.name, nonce, out);
+        // Any answer shows that this router's messages arrive. Only the answer to a ping sent after the
+        // router resumed shows that it can receive messages again.
         self.health.on_answered(nonce, self.now);
     }
 }
--- a/crates/gaparch-membership/src/membership/relay.rs
+++ b/crates/gaparch-membership/src/membership/relay.rs
@@ -25,8 +25,9 @@
         }
     }
 
-    /// Passes the answer to a relayed ping on to its requester, with the sign of life that came with it.
-    pub(super) fn pass_on_ack(&mut self, from: &str, nonce: u64, out: &mut Vec<Output>) {
+    /// Forwards the answer to a relayed ping to its requester, with an update that carries the target's
+    /// heartbeat.
+    pub(super) fn forward_ack(&mut self, from: &str, nonce: u64, out: &mut Vec<Output>) {
         let Some(ping) = self.probes.take_relayed(nonce) else { return };
         let topic = Topic::Member(from.to_owned());
         self.send_to_member(&ping.requester, MessageBody::Ack { nonce: ping.nonce }, &[topic], out);
--- a/crates/gaparch-membership/src/membership/send.rs
+++ b/crates/gaparch-membership/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! The send path: which updates go with a message, and whether it may be sent.
+//! The send path: which updates are piggybacked on a message, and whether it may be sent.
 
 use super::Membership;
 use crate::dissemination::Topic;
@@ -10,10 +10,10 @@
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// Bytes of a datagram beside the message itself: tag, head and the counts of its lists.
+/// Bytes of a datagram in addition to the message itself: tag, header and list lengths.
 const OVERHEAD_BYTES: usize = TAG_BYTES + 16;
-/// The number of members that a leaving router notifies directly; these disseminate it to the others.
-const MAX_FAREWELLS: usize = 32;
+/// The maximum number of members that a leaving router notifies directly; they disseminate it to the others.
+const MAX_LEAVE_NOTICES: usize = 32;
 
 /// Updates that fit into one datagram, and their topics.
 #[derive(Default)]
@@ -23,7 +23,7 @@
 }
 
 impl PackedUpdates {
-    /// Adds an update if it fits into the room that is left; returns whether it does.
+    /// Adds an update if it fits into the remaining room; returns whether it did.
     fn push(&mut self, topic: Topic, update: Update, room: &mut usize) -> bool {
         let length = encoded_length(&update);
         if length > *room {
@@ -46,7 +46,7 @@
         self.nonce
     }
 
-    /// Sends to a member that is known. The updates on `first` go with the message, then queued ones.
+    /// Sends a message to a known member, with the updates for the topics in `first`, then queued ones.
     pub(super) fn send_to_member(
         &mut self,
         name: &str,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends to an address. The updates on `first` go with the message, then queued ones.
+    /// Sends a message to an address, with the updates for the topics in `first`, then queued ones.
     pub(super) fn send(
         &mut self,
         address: SocketAddr,
@@ -70,10 +70,10 @@
     ) {
         let packed = self.pack_updates(&to, &body, first);
         self.queue.count_transmission(&packed.topics, self.quorum.present as usize);
-        self.post(address, to, body, packed.updates, out);
+        self.send_with_updates(address, to, body, packed.updates, out);
     }
 
-    /// Packs the updates on `first`, then queued ones as far as they fit.
+    /// Packs the updates for the topics in `first`, then queued ones, as far as they fit.
     fn pack_updates(&self, to: &str, body: &MessageBody, first: &[Topic]) -> PackedUpdates {
         let mut room = self.room_for_updates(to, body);
         let mut packed = PackedUpdates::default();
@@ -86,7 +86,7 @@
         packed
     }
 
-    /// Packs the updates on `topics` up to the first that does not fit, so that the page has no holes.
+    /// Packs the updates for `topics` up to the first that does not fit, so that the page has no gaps.
     pub(super) fn pack_page(&self, to: &str, body: &MessageBody, topics: &[Topic]) -> PackedUpdates {
         let mut room = self.room_for_updates(to, body);
         let mut packed = PackedUpdates::default();
@@ -104,7 +104,7 @@
         MAX_DATAGRAM_BYTES.saturating_sub(OVERHEAD_BYTES + encoded_length(&bare))
     }
 
-    /// What is known here on a topic.
+    /// The update with the current state of a topic.
     fn update(&self, topic: &Topic) -> Option<Update> {
         match topic {
             Topic::Link { from, to } => self.links.update(from, to),
@@ -116,7 +116,7 @@
         let member = self.members.get(name)?;
         let (reporter, last_heartbeat) = match (member.state, &member.suspicion) {
             (MemberState::Suspect, Some(suspicion)) => {
-                // This router's own accusation counts for more than one that is passed on.
+                // This router's own accusation carries more weight than one that it only forwards.
                 let own = suspicion.accusers.iter().find(|accuser| **accuser == self.settings.name);
                 let reporter = own.or(suspicion.accusers.last()).cloned().unwrap_or_default();
                 (reporter, suspicion.last_heartbeat)
@@ -133,7 +133,7 @@
     }
 
     /// Sends a message with exactly these updates, if the send budget allows it.
-    pub(super) fn post(
+    pub(super) fn send_with_updates(
         &mut self,
         address: SocketAddr,
         to: String,
@@ -153,8 +153,8 @@
         out.push(Output::Send { to: address, message });
     }
 
-    /// Sends a message of another component, within the same bounds as all others. It is dropped if it does
-    /// not fit into a datagram, or the member is not known.
+    /// Sends a message of another component, within the same send budget as all others. It is dropped if it
+    /// does not fit into a datagram or the member is not known.
     pub fn send_payload(&mut self, now: Nanos, to: &str, bytes: Vec<u8>, out: &mut Vec<Output>) {
         self.advance(now);
         let body = MessageBody::Payload { bytes };
@@ -164,15 +164,15 @@
             return;
         }
         if let Some(address) = self.address(to) {
-            self.post(address, to.to_owned(), body, Vec::new(), out);
+            self.send_with_updates(address, to.to_owned(), body, Vec::new(), out);
         }
     }
 
-    /// Announces that this router leaves. It takes no message from then on.
+    /// Announces that this router leaves the fleet. From then on it ignores all messages.
     pub fn leave(&mut self, now: Nanos, out: &mut Vec<Output>) {
         self.advance(now);
         let names = self.present_peers();
-        for name in self.sample(names, MAX_FAREWELLS) {
+        for name in self.sample(names, MAX_LEAVE_NOTICES) {
             let Some(address) = self.address(&name) else { continue };
             let update = Update::Member {
                 info: self.local_info(),
@@ -180,7 +180,7 @@
                 reporter: self.settings.name.clone(),
                 last_heartbeat: 0,
             };
-            self.post(address, name, MessageBody::Nack { nonce: 0 }, vec![update], out);
+            self.send_with_updates(address, name, MessageBody::Nack { nonce: 0 }, vec![update], out);
         }
         self.has_left = true;
     }
--- a/crates/gaparch-membership/src/membership/suspicions.rs
+++ b/crates/gaparch-membership/src/membership/suspicions.rs
@@ -6,23 +6,23 @@
 use crate::suspicion::Suspicion;
 use crate::Nanos;
 
-/// The number of this router's own pings without an answer before it may declare a suspect dead.
+/// The number of this router's own pings that a suspect must leave unanswered before it may be declared dead.
 pub(super) const MIN_PINGS_BEFORE_DEATH: u32 = 4;
 
-/// A member that this router accuses, and the heartbeat after which it knows of none.
+/// A member that this router accuses, and the last heartbeat that is known to the accusers.
 struct Accusation {
     name: String,
     last_heartbeat: u64,
 }
 
 impl Membership {
-    /// Whether this router may draw conclusions from the silence of others now.
+    /// Whether this router may currently treat missing messages as evidence against other members.
     pub(super) fn may_suspect(&self) -> bool {
         if !self.settings.use_extensions {
             return true;
         }
-        // Where there is one other member, its death and this router's isolation can't be distinguished;
-        // nobody else is misled by a wrong conclusion.
+        // With only one other member, its death and this router's isolation can't be distinguished, and there
+        // is no third member that a wrong conclusion could mislead.
         let is_isolated_among_many = self.health.is_isolated() && self.present().count() > 1;
         !self.health.is_recovering() && !is_isolated_among_many
     }
@@ -44,7 +44,7 @@
     }
 
     /// Confirms suspicions that this router's own pings corroborate, and declares members dead whose
-    /// suspicion has lasted.
+    /// suspicion has timed out.
     pub(super) fn check_suspicions(&mut self, out: &mut Vec<Output>) {
         if !self.may_suspect() {
             return;
--- a/crates/gaparch-membership/src/membership/sync.rs
+++ b/crates/gaparch-membership/src/membership/sync.rs
@@ -1,4 +1,4 @@
-//! Full synchronization: asking another member for the state of all members, page by page.
+//! Full synchronization: requests the state of all members from another member, page by page.
 
 use super::Membership;
 use crate::dissemination::Topic;
@@ -10,13 +10,15 @@
 
 /// The time between two synchronizations.
 const SYNC_INTERVAL: Nanos = 10 * SECOND;
-/// The time between two synchronizations where much waits to be disseminated.
+/// The time between two synchronizations while many updates are queued.
 const BUSY_SYNC_INTERVAL: Nanos = SECOND;
-/// Topics that wait above which synchronizations follow one another faster: one by one they take long.
+/// The number of queued topics above which synchronization is more frequent: piggybacking so many updates a
+/// few at a time takes long.
 const BUSY_QUEUE_LENGTH: usize = 16;
-/// A page that has not come after so long is requested from another member.
+/// A page that has not arrived after this time is requested from another member.
 const PAGE_TIMEOUT: Nanos = 500 * MILLISECOND;
-/// The number of members considered for one page; the shortest updates of so many do not fit into a datagram.
+/// The number of members considered for one page; even the shortest updates of that many do not fit into a
+/// datagram.
 const MAX_PAGE_CANDIDATES: usize = MAX_DATAGRAM_BYTES / 16;
 
 /// A page that was requested.
@@ -38,19 +40,19 @@
         SyncSchedule { next_at: now, pending: None }
     }
 
-    /// Whether a page is under way.
+    /// Whether a requested page has not arrived yet.
     pub fn is_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Takes the page that was requested of this peer.
+    /// Takes the pending request for the page after `after`, if it was sent to this peer.
     fn take_pending(&mut self, peer: &str, after: &str) -> Option<PendingPage> {
         self.pending.take_if(|pending| pending.peer == peer && pending.after == after)
     }
 }
 
 impl Membership {
-    /// Begins a synchronization, or continues one whose page was lost, with a member chosen at random.
+    /// Starts a synchronization, or continues one whose page was lost, with a random member that is alive.
     pub(super) fn start_sync_if_due(&mut self, out: &mut Vec<Output>) {
         if self.now < self.sync.next_at {
             return;
@@ -70,22 +72,22 @@
     pub(super) fn on_sync_request(&mut self, from: &str, after: String, out: &mut Vec<Output>) {
         let names = self.page_candidates(from, &after);
         let Some(address) = self.address(from) else { return };
-        // How many members fit is known once the page is made, so the widest name stands in for the next one.
-        let widest = names.iter().max_by_key(|name| name.len()).cloned();
+        // Which name `next` holds is known only once the page is packed, so room is kept for the longest one.
+        let longest = names.iter().max_by_key(|name| name.len()).cloned();
         let topics: Vec<Topic> = names.into_iter().map(Topic::Member).collect();
-        let widest_body = MessageBody::SyncPage { after: after.clone(), next: widest };
-        let packed = self.pack_page(from, &widest_body, &topics);
-        let is_cut = packed.topics.len() < topics.len();
+        let longest_body = MessageBody::SyncPage { after: after.clone(), next: longest };
+        let packed = self.pack_page(from, &longest_body, &topics);
+        let is_partial = packed.topics.len() < topics.len();
         let next = match packed.topics.last() {
-            Some(Topic::Member(name)) if is_cut => Some(name.clone()),
+            Some(Topic::Member(name)) if is_partial => Some(name.clone()),
             _ => None,
         };
         let body = MessageBody::SyncPage { after, next };
-        self.post(address, from.to_owned(), body, packed.updates, out);
+        self.send_with_updates(address, from.to_owned(), body, packed.updates, out);
     }
 
-    /// The members that follow a name, except the one that asks. More than fit into a page are not looked at:
-    /// of a thousand members that was most of the work.
+    /// The members whose names follow `after`, except the requester. No more are considered than may fit into
+    /// a page: with a thousand members, looking at all of them was most of the work.
     fn page_candidates(&self, requester: &str, after: &str) -> Vec<String> {
         let range = (Bound::Excluded(after), Bound::Unbounded);
         let following = self.members.range::<str, _>(range).map(|(name, _)| name);
--- a/crates/gaparch-membership/src/membership/updates.rs
+++ b/crates/gaparch-membership/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Updates that other members disseminate, and the transitions that follow from them.
+//! Handling of disseminated updates, and of the transitions that they cause.
 
 use super::Membership;
 use crate::dissemination::Topic;
@@ -58,7 +58,7 @@
         }
         let member = self.members.entry(info.name.clone()).or_insert_with(|| Member::new(info.clone(), now));
         if !is_known && !matches!(state, MemberState::Alive | MemberState::Suspect) {
-            // Remembered, so that older updates do not bring it back; it need not be disseminated again.
+            // Recorded so that older updates do not bring the member back; need not be disseminated again.
             member.state = state;
             member.reported_heartbeat = last_heartbeat;
             reporter.clone_into(&mut member.reported_by);
@@ -81,7 +81,7 @@
         out.push(Output::Event(MembershipEvent::Joined { name: name.to_owned() }));
     }
 
-    /// Disseminates, counts and reports what a claim by `reporter` changed.
+    /// Disseminates, counts and reports the transition that a claim by `reporter` caused.
     pub(super) fn on_transition(
         &mut self,
         name: &str,
@@ -92,13 +92,13 @@
         if transition == Transition::Unchanged {
             return;
         }
-        // In plain SWIM only the suspect itself may dispute a suspicion.
+        // In plain SWIM only the suspect itself disputes a suspicion.
         if transition == Transition::Disputed && !self.settings.use_extensions {
             return;
         }
         self.queue.push(Topic::Member(name.to_owned()));
         self.count_transition(&transition);
-        out.extend(self.event_of(name, reporter, transition).map(Output::Event));
+        out.extend(self.transition_event(name, reporter, transition).map(Output::Event));
     }
 
     fn count_transition(&mut self, transition: &Transition) {
@@ -111,11 +111,16 @@
         }
     }
 
-    fn event_of(&self, name: &str, reporter: &str, transition: Transition) -> Option<MembershipEvent> {
+    fn transition_event(
+        &self,
+        name: &str,
+        reporter: &str,
+        transition: Transition,
+    ) -> Option<MembershipEvent> {
         let name = name.to_owned();
         let by = reporter.to_owned();
         match transition {
-            // Which of two processes a name clash is about shows once messages of both are received.
+            // A name clash is reported once messages from both processes show that both are running.
             Transition::Unchanged | Transition::Disputed | Transition::Confirmed | Transition::NameClash => {
                 None
             }
