--- a/crates/gaparch-membership/tests/datagrams.rs
+++ b/crates/gaparch-membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening datagrams, and encoding and decoding their messages.
+//! Sealing and opening datagrams, and encoding and decoding the messages in them.
 
 use gaparch_membership::{OpenError, SiteKey, TAG_BYTES};
 use gaparch_protocol::fleet::{MemberInfo, MemberState, Message, MessageBody, Update, MAX_DATAGRAM_BYTES};
@@ -10,7 +10,7 @@
 }
 
 fn message(updates: usize) -> Message {
-    let one = |n| Update::Member {
+    let update = |n| Update::Member {
         info: member_info(&format!("router-{n}")),
         state: MemberState::Suspect,
         reporter: "router-0".to_owned(),
@@ -24,12 +24,12 @@
         seq: 1,
         direct_peers: 2,
         body,
-        updates: (0..updates).map(one).collect(),
+        updates: (0..updates).map(update).collect(),
     }
 }
 
 #[test]
-fn only_complete_datagrams_sealed_with_the_sites_key_are_opened() {
+fn only_intact_datagrams_sealed_with_the_sites_key_are_opened() {
     let key = SiteKey::new(b"a key of this site").expect("a key");
     let other = SiteKey::new(b"a key of another one").expect("a key");
     assert!(SiteKey::new(b"").is_none());
@@ -43,13 +43,13 @@
     for at in 0..datagram.len() {
         let mut damaged = datagram.clone();
         damaged[at] ^= 1;
-        assert_eq!(key.open(&damaged), Err(OpenError::BadTag), "bit at {at}");
+        assert_eq!(key.open(&damaged), Err(OpenError::BadTag), "lowest bit of byte {at}");
     }
     assert_eq!(key.open(&vec![0; MAX_DATAGRAM_BYTES + 1]), Err(OpenError::TooLong));
     assert_eq!(key.seal(&self::message(40)), None);
 }
 
-/// A datagram of a newer program is not taken for a forgery.
+/// A datagram with a valid tag and an unknown version comes from a newer build; it must not count as forged.
 #[test]
 fn a_newer_version_is_reported_as_unsupported() {
     use hmac::{Hmac, KeyInit, Mac};
@@ -64,12 +64,16 @@
 
 proptest! {
     #[test]
-    fn no_bytes_make_a_message_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Message::from_bytes(&[b"gF\x01".as_slice(), &bytes].concat());
     }
 
     #[test]
-    fn a_message_is_read_as_it_was_written(seq in any::<u64>(), direct_peers in any::<u16>(), updates in 0usize..8) {
+    fn decoding_restores_the_encoded_message(
+        seq in any::<u64>(),
+        direct_peers in any::<u16>(),
+        updates in 0usize..8,
+    ) {
         let message = Message { seq, direct_peers, ..message(updates) };
         prop_assert_eq!(Message::from_bytes(&message.to_bytes()), Ok(message));
     }
--- a/crates/gaparch-membership/tests/pinned_bytes.rs
+++ b/crates/gaparch-membership/tests/pinned_bytes.rs
@@ -1,7 +1,8 @@
-//! The datagrams of routers in service: one sealed with a fixed key, and a digest of all that a small fleet sends.
+//! Compatibility with the datagrams of deployed routers: one datagram sealed with a fixed key, and a digest
+//! of all datagrams that a small fleet sends.
 //!
-//! The constants were written by the build that introduced this test. Another digest means that routers decide, or
-//! send, something else than before.
+//! The expected values were recorded by the build that introduced this test. A different digest means that
+//! routers make other decisions, or send other bytes, than before.
 
 use gaparch_membership::{Membership, Nanos, Output, Settings, SiteKey};
 use gaparch_protocol::fleet::{MemberInfo, Message, MessageBody};
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_datagram_sealed_with_a_fixed_key() {
+fn sealed_datagram_matches_the_pinned_bytes() {
     let from = MemberInfo {
         name: "router-1".to_owned(),
         zone: "north".to_owned(),
@@ -44,14 +45,14 @@
     assert_eq!(site_key().open(&unhex(pinned)), Ok(message));
 }
 
-/// Members in virtual time; a datagram arrives one step after it was sent.
+/// Members in simulated time. A datagram arrives one time step after it was sent.
 struct Fleet {
     now: Nanos,
     members: Vec<Option<Membership>>,
-    /// Sender, receiver and message, in the order in which they were sent.
+    /// Sender, receiver and message of each datagram in flight, in the order of sending.
     in_flight: Vec<(usize, usize, Message)>,
-    /// A link in one direction that loses all.
-    cut: Option<(usize, usize)>,
+    /// A link, as sender and receiver, that drops all datagrams in this direction.
+    failed_link: Option<(usize, usize)>,
     traffic: Sha256,
     datagrams: u64,
     divisors: Vec<u32>,
@@ -67,7 +68,7 @@
             now: 0,
             members: (0..count).map(|_| None).collect(),
             in_flight: Vec::new(),
-            cut: None,
+            failed_link: None,
             traffic: Sha256::new(),
             datagrams: 0,
             divisors: vec![0; count],
@@ -104,7 +105,7 @@
                     self.traffic.update(&datagram);
                     self.datagrams += 1;
                     let receiver = usize::from(to.port() - 7400);
-                    if self.cut != Some((member, receiver)) {
+                    if self.failed_link != Some((member, receiver)) {
                         self.in_flight.push((member, receiver, message));
                     }
                 }
@@ -114,8 +115,8 @@
         }
     }
 
-    fn run(&mut self, time: Nanos) {
-        let until = self.now + time;
+    fn run(&mut self, duration: Nanos) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
             for (_, receiver, message) in std::mem::take(&mut self.in_flight) {
@@ -137,16 +138,16 @@
 }
 
 #[test]
-fn all_that_a_fleet_sends_through_deaths_cuts_and_restarts() {
+fn fleet_traffic_matches_the_pinned_digest_through_deaths_link_failures_and_restarts() {
     let mut fleet = Fleet::new(5);
     fleet.run(20 * SECOND);
     let steady = fleet.divisors.clone();
     fleet.members[4] = None;
     fleet.run(20 * SECOND);
     let after_a_death = fleet.divisors[..4].to_vec();
-    fleet.cut = Some((1, 0));
+    fleet.failed_link = Some((1, 0));
     fleet.run(20 * SECOND);
-    fleet.cut = None;
+    fleet.failed_link = None;
     fleet.start(4, 1);
     fleet.run(20 * SECOND);
     fleet.now += 3 * SECOND;
