--- a/crates/gaparch-membership/src/duplicate.rs
+++ b/crates/gaparch-membership/src/duplicate.rs
@@ -4,9 +4,11 @@
 use crate::{Nanos, SECOND};
 use gaparch_protocol::fleet::MemberInfo;
 
-/// A process counts as running if a message from it was received within this time.
+/// A process counts as running if, within this time, a message from it was received or a new heartbeat of it
+/// became known.
 pub(crate) const RECENT_WINDOW: Nanos = 3 * SECOND;
-/// The heartbeat of a second process must advance by this many milliseconds before it is confirmed.
+/// The heartbeat of a second process must advance by this many milliseconds, by its own clock, before the
+/// process is confirmed.
 const MIN_HEARTBEAT_PROGRESS_MS: u64 = 1_000;
 /// A second process is forgotten once nothing was received from it for this long.
 const DUPLICATE_RETENTION: Nanos = 30 * SECOND;
@@ -31,7 +33,7 @@
 pub(crate) enum DuplicateObservation {
     /// The message was received before.
     Replayed,
-    /// Nothing new.
+    /// The message does not change what is known.
     Unconfirmed,
     /// This message is the first to prove that the process runs beside the first one.
     Confirmed,
--- a/crates/gaparch-membership/src/event.rs
+++ b/crates/gaparch-membership/src/event.rs
@@ -23,7 +23,7 @@
     Suspected {
         /// The member.
         name: String,
-        /// Who suspects it.
+        /// The member that suspects it.
         by: String,
     },
     /// A later heartbeat refuted a suspicion.
@@ -35,7 +35,7 @@
     Died {
         /// The member.
         name: String,
-        /// Who declared it dead.
+        /// The member that declared it dead.
         by: String,
     },
     /// A member that was dead or had left is present again.
@@ -73,12 +73,12 @@
     },
     /// This process resumed after it was stopped or not scheduled by the operating system.
     Resumed {
-        /// For how long it did not run, in nanoseconds.
+        /// How long it did not run, in nanoseconds.
         paused_for: Nanos,
     },
-    /// Other members had declared this router dead.
+    /// Another member had declared this router dead.
     DeclaredDead {
-        /// Who declared it dead.
+        /// The member that declared it dead.
         by: String,
     },
     /// This router receives messages from no other member.
@@ -120,7 +120,7 @@
 }
 
 impl MembershipEvent {
-    /// The name of the member that the event is about, if it is about one.
+    /// The name of the member concerned, if the event concerns one member.
     pub fn name(&self) -> Option<&str> {
         match self {
             MembershipEvent::Joined { name }
@@ -150,7 +150,7 @@
                 )
             }
             MembershipEvent::Refuted { name } => {
-                write!(f, "router {name} is no longer suspected: a later heartbeat is known")
+                write!(f, "router {name} is no longer suspected: it has shown that it is alive")
             }
             MembershipEvent::Died { name, by } => {
                 write!(f, "router {name} is declared dead by {by}; ")?;
--- a/crates/gaparch-membership/src/local_health.rs
+++ b/crates/gaparch-membership/src/local_health.rs
@@ -17,7 +17,7 @@
     Connected,
     /// It receives messages from no other member, although others are present.
     Isolated,
-    /// It receives messages from others, but none of them answers its pings.
+    /// It receives messages from other members, but none of them answers its pings.
     Unanswered,
 }
 
--- a/crates/gaparch-membership/src/membership/updates.rs
+++ b/crates/gaparch-membership/src/membership/updates.rs
@@ -58,7 +58,7 @@
         }
         let member = self.members.entry(info.name.clone()).or_insert_with(|| Member::new(info.clone(), now));
         if !is_known && !matches!(state, MemberState::Alive | MemberState::Suspect) {
-            // Recorded so that older updates do not bring the member back; need not be disseminated again.
+            // Recorded so that older updates do not bring the member back; it need not be disseminated again.
             member.state = state;
             member.reported_heartbeat = last_heartbeat;
             reporter.clone_into(&mut member.reported_by);
