--- a/crates/gaparch-audit/src/endpoint_list/active.rs
+++ b/crates/gaparch-audit/src/endpoint_list/active.rs
@@ -23,7 +23,7 @@
     },
     /// It is of an epoch of the list service that a later one has replaced.
     #[error(
-        "it is of epoch {}, which epoch {} has replaced: the service was restored, or there are two services",
+        "it is of epoch {}, which epoch {} has followed: a service that went back, or a second one",
         .offered.rank, .in_use.rank
     )]
     ReplacedEpoch {
@@ -33,7 +33,7 @@
         offered: ListVersion,
     },
     /// Its entries do not match its digest, or differ from those in use under the same version.
-    #[error("its entries do not match its digest")]
+    #[error("its entries do not fit its digest")]
     DigestMismatch,
 }
 
--- a/crates/gaparch-audit/src/endpoint_list/event.rs
+++ b/crates/gaparch-audit/src/endpoint_list/event.rs
@@ -94,14 +94,14 @@
             ListEvent::Confirmed => f.write_str("the list service confirms the list in use"),
             ListEvent::Behind { in_use, believed, lag } => write!(
                 f,
-                "the list in use here is {}, other routers have had {} for {:.1} s",
+                "the list in use here is {}, others have had {} for {:.1} s",
                 ShortVersion(in_use),
                 ShortVersion(believed),
                 seconds(*lag)
             ),
             ListEvent::CaughtUp { version, after } => write!(
                 f,
-                "the list in use here has caught up with {}, which other routers have, after {:.1} s",
+                "the list in use here is {}, as others have it, after {:.1} s",
                 ShortVersion(version),
                 seconds(*after)
             ),
@@ -113,7 +113,7 @@
             ),
             ListEvent::SourceOutdated { in_use, believed } => write!(
                 f,
-                "the list service answers {}, though other routers have {} from it: its answer is not used",
+                "the list service answers {}, though others have {} from it: it is not believed",
                 ShortVersion(in_use),
                 ShortVersion(believed)
             ),
@@ -127,13 +127,13 @@
             }
             ListEvent::Outlier { router, stated, believed } => write!(
                 f,
-                "router {router} states list {}, no other router a later one than {}: its claim is not used",
+                "router {router} states list {}, nobody else more than {}: its claim is not passed on",
                 ShortVersion(stated),
                 ShortVersion(believed)
             ),
             ListEvent::DigestMismatch { by, version } => write!(
                 f,
-                "list {} that was fetched from router {by} does not match its digest",
+                "list {} that was fetched from router {by} does not fit its digest",
                 ShortVersion(version)
             ),
         }
