--- a/crates/gaparch-console/tests/console.rs
+++ b/crates/gaparch-console/tests/console.rs
@@ -198,7 +198,13 @@
         queueing_reason: Some(QueueingReason::DecodeWorkersSaturated),
         retry_after_ms: Some(1000),
         evidence: vec![evidence],
-        ..RequestOutcome::bare(request, asked, ended, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
+        ..RequestOutcome::without_details(
+            request,
+            asked,
+            ended,
+            OutcomeKind::Rejected,
+            OutcomeCause::ObjectiveMissed,
+        )
     };
     app.answer(Tag::Endings, Answer::Outcomes { outcomes: vec![ending.clone()], total: 1 });
     assert!(picture(&app, 80, 24, Theme::plain()).contains("msg_7_42"));
--- a/crates/gaparch-ops/tests/common/mod.rs
+++ b/crates/gaparch-ops/tests/common/mod.rs
@@ -106,7 +106,7 @@
         }],
         evidence: evidence(4, "full"),
         fingerprint,
-        ..RequestOutcome::bare(
+        ..RequestOutcome::without_details(
             request,
             received_at,
             ended_at,
--- a/crates/gaparch-protocol/src/ops/outcome.rs
+++ b/crates/gaparch-protocol/src/ops/outcome.rs
@@ -259,8 +259,8 @@
 }
 
 impl RequestOutcome {
-    /// The outcome of a request that was never sent anywhere and of which nothing else is known.
-    pub fn bare(
+    /// The outcome of a request that was not sent to an engine: every other field is empty.
+    pub fn without_details(
         request: GlobalRequestId,
         received_at: u64,
         ended_at: u64,
--- a/crates/gaparch-protocol/tests/pinned_operations.rs
+++ b/crates/gaparch-protocol/tests/pinned_operations.rs
@@ -96,7 +96,7 @@
 }
 
 fn bare_outcome() -> RequestOutcome {
-    RequestOutcome::bare(NAME, NOW, NOW + 5, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
+    RequestOutcome::without_details(NAME, NOW, NOW + 5, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
 }
 
 fn filter() -> OutcomeFilter {
--- a/crates/gaparch-router/src/core/request_outcomes.rs
+++ b/crates/gaparch-router/src/core/request_outcomes.rs
@@ -55,7 +55,7 @@
             attempts: self.attempt_views(tracked),
             evidence,
             fingerprint: tracked.request.fingerprint,
-            ..RequestOutcome::bare(request, tracked.arrived_at, self.now, kind, cause)
+            ..RequestOutcome::without_details(request, tracked.arrived_at, self.now, kind, cause)
         };
         out.push(Output::RequestEnded(Box::new(outcome)));
     }
--- a/crates/gaparch-router/src/shell/ops/handle.rs
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -41,7 +41,13 @@
             tenant: tenant.to_owned(),
             retry_after_ms: retry_after_millis(retry_after),
             fingerprint,
-            ..RequestOutcome::bare(request, now, now, OutcomeKind::Rejected, OutcomeCause::TooManyOpen)
+            ..RequestOutcome::without_details(
+                request,
+                now,
+                now,
+                OutcomeKind::Rejected,
+                OutcomeCause::TooManyOpen,
+            )
         };
         // The count is what must not be lost.
         let _ = self.messages.try_send(BroadcasterMessage::RequestEnded(Box::new(ending)));
--- a/crates/gaparch-testbed/examples/operations.rs
+++ b/crates/gaparch-testbed/examples/operations.rs
@@ -205,7 +205,13 @@
             attempts: (0..3).map(step).collect(),
             evidence: evidence(n),
             fingerprint: n,
-            ..RequestOutcome::bare(request, n, n, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
+            ..RequestOutcome::without_details(
+                request,
+                n,
+                n,
+                OutcomeKind::Rejected,
+                OutcomeCause::ObjectiveMissed,
+            )
         };
         drop(ledger.add(ending));
     }
