--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -106,7 +106,7 @@
         ("value=\"change-me-web\"", "value=\"change-me-app\"", "<key value>: the same key"),
         ("share=\"0.6\"", "share=\"0.7\"", "<tenants share>: the shares add up"),
         ("dialect=\"house\"", "dialect=\"cottage\"", "<listen dialect>: there is no dialect 'cottage'"),
-        ("spelt=\"busy\"", "spelt=\"api_error\"", "<dialect>: two words are spelt 'api_error'"),
+        ("spelt=\"busy\"", "spelt=\"api_error\"", "<dialect>: two labels are spelt 'api_error'"),
         ("name=\"tick\"", "name=\"error\"", "<dialect>: events 'failed' and 'keep-alive' have the same name"),
         ("number=\"0\"", "number=\"2\"", "<router number>"),
         ("127.0.0.1:7101", "127.0.0.1:99999", "<engine address>: '127.0.0.1:99999' is no address"),
--- a/crates/gaparch-protocol/src/client/dialect/decoder.rs
+++ b/crates/gaparch-protocol/src/client/dialect/decoder.rs
@@ -1,4 +1,4 @@
-//! Reading of events, answers and errors in a dialect.
+//! Decoding of events, complete answers and error bodies in a dialect.
 
 use super::super::sse::SseEvent;
 use super::super::{Answer, ClientEvent, ErrorBody, ErrorKind, StopReason, Usage};
@@ -8,7 +8,8 @@
 use serde_json::Value as Json;
 
 impl Dialect {
-    /// Reads an event of a stream; `None` where its name or a field that it needs is not of this dialect.
+    /// Decodes a stream event; `None` if the dialect has no event of this name, the data is not JSON, or the
+    /// text of a text delta is missing.
     pub fn decode(&self, event: &SseEvent) -> Option<ClientEvent> {
         let mut stream_events = self.templates.iter().filter(|(kind, _)| kind.in_stream());
         let (kind, template) = stream_events.find(|(_, template)| template.name == event.name)?;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Reads the complete JSON answer; `None` where it is not of this dialect.
+    /// Decodes a complete answer; `None` if the body is not JSON or its text is missing.
     pub fn decode_answer(&self, body: &[u8]) -> Option<Answer> {
         let json: Json = serde_json::from_slice(body).ok()?;
         let template = self.templates.get(&EventKind::Answer)?;
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Reads the body of an error; `None` where it is not of this dialect.
+    /// Decodes an error body; `None` if it is not JSON or does not state whether a retry is harmless.
     pub fn decode_error(&self, body: &[u8]) -> Option<ErrorBody> {
         let json: Json = serde_json::from_slice(body).ok()?;
         let template = self.templates.get(&EventKind::Error)?;
@@ -63,7 +64,7 @@
     }
 }
 
-/// The fields of one event that came in.
+/// The fields of a received event or body.
 struct EventFields<'e> {
     dialect: &'e Dialect,
     template: &'e EventTemplate,
@@ -106,7 +107,7 @@
     fn error(&self) -> ErrorBody {
         let kinds = [ErrorKind::Invalid, ErrorKind::Unauthorized, ErrorKind::Rejected];
         let kind = kinds.into_iter().find(|kind| self.has_label(FieldValue::ErrorKind, (*kind).into()));
-        // A retry is harmless only where the error says so.
+        // Unless the error states otherwise, a retry may run the request twice.
         let retry_harmless = self.json(FieldValue::RetryHarmless).and_then(Json::as_bool).unwrap_or(false);
         ErrorBody {
             kind: kind.unwrap_or(ErrorKind::Failed),
--- a/crates/gaparch-protocol/src/client/dialect/definition.rs
+++ b/crates/gaparch-protocol/src/client/dialect/definition.rs
@@ -1,4 +1,4 @@
-//! Dialects as the settings write them down, and the checks that they have to pass.
+//! Dialect definitions, as read from the settings, and their validation.
 
 use super::json_path::JsonPath;
 use super::names::{EventKind, FieldValue, Label, RequestField};
@@ -6,99 +6,99 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// What a field holds.
+/// The source of a field's content.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldSource {
     /// A value of the event.
     Value(FieldValue),
-    /// The same JSON in every event.
+    /// A constant, the same in every event.
     Fixed(Json),
 }
 
 /// One field of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EventField {
-    /// Where it stands in the event's JSON.
+    /// The position of the field in the event's JSON.
     pub path: JsonPath,
-    /// What it holds.
+    /// The source of the field's content.
     pub source: FieldSource,
 }
 
 /// The name and the fields of an event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EventShape {
-    /// The event's name in the stream; not used by the answer and the error body.
+    /// The SSE event name; unused for the complete answer and the error body.
     pub name: String,
-    /// The fields, in the order in which they are written.
+    /// The fields, in the order in which they are encoded.
     pub fields: Vec<EventField>,
 }
 
-/// A dialect as it is written down, not yet checked.
+/// A dialect that has not been validated yet; [`Dialect::new`](super::Dialect::new) validates it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DialectDefinition {
-    /// The name by which listeners choose it.
+    /// The name by which a listener's settings select the dialect.
     pub name: String,
-    /// The events that it has. An event that it lacks is not sent.
+    /// The events of the dialect. An event that is not defined is not sent.
     pub events: BTreeMap<EventKind, EventShape>,
-    /// Labels that it spells its own way.
+    /// Spellings that replace the default names of labels.
     pub labels: BTreeMap<Label, String>,
-    /// Where a request's fields stand; one that is not named can only be given as a header.
+    /// The JSON path of each request field. A field without a path can only be sent as a header.
     pub request: BTreeMap<RequestField, JsonPath>,
 }
 
-/// What is wrong with a dialect.
+/// An error in a dialect definition.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DialectError {
-    /// An event that every dialect needs is not defined.
+    /// A required event is not defined.
     #[error("event '{0}' is missing")]
     MissingEvent(&'static str),
-    /// The name of an event can't be written to a stream.
-    #[error("event '{kind}' has no name, or one with a line end")]
+    /// The name of an event is empty or contains a line break, so that it can't be sent in a stream.
+    #[error("event '{kind}' has no name, or its name contains a line break")]
     InvalidName {
         /// The kind of the event.
         kind: &'static str,
     },
-    /// A client could not tell two events apart.
+    /// Two events have the same name, so that clients could not distinguish them.
     #[error("events '{first}' and '{second}' have the same name")]
     DuplicateName {
-        /// The kind that comes first.
+        /// The kind of the first event.
         first: &'static str,
-        /// The kind that has the same name.
+        /// The kind of the second event.
         second: &'static str,
     },
-    /// A field holds a value that events of this kind don't have.
-    #[error("event '{kind}': there is no '{value}' in it")]
-    ForeignValue {
+    /// A field refers to a value that events of this kind do not have.
+    #[error("event '{kind}' has no value '{value}'")]
+    UnsupportedValue {
         /// The kind of the event.
         kind: &'static str,
         /// The value.
         value: &'static str,
     },
-    /// Two fields of an event stand in the same place, or one inside the other.
-    #[error("event '{kind}': the path '{path}' is taken by another field")]
+    /// Two fields of an event have the same path, or the path of one leads through the other.
+    #[error("event '{kind}': path '{path}' conflicts with another field")]
     PathConflict {
         /// The kind of the event.
         kind: &'static str,
         /// The path of the later field.
         path: String,
     },
-    /// An event lacks a value that clients can't do without.
-    #[error("event '{kind}' lacks '{value}'")]
+    /// An event has no field for a value that clients depend on.
+    #[error("event '{kind}' has no field for '{value}'")]
     MissingValue {
         /// The kind of the event.
         kind: &'static str,
         /// The value.
         value: &'static str,
     },
-    /// A field that every request needs has no place in the JSON.
+    /// A field that every request needs has no JSON path.
     #[error("request field '{0}' is missing")]
     MissingRequestField(&'static str),
-    /// A client could not tell two labels apart.
-    #[error("two words are spelt '{0}'")]
+    /// Two labels have the same spelling, so that clients could not distinguish them.
+    #[error("two labels are spelt '{0}'")]
     DuplicateLabel(String),
 }
 
-/// Values that clients can't do without, by event.
+/// Values that clients depend on, by the kind of event that has to contain them.
 const REQUIRED_VALUES: [(EventKind, FieldValue); 4] = [
     (EventKind::TextDelta, FieldValue::Text),
     (EventKind::Answer, FieldValue::Text),
@@ -106,21 +106,22 @@
     (EventKind::Error, FieldValue::RetryHarmless),
 ];
 
-/// Fields that every request needs.
+/// Request fields that every dialect has to define.
 const REQUIRED_REQUEST_FIELDS: [RequestField; 3] =
     [RequestField::Model, RequestField::Messages, RequestField::MaxTokens];
 
 impl DialectDefinition {
-    /// How each label is spelt.
+    /// The spelling of every label: that of the dialect, or else the label's name.
     pub(super) fn spelled_labels(&self) -> BTreeMap<Label, String> {
         let spelled = |label: Label| {
-            let own = self.labels.get(&label).cloned();
-            own.unwrap_or_else(|| label.name().to_owned())
+            let custom = self.labels.get(&label).cloned();
+            custom.unwrap_or_else(|| label.name().to_owned())
         };
         Label::ALL.iter().map(|label| (*label, spelled(*label))).collect()
     }
 
-    /// All errors but those of single fields, which [`EventTemplate`](super::template::EventTemplate) reports.
+    /// Validates the definition, except for single fields: their errors are reported by
+    /// [`EventTemplate`](super::template::EventTemplate).
     pub(super) fn errors(&self) -> Vec<DialectError> {
         let mut errors = Vec::new();
         self.check_required_events(&mut errors);
@@ -168,7 +169,7 @@
         }
     }
 
-    /// A client tells a rejection from a failure by its label alone.
+    /// Checks that all labels differ: clients distinguish a rejection from a failure by its label alone.
     fn check_labels(&self, errors: &mut Vec<DialectError>) {
         let labels = self.spelled_labels();
         for (position, label) in Label::ALL.iter().enumerate() {
--- a/crates/gaparch-protocol/src/client/dialect/encoder.rs
+++ b/crates/gaparch-protocol/src/client/dialect/encoder.rs
@@ -1,4 +1,4 @@
-//! Writing of events, answers and errors in a dialect.
+//! Encoding of events, complete answers and error bodies in a dialect.
 
 use super::super::sse::encode_event;
 use super::super::{Answer, ClientEvent, ErrorKind, Usage};
@@ -8,7 +8,7 @@
 use bytes::{BufMut, BytesMut};
 use serde_json::Value as Json;
 
-/// The values of one event; those that it doesn't have stay empty.
+/// The values of an event or body; those that it does not have keep their defaults.
 #[derive(Default)]
 struct EventValues<'v> {
     id: &'v str,
@@ -21,7 +21,7 @@
 }
 
 impl Dialect {
-    /// Appends an event of a stream; nothing where the dialect has no such event.
+    /// Appends a stream event, or nothing if the dialect does not define it.
     pub fn encode(&self, event: &ClientEvent, out: &mut BytesMut) {
         let kind = kind_of(event);
         let Some(template) = self.templates.get(&kind) else { return };
@@ -29,7 +29,7 @@
         encode_event(out, &template.name, |out| self.put_template(template, &values, out));
     }
 
-    /// The complete JSON answer.
+    /// Encodes a complete answer as JSON.
     pub fn encode_answer(&self, answer: &Answer) -> BytesMut {
         let values = EventValues {
             id: &answer.id,
@@ -42,7 +42,7 @@
         self.encode_body(EventKind::Answer, &values)
     }
 
-    /// The body of a response whose HTTP status is an error.
+    /// Encodes the body of an HTTP error response.
     pub fn encode_error(&self, kind: ErrorKind, message: &str, retry_harmless: bool) -> BytesMut {
         let label = Some(kind.into());
         let values = EventValues { message, retry_harmless, label, ..EventValues::default() };
@@ -68,17 +68,17 @@
 
     fn put_value(&self, value: FieldValue, values: &EventValues<'_>, out: &mut BytesMut) {
         match value {
-            FieldValue::Id => put_json_text(out, values.id),
-            FieldValue::Model => put_json_text(out, values.model),
-            FieldValue::Text => put_json_text(out, values.text),
+            FieldValue::Id => put_json_string(out, values.id),
+            FieldValue::Model => put_json_string(out, values.model),
+            FieldValue::Text => put_json_string(out, values.text),
             FieldValue::PromptTokens => put_number(out, values.usage.prompt_tokens),
             FieldValue::CachedPromptTokens => put_number(out, values.usage.cached_prompt_tokens),
             FieldValue::OutputTokens => put_number(out, values.usage.output_tokens),
             FieldValue::StopReason | FieldValue::ErrorKind => {
                 let spelling = values.label.map_or("", |label| &self.labels[&label]);
-                put_json_text(out, spelling);
+                put_json_string(out, spelling);
             }
-            FieldValue::Message => put_json_text(out, values.message),
+            FieldValue::Message => put_json_string(out, values.message),
             FieldValue::RetryHarmless => {
                 let literal: &[u8] = if values.retry_harmless { b"true" } else { b"false" };
                 out.put_slice(literal);
@@ -101,18 +101,18 @@
 }
 
 fn values_of(event: &ClientEvent) -> EventValues<'_> {
-    let none = EventValues::default();
+    let empty = EventValues::default();
     match event {
-        ClientEvent::MessageStart { id, model, usage } => EventValues { id, model, usage: *usage, ..none },
-        ClientEvent::TextDelta { text } => EventValues { text, ..none },
+        ClientEvent::MessageStart { id, model, usage } => EventValues { id, model, usage: *usage, ..empty },
+        ClientEvent::TextDelta { text } => EventValues { text, ..empty },
         ClientEvent::Usage { usage, reason } => {
-            EventValues { usage: *usage, label: Some((*reason).into()), ..none }
+            EventValues { usage: *usage, label: Some((*reason).into()), ..empty }
         }
-        ClientEvent::MessageStop { reason } => EventValues { label: Some((*reason).into()), ..none },
+        ClientEvent::MessageStop { reason } => EventValues { label: Some((*reason).into()), ..empty },
         ClientEvent::Failed { kind, message, retry_harmless } => {
-            EventValues { message, retry_harmless: *retry_harmless, label: Some((*kind).into()), ..none }
+            EventValues { message, retry_harmless: *retry_harmless, label: Some((*kind).into()), ..empty }
         }
-        ClientEvent::ContentBlockStart | ClientEvent::ContentBlockStop | ClientEvent::KeepAlive => none,
+        ClientEvent::ContentBlockStart | ClientEvent::ContentBlockStop | ClientEvent::KeepAlive => empty,
     }
 }
 
@@ -120,8 +120,8 @@
     out.put_slice(number.to_string().as_bytes());
 }
 
-/// Appends a JSON string. Most texts need no escapes and are copied as they are.
-fn put_json_text(out: &mut BytesMut, text: &str) {
+/// Appends a JSON string. Texts without characters to escape, which are most, are copied unchanged.
+fn put_json_string(out: &mut BytesMut, text: &str) {
     let needs_no_escape = text.bytes().all(|byte| byte >= 0x20 && byte != b'"' && byte != b'\\');
     if needs_no_escape {
         out.put_u8(b'"');
--- a/crates/gaparch-protocol/src/client/dialect/json_path.rs
+++ b/crates/gaparch-protocol/src/client/dialect/json_path.rs
@@ -1,4 +1,4 @@
-//! Paths to places in a JSON value.
+//! Paths to positions within a JSON value.
 
 use serde_json::Value as Json;
 use winnow::ascii::digit1;
@@ -6,7 +6,7 @@
 use winnow::token::take_while;
 use winnow::{ModalResult, Parser};
 
-/// A place in a JSON value, such as `message.usage.input_tokens` or `content[0].text`.
+/// A path within a JSON value, such as `message.usage.input_tokens` or `content[0].text`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JsonPath(Vec<Segment>);
 
@@ -16,18 +16,18 @@
     Index(usize),
 }
 
-/// The highest index that a path may name. It bounds the length of the lists that [`JsonPath::insert`] makes.
+/// The highest array index in a path. It bounds the length of the arrays that [`JsonPath::insert`] creates.
 const MAX_INDEX: usize = 15;
 
 impl JsonPath {
-    /// Parses a path; `None` where the text is not one or names an index above 15.
+    /// Parses a path; `None` if the syntax is wrong or an index is above 15.
     pub fn parse(text: &str) -> Option<JsonPath> {
         let segments = segments.parse(text).ok()?;
         let in_bounds = |segment: &Segment| !matches!(segment, Segment::Index(index) if *index > MAX_INDEX);
         segments.iter().all(in_bounds).then_some(JsonPath(segments))
     }
 
-    /// The value at this place.
+    /// Returns the value at this path.
     pub(in crate::client) fn get<'j>(&self, json: &'j Json) -> Option<&'j Json> {
         self.0.iter().try_fold(json, |json, segment| match segment {
             Segment::Key(key) => json.get(key),
@@ -35,24 +35,24 @@
         })
     }
 
-    /// Inserts a value at this place and makes the objects and lists around it; false where another value is in
-    /// the way.
+    /// Inserts a value at this path and creates the objects and arrays around it. Returns false if another
+    /// value already occupies the path.
     pub(super) fn insert(&self, json: &mut Json, value: Json) -> bool {
-        let mut place = json;
+        let mut target = json;
         for segment in &self.0 {
-            let Some(next) = child(place, segment) else { return false };
-            place = next;
+            let Some(next) = child(target, segment) else { return false };
+            target = next;
         }
-        let is_free = place.is_null();
+        let is_free = target.is_null();
         if is_free {
-            *place = value;
+            *target = value;
         }
         is_free
     }
 }
 
-/// The child of a value that is named by the segment, made if it isn't there; `None` where the value is of another
-/// type.
+/// Returns the child of a value that a segment refers to, and creates it if it does not exist; `None` if the
+/// value is of another type.
 fn child<'j>(parent: &'j mut Json, segment: &Segment) -> Option<&'j mut Json> {
     if parent.is_null() {
         *parent = match segment {
--- a/crates/gaparch-protocol/src/client/dialect/messages.rs
+++ b/crates/gaparch-protocol/src/client/dialect/messages.rs
@@ -1,10 +1,10 @@
-//! The dialect `messages`: the published names of the Messages API.
+//! The dialect `messages`: the names of the published Messages API.
 
 use super::builtin::BuiltinEvent;
-use super::builtin::Cell::{Fixed, Value};
+use super::builtin::FieldContent::{Fixed, Value};
 use super::names::{EventKind, FieldValue, Label};
 
-/// The events with the path of each field.
+/// The events and their fields.
 pub(super) const EVENTS: &[BuiltinEvent] = &[
     BuiltinEvent {
         kind: EventKind::MessageStart,
@@ -98,7 +98,7 @@
     },
 ];
 
-/// How the published API spells stop reasons and error types.
+/// The stop reasons and error types of the published API.
 pub(super) const LABELS: &[(Label, &str)] = &[
     (Label::Finished, "end_turn"),
     (Label::MaxTokens, "max_tokens"),
--- a/crates/gaparch-protocol/src/client/dialect/mod.rs
+++ b/crates/gaparch-protocol/src/client/dialect/mod.rs
@@ -1,7 +1,7 @@
-//! Dialects: how each event of the messages API is named, and where in its JSON each value stands.
+//! Dialects: the event names of the messages API and the JSON path of each value.
 //!
-//! A [`DialectDefinition`] comes from the settings or from [`builtin`]; a [`Dialect`] is a checked one, which
-//! encodes and decodes events. It never changes.
+//! A [`DialectDefinition`] comes from the settings or from [`builtin`]. A [`Dialect`] is a validated
+//! definition, which encodes and decodes events; it is immutable.
 
 mod builtin;
 mod decoder;
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use template::EventTemplate;
 
-/// A dialect ready for use: it encodes without building JSON.
+/// A validated dialect. It encodes events from templates, without building a JSON tree.
 #[derive(Clone, Debug)]
 pub struct Dialect {
     name: String,
@@ -30,10 +30,10 @@
 }
 
 impl Dialect {
-    /// Checks a dialect and prepares it for use.
+    /// Validates a definition and prepares its templates.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// Returns every error of the definition.
     pub fn new(definition: DialectDefinition) -> Result<Dialect, Vec<DialectError>> {
         let mut errors = definition.errors();
         let mut templates = BTreeMap::new();
@@ -47,12 +47,12 @@
         Ok(Dialect { name: definition.name, templates, labels, request: definition.request })
     }
 
-    /// The name by which listeners choose it.
+    /// The name by which a listener's settings select the dialect.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where a request's field stands in its JSON.
+    /// The JSON path of a request field.
     pub(super) fn request_path(&self, field: RequestField) -> Option<&JsonPath> {
         self.request.get(&field)
     }
--- a/crates/gaparch-protocol/src/client/dialect/names.rs
+++ b/crates/gaparch-protocol/src/client/dialect/names.rs
@@ -1,10 +1,10 @@
-//! The names by which settings speak of events, values, labels and request fields.
+//! The names of events, values, labels and request fields in the settings.
 
 use crate::client::{ErrorKind, StopReason};
 use crate::named_enum::named_enum;
 
 named_enum! {
-    /// What a dialect can name: the events of a stream, the complete answer, and the body of an HTTP error.
+    /// What a dialect defines: the events of a stream, the complete answer, and the body of an HTTP error.
     pub enum EventKind {
         /// The stream begins.
         MessageStart = "opened",
@@ -20,22 +20,23 @@
         MessageStop = "closed",
         /// The stream ends with an error.
         Failed = "failed",
-        /// Nothing but a sign that the connection is alive.
+        /// Carries no data; shows that the connection is alive.
         KeepAlive = "keep-alive",
-        /// The complete JSON answer where no stream was requested.
+        /// The complete JSON answer to a request without streaming.
         Answer = "answer",
-        /// The body of a response whose HTTP status is an error.
+        /// The body of an HTTP error response.
         Error = "error",
     }
 }
 
 impl EventKind {
-    /// Whether a dialect has to define it: without these a client can't tell a complete stream from a broken one.
+    /// Whether every dialect has to define it: otherwise a client can't distinguish a complete stream from a
+    /// broken one.
     pub(super) fn is_required(self) -> bool {
         !matches!(self, EventKind::ContentBlockStart | EventKind::ContentBlockStop | EventKind::KeepAlive)
     }
 
-    /// Whether it is an event of a stream, which needs a name of its own.
+    /// Whether it is a stream event, which needs a unique name.
     pub(super) fn in_stream(self) -> bool {
         !matches!(self, EventKind::Answer | EventKind::Error)
     }
@@ -46,21 +47,21 @@
     pub enum FieldValue {
         /// The request's id.
         Id = "id",
-        /// The model that the client asked for.
+        /// The model that the client requested.
         Model = "model",
         /// Text of the answer.
         Text = "text",
-        /// Tokens of the prompt.
+        /// The number of tokens in the prompt.
         PromptTokens = "prompt-tokens",
-        /// Prompt tokens found in a KV cache.
+        /// The number of prompt tokens found in a KV cache.
         CachedPromptTokens = "kept-tokens",
-        /// Tokens of the answer.
+        /// The number of tokens in the answer.
         OutputTokens = "output-tokens",
         /// The label of the [`StopReason`].
         StopReason = "stop-reason",
         /// The label of the [`ErrorKind`].
         ErrorKind = "error-kind",
-        /// The error message, for people.
+        /// The human-readable error message.
         Message = "message",
         /// Whether the client can retry without running the request twice.
         RetryHarmless = "retry-harmless",
@@ -68,7 +69,7 @@
 }
 
 impl FieldValue {
-    /// Whether events of this kind have such a value.
+    /// Whether events of this kind have this value.
     pub(super) fn belongs_to(self, kind: EventKind) -> bool {
         use EventKind as Kind;
         match self {
@@ -86,8 +87,8 @@
 }
 
 named_enum! {
-    /// A stop reason or error kind that a dialect may spell its own way. Where it doesn't, the name in the settings is
-    /// used.
+    /// A stop reason or error kind whose spelling a dialect may choose. The default is its name in the
+    /// settings.
     pub enum Label {
         /// [`StopReason::Finished`].
         Finished = "finished",
@@ -125,8 +126,8 @@
 }
 
 named_enum! {
-    /// A field of a request whose place in the JSON a dialect can choose. Its name with
-    /// [`HEADER_PREFIX`](crate::client::HEADER_PREFIX) before it is the name of its header.
+    /// A request field whose JSON path a dialect can choose. The name of its header is
+    /// [`HEADER_PREFIX`](crate::client::HEADER_PREFIX) followed by its name.
     pub enum RequestField {
         /// The model's name.
         Model = "model",
@@ -134,23 +135,23 @@
         Messages = "messages",
         /// The system prompt.
         System = "system",
-        /// The most tokens to produce.
+        /// The maximum number of tokens to produce.
         MaxTokens = "max-tokens",
         /// Whether the answer is sent as a stream of events.
         Stream = "stream",
         /// The traffic class.
         Class = "class",
-        /// The session, whose requests share a prefix.
+        /// The session; its requests share a prefix.
         Session = "session",
-        /// The name of a prefix that sessions share.
+        /// The name of the shared prefix, which several sessions may have in common.
         Prefix = "prefix",
-        /// The length of that prefix in tokens.
+        /// The length of the shared prefix in tokens.
         PrefixTokens = "prefix-tokens",
         /// The length of the prompt in tokens.
         PromptTokens = "prompt-tokens",
         /// The expected length of the answer in tokens.
         AnswerHint = "answer-hint",
-        /// Whether the client retries an earlier request.
+        /// Whether the request is a retry of an earlier one.
         Repeat = "repeat",
     }
 }
--- a/crates/gaparch-protocol/src/client/dialect/own.rs
+++ b/crates/gaparch-protocol/src/client/dialect/own.rs
@@ -1,10 +1,10 @@
-//! The dialect `own`: the names that the project chose itself.
+//! The dialect `own`: names that are specific to gaparch.
 
 use super::builtin::BuiltinEvent;
-use super::builtin::Cell::Value;
+use super::builtin::FieldContent::Value;
 use super::names::{EventKind, FieldValue};
 
-/// The events with the path of each field.
+/// The events and their fields.
 pub(super) const EVENTS: &[BuiltinEvent] = &[
     BuiltinEvent {
         kind: EventKind::MessageStart,
--- a/crates/gaparch-protocol/src/client/mod.rs
+++ b/crates/gaparch-protocol/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! The messages API: what a client requests, the events it gets, and the dialects that name them.
+//! The messages API: requests of clients, the events of the answer, and the dialects that encode them.
 //!
-//! `docs/protocols/client.md` describes it. Inside the program there is one set of events
-//! ([`ClientEvent`]); a [`Dialect`] turns them into named JSON and back.
+//! `docs/protocols/client.md` specifies it. Internally there is one set of events ([`ClientEvent`]); a
+//! [`Dialect`] encodes them as JSON and decodes them.
 
 mod dialect;
 mod request;
@@ -16,52 +16,53 @@
 };
 pub use sse::{encode_event, SseDecoder, SseError, SseEvent};
 
-/// Why a complete answer ended.
+/// The reason why a complete answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
     /// The model ended the answer itself.
     Finished,
-    /// The most tokens that the client asked for have been produced.
+    /// The maximum number of tokens that the client requested has been produced.
     MaxTokens,
 }
 
-/// The kind of an error, as a client needs to know it.
+/// The kind of an error, as a client has to distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The request can't be understood.
+    /// The request is malformed.
     Invalid,
-    /// The request has no key, or one that is not known.
+    /// The request has no API key, or an unknown one.
     Unauthorized,
-    /// Nothing has been done; a retry is harmless.
+    /// The request was not run; a retry is harmless.
     Rejected,
-    /// The request may have run, or part of it; a retry may run it twice.
+    /// The request may have run, at least in part; a retry may run it twice.
     Failed,
 }
 
-/// The tokens that were counted for a request.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Prompt tokens that were found in a KV cache and needed no prefill.
+    /// The number of prompt tokens found in a KV cache, which needed no prefill.
     pub cached_prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// The number of tokens in the answer.
     pub output_tokens: u32,
 }
 
 /// An event of a client's stream.
 ///
-/// They come in the order of the variants: message start, content block start, text deltas, content block stop,
-/// usage, message stop. A failed event may end the stream anywhere; keep-alives may stand between any two.
+/// Events are sent in the order of the variants: message start, content block start, text deltas, content
+/// block stop, usage, message stop. A failed event may end the stream at any point; keep-alives may occur
+/// between any two events.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
     /// The stream begins.
     MessageStart {
         /// The request's id.
         id: String,
-        /// The model that the client asked for.
+        /// The model that the client requested.
         model: String,
-        /// What is known of its tokens so far.
+        /// The token counts that are known so far.
         usage: Usage,
     },
     /// The one block of content begins.
@@ -89,17 +90,17 @@
     Failed {
         /// The kind of the error.
         kind: ErrorKind,
-        /// What is wrong, for people.
+        /// The human-readable error message.
         message: String,
         /// Whether the client can retry without running the request twice.
         retry_harmless: bool,
     },
-    /// Nothing but a sign that the connection is alive.
+    /// Carries no data; shows that the connection is alive.
     KeepAlive,
 }
 
 impl ClientEvent {
-    /// Whether nothing follows it in its stream.
+    /// Whether it is the last event of its stream.
     pub fn is_last(&self) -> bool {
         matches!(self, ClientEvent::MessageStop { .. } | ClientEvent::Failed { .. })
     }
@@ -110,22 +111,22 @@
 pub struct Answer {
     /// The request's id.
     pub id: String,
-    /// The model that the client asked for.
+    /// The model that the client requested.
     pub model: String,
     /// The text of the answer.
     pub text: String,
-    /// The tokens that were counted.
+    /// The token counts.
     pub usage: Usage,
     /// Why the answer ended.
     pub reason: StopReason,
 }
 
-/// The body of a response whose HTTP status is an error.
+/// The body of an HTTP error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorBody {
     /// The kind of the error.
     pub kind: ErrorKind,
-    /// What is wrong, for people.
+    /// The human-readable error message.
     pub message: String,
     /// Whether the client can retry without running the request twice.
     pub retry_harmless: bool,
--- a/crates/gaparch-protocol/src/client/request.rs
+++ b/crates/gaparch-protocol/src/client/request.rs
@@ -1,65 +1,65 @@
-//! What a client requests, read from JSON and headers. Values that make no sense are rejected here, by field name.
+//! Parsing and validation of client requests from JSON and headers. Errors name the invalid field.
 
 use super::dialect::{Dialect, RequestField};
 use serde_json::Value as Json;
 use thiserror::Error;
 
-/// The beginning of a header that holds a field; the field's name follows, as in `x-gaparch-session`.
+/// The prefix of a header that carries a request field, as in `x-gaparch-session`.
 pub const HEADER_PREFIX: &str = "x-gaparch-";
-/// The highest token count that any field may give.
+/// The highest token count that is accepted in any field.
 pub const MAX_TOKEN_COUNT: u32 = 16_000_000;
-/// The most bytes of a name: model, class, session, shared prefix.
+/// The maximum length in bytes of a name: model, class, session or shared prefix.
 pub const MAX_NAME_BYTES: usize = 512;
 
-/// A request as the client wrote it; names are not yet looked up.
+/// A parsed request. Its names have not been resolved yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MessageRequest {
     /// The model's name.
     pub model: String,
-    /// The name of its traffic class; `None`: the default class.
+    /// The name of its traffic class; `None` for the default class.
     pub class: Option<String>,
-    /// The session, whose requests share a prefix.
+    /// The session; its requests share a prefix.
     pub session: Option<String>,
-    /// The name of a prefix that sessions share.
+    /// The name of the shared prefix, which several sessions may have in common.
     pub prefix: Option<String>,
-    /// The length of that prefix in tokens; 0 where the client did not give it.
+    /// The length of the shared prefix in tokens; 0 if the client did not state it.
     pub prefix_tokens: u32,
-    /// The length of the prompt in tokens; 0 where the client did not give it.
+    /// The length of the prompt in tokens; 0 if the client did not state it.
     pub prompt_tokens: u32,
-    /// The most tokens to produce, at least 1.
+    /// The maximum number of tokens to produce, at least 1.
     pub max_tokens: u32,
     /// The expected length of the answer in tokens.
     pub answer_hint: Option<u32>,
     /// Whether the answer is sent as a stream of events.
     pub stream: bool,
-    /// Whether the client retries an earlier request.
+    /// Whether the request is a retry of an earlier one.
     pub is_retry: bool,
-    /// The system prompt and the messages as one text.
+    /// The system prompt and the messages, concatenated.
     pub prompt: String,
 }
 
-/// Why a request can't be understood.
+/// The reason why a request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The body can't be parsed.
+    /// The body is not valid JSON.
     #[error("the body is not JSON: {0}")]
     NotJson(String),
-    /// A field is missing or makes no sense.
-    #[error("'{field}' {why}")]
+    /// A field is missing or invalid.
+    #[error("'{field}' {problem}")]
     Field {
         /// The field's path in the JSON.
         field: String,
         /// What is wrong with it.
-        why: &'static str,
+        problem: &'static str,
     },
 }
 
 const NOT_A_TOKEN_COUNT: &str = "must be a whole number from 0 to 16,000,000";
 
-/// Reads a request. `header` looks a header up by its complete name, in lower case.
+/// Parses a request. `header` returns the value of a header, given its complete name in lower case.
 ///
 /// # Errors
-/// Names the field that is missing or makes no sense.
+/// If the body is not JSON, or a field is missing or invalid; the error names the field.
 pub fn parse_request<'h>(
     dialect: &Dialect,
     body: &[u8],
@@ -106,9 +106,9 @@
         (self.header)(&format!("{HEADER_PREFIX}{}", field.name()))
     }
 
-    fn error(&self, field: RequestField, why: &'static str) -> RequestError {
+    fn error(&self, field: RequestField, problem: &'static str) -> RequestError {
         let path = self.dialect.request_path(field).map(ToString::to_string);
-        RequestError::Field { field: path.unwrap_or_else(|| field.name().to_owned()), why }
+        RequestError::Field { field: path.unwrap_or_else(|| field.name().to_owned()), problem }
     }
 
     fn require<T>(&self, field: RequestField, value: Option<T>) -> Result<T, RequestError> {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The system prompt and the messages, in order, as one text.
+    /// Concatenates the system prompt and the messages, in order.
     fn prompt(&self) -> Result<String, RequestError> {
         let mut prompt = String::new();
         if let Some(system) = self.json(RequestField::System) {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Appends content, which is a text or a list of text blocks.
+    /// Appends content, which is a string or an array of text blocks.
     fn push_content(
         &self,
         field: RequestField,
@@ -206,14 +206,15 @@
     }
 }
 
-/// The text of a content block; a block without a type is taken for one of text.
+/// The text of a content block; a block without a type is treated as a text block.
 fn block_text(block: &Json) -> Option<&str> {
     let is_text = block.get("type").and_then(Json::as_str).is_none_or(|kind| kind == "text");
     let text = block.get("text").and_then(Json::as_str);
     text.filter(|_| is_text)
 }
 
-/// A JSON number without a fraction. JSON has no NaN or infinity, but it has -1, 1.5 and 1e300.
+/// Converts a JSON number that is a whole number. JSON has no NaN or infinity, but it allows -1, 1.5 and
+/// 1e300.
 fn whole_number(json: &Json) -> Option<u64> {
     if let Some(number) = json.as_u64() {
         return Some(number);
--- a/crates/gaparch-protocol/src/client/sse.rs
+++ b/crates/gaparch-protocol/src/client/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, as the WHATWG HTML standard defines them (section 9.2).
+//! Server-sent events, as defined in section 9.2 of the WHATWG HTML standard.
 
 use bytes::{Buf, BufMut, BytesMut};
 use thiserror::Error;
@@ -12,27 +12,27 @@
 /// One event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Empty where the stream names none.
+    /// The event name; empty if the stream does not state one.
     pub name: String,
-    /// The lines of data, joined by line feeds.
+    /// The data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Why the rest of a stream can't be decoded.
+/// The reason why the rest of a stream can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SseError {
     /// An event or a line is too long.
-    #[error("an event of over {max} bytes")]
+    #[error("event or line exceeds {max} bytes")]
     Oversized {
-        /// The most bytes that are accepted.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// A line is not text.
-    #[error("a line that is not UTF-8")]
+    /// A line is not valid UTF-8.
+    #[error("line is not valid UTF-8")]
     NotUtf8,
 }
 
-/// Appends an event whose data is one line, as compact JSON is.
+/// Appends an event. Its data must be a single line, such as compact JSON.
 pub fn encode_event(out: &mut BytesMut, name: &str, put_data: impl FnOnce(&mut BytesMut)) {
     if !name.is_empty() {
         out.put_slice(b"event: ");
@@ -44,31 +44,32 @@
     out.put_slice(b"\n\n");
 }
 
-/// Splits a stream of bytes into events, wherever it was cut on the way.
+/// Incremental decoder of an event stream, which may arrive in chunks of any size.
 #[derive(Debug)]
 pub struct SseDecoder {
     buffer: BytesMut,
     event: SseEvent,
-    /// Lines of data of that event.
+    /// The number of data lines of that event.
     data_lines: usize,
+    /// The maximum length in bytes of an event's data and of a line.
     max: usize,
 }
 
 impl SseDecoder {
-    /// A decoder that accepts at most `max` bytes of an event and of a line.
+    /// Creates a decoder that accepts at most `max` bytes of data in an event and in a line.
     pub fn new(max: usize) -> Self {
         SseDecoder { buffer: BytesMut::new(), event: SseEvent::default(), data_lines: 0, max }
     }
 
-    /// Adds bytes that were received.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next complete event; `None` if more bytes are needed.
+    /// Returns the next complete event; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// See [`SseError`]; after one the decoder is of no further use.
+    /// See [`SseError`]; after an error the decoder must not be used any more.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, SseError> {
         loop {
             let start = Partial::new(&self.buffer[..]);
@@ -87,7 +88,7 @@
             }
             if is_end {
                 let event = std::mem::take(&mut self.event);
-                // An event without data is discarded, as the standard says.
+                // The standard requires that an event without data is discarded.
                 if std::mem::take(&mut self.data_lines) > 0 {
                     return Ok(Some(event));
                 }
@@ -96,12 +97,13 @@
     }
 }
 
-/// A line without its end. A carriage return at the end of the input is incomplete: a line feed may follow.
+/// Parses a line and strips its line ending. A carriage return at the end of the input is incomplete, since a
+/// line feed may follow.
 fn line<'a>(input: &mut Partial<&'a [u8]>) -> Result<&'a [u8], ErrMode<ContextError>> {
     terminated(take_till(0.., [b'\r', b'\n']), line_ending).parse_next(input)
 }
 
-/// Adds a line to an event. True if the line ends the event.
+/// Adds a line to an event. Returns true if the line ends the event.
 fn add_line(line: &[u8], event: &mut SseEvent, data_lines: &mut usize) -> Result<bool, SseError> {
     if line.is_empty() {
         return Ok(true);
@@ -117,7 +119,7 @@
             event.data.push_str(value);
             *data_lines += 1;
         }
-        // Comments have an empty name; ids and retry times are of no use here.
+        // Comments have an empty field name; ids and retry times are not used.
         _ => {}
     }
     Ok(false)
