--- a/crates/gaparch-protocol/src/engine/codec.rs
+++ b/crates/gaparch-protocol/src/engine/codec.rs
@@ -1,4 +1,4 @@
-//! The bytes of the engine protocol.
+//! Encoding and decoding of the frames of the engine protocol.
 
 use super::{
     AttemptKey, EngineFacts, EngineFrame, Job, KvCacheKey, KvCacheLocation, KvCacheUnavailable, Peer,
@@ -253,7 +253,7 @@
         AttemptStatus::Error => 2,
         AttemptStatus::Rejected => 3,
         AttemptStatus::Timeout => 4,
-        // An engine never sends either; on the wire the two are one code.
+        // An engine never sends either of them; they share a code on the wire.
         AttemptStatus::ConnectFailed | AttemptStatus::NoSocket => 5,
         AttemptStatus::Reset => 6,
         AttemptStatus::Cancelled => 7,
@@ -262,8 +262,8 @@
     }
 }
 
-/// The status that an engine may send. A code of a later version is unknown: the attempt may have run. The codes that
-/// only a router can know are malformed.
+/// Parses a status that an engine may send. A code of a later protocol version becomes `Unknown`: the attempt
+/// may have run. Codes of statuses that only a router can determine are malformed.
 fn status(body: &mut Body<'_>) -> ModalResult<AttemptStatus> {
     match u8(body)? {
         0 => Ok(AttemptStatus::Ok),
--- a/crates/gaparch-protocol/src/engine/mod.rs
+++ b/crates/gaparch-protocol/src/engine/mod.rs
@@ -1,106 +1,107 @@
-//! The engine protocol: router to engine, and engine to engine where one fetches a KV cache from another.
+//! The engine protocol: between router and engine, and between engines when one fetches a KV cache from
+//! another.
 //!
-//! `docs/protocols/engine.md` describes it. Both sides open with [`Hello`](EngineFrame::Hello); a request's
-//! attempts are named by the router's request id and attempt number, so one connection carries them all.
+//! `docs/protocols/engine.md` specifies it. Both sides start with [`Hello`](EngineFrame::Hello). Attempts are
+//! identified by the router's request id and attempt number, so that one connection multiplexes all of them.
 
 mod codec;
 
 use gaparch_scheduler::api::{AttemptStatus, LoadReport, Role};
 
-/// The version spoken here. A peer that says another one is rejected with a [`Bye`](EngineFrame::Bye).
+/// The protocol version. A peer with another version is rejected with a [`Bye`](EngineFrame::Bye).
 pub const VERSION: u16 = 1;
 
-/// A run of a router's process: KV caches and attempts of an earlier run are not its own.
+/// Identifies a run of a router's process: KV caches and attempts of an earlier run do not belong to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterRun(pub u64);
 
-/// One attempt at an engine, unique on a connection.
+/// Identifies an attempt on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
-    /// The router's number of the request.
+    /// The router's number for the request.
     pub request: u64,
-    /// The number of the attempt among those of the request.
+    /// The number of the attempt within the request.
     pub attempt: u32,
 }
 
-/// The name of a request's KV cache between engines.
+/// Identifies the KV cache of a request between engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KvCacheKey {
-    /// The run of the router that has the request.
+    /// The run of the router that handles the request.
     pub router: RouterRun,
-    /// That router's number of the request.
+    /// That router's number for the request.
     pub request: u64,
 }
 
-/// Who opens a connection.
+/// The sender of a hello.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Peer {
     /// A router.
     Router {
         /// The run of its process.
         run: RouterRun,
-        /// Its name.
+        /// The name of the router.
         name: String,
     },
     /// An engine.
     Engine(EngineFacts),
 }
 
-/// What an engine says of itself.
+/// An engine's description of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineFacts {
     /// Its name in the endpoint list.
     pub name: String,
-    /// What it does.
+    /// Its role: prefill, decode or both.
     pub role: Role,
-    /// The tokens that its KV cache memory holds.
+    /// The capacity of its KV cache memory in tokens.
     pub kv_capacity_tokens: f64,
-    /// The zone in which it stands.
+    /// The zone in which it is located.
     pub zone: String,
-    /// The rack in which it stands.
+    /// The rack in which it is located.
     pub rack: String,
     /// When its process started, in nanoseconds since the Unix epoch.
     pub started_at: u64,
 }
 
-/// What a request asks of an engine, the same for prefill and decode.
+/// The work that an attempt requests from an engine, for prefill as well as decode.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The attempt.
+    /// Identifies the attempt.
     pub key: AttemptKey,
     /// The number of the traffic class.
     pub class: u16,
-    /// The number of the tenant, if it has one.
+    /// The number of the tenant, if the request has one.
     pub tenant: Option<u16>,
-    /// A digest of the session, if it has one.
+    /// A digest of the session, if the request has one.
     pub session: Option<u64>,
-    /// A digest of the shared prefix, if it has one.
+    /// A digest of the shared prefix, if the request has one.
     pub prefix: Option<u64>,
-    /// Tokens of the prompt; 0 where the client did not say.
+    /// The number of tokens in the prompt; 0 if the client did not state it.
     pub prompt_tokens: u32,
-    /// Tokens of the shared prefix; 0 where the client did not say.
+    /// The number of tokens in the shared prefix; 0 if the client did not state it.
     pub prefix_tokens: u32,
-    /// The most tokens to produce.
+    /// The maximum number of tokens to produce.
     pub max_output_tokens: u32,
-    /// For how long an answer is of use, in milliseconds from now on; 0: no limit.
+    /// Milliseconds from receipt after which an answer is of no use any more; 0 for no limit.
     pub timeout_ms: u32,
     /// The prompt.
     pub prompt: String,
 }
 
-/// Where a request's KV cache is, or will be.
+/// The engine that holds the KV cache of a request, or will hold it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvCacheLocation {
     /// The name of the engine.
     pub engine: String,
-    /// The engine's address.
+    /// The address of the engine.
     pub address: String,
 }
 
-/// Why an engine can't send a KV cache.
+/// The reason why an engine can't send a KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KvCacheUnavailable {
-    /// It was released, fetched, or never there.
+    /// The engine does not have it: it was released, fetched already, or never created.
     Unknown,
     /// Its prefill is not complete.
     NotReady,
@@ -109,123 +110,123 @@
 /// A frame of the engine protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineFrame {
-    /// First on every connection, in both directions.
+    /// The first frame in both directions.
     Hello {
-        /// The version that the sender speaks.
+        /// The protocol version of the sender.
         version: u16,
         /// The sender.
         peer: Peer,
     },
-    /// Router to engine: do the prefill and keep the KV cache.
+    /// Router to engine: requests a prefill. The engine keeps the KV cache.
     Prefill(Job),
-    /// Router to engine: decode the answer.
+    /// Router to engine: requests the decode of an answer.
     Decode {
-        /// What to decode.
+        /// The work.
         job: Job,
-        /// From where to fetch the KV cache; `None`: it is here, or there is none.
+        /// The engine to fetch the KV cache from; `None` if the receiver has it, or if there is none.
         kv_cache: Option<KvCacheLocation>,
     },
-    /// Router to engine: cancel an attempt.
+    /// Router to engine: cancels an attempt.
     Cancel(AttemptKey),
-    /// Router to engine: reserve a slot and memory for the request whose prefill is in flight, and fetch its KV cache as
-    /// soon as that is complete.
+    /// Router to engine: reserves a slot and memory for a request whose prefill is in flight. The engine
+    /// fetches the KV cache as soon as the prefill is complete.
     Reserve {
-        /// What will be decoded.
+        /// The decode to reserve for.
         job: Job,
-        /// Where the prefill is in flight.
+        /// The engine at which the prefill is in flight.
         from: KvCacheLocation,
     },
-    /// Router to engine: release every KV cache and reservation of a request.
+    /// Router to engine: releases all KV caches and reservations of a request.
     Release {
-        /// The router's number of the request.
+        /// The router's number for the request.
         request: u64,
     },
-    /// Router to engine: answer when this would be served.
+    /// Router to engine: a load probe. It is queued like a request, and answered when its turn comes.
     Probe {
-        /// A number that the answer repeats.
+        /// A number that the answer returns.
         nonce: u64,
     },
     /// Engine to router: the prefill is complete and the KV cache can be fetched.
     PrefillDone {
-        /// The attempt.
+        /// Identifies the attempt.
         key: AttemptKey,
-        /// Prompt tokens that were found in a KV cache and needed no prefill.
+        /// The number of prompt tokens found in a KV cache, which needed no prefill.
         cached_prompt_tokens: u32,
-        /// Tokens of the prompt as the engine counted them.
+        /// The number of tokens in the prompt, as counted by the engine.
         prompt_tokens: u32,
-        /// The engine's load.
+        /// The load of the engine, if it reports it.
         report: Option<LoadReport>,
     },
     /// Engine to router: tokens of the answer.
     Tokens {
-        /// The attempt.
+        /// Identifies the attempt.
         key: AttemptKey,
-        /// How many tokens of the answer were sent before.
+        /// The number of tokens of the answer that were sent before these.
         sent_before: u32,
-        /// How many these are.
+        /// The number of these tokens.
         count: u16,
         /// Their text.
         text: String,
     },
-    /// Engine to router: the attempt has ended; never [`AttemptStatus::Prefilled`].
+    /// Engine to router: an attempt has ended. The status is never [`AttemptStatus::Prefilled`].
     Outcome {
-        /// The attempt.
+        /// Identifies the attempt.
         key: AttemptKey,
-        /// How it ended.
+        /// The final status.
         status: AttemptStatus,
-        /// An [`OutcomeNote`](gaparch_scheduler::api::OutcomeNote): what it means depends on the status.
+        /// An [`OutcomeNote`](gaparch_scheduler::api::OutcomeNote), whose meaning depends on the status.
         note: u64,
-        /// Tokens of the answer that were produced.
+        /// The number of tokens of the answer that were produced.
         produced_tokens: u32,
-        /// The engine's load.
+        /// The load of the engine, if it reports it.
         report: Option<LoadReport>,
     },
-    /// Engine to router: the answer to a reservation.
+    /// Engine to router: the answer to a reservation request.
     Reserved {
-        /// The attempt.
+        /// Identifies the attempt.
         key: AttemptKey,
-        /// Whether the slot and memory are reserved.
+        /// Whether the slot and the memory are reserved.
         reserved: bool,
     },
     /// Engine to router: the answer to a probe.
     Probed {
-        /// The number in the probe.
+        /// The number from the probe.
         nonce: u64,
-        /// The engine's load.
+        /// The load of the engine, if it reports it.
         report: Option<LoadReport>,
     },
-    /// Engine to router: the engine's load, on its own.
+    /// Engine to router: a load report outside of any answer.
     LoadReport(LoadReport),
-    /// Engine to engine: send this KV cache.
+    /// Engine to engine: requests a KV cache.
     Fetch {
-        /// Its name.
+        /// Identifies the KV cache.
         kv_cache: KvCacheKey,
     },
     /// Engine to engine: a KV cache, which the sender has released.
     KvCache {
-        /// Its name.
+        /// Identifies the KV cache.
         kv_cache: KvCacheKey,
-        /// The tokens in it.
+        /// The number of tokens in it.
         tokens: u32,
         /// The prompt.
         prompt: String,
     },
     /// Engine to engine: the KV cache can't be sent.
     KvCacheUnavailable {
-        /// Its name.
+        /// Identifies the KV cache.
         kv_cache: KvCacheKey,
-        /// Why not.
+        /// The reason.
         reason: KvCacheUnavailable,
     },
-    /// Either side, last on a connection: why it closes.
+    /// The last frame in either direction: the sender closes the connection.
     Bye {
-        /// The reason, for people.
+        /// The human-readable reason.
         reason: String,
     },
 }
 
 impl EngineFrame {
-    /// The attempt that the frame is about, if it is about one.
+    /// The attempt that the frame refers to, if any.
     pub fn attempt(&self) -> Option<AttemptKey> {
         match self {
             EngineFrame::Prefill(job)
--- a/crates/gaparch-protocol/src/frame.rs
+++ b/crates/gaparch-protocol/src/frame.rs
@@ -1,4 +1,4 @@
-//! The framing that the engine, list and operations protocols share: a length, a kind, a body.
+//! The framing shared by the engine, list and operations protocols: length, kind and body.
 
 use crate::wire::Body;
 use bytes::{Buf, BufMut, BytesMut};
@@ -9,47 +9,48 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser, Partial};
 
-/// Bytes of the length before each frame.
+/// The size of the length that precedes each frame.
 const LENGTH_BYTES: usize = 4;
-/// The most bytes that a frame may have after its length unless a receiver says otherwise: 4 MiB.
+/// The default for the maximum size in bytes of a frame, without its length: 4 MiB.
 pub const DEFAULT_MAX_FRAME: usize = 4 << 20;
 
-/// Why the bytes of a peer can't be decoded. Their connection has to be closed: the start of the next frame is unknown.
+/// The reason why received bytes can't be decoded. The connection has to be closed, since the start of the
+/// next frame is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The frame is longer than the receiver accepts.
+    /// The frame is larger than the receiver accepts.
     #[error("a frame of {length} bytes, at most {max} are taken")]
     Oversized {
-        /// Bytes after the length, as it says.
+        /// The stated size of the frame in bytes, without its length.
         length: usize,
-        /// The most that the receiver accepts.
+        /// The maximum that the receiver accepts.
         max: usize,
     },
-    /// The length is zero, so that there is not even a kind.
+    /// The length is zero, so that the frame has no kind.
     #[error("an empty frame")]
     Empty,
-    /// The body is not what its kind says.
+    /// The kind is unknown, or the body is malformed.
     #[error("a malformed frame of kind {kind}, {length} bytes")]
     Malformed {
-        /// The kind.
+        /// The kind of the frame.
         kind: u8,
-        /// Bytes of the kind and the body.
+        /// The size of the kind and the body in bytes.
         length: usize,
     },
 }
 
-/// A protocol's frames.
+/// A frame of a protocol.
 pub trait Frame: Sized {
-    /// The number that stands before the body.
+    /// The number of the frame's kind, which precedes the body.
     fn kind(&self) -> u8;
 
     /// Appends the body.
     fn put_body(&self, out: &mut BytesMut);
 
-    /// Parses a complete body. Bytes left over are malformed.
+    /// Parses a complete body. The caller rejects a body with unparsed bytes.
     ///
     /// # Errors
-    /// When the body is not one of that kind.
+    /// If the kind is unknown or the body is malformed.
     fn parse_body(kind: u8, body: &mut &[u8]) -> ModalResult<Self>;
 }
 
@@ -63,7 +64,7 @@
     out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Splits a stream of bytes into frames, wherever it was cut on the way.
+/// Incremental decoder of a stream of frames, which may arrive in chunks of any size.
 ///
 /// It buffers at most one frame and the bytes of one read.
 #[derive(Debug)]
@@ -79,26 +80,26 @@
 }
 
 impl FrameDecoder {
-    /// A decoder that accepts frames of at most `max` bytes after the length.
+    /// Creates a decoder that accepts frames of at most `max` bytes, without their length.
     pub fn new(max: usize) -> Self {
         FrameDecoder { buffer: BytesMut::new(), max }
     }
 
-    /// The buffer to which received bytes are appended.
+    /// The buffer to which the caller appends received bytes.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// Takes the next complete frame; `None` if more bytes are needed.
+    /// Returns the next complete frame; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// See [`FrameError`]; after one the decoder is of no further use.
+    /// See [`FrameError`]; after an error the decoder must not be used any more.
     pub fn next_frame<F: Frame>(&mut self) -> Result<Option<F>, FrameError> {
         let mut input = Partial::new(&self.buffer[..]);
         let (kind, body) = match split(&mut input, self.max) {
             Ok(Split::Frame { kind, body }) => (kind, body),
             Ok(Split::Invalid(error)) => return Err(error),
-            // More bytes are needed: no other error is possible up to here.
+            // The only possible error at this point is that more bytes are needed.
             Err(_) => return Ok(None),
         };
         let length = body.len() + 1;
--- a/crates/gaparch-protocol/src/lib.rs
+++ b/crates/gaparch-protocol/src/lib.rs
@@ -1,9 +1,13 @@
-//! Codecs without I/O for gaparch's own protocols.
+//! Codecs of gaparch's protocols, without I/O.
 //!
-//! [`engine`] is the framed protocol between router and engine (and between engines), [`list`] the one of the list
-//! service, [`ops`] the one between a router and its operators, [`fleet`] the datagrams between routers, [`versions`]
-//! what these say of endpoint lists and orders, [`client`] the messages API with its dialects. Nothing here opens a
-//! socket or reads a clock; bytes go in, values come out, and malformed bytes are an error, never a panic.
+//! - [`engine`]: the framed protocol between routers and engines, and between engines
+//! - [`list`]: the framed protocol of the list service, which provides the endpoint list
+//! - [`ops`]: the framed protocol between a router and its operators
+//! - [`fleet`]: the datagrams between routers
+//! - [`versions`]: the payloads of these datagrams that replicate endpoint lists, orders and audit records
+//! - [`client`]: the messages API and its dialects
+//!
+//! Nothing here opens a socket or reads a clock. Malformed bytes cause an error, never a panic.
 
 #![warn(missing_docs)]
 
--- a/crates/gaparch-protocol/src/list.rs
+++ b/crates/gaparch-protocol/src/list.rs
@@ -1,6 +1,6 @@
-//! The protocol of the list service, which says which engines there are and in what state.
+//! The protocol of the list service, which provides the endpoint list: the engines and their states.
 //!
-//! `docs/protocols/list.md` describes it. A router says hello, then subscribes to changes
+//! `docs/protocols/list.md` specifies it. After the hello, a router subscribes to changes
 //! ([`Watch`](ListFrame::Watch)) or fetches the complete list once ([`Fetch`](ListFrame::Fetch)).
 
 use crate::frame::Frame;
@@ -12,39 +12,39 @@
 use winnow::binary::u8;
 use winnow::ModalResult;
 
-/// The first version, without epochs.
+/// The first version of the protocol, without epochs.
 pub const VERSION: u16 = 1;
-/// The version with epochs: the service says which run of its version counter this is.
+/// The version of the protocol with epochs: the service states which run of its version counter is in use.
 pub const VERSION_EPOCHS: u16 = 2;
 
-/// What the entries of an update are.
+/// Which entries an update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Changes since the version before.
+    /// The changes since the previous version.
     Delta,
     /// The complete list.
     Full,
 }
 
-/// One engine in the endpoint list.
+/// An engine in the endpoint list.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct ListEntry {
-    /// Its name.
+    /// The name of the engine.
     pub engine: String,
-    /// Where it is reached.
+    /// The address at which it accepts connections.
     pub address: String,
-    /// Its kind, to which the settings give a role.
+    /// Its kind, to which the settings assign a role.
     pub kind: String,
-    /// The zone in which it stands.
+    /// The zone in which it is located.
     pub zone: String,
-    /// The rack in which it stands.
+    /// The rack in which it is located.
     pub rack: String,
-    /// Whether it gets requests.
+    /// Its state, which determines whether requests are sent to it.
     #[serde(serialize_with = "serialize_state")]
     pub state: ServerState,
-    /// Its capacity relative to its peers, if the list says it.
+    /// Its capacity relative to its peers, if the list states it.
     pub weight: Option<f64>,
-    /// When its process last started, in nanoseconds since the Unix epoch.
+    /// When its process last started, in nanoseconds since the Unix epoch, if the list states it.
     pub started_at: Option<u64>,
 }
 
@@ -61,35 +61,36 @@
 pub enum ListFrame {
     /// The first frame in both directions.
     Hello {
-        /// The version that the sender speaks.
+        /// The protocol version of the sender.
         version: u16,
         /// The sender's name.
         name: String,
-        /// From [`VERSION_EPOCHS`] on: which run of the service's version counter this is. It changes with each start
-        /// from nothing; 0 from routers, and where it is not known.
+        /// The run of the service's version counter, from [`VERSION_EPOCHS`] on. It changes whenever the
+        /// service starts without stored state. 0 if it is unknown, and in the hello of a router.
         epoch: u64,
     },
-    /// Router to service: send changes from now on, beginning with those that were missed (true), or no more (false).
+    /// Router to service: starts (true) or ends (false) a subscription to changes. It begins with the changes
+    /// that the router has missed.
     Watch(bool),
-    /// Router to service: send the complete list once.
+    /// Router to service: requests the complete list once.
     Fetch,
-    /// Service to router: the list or a change of it.
+    /// Service to router: the complete list, or changes of it.
     Update {
-        /// What the entries are.
+        /// Which entries it contains.
         scope: Scope,
-        /// The version of the list; it grows by one with each change.
+        /// The version of the list, which increases by one with each change.
         version: u64,
         /// The entries.
         entries: Vec<ListEntry>,
     },
-    /// Service to router: the call can't be answered.
+    /// Service to router: a request can't be answered.
     Failed {
-        /// Why not, for people.
+        /// The human-readable reason.
         reason: String,
     },
-    /// The last frame of either side.
+    /// The last frame in either direction.
     Bye {
-        /// Why the connection closes, for people.
+        /// The human-readable reason why the connection is closed.
         reason: String,
     },
 }
@@ -188,7 +189,7 @@
     })
 }
 
-/// The encoding is the one of an update.
+/// The encoding is the same as in an update.
 impl Wire for ListEntry {
     fn put(&self, out: &mut BytesMut) {
         put_entry(out, self);
--- a/crates/gaparch-protocol/src/named_enum.rs
+++ b/crates/gaparch-protocol/src/named_enum.rs
@@ -1,6 +1,6 @@
-//! Enums whose variants have names for people, scripts and settings.
+//! Enums whose variants have names in the settings and in output.
 
-/// An enum without values whose variants have names.
+/// Defines a fieldless enum whose variants have names.
 macro_rules! named_enum {
     ($(#[$meta:meta])* pub enum $name:ident {
         $($(#[$variant_meta:meta])* $variant:ident = $text:literal,)*
@@ -12,17 +12,17 @@
         }
 
         impl $name {
-            /// All variants in the order of their declaration.
+            /// All variants, in the order of declaration.
             pub const ALL: &'static [$name] = &[$($name::$variant,)*];
 
-            /// The variant's name.
+            /// The name of the variant.
             pub fn name(self) -> &'static str {
                 match self {
                     $($name::$variant => $text,)*
                 }
             }
 
-            /// The variant that has this name.
+            /// Returns the variant with this name.
             pub fn from_name(name: &str) -> Option<$name> {
                 $name::ALL.iter().copied().find(|variant| variant.name() == name)
             }
--- a/crates/gaparch-protocol/src/wire.rs
+++ b/crates/gaparch-protocol/src/wire.rs
@@ -1,4 +1,5 @@
-//! Encoding of the values that all framed protocols share: big-endian numbers, bounded texts, optional values, lists.
+//! Encoding of the values that the protocols share: big-endian numbers, bounded strings, optional values and
+//! lists.
 
 use bytes::{BufMut, BytesMut};
 use winnow::binary::{be_f64, be_u16, be_u32, be_u64, u8};
@@ -7,7 +8,7 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser};
 
-/// The body of one frame. It is complete, so a missing byte is an error.
+/// The unparsed rest of a frame's body. The body is complete, so that a missing byte is an error.
 pub(crate) type Body<'a> = &'a [u8];
 
 pub(crate) fn malformed<T>() -> ModalResult<T> {
@@ -26,18 +27,18 @@
     mut value: impl FnMut(&mut Body<'a>) -> ModalResult<T>,
 ) -> impl FnMut(&mut Body<'a>) -> ModalResult<Option<T>> {
     move |input| {
-        let some = flag(input)?;
-        cond(some, &mut value).parse_next(input)
+        let is_present = flag(input)?;
+        cond(is_present, &mut value).parse_next(input)
     }
 }
 
-/// A text of at most 65,535 bytes.
+/// Parses a string of at most 65,535 bytes.
 pub(crate) fn short_text(input: &mut Body<'_>) -> ModalResult<String> {
     let length = be_u16(input)?;
     utf8(usize::from(length), input)
 }
 
-/// A text that is bounded by the size of its frame only.
+/// Parses a string whose length is bounded only by that of its frame.
 pub(crate) fn long_text(input: &mut Body<'_>) -> ModalResult<String> {
     let length = be_u32(input)?;
     utf8(usize::try_from(length).unwrap_or(usize::MAX), input)
@@ -71,7 +72,7 @@
     be_u64(input)
 }
 
-/// Any number, NaN and infinity among them: the caller decides which make sense.
+/// Parses any number, including NaN and infinity: the caller has to reject values that it does not accept.
 pub(crate) fn f64_(input: &mut Body<'_>) -> ModalResult<f64> {
     be_f64(input)
 }
@@ -83,7 +84,7 @@
     }
 }
 
-/// Appends a text of at most 65,535 bytes; a longer one is cut after its last character that fits.
+/// Appends a string of at most 65,535 bytes; a longer one is truncated after the last character that fits.
 pub(crate) fn put_short_text(out: &mut BytesMut, text: &str) {
     let mut end = text.len().min(usize::from(u16::MAX));
     while !text.is_char_boundary(end) {
@@ -103,14 +104,15 @@
     /// Appends the encoding of the value.
     fn put(&self, out: &mut BytesMut);
 
-    /// Takes a value from the start of the bytes.
+    /// Parses a value at the start of the bytes and advances past it.
     ///
     /// # Errors
-    /// When the bytes are not such a value, or end too early.
+    /// If the bytes are malformed or end too early.
     fn take(body: &mut &[u8]) -> ModalResult<Self>;
 }
 
-macro_rules! plain_wire {
+/// Implements [`Wire`] for number types.
+macro_rules! impl_wire_for_numbers {
     ($($type:ty, $put:ident, $take:ident;)*) => {$(
         impl Wire for $type {
             fn put(&self, out: &mut BytesMut) {
@@ -124,7 +126,7 @@
     )*};
 }
 
-plain_wire! {
+impl_wire_for_numbers! {
     u8, put_u8, u8;
     u16, put_u16, u16_;
     u32, put_u32, u32_;
@@ -142,7 +144,7 @@
     }
 }
 
-/// As a short text: at most 65,535 bytes.
+/// The encoding is that of a short text, of at most 65,535 bytes.
 impl Wire for String {
     fn put(&self, out: &mut BytesMut) {
         put_short_text(out, self);
@@ -181,7 +183,7 @@
 
     fn take(body: &mut &[u8]) -> ModalResult<Self> {
         let count = usize::try_from(be_u32(body)?).unwrap_or(usize::MAX);
-        // Every item takes at least one byte: a higher count is wrong, and must not reserve memory.
+        // Every item takes at least one byte: a higher count is malformed and must not cause an allocation.
         if count > body.len() {
             return malformed();
         }
@@ -189,7 +191,7 @@
     }
 }
 
-/// A struct whose fields stand on the wire one after the other.
+/// Defines a struct whose encoding is that of its fields, in the order of declaration.
 macro_rules! record {
     ($(#[$meta:meta])* pub struct $name:ident { $($(#[$field_meta:meta])* pub $field:ident: $type:ty,)* }) => {
         $(#[$meta])*
@@ -210,7 +212,7 @@
     };
 }
 
-/// An enum without values: a number on the wire, a name for people and scripts.
+/// Defines a fieldless enum whose variants are encoded as a number, and as a name in JSON and in output.
 macro_rules! closed_set {
     ($(#[$meta:meta])* pub enum $name:ident {
         $($(#[$variant_meta:meta])* $variant:ident = $code:literal, $text:literal;)*
@@ -252,7 +254,7 @@
     };
 }
 
-/// An enum with values: a number, then the values.
+/// Defines an enum whose encoding is the number of the variant, followed by its fields.
 macro_rules! choice {
     ($(#[$meta:meta])* pub enum $name:ident {
         $($(#[$variant_meta:meta])* $code:literal => $variant:ident { $($(#[$field_meta:meta])* $field:ident: $type:ty,)* },)*
