--- a/crates/gaparch-protocol/src/fleet.rs
+++ b/crates/gaparch-protocol/src/fleet.rs
@@ -1,32 +1,32 @@
 //! The datagrams of the membership protocol between the routers of a site.
 //!
-//! A datagram is a head (`gF`, version), the body of one [`Message`], and an authentication tag over both.
-//! `docs/protocols/fleet.md` describes it. The tag is made and checked by `gaparch-membership`, which owns
-//! the site's key; this module only encodes and decodes.
+//! A datagram consists of a header (`gF` and the version), the body of one [`Message`], and an authentication
+//! tag over both. `docs/protocols/fleet.md` specifies it. `gaparch-membership`, which owns the site's key,
+//! adds and verifies the tag; this module only encodes and decodes.
 
 use crate::wire::{choice, closed_set, record, Wire};
 use bytes::{BufMut, BytesMut};
 use thiserror::Error;
 
-/// The protocol version spoken here. A datagram of another version is dropped and counted.
+/// The protocol version. A datagram of another version is dropped and counted.
 pub const VERSION: u8 = 1;
-/// The longest datagram in bytes, tag included, so that common links carry it without fragmentation.
+/// The maximum size of a datagram in bytes, including the tag. Common links carry it without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The longest name, zone or build in bytes.
+/// The maximum length in bytes of a name, zone, build or address.
 pub const MAX_NAME_BYTES: usize = 64;
 
-const HEAD: [u8; 2] = *b"gF";
+const MAGIC: [u8; 2] = *b"gF";
 
 closed_set! {
     /// The state of a member as another member sees it.
     pub enum MemberState {
-        /// It has given a sign of life that nobody has disputed since.
+        /// It has sent a heartbeat that no later suspicion disputes.
         Alive = 1, "alive";
-        /// It did not answer whoever probed it, and no later sign of life is known.
+        /// It did not answer the probes of a member, and no later heartbeat is known.
         Suspect = 2, "suspect";
-        /// It was suspected for the whole suspicion timeout.
+        /// It remained suspect for the whole suspicion timeout.
         Dead = 3, "dead";
-        /// It said itself that it leaves.
+        /// It announced that it leaves.
         Left = 4, "left";
     }
 }
@@ -43,49 +43,50 @@
         pub build: String,
         /// The socket address at which datagrams reach it.
         pub address: String,
-        /// A random number drawn by each process, which distinguishes two processes of one name.
+        /// A random number drawn by each process, which distinguishes two processes of the same name.
         #[serde(rename = "run")]
         pub run_id: u64,
-        /// Grows with each start of the same name, and past any higher one that other members have witnessed.
+        /// Increases with each start under the same name, and beyond any higher incarnation that other
+        /// members have seen.
         pub incarnation: u64,
-        /// Milliseconds since the process began, by its own monotonic clock, when it last sent a message. It
-        /// is pushed forward past the heartbeat of an accusation, so that a refutation is always newer than
-        /// what it refutes.
+        /// Milliseconds from the start of the process to its last message, by its own monotonic clock. It is
+        /// advanced past the heartbeat of a suspicion, so that a refutation is always newer than what it
+        /// refutes.
         #[serde(rename = "beat")]
         pub heartbeat: u64,
     }
 }
 
 choice! {
-    /// A piece of membership state that members disseminate on the back of their messages.
+    /// A piece of membership state, which members disseminate by piggybacking it on their messages.
     pub enum Update {
         /// The state of one member.
         1 => Member {
             /// The member as it last described itself.
             #[serde(rename = "facts")]
             info: MemberInfo,
-            /// The state that is claimed.
+            /// The claimed state.
             state: MemberState,
-            /// Who suspects it, or has declared it dead; empty for a member that is alive.
+            /// The member that suspects it or declared it dead; empty if it is alive.
             #[serde(rename = "by")]
             reporter: String,
-            /// For a suspect or dead member: the reporter knows of no heartbeat later than this one.
+            /// For a suspect or dead member: the latest heartbeat that the reporter knows of.
             #[serde(rename = "silent")]
             last_heartbeat: u64,
         },
-        /// A link that fails in one direction (or works again), as its receiving end says.
+        /// A link that fails in one direction, or works again, as reported by its receiving end.
         #[serde(rename = "edge")]
         2 => Link {
             /// The sending end of the link.
             from: String,
-            /// The receiving end, which says so.
+            /// The receiving end, which reports it.
             to: String,
-            /// Whether messages of `from` do not reach `to`, though they reach other members.
+            /// Whether messages from `from` do not reach `to`, although they reach other members.
             #[serde(rename = "lost")]
             failed: bool,
-            /// The incarnation of `to` when it said so.
+            /// The incarnation of `to` at the time of the report.
             incarnation: u64,
-            /// The heartbeat of `to` when it said so.
+            /// The heartbeat of `to` at the time of the report.
             #[serde(rename = "beat")]
             heartbeat: u64,
         },
@@ -93,11 +94,11 @@
 }
 
 choice! {
-    /// What a message is for.
+    /// The body of a message, by its purpose.
     pub enum MessageBody {
-        /// Asks for a sign of life.
+        /// Requests an [`Ack`](MessageBody::Ack), which shows that the receiver is alive.
         1 => Ping {
-            /// Identifies the ping in its answer.
+            /// Identifies the ping in the answer.
             nonce: u64,
         },
         /// Answers a ping.
@@ -105,36 +106,36 @@
             /// The nonce of the ping.
             nonce: u64,
         },
-        /// Asks the receiver to ping another member and to pass its answer on (SWIM's ping-req).
+        /// Requests that the receiver pings another member and forwards its answer (SWIM's ping-req).
         #[serde(rename = "ping-for")]
         3 => PingRequest {
-            /// The nonce that the answer repeats.
+            /// Identifies the request in the answer.
             nonce: u64,
             /// The name of the member to ping.
             target: String,
             /// The address of that member.
             address: String,
         },
-        /// Answers a ping request whose target did not answer in time (Lifeguard's nack).
+        /// Answers a ping request whose target did not reply in time (Lifeguard's nack).
         4 => Nack {
             /// The nonce of the ping request.
             nonce: u64,
         },
-        /// Asks for the state of all members after a name, in the order of names.
+        /// Requests the state of all members after a name, in the order of their names.
         #[serde(rename = "want")]
         5 => SyncRequest {
-            /// The name after which to begin; empty for all members.
+            /// The name after which the page starts; empty to start with the first member.
             after: String,
         },
-        /// Answers a synchronization request; the members stand in the message's updates.
+        /// Answers a sync request. The updates of the message contain the members.
         #[serde(rename = "page")]
         6 => SyncPage {
-            /// The name of the request.
+            /// The `after` of the request.
             after: String,
-            /// Where the next page begins; `None` on the last one.
+            /// The name after which the next page starts; `None` on the last page.
             next: Option<String>,
         },
-        /// A message of another component; a router that cannot decode it drops it.
+        /// A message of another component. A router that can't decode it drops it.
         #[serde(rename = "talk")]
         7 => Payload {
             /// The encoded message.
@@ -144,58 +145,58 @@
 }
 
 record! {
-    /// One message between two members.
+    /// A message from one member to another.
     pub struct Message {
         /// The sender.
         pub from: MemberInfo,
-        /// The name of the receiver; empty where the sender knows its address only.
+        /// The name of the receiver; empty if the sender knows only its address.
         pub to: String,
-        /// Grows by one with each message of a process.
+        /// Increases by one with each message of a process.
         pub seq: u64,
-        /// The number of members from which the sender has received messages of late.
+        /// The number of members from which the sender has received messages recently.
         #[serde(rename = "hears")]
         pub direct_peers: u16,
-        /// What the message is for.
+        /// The body of the message.
         #[serde(rename = "word")]
         pub body: MessageBody,
-        /// Disseminated state.
+        /// Piggybacked membership state.
         #[serde(rename = "news")]
         pub updates: Vec<Update>,
     }
 }
 
-/// Why bytes are not a message.
+/// The reason why bytes are not a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// They are of another protocol, cut short or otherwise malformed.
+    /// They belong to another protocol, or are truncated or otherwise malformed.
     #[error("malformed message")]
     Malformed,
-    /// They are of a protocol version that is not known here.
+    /// They belong to another version of the protocol.
     #[error("unsupported protocol version {0}")]
     UnsupportedVersion(u8),
 }
 
 impl Message {
-    /// Encodes head and body, without the authentication tag.
+    /// Encodes header and body, without the authentication tag.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = BytesMut::with_capacity(256);
-        out.put_slice(&HEAD);
+        out.put_slice(&MAGIC);
         out.put_u8(VERSION);
         self.put(&mut out);
         out.to_vec()
     }
 
-    /// Decodes head and body.
+    /// Decodes header and body.
     ///
     /// # Errors
-    /// When the bytes are not exactly one message of this version.
+    /// If the bytes are not exactly one valid message of this version.
     pub fn from_bytes(bytes: &[u8]) -> Result<Message, DecodeError> {
-        let (head, rest) = bytes.split_first_chunk::<3>().ok_or(DecodeError::Malformed)?;
-        if head[..2] != HEAD {
+        let (header, rest) = bytes.split_first_chunk::<3>().ok_or(DecodeError::Malformed)?;
+        if header[..2] != MAGIC {
             return Err(DecodeError::Malformed);
         }
-        if head[2] != VERSION {
-            return Err(DecodeError::UnsupportedVersion(head[2]));
+        if header[2] != VERSION {
+            return Err(DecodeError::UnsupportedVersion(header[2]));
         }
         let mut body = rest;
         let message = Message::take(&mut body).map_err(|_| DecodeError::Malformed)?;
@@ -242,7 +243,7 @@
 }
 
 impl MemberInfo {
-    /// Whether every text has a valid length and the address is a socket address.
+    /// Whether all strings have a valid length and the address is a socket address.
     pub fn is_valid(&self) -> bool {
         is_name(&self.name)
             && self.zone.len() <= MAX_NAME_BYTES
@@ -251,7 +252,7 @@
     }
 }
 
-/// The number of bytes that a value takes on the wire.
+/// The size of an encoded value in bytes.
 pub fn encoded_length<T: Wire>(value: &T) -> usize {
     let mut out = BytesMut::new();
     value.put(&mut out);
--- a/crates/gaparch-protocol/src/versions.rs
+++ b/crates/gaparch-protocol/src/versions.rs
@@ -1,36 +1,37 @@
-//! What routers send one another about endpoint lists, fleet orders and audit records, and what they store of
+//! Messages by which routers replicate endpoint lists, fleet orders and audit records, and the stored form of
 //! these.
 //!
-//! The messages travel inside the fleet's datagrams ([`crate::fleet::MessageBody::Payload`]);
-//! `docs/protocols/fleet.md` describes them. `gaparch-audit` owns the state behind them.
+//! The messages are payloads of the datagrams between routers ([`crate::fleet::MessageBody::Payload`]);
+//! `docs/protocols/fleet.md` specifies them. `gaparch-audit` maintains the replicated state.
 
 use crate::list::ListEntry;
 use crate::ops::intent::{Change, ChangeNote};
 use crate::wire::{choice, record};
 
-/// The number of claims of other routers that one list status passes on at most.
+/// The maximum number of claims of other routers in a list status.
 pub const MAX_CLAIMS: usize = 2;
 
 record! {
     /// A version of the endpoint list.
     #[derive(Copy, Eq, PartialOrd, Ord, Default)]
     pub struct ListVersion {
-        /// The position of the epoch among those that a router has seen: epochs have no order of their own.
+        /// The position of the epoch among those that a router has seen, since epochs have no inherent order.
         pub rank: u32,
-        /// Which run of the list service counted.
+        /// The run of the list service's version counter.
         pub epoch: u64,
-        /// The count of the list service, growing by one with each change.
+        /// The version counter of the list service, which increases by one with each change.
         pub version: u64,
     }
 }
 
 impl ListVersion {
-    /// Whether both name the same list. Ranks are not compared: a router that started later counts lower.
+    /// Whether both identify the same list. Ranks are not compared: a router that started later assigns lower
+    /// ones.
     pub fn is_same_list(&self, other: &ListVersion) -> bool {
         (self.epoch, self.version) == (other.epoch, other.version)
     }
 
-    /// Whether this version replaces the other: by its count within an epoch, by rank across epochs.
+    /// Whether this version replaces the other: versions are compared within an epoch, ranks across epochs.
     pub fn is_later_than(&self, other: &ListVersion) -> bool {
         match self.epoch == other.epoch {
             true => self.version > other.version,
@@ -40,12 +41,12 @@
 }
 
 record! {
-    /// States that a router has received a version from the list service itself.
+    /// The claim that a router has received a version from the list service itself.
     #[derive(Eq)]
     pub struct Claim {
-        /// The router that has received it.
+        /// The router that received it.
         pub router: String,
-        /// The version that it has received.
+        /// The version that it received.
         pub version: ListVersion,
         /// The digest of the list at that version.
         pub digest: u64,
@@ -56,33 +57,34 @@
 }
 
 record! {
-    /// Identifies an order of the fleet. The greater id wins; of two orders that knew nothing of each other
-    /// the more restrictive one does.
+    /// Identifies a fleet order. Of two orders with the same subject, the one with the greater id is in
+    /// force. Concurrent orders may have the same number; then it is the more restrictive one.
     #[derive(Eq, PartialOrd, Ord, Hash)]
     pub struct OrderId {
-        /// A logical clock: one more than any number that the issuing router knew of.
+        /// A logical clock: one more than the highest number known to the issuing router.
         pub number: u64,
-        /// Decides between equal numbers: a drain precedes its end, a small limit a large one.
+        /// Breaks ties between equal numbers: a drain wins over an undrain, a lower limit over a higher one.
         #[serde(rename = "care")]
         pub restrictiveness: u64,
         /// The router that issued the order.
         pub router: String,
-        /// The incarnation of that router, so that a restored state folder does not issue the same id twice.
+        /// The incarnation of that router, so that no id is issued twice after a state folder has been
+        /// restored.
         pub incarnation: u64,
     }
 }
 
 record! {
-    /// An operator's order that every router of a site carries out.
+    /// An operator's order that applies to every router of a site.
     pub struct FleetOrder {
         /// Identifies the order.
         pub id: OrderId,
-        /// The order that it replaces, as far as the issuing router knew.
+        /// The order that it replaces, as far as known to the issuing router.
         #[serde(rename = "over")]
         pub replaces: Option<OrderId>,
         /// What the order changes.
         pub change: Change,
-        /// Who gave the order, why and when.
+        /// The operator, the reason and the time.
         pub note: ChangeNote,
     }
 }
@@ -96,7 +98,7 @@
         /// Whether the list service itself confirmed that list in time.
         #[serde(rename = "sure")]
         pub confirmed: bool,
-        /// The number of the last change by an operator that is in force.
+        /// The revision of the last change by an operator that is in force.
         #[serde(rename = "orders")]
         pub order_revision: u64,
         /// The version of the router's program.
@@ -105,7 +107,7 @@
 }
 
 record! {
-    /// Counts of what was sent to one server under one context. Times are nanoseconds since the Unix epoch.
+    /// Counts of the sends to one server under one context. Times are nanoseconds since the Unix epoch.
     #[derive(Eq)]
     pub struct SendCounts {
         /// The name of the server.
@@ -143,21 +145,21 @@
 }
 
 record! {
-    /// A segment of a router's audit log: the context of a stretch of time, and what was sent in it.
+    /// A segment of a router's audit log: the sends of a period of time, and their context.
     #[derive(Eq)]
     pub struct AuditSegment {
-        /// Grows by one with each segment, over restarts too.
+        /// Increases by one with each segment, also across restarts.
         pub number: u64,
-        /// The first eight bytes of the SHA-256 of the segment before, as a big-endian number.
+        /// The first eight bytes of the SHA-256 hash of the previous segment, as a big-endian number.
         #[serde(rename = "before")]
         pub previous_hash_high: u64,
-        /// The next eight bytes of that hash.
+        /// The next eight bytes of that hash, as a big-endian number.
         #[serde(rename = "before_low")]
         pub previous_hash_low: u64,
-        /// The random number of the process that wrote it.
+        /// The run id of the process that wrote it.
         #[serde(rename = "run")]
         pub run_id: u64,
-        /// When the segment begins, in nanoseconds since the Unix epoch.
+        /// When the segment starts, in nanoseconds since the Unix epoch.
         #[serde(rename = "from")]
         pub from_at: u64,
         /// When the segment ends, in nanoseconds since the Unix epoch.
@@ -169,16 +171,16 @@
         /// Whether it is the last segment of a process that shut down gracefully.
         #[serde(rename = "ends")]
         pub ends_process: bool,
-        /// The context of all that was sent.
+        /// The context of all sends.
         #[serde(rename = "stamp")]
         pub context: SendContext,
-        /// What was sent, by server.
+        /// Counts of the sends, by server.
         #[serde(rename = "sends")]
         pub counts: Vec<SendCounts>,
-        /// What was sent, one by one.
+        /// The individual sends.
         #[serde(rename = "singles")]
         pub records: Vec<SendRecord>,
-        /// The number of sends that are counted but have no record of their own.
+        /// The number of sends that are counted but have no individual record.
         #[serde(rename = "left_out")]
         pub omitted_records: u64,
     }
@@ -188,39 +190,39 @@
     /// Selects rows of audit logs.
     #[derive(Eq, Default)]
     pub struct AuditFilter {
-        /// Only what was sent to this server.
+        /// Only sends to this server.
         pub engine: Option<String>,
-        /// Only what was sent at this time or later, in nanoseconds since the Unix epoch.
+        /// Only sends at this time or later, in nanoseconds since the Unix epoch.
         pub since: u64,
-        /// Only what was sent at this time or before, in nanoseconds since the Unix epoch.
+        /// Only sends at this time or earlier, in nanoseconds since the Unix epoch.
         pub until: Option<u64>,
-        /// Only what was sent under a lower list version than this one.
+        /// Only sends under a lower list version than this one.
         #[serde(rename = "below")]
         pub below_version: Option<u64>,
-        /// Only segments that sent an attempt of this request.
+        /// Only segments with an attempt of this request.
         pub request: Option<u64>,
     }
 }
 
 record! {
-    /// What one router sent to one server under one version of the list.
+    /// The sends of one router to one server under one version of the endpoint list.
     #[derive(Eq)]
     pub struct AuditRow {
         /// The version of the list.
         pub list: ListVersion,
-        /// Whether the list service had confirmed the list in time, for all that was sent.
+        /// Whether the list service had confirmed the list in time for all of these sends.
         #[serde(rename = "sure")]
         pub confirmed: bool,
-        /// What was sent.
+        /// Counts of the sends.
         #[serde(rename = "sends")]
         pub counts: SendCounts,
     }
 }
 
 choice! {
-    /// A message of the components that keep lists, orders and audit logs in step.
+    /// A message that replicates endpoint lists or orders, or queries audit logs.
     pub enum ReplicationMessage {
-        /// The list that the sender holds.
+        /// The endpoint list in use at the sender.
         #[serde(rename = "stamp")]
         1 => ListStatus {
             /// The version of that list.
@@ -230,69 +232,70 @@
             digest: u64,
             /// The number of its entries.
             entries: u32,
-            /// Milliseconds since the list service itself confirmed it; `None` if it did not do so in time.
+            /// Milliseconds since the list service itself confirmed it; `None` if it was not confirmed in
+            /// time.
             #[serde(rename = "sure")]
             confirmed_ms_ago: Option<u32>,
             /// Claims of other routers, at most [`MAX_CLAIMS`].
             claims: Vec<Claim>,
         },
-        /// Asks for a list.
+        /// Requests an endpoint list.
         #[serde(rename = "want")]
         2 => ListRequest {
-            /// The version that is wanted.
+            /// The requested version.
             version: ListVersion,
-            /// The index of the first entry that is wanted.
+            /// The index of the first requested entry.
             #[serde(rename = "from")]
             first: u32,
         },
-        /// A page of a list's entries, in the order of their names.
+        /// A page of the entries of a list, in the order of their names.
         #[serde(rename = "page")]
         3 => ListPage {
             /// The version of the list.
             version: ListVersion,
-            /// The digest of the whole list.
+            /// The digest of the complete list.
             digest: u64,
             /// The index of the page's first entry.
             #[serde(rename = "from")]
             first: u32,
-            /// The number of entries of the whole list.
+            /// The number of entries in the complete list.
             #[serde(rename = "of")]
             total: u32,
             /// The entries.
             entries: Vec<ListEntry>,
         },
-        /// Digests of the orders at the sender.
+        /// Digests of the sender's orders.
         #[serde(rename = "orders")]
         4 => OrderSummary {
-            /// The digest of the orders that it holds.
+            /// The digest of all orders that the sender has.
             #[serde(rename = "held")]
             digest: u64,
-            /// The digest of those that are in force and on disk there.
+            /// The digest of those that are in force and stored on disk there.
             #[serde(rename = "kept")]
             complete_digest: u64,
-            /// Whether it wants the receiver's summary back.
+            /// Whether the receiver has to reply with its own summary.
             #[serde(rename = "answer")]
             answer_requested: bool,
         },
-        /// One order.
+        /// A single order.
         5 => Order {
             /// The order.
             order: FleetOrder,
         },
-        /// Asks for a page of orders.
+        /// Requests a page of orders.
         #[serde(rename = "want-orders")]
         6 => OrderRequest {
-            /// The subject after which the page begins.
+            /// The subject after which the page starts.
             after: String,
         },
-        /// Asks for rows of the receiver's audit log.
+        /// Requests rows of the receiver's audit log.
         #[serde(rename = "audit-ask")]
         7 => AuditRequest {
-            /// Identifies the query in its answers.
+            /// Identifies the request in its answers.
             nonce: u64,
             /// Selects the rows.
             filter: AuditFilter,
-            /// The index of the first row that is wanted.
+            /// The index of the first requested row.
             #[serde(rename = "from")]
             first: u32,
         },
@@ -308,7 +311,7 @@
             /// The index of the page's first row.
             #[serde(rename = "from")]
             first: u32,
-            /// The number of rows that match in all.
+            /// The total number of matching rows.
             #[serde(rename = "of")]
             total: u32,
             /// The rows.
