--- a/crates/gaparch-protocol/src/ops/frame.rs
+++ b/crates/gaparch-protocol/src/ops/frame.rs
@@ -14,24 +14,24 @@
 pub enum OpsFrame {
     /// The client's first frame.
     Hello {
-        /// The version that the client speaks.
+        /// The protocol version of the client.
         version: u16,
-        /// The operator's key, if there is one.
+        /// The operator's key, if any.
         key: Option<String>,
-        /// The role that the client asks for.
+        /// The role that the client requests.
         role: SessionRole,
-        /// The operator's name, where no key says it.
+        /// The operator's name, used if no key determines it.
         operator: String,
     },
     /// The router's first frame.
     Welcome {
-        /// The version that the router speaks.
+        /// The protocol version of the router.
         version: u16,
         /// The router's name.
         router: String,
         /// The run of its process.
         run: u64,
-        /// The role that the session has: what the key allows, at most what was asked for.
+        /// The role of the session: the requested one, limited by what the key allows.
         role: SessionRole,
     },
     /// A query of the client.
@@ -48,11 +48,11 @@
         /// The answer.
         answer: Answer,
     },
-    /// The router's update to a subscriber.
+    /// An update from the router to a subscriber.
     Update(Update),
-    /// The last frame of either side: why it closes the connection.
+    /// The last frame in either direction: the sender closes the connection.
     Bye {
-        /// The reason, for people.
+        /// The human-readable reason.
         reason: String,
     },
 }
@@ -121,7 +121,7 @@
     }
 }
 
-/// A hello of another version has another form after the version, which is all that is needed to answer it.
+/// Parses a hello. Another version may have another format after the version, which is enough to answer it.
 fn parse_hello(body: &mut &[u8]) -> ModalResult<OpsFrame> {
     let version = u16::take(body)?;
     if version != VERSION {
--- a/crates/gaparch-protocol/src/ops/intent.rs
+++ b/crates/gaparch-protocol/src/ops/intent.rs
@@ -1,13 +1,14 @@
-//! What operators change, and what is in force by their orders.
+//! Changes that operators order, and the intents that are in force as a result.
 
 use crate::wire::{choice, closed_set, record};
 
 closed_set! {
     /// How an operator takes an engine out of service.
     pub enum DrainMode {
-        /// It gets no new requests; those in flight end in their own time, and the connection stays.
+        /// It gets no new requests. Those in flight are completed, and the connection is kept.
         Drain = 1, "drain";
-        /// As if it were not in the endpoint list: the connection is closed too, once nothing is in flight there.
+        /// It is treated as removed from the endpoint list: in addition, the connection is closed once no
+        /// request is in flight there.
         Detach = 2, "aside";
     }
 }
@@ -15,7 +16,7 @@
 choice! {
     /// A change that an operator orders.
     pub enum Change {
-        /// Take an engine out of service.
+        /// Takes an engine out of service.
         #[serde(rename = "hold")]
         1 => Drain {
             /// The engine's name.
@@ -24,39 +25,39 @@
             #[serde(rename = "hold")]
             mode: DrainMode,
         },
-        /// Let the endpoint list alone say again what state an engine has.
+        /// Ends a drain: the state of the engine is again that in the endpoint list.
         #[serde(rename = "free")]
         2 => Undrain {
             /// The engine's name.
             engine: String,
         },
-        /// Reject all new requests.
+        /// Rejects all new requests.
         3 => Pause {},
-        /// Admit new requests again.
+        /// Admits new requests again.
         4 => Resume {},
-        /// Change a limit.
+        /// Changes a limit.
         #[serde(rename = "limit")]
         5 => SetLimit {
             /// The limit's name.
             name: String,
-            /// Its value; `None`: the one in the settings.
+            /// Its new value; `None` to restore the configured one.
             value: Option<f64>,
         },
-        /// Shut the router down gracefully. It is not stored: the next start is as usual.
+        /// Shuts the router down gracefully. It is not stored, so that it does not affect the next start.
         6 => Stop {},
     }
 }
 
 record! {
-    /// Who made a change, why, and when.
+    /// The operator, the reason and the time of a change.
     pub struct ChangeNote {
         /// The operator's name.
         #[serde(rename = "who")]
         pub operator: String,
-        /// The operator's reason, for colleagues who read it later.
+        /// The operator's reason, for other operators.
         #[serde(rename = "why")]
         pub reason: String,
-        /// When, in nanoseconds since the Unix epoch.
+        /// The time of the change, in nanoseconds since the Unix epoch.
         pub at: u64,
     }
 }
@@ -64,17 +65,17 @@
 record! {
     /// A change that was accepted, as it is stored.
     pub struct AcceptedChange {
-        /// Its number; each change has the next one.
+        /// Its number, which increases by one with each change.
         pub revision: u64,
         /// The change.
         pub change: Change,
-        /// Who made it, and why.
+        /// The operator, the reason and the time.
         pub note: ChangeNote,
     }
 }
 
 choice! {
-    /// What an intent is about.
+    /// The subject of an intent.
     pub enum Subject {
         /// An engine that is out of service.
         1 => Engine {
@@ -87,7 +88,7 @@
         /// The admission of new requests, which is paused.
         #[serde(rename = "intake")]
         2 => Admission {},
-        /// A limit that differs from the settings.
+        /// A limit that differs from the configured one.
         3 => Limit {
             /// The limit's name.
             name: String,
@@ -98,15 +99,15 @@
 }
 
 record! {
-    /// Something that is in force by an operator's order.
+    /// A state that an operator has ordered and that is in force.
     pub struct Intent {
-        /// What it is about.
+        /// The subject.
         pub subject: Subject,
-        /// Who ordered it, and why.
+        /// The operator, the reason and the time.
         pub note: ChangeNote,
-        /// The revision of the change that made it.
+        /// The revision of the change that created it.
         pub revision: u64,
-        /// Whether it is on disk, so that it outlives a restart.
+        /// Whether it is stored on disk, so that it survives a restart.
         #[serde(rename = "kept")]
         pub persisted: bool,
     }
@@ -119,13 +120,13 @@
         pub name: String,
         /// The value in force.
         pub value: f64,
-        /// The value in the settings.
+        /// The configured value.
         #[serde(rename = "by_settings")]
         pub configured_value: f64,
-        /// The lowest value that it can be set to.
+        /// The lowest value that is accepted.
         #[serde(rename = "least")]
         pub min: f64,
-        /// The highest value that it can be set to.
+        /// The highest value that is accepted.
         #[serde(rename = "most")]
         pub max: f64,
         /// The unit of these values.
--- a/crates/gaparch-protocol/src/ops/outcome.rs
+++ b/crates/gaparch-protocol/src/ops/outcome.rs
@@ -1,4 +1,4 @@
-//! How requests ended, and why.
+//! Outcomes of requests: how and why they ended.
 
 use crate::wire::{choice, closed_set, record};
 use gaparch_scheduler::api;
@@ -8,34 +8,35 @@
     pub enum OutcomeKind {
         /// It was answered completely.
         Served = 1, "served";
-        /// It was turned down before any of it was answered; a retry is harmless.
+        /// It was rejected before any part of the answer was sent; a retry is harmless.
         Rejected = 2, "refused";
-        /// It may have run, but was not answered completely.
+        /// It may have run, but its answer is not complete.
         Failed = 3, "failed";
-        /// Its client closed the connection first.
+        /// Its client closed the connection before the end of the answer.
         ClientDisconnected = 4, "left";
     }
 }
 
 closed_set! {
-    /// Why a request ended as it did. The causes up to `TooLate` are the scheduler's reasons; the others are the
-    /// router's own, for requests that never reached the scheduler or whose answer had begun.
+    /// The cause of an outcome. Causes from `UnknownClass` to `TooLate` are reasons of the scheduler; later
+    /// ones are determined by the router, for requests that did not reach the scheduler or whose answer had
+    /// started.
     pub enum OutcomeCause {
         /// The answer is complete.
         Answered = 1, "answered";
-        /// Its traffic class is not in the settings.
+        /// Its traffic class is not defined in the settings.
         UnknownClass = 2, "unknown-class";
         /// Its deadline has passed.
         DeadlineExceeded = 3, "deadline";
-        /// It could not meet its latency objective any more.
+        /// It could no longer meet its latency objective.
         ObjectiveMissed = 4, "aim-lost";
-        /// Its KV cache could not be held for it any longer.
+        /// Its KV cache had to be released before a decode worker was available.
         KvReleaseTimeout = 5, "release-time";
-        /// It had as many attempts as a request may have.
+        /// The remaining attempts were too few to complete it.
         AttemptsExhausted = 6, "attempts-used";
-        /// It may have run, and must not be run twice.
+        /// An attempt may have run, and the request must not run twice.
         MayHaveRun = 7, "may-have-run";
-        /// It came too late to be answered in time.
+        /// An attempt expired before it could be sent.
         TooLate = 8, "too-late";
         /// An operator has paused admission.
         Paused = 20, "paused";
@@ -43,13 +44,13 @@
         Stopping = 21, "stopping";
         /// The limit of open requests is reached.
         TooManyOpen = 22, "too-much-open";
-        /// The stream of its answer broke off.
+        /// The stream of its answer was interrupted.
         StreamBroken = 23, "broke-off";
-        /// The stream of its answer was silent for too long, or lasted too long.
+        /// The stream of its answer stalled, or exceeded the maximum duration.
         StreamStalled = 24, "stalled";
         /// Its client closed the connection.
         ClientDisconnected = 25, "client-left";
-        /// The scheduler did not end it in time, which is a bug.
+        /// The scheduler did not end it in time. This indicates a bug.
         Overdue = 26, "overdue";
     }
 }
@@ -69,17 +70,17 @@
 }
 
 closed_set! {
-    /// What a request was queued for when it ended, as the scheduler says.
+    /// What a request was waiting for in the queue when it ended, as reported by the scheduler.
     pub enum QueueingReason {
-        /// No decode worker is available.
+        /// No decode worker was available.
         NoDecodeWorker = 1, "no-writer";
-        /// No prefill worker is available.
+        /// No prefill worker was available.
         NoPrefillWorker = 2, "no-reader";
-        /// Its tenant is over its quota.
+        /// Its tenant was over quota.
         OverQuota = 3, "over-share";
-        /// All decode workers are saturated.
+        /// All decode workers were saturated.
         DecodeWorkersSaturated = 4, "writers-full";
-        /// All prefill workers are saturated.
+        /// All prefill workers were saturated.
         PrefillWorkersSaturated = 5, "readers-full";
     }
 }
@@ -97,7 +98,7 @@
 }
 
 closed_set! {
-    /// Which part of a request an attempt is for.
+    /// The stage of a request that an attempt performs.
     pub enum Stage {
         /// Prefill of the prompt.
         Prefill = 1, "read";
@@ -111,7 +112,7 @@
     pub enum AttemptEnd {
         /// It has not ended.
         InFlight = 0, "out";
-        /// It did what it was for.
+        /// It completed its stage.
         Completed = 1, "done";
         /// The engine reported an error.
         Error = 2, "error";
@@ -119,7 +120,7 @@
         Rejected = 3, "full";
         /// It was not answered in time.
         Timeout = 4, "timeout";
-        /// There was no connection to the engine.
+        /// It could not be sent, since there was no connection to the engine.
         ConnectFailed = 5, "connect-failed";
         /// The connection was lost while it was in flight.
         Reset = 6, "reset";
@@ -129,16 +130,16 @@
 }
 
 record! {
-    /// One attempt of a request at an engine.
+    /// An attempt of a request at an engine.
     pub struct AttemptRecord {
         /// The engine's name.
         pub engine: String,
-        /// What the attempt is for.
+        /// The stage that it performs.
         pub stage: Stage,
-        /// When it was sent, in microseconds after the request was accepted.
+        /// When it was sent, in microseconds after the request was received.
         #[serde(rename = "from_us")]
         pub sent_after_us: u64,
-        /// Microseconds from there to its outcome, once it has one.
+        /// Microseconds from then until its end; 0 while it is in flight.
         pub took_us: u64,
         /// How it ended.
         pub end: AttemptEnd,
@@ -150,13 +151,14 @@
     pub struct EngineEvidence {
         /// The engine's name.
         pub engine: String,
-        /// Why it was avoided, as the text of an [`AvoidReason`](super::view::AvoidReason); empty if it was not.
+        /// Why it was avoided, as the name of an [`AvoidReason`](super::view::AvoidReason); empty if it was
+        /// not.
         #[serde(rename = "avoided")]
         pub avoid_reason: String,
-        /// The estimated share of its KV cache memory in use, 0 to 1.
+        /// The estimated utilization of its KV cache memory, from 0 to 1.
         #[serde(rename = "memory")]
         pub memory_utilization: f64,
-        /// Prompt tokens that waited for prefill there.
+        /// The number of prompt tokens that awaited prefill there.
         #[serde(rename = "unread")]
         pub queued_prompt_tokens: f64,
         /// Its latency as a multiple of its peers' median.
@@ -166,21 +168,21 @@
 }
 
 record! {
-    /// The id of a request, unique over all routers and their restarts.
+    /// The id of a request, unique across all routers and their restarts.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     pub struct GlobalRequestId {
-        /// The run of the router that accepted it.
+        /// The run of the router that received it.
         pub run: u64,
         /// Its number in that run.
         pub number: u64,
     }
 }
 
-/// A text that is not the id of a request.
+/// The error for a text that is not a request id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{text}' is no request id: one looks like msg_18a2b3_42")]
+#[error("'{text}' is not a request id, such as msg_18a2b3_42")]
 pub struct InvalidRequestId {
-    /// The text.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -206,9 +208,9 @@
 }
 
 record! {
-    /// The next request of a client whose earlier one was not served.
+    /// The retry of a request that was not served.
     pub struct FollowUp {
-        /// When it came in, in nanoseconds since the Unix epoch.
+        /// When it was received, in nanoseconds since the Unix epoch.
         #[serde(rename = "asked_at")]
         pub received_at: u64,
         /// Its id.
@@ -219,41 +221,41 @@
 }
 
 record! {
-    /// How one request ended, and what led to it.
+    /// The outcome of a request, and what led to it.
     pub struct RequestOutcome {
         /// The request's id.
         pub request: GlobalRequestId,
-        /// When it came in, in nanoseconds since the Unix epoch.
+        /// When it was received, in nanoseconds since the Unix epoch.
         #[serde(rename = "asked_at")]
         pub received_at: u64,
         /// When it ended, in nanoseconds since the Unix epoch.
         pub ended_at: u64,
         /// The name of its traffic class.
         pub class: String,
-        /// The name of its tenant; empty where no key is asked for.
+        /// The name of its tenant; empty if clients need no key.
         pub tenant: String,
         /// How it ended.
         pub kind: OutcomeKind,
-        /// Why it ended so.
+        /// The cause of the outcome.
         pub cause: OutcomeCause,
-        /// What it was queued for then.
+        /// What it was waiting for in the queue when it ended.
         #[serde(rename = "waited_for")]
         pub queueing_reason: Option<QueueingReason>,
-        /// When its client was told to retry, in milliseconds after the end.
+        /// The delay until a retry that its client was told, in milliseconds from the end.
         pub retry_after_ms: Option<u64>,
-        /// Microseconds from its arrival to the first token.
+        /// Microseconds from its receipt to the first token.
         #[serde(rename = "first_after_us")]
         pub first_token_after_us: Option<u64>,
-        /// Tokens of the answer that were sent.
+        /// The number of tokens of the answer that were sent.
         pub tokens: u32,
         /// Its first attempts, at most [`MAX_ATTEMPTS`].
         #[serde(rename = "steps")]
         pub attempts: Vec<AttemptRecord>,
-        /// The engines as the scheduler saw them, at most [`MAX_EVIDENCE`], avoided ones first.
+        /// The engines as the scheduler saw them, avoided ones first, at most [`MAX_EVIDENCE`].
         pub evidence: Vec<EngineEvidence>,
-        /// A digest by which a retry of the same request by the same client is recognized.
+        /// A digest that identifies retries of the same request by the same client.
         pub fingerprint: u64,
-        /// The client's next request, once it is known.
+        /// The client's retry, if one was received.
         pub follow_up: Option<FollowUp>,
     }
 }
@@ -307,33 +309,33 @@
     }
 }
 
-/// The most attempts that an outcome lists.
+/// The maximum number of attempts in an outcome.
 pub const MAX_ATTEMPTS: usize = 12;
-/// The most engines that an outcome lists as evidence.
+/// The maximum number of engines in an outcome's evidence.
 pub const MAX_EVIDENCE: usize = 24;
 
 record! {
-    /// Which outcomes are wanted: those that match every field that is set.
+    /// Selects the outcomes that match every field that is set.
     #[derive(Default)]
     pub struct OutcomeFilter {
-        /// Those of this kind.
+        /// Outcomes of this kind.
         pub kind: Option<OutcomeKind>,
-        /// Those of this cause.
+        /// Outcomes with this cause.
         pub cause: Option<OutcomeCause>,
-        /// Those of requests that were queued for this.
+        /// Outcomes of requests that were waiting for this.
         #[serde(rename = "waited_for")]
         pub queueing_reason: Option<QueueingReason>,
-        /// Those of this traffic class.
+        /// Outcomes of this traffic class.
         pub class: Option<String>,
-        /// Those of this tenant.
+        /// Outcomes of this tenant.
         pub tenant: Option<String>,
-        /// Those of requests that were sent to this engine, or for which it was avoided.
+        /// Outcomes of requests that were sent to this engine, or for which it was avoided.
         pub engine: Option<String>,
-        /// Those that ended at this time or later, in nanoseconds since the Unix epoch.
+        /// Outcomes at this time or later, in nanoseconds since the Unix epoch.
         pub since: Option<u64>,
-        /// Those that ended at this time or earlier, in nanoseconds since the Unix epoch.
+        /// Outcomes at this time or earlier, in nanoseconds since the Unix epoch.
         pub until: Option<u64>,
-        /// The most to return; 0: as many as fit.
+        /// The maximum number to return; 0 for as many as fit into the answer.
         #[serde(rename = "most")]
         pub max: u32,
     }
@@ -344,28 +346,28 @@
     pub struct OutcomeGroup {
         /// How the requests ended.
         pub kind: OutcomeKind,
-        /// Why they ended so.
+        /// The cause of the outcomes.
         pub cause: OutcomeCause,
-        /// What they were queued for.
+        /// What the requests were waiting for in the queue.
         #[serde(rename = "waited_for")]
         pub queueing_reason: Option<QueueingReason>,
         /// Their traffic class.
         pub class: String,
         /// Their tenant.
         pub tenant: String,
-        /// How many they are.
+        /// The number of outcomes.
         pub count: u64,
         /// When the first one ended, in nanoseconds since the Unix epoch.
         pub first_at: u64,
         /// When the last one ended, in nanoseconds since the Unix epoch.
         pub last_at: u64,
-        /// How many of their clients sent the request again.
+        /// The number of requests that were retried.
         #[serde(rename = "came_back")]
         pub retried: u64,
-        /// How many of these were served then.
+        /// The number of retries that were served.
         #[serde(rename = "served_then")]
         pub served_on_retry: u64,
-        /// The last one.
+        /// The last of the requests.
         pub example: GlobalRequestId,
     }
 }
--- a/crates/gaparch-protocol/src/ops/query.rs
+++ b/crates/gaparch-protocol/src/ops/query.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a router, and its answers.
+//! Queries of operators and the router's answers.
 
 use super::intent::{Change, Intent, LimitView};
 use super::outcome::{GlobalRequestId, OutcomeFilter, OutcomeGroup, RequestOutcome};
@@ -13,12 +13,12 @@
     pub struct Order {
         /// The change.
         pub change: Change,
-        /// The operator's reason, for colleagues who read it later.
+        /// The operator's reason, for other operators.
         #[serde(rename = "why")]
         pub reason: String,
-        /// Whether to do it even if no engine of a role is left.
+        /// Whether to carry it out even if no engine of a role is left.
         pub force: bool,
-        /// The revision that the operator has seen. The order is denied if the same thing was changed since.
+        /// The revision that the operator has seen. The order is denied if its subject was changed later.
         pub revision: Option<u64>,
     }
 }
@@ -26,94 +26,95 @@
 choice! {
     /// A query of an operator.
     pub enum Query {
-        /// All that the router shows of itself.
+        /// Returns a snapshot of the router.
         1 => Snapshot {},
-        /// A snapshot now, and updates from now on.
+        /// Subscribes to updates, the first of which is a snapshot.
         2 => Subscribe {},
-        /// No more updates.
+        /// Ends the subscription.
         3 => Unsubscribe {},
-        /// Carry out an order; it is for all routers of the site where these share orders.
+        /// Carries out an order. It applies to all routers of the site if these replicate orders.
         4 => Order {
             /// The order.
             order: Order,
         },
-        /// The outcomes of requests that were not served, in groups.
+        /// Returns the outcomes of requests that were not served, in groups.
         #[serde(rename = "groups")]
         5 => OutcomeGroups {
-            /// Which outcomes are wanted.
+            /// Selects the outcomes.
             filter: OutcomeFilter,
         },
-        /// The same one by one, the latest first.
+        /// Returns the same outcomes individually, the latest first.
         #[serde(rename = "endings")]
         6 => Outcomes {
-            /// Which outcomes are wanted.
+            /// Selects the outcomes.
             filter: OutcomeFilter,
         },
-        /// All that is known of one request.
+        /// Returns everything that is known about a request.
         #[serde(rename = "story")]
         7 => RequestDetails {
             /// The request's id.
             request: GlobalRequestId,
         },
-        /// The requests that are open now, the oldest first.
+        /// Returns the open requests, the oldest first.
         #[serde(rename = "live")]
         8 => OpenRequests {
-            /// The most to return.
+            /// The maximum number to return.
             #[serde(rename = "most")]
             max: u32,
         },
-        /// Events of one engine or of all, the latest last.
+        /// Returns events, the latest last.
         9 => Events {
-            /// The engine's name; `None`: all engines and the router.
+            /// The engine's name; `None` for all engines and the router.
             engine: Option<String>,
             /// The earliest time, in nanoseconds since the Unix epoch.
             since: u64,
-            /// The most to return: the latest ones.
+            /// The maximum number to return; earlier events are omitted.
             #[serde(rename = "most")]
             max: u32,
         },
-        /// The limits that operators can change.
+        /// Returns the limits that operators can change.
         10 => Limits {},
-        /// What is in force by operators' orders.
+        /// Returns the intents in force.
         11 => Intents {},
-        /// The other routers of the site, as this one sees them.
+        /// Returns the other routers of the site, as this one sees them.
         12 => Members {},
-        /// Which router holds which version of the endpoint list.
+        /// Returns the version of the endpoint list at each router.
         #[serde(rename = "versions")]
         13 => ListVersions {},
-        /// Carry out an order at this router alone, where others would be for all routers of the site.
+        /// Carries out an order at this router only, even if orders are replicated to all routers of the
+        /// site.
         #[serde(rename = "order-here")]
         14 => LocalOrder {
             /// The order.
             order: Order,
         },
-        /// Which routers have stored all of the site's orders that are in force here.
+        /// Returns which routers have stored all of the fleet orders that are in force here.
         #[serde(rename = "spread")]
         15 => OrderReplication {},
-        /// What the audit logs of all routers say.
+        /// Returns rows of the audit logs of all routers.
         16 => Audit {
-            /// Which sends are wanted.
+            /// Selects the sends.
             filter: AuditFilter,
         },
     }
 }
 
 closed_set! {
-    /// Why a query was not answered, or an order not carried out.
+    /// The reason why a query was not answered or an order was not carried out.
     pub enum DenyCode {
-        /// The session may read only.
+        /// The session is read-only.
         ReadOnly = 1, "role";
         /// There is no such engine, limit or feature.
         Unknown = 2, "unknown";
-        /// No engine of a role would be left; `force` does it all the same.
+        /// No engine of a role would be left; `force` overrides this.
         LastOfRole = 3, "leaves-none";
-        /// Another operator has changed the same thing meanwhile.
+        /// Another operator has changed the same subject in the meantime.
         Conflict = 4, "changed";
-        /// The query makes no sense; the message says why.
+        /// The query is invalid; the message states why.
         Invalid = 5, "invalid";
-        /// The order is in force, but could not be stored: a restart would forget it.
+        /// The order is in force, but could not be stored: it would not survive a restart.
         NotPersisted = 6, "not-kept";
-        /// Too many orders wait for the disk; nothing was changed.
+        /// Too many orders are waiting to be stored; nothing was changed.
         Busy = 7, "busy";
     }
 }
@@ -130,59 +131,59 @@
         2 => Subscribed {},
         /// To [`Query::Unsubscribe`].
         3 => Unsubscribed {},
-        /// To [`Query::Order`] and [`Query::LocalOrder`]: it is carried out and stored.
+        /// To [`Query::Order`] and [`Query::LocalOrder`]: the order was carried out and stored.
         4 => Done {
             /// The revision of the change.
             revision: u64,
-            /// What it does to the requests in flight, for people.
+            /// The human-readable effect on the requests in flight.
             effect: String,
         },
-        /// The query is not answered, or the order not carried out.
+        /// The query was not answered, or the order was not carried out.
         5 => Denied {
-            /// Why not.
+            /// The reason.
             code: DenyCode,
-            /// The same for people, with what would help.
+            /// The human-readable reason, with a suggestion.
             message: String,
         },
         /// To [`Query::OutcomeGroups`].
         #[serde(rename = "groups")]
         6 => OutcomeGroups {
-            /// The largest groups first.
+            /// The groups, the largest first.
             groups: Vec<OutcomeGroup>,
-            /// How many outcomes there are in all.
+            /// The total number of outcomes.
             total: u64,
         },
         /// To [`Query::Outcomes`].
         #[serde(rename = "endings")]
         7 => Outcomes {
-            /// The latest outcomes first.
+            /// The outcomes, the latest first.
             #[serde(rename = "endings")]
             outcomes: Vec<RequestOutcome>,
-            /// How many there are in all.
+            /// The total number.
             total: u64,
         },
         /// To [`Query::RequestDetails`].
         #[serde(rename = "story")]
         8 => RequestDetails {
-            /// How the request ended, if it has.
+            /// The outcome, if the request has ended.
             #[serde(rename = "ending")]
             outcome: Option<Box<RequestOutcome>>,
-            /// Where it is now, if it is open.
+            /// The state of the request, if it is open.
             #[serde(rename = "live")]
             open: Option<Box<RequestView>>,
         },
         /// To [`Query::OpenRequests`].
         #[serde(rename = "live")]
         9 => OpenRequests {
-            /// The oldest first.
+            /// The requests, the oldest first.
             #[serde(rename = "live")]
             requests: Vec<RequestView>,
-            /// How many there are in all.
+            /// The total number.
             total: u64,
         },
         /// To [`Query::Events`].
         10 => Events {
-            /// The latest last.
+            /// The events, the latest last.
             events: Vec<Event>,
         },
         /// To [`Query::Limits`].
@@ -192,7 +193,7 @@
         },
         /// To [`Query::Intents`].
         12 => Intents {
-            /// The latest last.
+            /// The intents, the latest last.
             intents: Vec<Intent>,
         },
         /// To [`Query::Members`].
@@ -209,13 +210,13 @@
         /// To [`Query::OrderReplication`].
         #[serde(rename = "spread")]
         15 => OrderReplication {
-            /// The orders and the routers that have them.
+            /// The orders, and the routers that have stored them.
             #[serde(rename = "spread")]
             replication: Box<OrderReplicationView>,
         },
         /// To [`Query::Audit`].
         16 => Audit {
-            /// What the audit logs say.
+            /// The rows of the audit logs.
             audit: Box<AuditView>,
         },
     }
--- a/crates/gaparch-protocol/src/ops/update.rs
+++ b/crates/gaparch-protocol/src/ops/update.rs
@@ -1,4 +1,4 @@
-//! What a router sends to subscribers.
+//! Updates from a router to subscribers.
 
 use super::intent::Intent;
 use super::outcome::RequestOutcome;
@@ -8,16 +8,16 @@
 choice! {
     /// An update to a subscriber.
     pub enum Update {
-        /// The router's metrics, some times a second.
+        /// The router's metrics, sent several times per second.
         #[serde(rename = "figures")]
         1 => Metrics {
             /// The metrics.
             #[serde(rename = "figures")]
             metrics: RouterMetrics,
         },
-        /// Engines that look other than before.
+        /// Engines whose view has changed.
         2 => Engines {
-            /// These engines.
+            /// The changed engines.
             engines: Vec<EngineView>,
         },
         /// An event.
@@ -33,19 +33,19 @@
             #[serde(rename = "ending")]
             outcome: Box<RequestOutcome>,
         },
-        /// What is in force by operators' orders has changed.
+        /// The intents in force have changed.
         5 => Intents {
             /// The revision of the last change.
             revision: u64,
-            /// All that is in force.
+            /// All intents in force.
             intents: Vec<Intent>,
         },
         /// The subscriber was too slow and missed updates. A new snapshot follows.
         6 => Missed {
-            /// How many updates it missed.
+            /// The number of missed updates.
             updates: u64,
         },
-        /// A new snapshot, on which further updates build.
+        /// A new snapshot, to which further updates apply.
         #[serde(rename = "fresh")]
         7 => Resync {
             /// The snapshot.
--- a/crates/gaparch-protocol/src/ops/view/fleet.rs
+++ b/crates/gaparch-protocol/src/ops/view/fleet.rs
@@ -1,19 +1,19 @@
-//! The routers of a site as one of them sees them.
+//! Views of the routers of a site, as one of them sees them.
 
 use crate::fleet::MemberState;
 use crate::versions::{FleetOrder, ListVersion, SendCounts};
 use crate::wire::record;
 
 record! {
-    /// One router, as another sees it. Times are nanoseconds since the Unix epoch.
+    /// The view of another router. Times are nanoseconds since the Unix epoch.
     pub struct MemberView {
         /// The router's name.
         pub name: String,
-        /// The zone in which it stands.
+        /// The zone in which it is located.
         pub zone: String,
-        /// Its version of the program.
+        /// The version of its program.
         pub build: String,
-        /// Where its datagrams come from.
+        /// The address of its datagrams.
         pub address: String,
         /// Its incarnation.
         pub incarnation: u64,
@@ -21,38 +21,38 @@
         pub state: MemberState,
         /// When it entered that state.
         pub since: u64,
-        /// The last sign of life that any router had of it.
+        /// When its last heartbeat became known, from any router.
         #[serde(rename = "alive_at")]
         pub last_alive_at: u64,
-        /// The last sign of life that this router had of it.
+        /// When this router last received a message from it.
         #[serde(rename = "heard_at")]
         pub last_received_at: Option<u64>,
-        /// The routers that suspect it or have declared it dead.
+        /// The routers that suspect it or declared it dead.
         #[serde(rename = "accused_by")]
         pub suspected_by: Vec<String>,
-        /// The address of another process under the same name.
+        /// The address of a duplicate process with the same name.
         #[serde(rename = "twin_at")]
         pub duplicate_at: Option<String>,
-        /// It says that it receives from no other router.
+        /// Whether it reports that it receives messages from no other router.
         #[serde(rename = "hears_nobody")]
         pub receives_nothing: bool,
     }
 }
 
 record! {
-    /// A link that fails in one direction: `to` receives nothing from `from`, though others do.
+    /// A link that fails in one direction: `to` receives nothing from `from`, although others do.
     pub struct LinkFault {
-        /// The router that sends.
+        /// The sending router.
         pub from: String,
-        /// The router that doesn't receive.
+        /// The router that receives nothing.
         pub to: String,
-        /// Since when, in nanoseconds since the Unix epoch.
+        /// When the failure started, in nanoseconds since the Unix epoch.
         pub since: u64,
     }
 }
 
 record! {
-    /// The version of the endpoint list that one router last said it has.
+    /// The version of the endpoint list that a router last reported.
     pub struct ListVersionRow {
         /// The router's name.
         pub router: String,
@@ -61,18 +61,18 @@
         pub version: ListVersion,
         /// A digest of all entries of that list.
         pub digest: u64,
-        /// How long ago the list service itself confirmed it, in nanoseconds before `reported_at`; `None`: the list
-        /// came from another router.
+        /// Nanoseconds from the last confirmation by the list service itself to `reported_at`; `None` if the
+        /// list came from another router.
         #[serde(rename = "sure")]
         pub confirmed_ago: Option<u64>,
-        /// When the router said so, in nanoseconds since the Unix epoch.
+        /// When the router reported it, in nanoseconds since the Unix epoch.
         #[serde(rename = "said_at")]
         pub reported_at: u64,
     }
 }
 
 record! {
-    /// What one router sent to one engine under one version of the endpoint list.
+    /// The sends of one router to one engine under one version of the endpoint list.
     pub struct RouterAuditRow {
         /// The router's name.
         pub router: String,
@@ -81,86 +81,87 @@
         /// Whether the list service itself had confirmed that list in time.
         #[serde(rename = "sure")]
         pub confirmed: bool,
-        /// What was sent. Times are by the clock of the router that answered the query.
+        /// Counts of the sends. Times are by the clock of the router that answered the query.
         pub sends: SendCounts,
     }
 }
 
 record! {
-    /// What the audit logs of a site's routers say.
+    /// Rows of the audit logs of a site's routers.
     pub struct AuditView {
-        /// Every router that may be alive has answered, and none has a gap in its log.
+        /// Whether every router that may be alive has answered and none has a gap in its log.
         pub complete: bool,
-        /// The routers whose log is not known, with the reason.
+        /// The routers whose log is unknown or has gaps, with the reason.
         pub unknown: Vec<String>,
-        /// What was sent.
+        /// The rows.
         pub rows: Vec<RouterAuditRow>,
     }
 }
 
 record! {
-    /// Whether one router has stored all of the site's orders that are in force at the router that answers.
+    /// Whether a router has stored all of the fleet orders that are in force at the router that answers.
     pub struct ReplicationRow {
         /// The router's name.
         pub router: String,
         /// Its member state.
         pub state: MemberState,
-        /// All of the orders are in force there and on its disk.
+        /// Whether all of the orders are in force there and stored on its disk.
         #[serde(rename = "keeps")]
         pub has_all: bool,
-        /// When it last said what it has, in nanoseconds since the Unix epoch.
+        /// When it last reported which orders it has, in nanoseconds since the Unix epoch.
         #[serde(rename = "said_at")]
         pub reported_at: Option<u64>,
     }
 }
 
 record! {
-    /// An order that gave way to a concurrent one: neither operator knew of the other's order.
+    /// An order that was superseded by a concurrent one, which was issued without knowledge of it.
     pub struct SupersededOrder {
-        /// The order that is not in force.
+        /// The superseded order.
         pub order: FleetOrder,
-        /// The order that is.
+        /// The order in force.
         pub by: FleetOrder,
     }
 }
 
 record! {
-    /// Which routers have stored the site's orders.
+    /// Which routers have stored the fleet orders.
     pub struct OrderReplicationView {
-        /// Every router that may be alive has stored all of them.
+        /// Whether every router that may be alive has stored all of them.
         pub complete: bool,
         /// The orders in force.
         pub orders: Vec<FleetOrder>,
-        /// Orders that gave way to concurrent ones.
+        /// Orders that were superseded by concurrent ones.
         #[serde(rename = "overtaken")]
         pub superseded: Vec<SupersededOrder>,
-        /// The router that answers first, then the others; those that left gracefully are left out.
+        /// The router that answers, followed by the others. Routers that left gracefully are omitted.
         pub rows: Vec<ReplicationRow>,
     }
 }
 
 record! {
-    /// Which router has which version of the endpoint list.
+    /// The version of the endpoint list at each router.
     pub struct ListVersionsView {
         /// The version at the router that answers.
         #[serde(rename = "held")]
         pub version: ListVersion,
-        /// How many entries that list has.
+        /// The number of entries in that list.
         pub entries: u32,
-        /// Nanoseconds since the list service last confirmed it, if it did in time.
+        /// Nanoseconds since the list service last confirmed it; `None` if it was not confirmed in time.
         #[serde(rename = "sure")]
         pub confirmed_ago: Option<u64>,
-        /// The latest version that others have from the list service itself.
+        /// The latest version that other routers have received from the list service itself.
         #[serde(rename = "believed")]
         pub latest_known: Option<ListVersion>,
-        /// Whether more than one router says so.
+        /// Whether more than one router reports that version.
         pub corroborated: bool,
-        /// Since when others have a later version than the router that answers, in nanoseconds since the Unix epoch.
+        /// Since when other routers have had a later version than the router that answers, in nanoseconds
+        /// since the Unix epoch.
         pub behind_since: Option<u64>,
-        /// Lists taken over from other routers since the start.
+        /// The number of lists fetched from other routers since the start.
         #[serde(rename = "brought_up")]
         pub lists_from_peers: u64,
-        /// Claims of other routers that were not believed since the start.
+        /// The number of claims of other routers that were rejected since the start.
         #[serde(rename = "refused")]
         pub rejected_claims: u64,
         /// The other routers.
@@ -175,45 +176,46 @@
         pub router: String,
         /// Its incarnation.
         pub incarnation: u64,
-        /// Whether more than half of the routers that it counts are present.
+        /// Whether more than half of the counted routers are present.
         pub majority: bool,
-        /// Routers that are present, itself among them.
+        /// The number of present routers, including itself.
         pub present: u32,
-        /// Routers that it counts, present or not.
+        /// The number of routers that may be running, present or not.
         pub counted: u32,
-        /// By how many routers it divides quotas that all of them share.
+        /// The number of routers by which it divides the quotas that all of them share.
         pub divisor: u32,
-        /// It receives from no other router.
+        /// Whether it receives messages from no other router.
         #[serde(rename = "hears_nobody")]
         pub receives_nothing: bool,
-        /// It receives from others, but none answers it.
+        /// Whether it receives messages from others, but none of them answers it.
         #[serde(rename = "unheard")]
         pub is_unanswered: bool,
-        /// By how much its timeouts are lengthened since it doubts its own reachability; 0: not at all.
+        /// The number of steps by which it extends its timeouts because of poor local health; 0 for no
+        /// extension.
         #[serde(rename = "doubt")]
         pub timeout_extension: u32,
         /// The other routers.
         pub members: Vec<MemberView>,
-        /// Links that fail in one direction.
+        /// The links that fail in one direction.
         #[serde(rename = "edges")]
         pub link_faults: Vec<LinkFault>,
-        /// Datagrams sent since the start.
+        /// The number of datagrams sent since the start.
         pub sent: u64,
-        /// Their bytes.
+        /// The total size of these datagrams in bytes.
         pub sent_bytes: u64,
-        /// Datagrams received and accepted since the start.
+        /// The number of datagrams received and accepted since the start.
         pub received: u64,
-        /// Datagrams dropped since their authentication code was wrong.
+        /// The number of datagrams dropped because of a bad authentication tag.
         pub forged: u64,
-        /// Datagrams dropped since they could not be parsed.
+        /// The number of datagrams dropped because they could not be parsed.
         pub malformed: u64,
-        /// Datagrams dropped since they were of a newer version.
+        /// The number of datagrams dropped because of another protocol version.
         pub newer: u64,
-        /// Datagrams dropped since they had been received before.
+        /// The number of datagrams dropped because they had been received before.
         pub replayed: u64,
-        /// Datagrams dropped since they were for another router.
+        /// The number of datagrams dropped because they were addressed to another router.
         pub misdirected: u64,
-        /// Datagrams not sent, to keep the bytes sent a second within their bound.
+        /// The number of datagrams not sent because of the limit on bytes per second.
         pub throttled: u64,
     }
 }
--- a/crates/gaparch-protocol/src/ops/view/mod.rs
+++ b/crates/gaparch-protocol/src/ops/view/mod.rs
@@ -1,4 +1,4 @@
-//! What a router shows of itself, its engines and the other routers of its site.
+//! Views of a router, its engines and the other routers of its site.
 
 mod engine;
 mod fleet;
--- a/crates/gaparch-protocol/src/ops/view/router.rs
+++ b/crates/gaparch-protocol/src/ops/view/router.rs
@@ -1,4 +1,4 @@
-//! A router as it sees itself.
+//! Views of a router and its requests.
 
 use super::engine::EngineView;
 use crate::ops::intent::{Intent, LimitView};
@@ -6,103 +6,103 @@
 use crate::wire::{closed_set, record};
 
 record! {
-    /// A router's metrics at one time.
+    /// A router's metrics at a point in time.
     #[derive(Copy, Default)]
     pub struct RouterMetrics {
         /// The time, in nanoseconds since the Unix epoch.
         pub at: u64,
-        /// Requests in the admission queue.
+        /// The number of requests in the admission queue.
         #[serde(rename = "held")]
         pub queued: u32,
-        /// Requests in prefill.
+        /// The number of requests in prefill.
         #[serde(rename = "reading")]
         pub prefilling: u32,
-        /// Requests between prefill and decode.
+        /// The number of requests between prefill and decode.
         #[serde(rename = "read")]
         pub prefilled: u32,
-        /// Requests that were sent to a decode worker and have no token yet.
+        /// The number of requests that were sent to a decode worker and have no token yet.
         #[serde(rename = "writing")]
         pub decoding: u32,
-        /// Requests whose answer is streaming.
+        /// The number of requests whose answer is streaming.
         pub streaming: u32,
-        /// Requests since the router started.
+        /// The number of requests since the router started.
         pub requests: u64,
-        /// Those of them that were served.
+        /// The number of requests that were served.
         pub served: u64,
-        /// Those of them that met their latency objective.
+        /// The number of requests that met their latency objective.
         #[serde(rename = "in_time")]
         pub served_in_time: u64,
-        /// Those of them that were rejected.
+        /// The number of requests that were rejected.
         #[serde(rename = "refused")]
         pub rejected: u64,
-        /// Those of them that failed.
+        /// The number of requests that failed.
         pub failed: u64,
-        /// Those of them whose client disconnected first.
+        /// The number of requests whose client disconnected before the end of the answer.
         #[serde(rename = "left")]
         pub client_disconnected: u64,
-        /// Tokens sent to clients since the router started.
+        /// The number of tokens sent to clients since the router started.
         pub tokens: u64,
         /// Whether an operator has paused admission.
         pub paused: bool,
-        /// The longest delay of the owner task since the last metrics, in microseconds.
+        /// The longest delay of the owner task since the previous metrics, in microseconds.
         pub lag_us: u64,
     }
 }
 
 record! {
-    /// A tenant's requests since the router started.
+    /// Counts of a tenant's requests since the router started.
     #[derive(Default)]
     pub struct TenantView {
         /// The tenant's name.
         pub name: String,
-        /// Its requests.
+        /// The number of requests.
         pub requests: u64,
-        /// Those of them that were served.
+        /// The number of requests that were served.
         pub served: u64,
-        /// Those of them that were rejected.
+        /// The number of requests that were rejected.
         #[serde(rename = "refused")]
         pub rejected: u64,
-        /// Those of them that failed.
+        /// The number of requests that failed.
         pub failed: u64,
-        /// Those of them whose client disconnected first.
+        /// The number of requests whose client disconnected before the end of the answer.
         #[serde(rename = "left")]
         pub client_disconnected: u64,
-        /// Tokens sent to it.
+        /// The number of tokens sent to the tenant.
         pub tokens: u64,
-        /// Its quota of requests a second, over all routers; 0: no quota.
+        /// Its quota in requests per second over all routers; 0 for no quota.
         #[serde(rename = "per_s")]
         pub quota_per_second: f64,
     }
 }
 
 closed_set! {
-    /// How much an event matters.
+    /// The severity of an event.
     pub enum Severity {
-        /// Worth knowing.
+        /// For information.
         Info = 1, "info";
-        /// Something may need attention.
+        /// May need attention.
         Warning = 2, "warning";
-        /// Something is broken.
+        /// A failure.
         Fault = 3, "trouble";
     }
 }
 
 record! {
-    /// Something that happened to an engine or to the router.
+    /// An event of an engine or of the router.
     pub struct Event {
-        /// When, in nanoseconds since the Unix epoch.
+        /// When it occurred, in nanoseconds since the Unix epoch.
         pub at: u64,
-        /// How much it matters.
+        /// Its severity.
         pub severity: Severity,
-        /// The engine's name; `None`: it is about the router.
+        /// The engine's name; `None` for an event of the router.
         pub engine: Option<String>,
-        /// What happened, for people.
+        /// The human-readable description.
         pub text: String,
     }
 }
 
 closed_set! {
-    /// How far a request has come.
+    /// The phase of a request.
     pub enum Phase {
         /// In the admission queue.
         Queued = 1, "held";
@@ -110,7 +110,7 @@
         Prefilling = 2, "reading";
         /// Between prefill and decode.
         Prefilled = 3, "read";
-        /// Sent to a decode worker, without a token yet.
+        /// Sent to a decode worker, no token received yet.
         Decoding = 4, "writing";
         /// Its answer is streaming.
         Streaming = 5, "streaming";
@@ -120,26 +120,26 @@
 }
 
 record! {
-    /// A request that is open, or ended a short time ago.
+    /// A request that is open or ended recently.
     pub struct RequestView {
         /// The request's id.
         pub request: GlobalRequestId,
-        /// When it came in, in nanoseconds since the Unix epoch.
+        /// When it was received, in nanoseconds since the Unix epoch.
         #[serde(rename = "asked_at")]
         pub received_at: u64,
         /// Its traffic class.
         pub class: String,
-        /// Its tenant; empty where no key is asked for.
+        /// Its tenant; empty if clients need no key.
         pub tenant: String,
-        /// How far it has come.
+        /// Its phase.
         pub phase: Phase,
-        /// How it ended, if it has.
+        /// How it ended, if it has ended.
         pub kind: Option<OutcomeKind>,
-        /// The engine where it is; empty if it is at none.
+        /// The engine that processes it; empty if none does.
         pub engine: String,
-        /// Tokens of the answer that were sent.
+        /// The number of tokens of the answer that were sent.
         pub tokens: u32,
-        /// Microseconds since it came in, or until it ended.
+        /// Microseconds from its receipt until now, or until it ended.
         #[serde(rename = "took_us")]
         pub elapsed_us: u64,
         /// Its first attempts, at most [`MAX_ATTEMPTS`](crate::ops::outcome::MAX_ATTEMPTS).
@@ -153,13 +153,13 @@
     pub struct Setting {
         /// The setting's name.
         pub name: String,
-        /// Its value, for people.
+        /// Its human-readable value.
         pub value: String,
     }
 }
 
 record! {
-    /// All that a router shows of itself at one time.
+    /// The state of a router at a point in time.
     pub struct Snapshot {
         /// The router's name.
         pub router: String,
@@ -175,17 +175,17 @@
         pub metrics: RouterMetrics,
         /// All engines.
         pub engines: Vec<EngineView>,
-        /// All tenants with requests.
+        /// All tenants that have sent requests.
         pub tenants: Vec<TenantView>,
-        /// What is in force by operators' orders.
+        /// The intents in force.
         pub intents: Vec<Intent>,
         /// The limits that operators can change.
         pub limits: Vec<LimitView>,
-        /// The latest events, the last one last.
+        /// The latest events, the most recent one last.
         pub events: Vec<Event>,
         /// The settings in force.
         pub settings: Vec<Setting>,
-        /// What can't be stored on disk, and why; empty if all can.
+        /// What can't be stored on disk, and why; empty if there is no such error.
         #[serde(rename = "not_kept")]
         pub storage_error: String,
     }
