--- a/crates/gaparch-protocol/tests/common/mod.rs
+++ b/crates/gaparch-protocol/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Comparison of values with the bytes and JSON that earlier versions wrote.
+//! Assertions that values keep the bytes and the JSON that earlier versions wrote.
 #![allow(dead_code)]
 
 use bytes::BytesMut;
@@ -11,7 +11,7 @@
 pub fn hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("a string takes all that is written to it");
+        write!(text, "{byte:02x}").expect("writing to a string does not fail");
     }
     text
 }
@@ -21,7 +21,7 @@
     digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect()
 }
 
-/// The frame is written as exactly these bytes, and these bytes are read as the frame.
+/// Asserts that the frame is encoded as exactly these bytes, and that they are decoded as the frame.
 #[track_caller]
 pub fn assert_frame<F: Frame + PartialEq + Debug>(frame: &F, pinned: &str) {
     let mut bytes = BytesMut::new();
@@ -34,20 +34,20 @@
     assert_eq!(decoder.next_frame::<F>(), Ok(None), "{frame:?}");
 }
 
-/// The record is written as exactly these bytes, and these bytes are read as the record.
+/// Asserts that the record is encoded as exactly these bytes, and that they are decoded as the record.
 #[track_caller]
 pub fn assert_record<R: Wire + PartialEq + Debug>(record: &R, pinned: &str) {
     assert_eq!(hex(&to_bytes(record)), pinned, "{record:?}");
     assert_eq!(from_bytes::<R>(&unhex(pinned)).as_ref(), Some(record));
 }
 
-/// Operators' scripts read the record as this JSON.
+/// Asserts that the record is serialized as exactly this JSON, which operators' scripts read.
 #[track_caller]
 pub fn assert_json<R: Serialize>(record: &R, pinned: &str) {
-    assert_eq!(serde_json::to_string(record).expect("it has only text keys"), pinned);
+    assert_eq!(serde_json::to_string(record).expect("a record is serializable"), pinned);
 }
 
-/// The text is exactly this.
+/// Asserts that the text is exactly the pinned one.
 #[track_caller]
 pub fn assert_text(text: &str, pinned: &str) {
     assert_eq!(text, pinned);
--- a/crates/gaparch-protocol/tests/operations.rs
+++ b/crates/gaparch-protocol/tests/operations.rs
@@ -1,4 +1,5 @@
-//! The operations protocol and the records on disk: what is written is read, what is not whole is refused.
+//! Round trips of the operations protocol and of stored records. Truncated, extended and arbitrary bytes are
+//! rejected without a panic.
 
 use bytes::BytesMut;
 use gaparch_protocol::frame::encode;
@@ -25,12 +26,12 @@
     prop_oneof![8 => "[a-z0-9-]{0,12}", 1 => ".{0,40}"]
 }
 
-fn figure() -> impl Strategy<Value = f64> {
-    // Numbers that equal themselves: what is wrong with others is not the codec's matter.
+fn number() -> impl Strategy<Value = f64> {
+    // Without NaN, which does not compare equal to itself. The codec does not validate numbers.
     prop_oneof![Just(0.0), -1e12..1e12, Just(f64::INFINITY)]
 }
 
-fn name() -> impl Strategy<Value = GlobalRequestId> {
+fn request_id() -> impl Strategy<Value = GlobalRequestId> {
     (any::<u64>(), any::<u64>()).prop_map(|(run, number)| GlobalRequestId { run, number })
 }
 
@@ -45,7 +46,7 @@
         text().prop_map(|engine| Change::Undrain { engine }),
         Just(Change::Pause {}),
         Just(Change::Resume {}),
-        (text(), proptest::option::of(figure())).prop_map(|(name, value)| Change::SetLimit { name, value }),
+        (text(), proptest::option::of(number())).prop_map(|(name, value)| Change::SetLimit { name, value }),
         Just(Change::Stop {}),
     ]
 }
@@ -59,7 +60,7 @@
     let subject = prop_oneof![
         (text(), select(DrainMode::ALL)).prop_map(|(engine, mode)| Subject::Engine { engine, mode }),
         Just(Subject::Admission {}),
-        (text(), figure()).prop_map(|(name, value)| Subject::Limit { name, value }),
+        (text(), number()).prop_map(|(name, value)| Subject::Limit { name, value }),
     ];
     let rest = (note(), any::<u64>(), any::<bool>());
     (subject, rest).prop_map(|(subject, (note, revision, persisted))| Intent {
@@ -82,7 +83,7 @@
 }
 
 fn evidence() -> impl Strategy<Value = EngineEvidence> {
-    (text(), text(), figure(), figure(), figure()).prop_map(
+    (text(), text(), number(), number(), number()).prop_map(
         |(engine, avoid_reason, memory_utilization, queued_prompt_tokens, latency_ratio)| EngineEvidence {
             engine,
             avoid_reason,
@@ -102,9 +103,9 @@
     let times =
         (any::<u64>(), any::<u64>(), proptest::option::of(any::<u64>()), proptest::option::of(any::<u64>()));
     let lists = (proptest::collection::vec(attempt(), 0..4), proptest::collection::vec(evidence(), 0..4));
-    let follow_up = proptest::option::of((any::<u64>(), name(), select(OutcomeKind::ALL)));
+    let follow_up = proptest::option::of((any::<u64>(), request_id(), select(OutcomeKind::ALL)));
     let rest = (text(), text(), any::<u32>(), any::<u64>());
-    (name(), kinds, times, lists, follow_up, rest).prop_map(
+    (request_id(), kinds, times, lists, follow_up, rest).prop_map(
         |(request, kinds, times, lists, follow_up, rest)| RequestOutcome {
             request,
             received_at: times.0,
@@ -130,8 +131,8 @@
     let avoid_reason = proptest::option::of(select(AvoidReason::ALL));
     let partial_ejections = (text(), text(), any::<u64>())
         .prop_map(|(class, tenant, until)| PartialEjection { class, tenant, until });
-    let figures =
-        (figure(), figure(), proptest::option::of(figure()), figure(), proptest::option::of(figure()));
+    let numbers =
+        (number(), number(), proptest::option::of(number()), number(), proptest::option::of(number()));
     let counts = (any::<u32>(), any::<u32>(), any::<u64>(), proptest::option::of(any::<u64>()));
     (
         text(),
@@ -139,10 +140,10 @@
         states,
         avoid_reason,
         proptest::collection::vec(partial_ejections, 0..3),
-        figures,
+        numbers,
         counts,
     )
-        .prop_map(|(name, address, states, avoid_reason, partial_ejections, figures, counts)| {
+        .prop_map(|(name, address, states, avoid_reason, partial_ejections, numbers, counts)| {
             EngineView {
                 name,
                 role: states.0,
@@ -156,11 +157,11 @@
                 partial_ejections,
                 awaiting_first_token: counts.0,
                 streaming: counts.1,
-                queued_prompt_tokens: figures.0,
-                memory_utilization: figures.1,
-                reported_memory_utilization: figures.2,
-                latency_ratio: figures.3,
-                slow_start_budget: figures.4,
+                queued_prompt_tokens: numbers.0,
+                memory_utilization: numbers.1,
+                reported_memory_utilization: numbers.2,
+                latency_ratio: numbers.3,
+                slow_start_budget: numbers.4,
                 started_at: counts.3,
                 last_response_at: counts.2,
                 attempts: counts.2,
@@ -175,9 +176,9 @@
         .prop_map(|(at, severity, engine, text)| Event { at, severity, engine, text })
 }
 
-fn live() -> impl Strategy<Value = RequestView> {
+fn open_request() -> impl Strategy<Value = RequestView> {
     let rest = (select(Phase::ALL), proptest::option::of(select(OutcomeKind::ALL)), any::<u32>());
-    (name(), text(), proptest::collection::vec(attempt(), 0..3), rest).prop_map(
+    (request_id(), text(), proptest::collection::vec(attempt(), 0..3), rest).prop_map(
         |(request, class, attempts, rest)| RequestView {
             request,
             received_at: u64::from(rest.2),
@@ -199,7 +200,7 @@
         proptest::collection::vec(intent(), 0..3),
         proptest::collection::vec(event(), 0..3),
     );
-    (text(), any::<u64>(), lists, figure()).prop_map(|(router, number, (engines, intents, events), value)| {
+    (text(), any::<u64>(), lists, number()).prop_map(|(router, number, (engines, intents, events), value)| {
         Snapshot {
             run: number,
             revision: number,
@@ -235,18 +236,18 @@
 }
 
 fn filter() -> impl Strategy<Value = OutcomeFilter> {
-    let words = (proptest::option::of(text()), proptest::option::of(text()), proptest::option::of(text()));
-    (proptest::option::of(select(OutcomeCause::ALL)), words, any::<u32>()).prop_map(|(cause, words, most)| {
+    let texts = (proptest::option::of(text()), proptest::option::of(text()), proptest::option::of(text()));
+    (proptest::option::of(select(OutcomeCause::ALL)), texts, any::<u32>()).prop_map(|(cause, texts, max)| {
         OutcomeFilter {
             kind: Some(OutcomeKind::Rejected),
             cause,
             queueing_reason: Some(QueueingReason::OverQuota),
-            class: words.0,
-            tenant: words.1,
-            engine: words.2,
-            since: Some(u64::from(most)),
+            class: texts.0,
+            tenant: texts.1,
+            engine: texts.2,
+            since: Some(u64::from(max)),
             until: None,
-            max: most,
+            max,
         }
     })
 }
@@ -258,11 +259,11 @@
         order().prop_map(|order| Query::Order { order }),
         filter().prop_map(|filter| Query::OutcomeGroups { filter }),
         filter().prop_map(|filter| Query::Outcomes { filter }),
-        name().prop_map(|request| Query::RequestDetails { request }),
+        request_id().prop_map(|request| Query::RequestDetails { request }),
         (proptest::option::of(text()), any::<u64>(), any::<u32>())
             .prop_map(|(engine, since, max)| Query::Events { engine, since, max }),
     ];
-    let group = (name(), any::<u64>(), text()).prop_map(|(example, count, class)| OutcomeGroup {
+    let group = (request_id(), any::<u64>(), text()).prop_map(|(example, count, class)| OutcomeGroup {
         kind: OutcomeKind::Failed,
         cause: OutcomeCause::StreamBroken,
         queueing_reason: None,
@@ -276,23 +277,25 @@
         example,
     });
     let answer = prop_oneof![
-        snapshot().prop_map(|s| Answer::Snapshot { snapshot: Box::new(s) }),
+        snapshot().prop_map(|snapshot| Answer::Snapshot { snapshot: Box::new(snapshot) }),
         (any::<u64>(), text()).prop_map(|(revision, effect)| Answer::Done { revision, effect }),
         (select(DenyCode::ALL), text()).prop_map(|(code, message)| Answer::Denied { code, message }),
         proptest::collection::vec(group, 0..3).prop_map(|groups| Answer::OutcomeGroups { groups, total: 9 }),
         proptest::collection::vec(outcome(), 0..3)
             .prop_map(|outcomes| Answer::Outcomes { outcomes, total: 9 }),
-        (proptest::option::of(outcome()), proptest::option::of(live())).prop_map(|(outcome, open)| {
-            Answer::RequestDetails { outcome: outcome.map(Box::new), open: open.map(Box::new) }
-        }),
+        (proptest::option::of(outcome()), proptest::option::of(open_request())).prop_map(
+            |(outcome, open)| {
+                Answer::RequestDetails { outcome: outcome.map(Box::new), open: open.map(Box::new) }
+            }
+        ),
         proptest::collection::vec(intent(), 0..3).prop_map(|intents| Answer::Intents { intents }),
     ];
     let update = prop_oneof![
         proptest::collection::vec(engine(), 0..3).prop_map(|engines| Update::Engines { engines }),
         event().prop_map(|event| Update::Event { event }),
-        outcome().prop_map(|e| Update::RequestEnded { outcome: Box::new(e) }),
+        outcome().prop_map(|outcome| Update::RequestEnded { outcome: Box::new(outcome) }),
         any::<u64>().prop_map(|updates| Update::Missed { updates }),
-        snapshot().prop_map(|s| Update::Resync { snapshot: Box::new(s) }),
+        snapshot().prop_map(|snapshot| Update::Resync { snapshot: Box::new(snapshot) }),
     ];
     prop_oneof![
         (proptest::option::of(text()), select(SessionRole::ALL), text())
@@ -304,13 +307,14 @@
     ]
 }
 
-/// Cut anywhere, it is refused; with a byte more too.
-fn whole_or_nothing<T: Wire + PartialEq + std::fmt::Debug>(record: &T) -> Result<(), TestCaseError> {
+/// Asserts that the record is decoded from its bytes, and that truncated bytes and an additional byte are
+/// rejected.
+fn assert_exact_decoding<T: Wire + PartialEq + std::fmt::Debug>(record: &T) -> Result<(), TestCaseError> {
     let bytes = to_bytes(record);
-    let read = from_bytes::<T>(&bytes);
-    prop_assert_eq!(read.as_ref(), Some(record));
+    let decoded = from_bytes::<T>(&bytes);
+    prop_assert_eq!(decoded.as_ref(), Some(record));
     for end in 0..bytes.len() {
-        prop_assert!(from_bytes::<T>(&bytes[..end]).is_none(), "cut at {}", end);
+        prop_assert!(from_bytes::<T>(&bytes[..end]).is_none(), "truncated at {}", end);
     }
     prop_assert!(from_bytes::<T>(&[&bytes[..], &[0]].concat()).is_none());
     Ok(())
@@ -320,29 +324,39 @@
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_survive_any_cut(frames in proptest::collection::vec(frame(), 1..5), cut in 1usize..200) {
+    fn frames_round_trip_in_chunks_of_any_size(
+        frames in proptest::collection::vec(frame(), 1..5),
+        chunk_size in 1usize..200,
+    ) {
         let mut bytes = BytesMut::new();
         frames.iter().for_each(|f| encode(f, &mut bytes));
         let mut decoder = FrameDecoder::new(1 << 20);
-        let mut read = Vec::new();
-        for piece in bytes.chunks(cut) {
-            decoder.buffer().extend_from_slice(piece);
-            while let Some(frame) = decoder.next_frame::<OpsFrame>().expect("sound") {
-                read.push(frame);
+        let mut decoded = Vec::new();
+        for chunk in bytes.chunks(chunk_size) {
+            decoder.buffer().extend_from_slice(chunk);
+            while let Some(frame) = decoder.next_frame::<OpsFrame>().expect("valid frames") {
+                decoded.push(frame);
             }
         }
-        prop_assert_eq!(read, frames);
+        prop_assert_eq!(decoded, frames);
     }
 
     #[test]
-    fn records_on_disk_are_whole_or_nothing(change in change(), note in note(), outcome in outcome(), event in event()) {
-        whole_or_nothing(&AcceptedChange { revision: 3, change, note })?;
-        whole_or_nothing(&event)?;
-        whole_or_nothing(&StoredOutcome::Outcome { outcome: Box::new(outcome) })?;
+    fn truncated_or_extended_records_are_rejected(
+        change in change(),
+        note in note(),
+        outcome in outcome(),
+        event in event(),
+    ) {
+        assert_exact_decoding(&AcceptedChange { revision: 3, change, note })?;
+        assert_exact_decoding(&event)?;
+        assert_exact_decoding(&StoredOutcome::Outcome { outcome: Box::new(outcome) })?;
     }
 
     #[test]
-    fn no_bytes_make_it_panic_or_take_room(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_cause_no_panic_or_large_allocation(
+        bytes in proptest::collection::vec(any::<u8>(), 0..300),
+    ) {
         let mut decoder = FrameDecoder::new(MAX_QUERY_BYTES);
         decoder.buffer().extend_from_slice(&bytes);
         while let Ok(Some(_)) = decoder.next_frame::<OpsFrame>() {}
@@ -353,10 +367,10 @@
 }
 
 #[test]
-fn another_version_is_read_as_far_as_it_can_be_answered() {
+fn a_hello_of_another_version_is_decoded_and_an_oversized_frame_is_rejected() {
     let mut decoder = FrameDecoder::new(MAX_QUERY_BYTES);
     decoder.buffer().extend_from_slice(&[0, 0, 0, 6, 1, 0, 9, 1, 2, 3]);
-    let hello = decoder.next_frame::<OpsFrame>().expect("read");
+    let hello = decoder.next_frame::<OpsFrame>().expect("a valid frame");
     assert!(matches!(hello, Some(OpsFrame::Hello { version: 9, .. })), "{hello:?}");
     decoder.buffer().extend_from_slice(&[0x40, 0, 0, 0, 1]);
     let oversized = decoder.next_frame::<OpsFrame>();
@@ -364,14 +378,14 @@
 }
 
 #[test]
-fn names_of_closed_sets_are_told_apart_and_read_back() {
+fn names_of_causes_are_unique_and_request_ids_round_trip() {
     for cause in OutcomeCause::ALL {
         assert_eq!(OutcomeCause::from_name(cause.name()), Some(*cause));
         assert_eq!(OutcomeCause::ALL.iter().filter(|c| c.name() == cause.name()).count(), 1);
     }
-    let name = GlobalRequestId { run: 0x18a2b3, number: 42 };
-    assert_eq!((name.to_string().as_str(), "msg_18a2b3_42".parse()), ("msg_18a2b3_42", Ok(name)));
-    for wrong in ["", "42", "msg_x_1", "msg_1", "msg_1_x"] {
-        assert!(wrong.parse::<GlobalRequestId>().is_err(), "{wrong}");
+    let id = GlobalRequestId { run: 0x18a2b3, number: 42 };
+    assert_eq!((id.to_string().as_str(), "msg_18a2b3_42".parse()), ("msg_18a2b3_42", Ok(id)));
+    for invalid in ["", "42", "msg_x_1", "msg_1", "msg_1_x"] {
+        assert!(invalid.parse::<GlobalRequestId>().is_err(), "{invalid}");
     }
 }
--- a/crates/gaparch-protocol/tests/pinned_dialects.rs
+++ b/crates/gaparch-protocol/tests/pinned_dialects.rs
@@ -1,5 +1,5 @@
-//! What clients get in each built-in dialect: each event of a stream, the whole answer, and errors; and the names
-//! by which settings speak of them.
+//! The bytes that clients get in each built-in dialect, for each stream event, complete answers and errors,
+//! and the names of these in the settings.
 
 mod common;
 
@@ -46,7 +46,7 @@
 }
 
 fn dialect(name: &str) -> Dialect {
-    Dialect::builtin(name).expect("built in")
+    Dialect::builtin(name).expect("a built-in dialect")
 }
 
 fn stream(name: &str) -> String {
@@ -66,14 +66,14 @@
     ERROR_KINDS.map(error).join("\n")
 }
 
-/// What is read back of the pinned stream: debug names aside, the values.
+/// Decodes the pinned stream.
 fn decoded(name: &str) -> Vec<ClientEvent> {
     let dialect = dialect(name);
     let mut decoder = SseDecoder::new(10_000);
     decoder.feed(stream(name).as_bytes());
     let mut decoded = Vec::new();
-    while let Some(event) = decoder.next_event().expect("well formed") {
-        decoded.push(dialect.decode(&event).expect("of this dialect"));
+    while let Some(event) = decoder.next_event().expect("a valid event stream") {
+        decoded.push(dialect.decode(&event).expect("an event of this dialect"));
     }
     decoded
 }
@@ -207,12 +207,12 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn encoded_events_answers_and_errors_are_decoded() {
     for name in ["own", "messages"] {
         let decoded = decoded(name);
-        let opened = &decoded[0];
+        let first = &decoded[0];
         assert!(
-            matches!(opened, ClientEvent::MessageStart { id, model, .. } if id == "msg_1_2" && model == "m")
+            matches!(first, ClientEvent::MessageStart { id, model, .. } if id == "msg_1_2" && model == "m")
         );
         for event in [events()[2].clone(), events()[3].clone(), events()[4].clone()] {
             assert!(decoded.contains(&event), "{name}: {event:?}");
@@ -221,18 +221,18 @@
             assert!(decoded.contains(&failed(kind)), "{name}: {kind:?}");
         }
         for reason in [StopReason::Finished, StopReason::MaxTokens] {
-            let written = dialect(name).encode_answer(&answer(reason));
-            assert_eq!(dialect(name).decode_answer(&written), Some(answer(reason)), "{name}");
+            let encoded = dialect(name).encode_answer(&answer(reason));
+            assert_eq!(dialect(name).decode_answer(&encoded), Some(answer(reason)), "{name}");
         }
-        let written = dialect(name).encode_error(ErrorKind::Rejected, "busy", true);
+        let encoded = dialect(name).encode_error(ErrorKind::Rejected, "busy", true);
         let message = "busy".to_owned();
-        let wanted = ErrorBody { kind: ErrorKind::Rejected, message, retry_harmless: true };
-        assert_eq!(dialect(name).decode_error(&written), Some(wanted), "{name}");
+        let expected = ErrorBody { kind: ErrorKind::Rejected, message, retry_harmless: true };
+        assert_eq!(dialect(name).decode_error(&encoded), Some(expected), "{name}");
     }
 }
 
 #[test]
-fn names_in_the_settings_stay() {
+fn settings_keep_their_names() {
     let kinds = EventKind::ALL.iter().map(|kind| kind.name()).collect::<Vec<_>>().join(" ");
     assert_text(&kinds, "opened part-opened part part-closed usage closed failed keep-alive answer error");
     let fields = RequestField::ALL.iter().map(|field| field.name()).collect::<Vec<_>>().join(" ");
@@ -254,7 +254,7 @@
         &values,
         "id model text prompt-tokens kept-tokens output-tokens stop-reason error-kind message retry-harmless",
     );
-    let words = [
+    let labels = [
         Label::Finished,
         Label::MaxTokens,
         Label::Invalid,
@@ -262,6 +262,6 @@
         Label::Rejected,
         Label::Failed,
     ];
-    let words = words.map(Label::name).join(" ");
-    assert_text(&words, "finished max-tokens invalid unauthorized refused failed");
+    let labels = labels.map(Label::name).join(" ");
+    assert_text(&labels, "finished max-tokens invalid unauthorized refused failed");
 }
--- a/crates/gaparch-protocol/tests/pinned_engine.rs
+++ b/crates/gaparch-protocol/tests/pinned_engine.rs
@@ -1,4 +1,4 @@
-//! The bytes of each frame of the engine protocol, and of each code in them.
+//! The bytes of each frame of the engine protocol, and of each status code.
 
 mod common;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn plain_job() -> Job {
+fn job_without_optional_fields() -> Job {
     Job { tenant: None, session: None, prefix: None, ..job() }
 }
 
@@ -85,7 +85,7 @@
          0258000000c80000753000000009757365723a2068690a",
     );
     assert_frame(
-        &EngineFrame::Prefill(plain_job()),
+        &EngineFrame::Prefill(job_without_optional_fields()),
         "0000002f020102030405060708000000030002000000000003e800000258000000c8000075300000000975736572\
          3a2068690a",
     );
--- a/crates/gaparch-protocol/tests/pinned_fleet.rs
+++ b/crates/gaparch-protocol/tests/pinned_fleet.rs
@@ -1,7 +1,8 @@
-//! The bytes of the fleet protocol and of the records stored in its types, as released routers write and read them.
+//! The bytes of the fleet protocol and of stored records of its types, as released routers encode and decode
+//! them.
 //!
-//! Each constant was written by the build that introduced this test. A change here breaks routers of different builds
-//! that run side by side, or makes stored records unreadable.
+//! Each constant was written by the build that introduced this test. A change of the encoding breaks fleets
+//! with routers of different builds, or makes stored records unreadable.
 
 use gaparch_protocol::fleet::{MemberInfo, MemberState, Message, MessageBody, Update};
 use gaparch_protocol::list::{ListEntry, ServerState};
@@ -22,7 +23,7 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// Checks that a value is written as the pinned bytes, and that these are read as the value.
+/// Asserts that a value is encoded as the pinned bytes, and that they are decoded as the value.
 macro_rules! assert_pinned {
     ($value:expr, $pinned:literal) => {
         let value = $value;
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn facts_of_a_member() {
+fn info_of_a_member() {
     assert_pinned!(
         member_info(),
         "0008726f757465722d3100056e6f7274680003322e31000e3132372e302e302e313a37343030010203040506070800000000000000030000000000002328"
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn news_of_members_and_links() {
+fn updates_of_members_and_links() {
     let (info, reporter) = (member_info(), "router-3".to_owned());
     assert_pinned!(
         Update::Member { info, state: MemberState::Suspect, reporter, last_heartbeat: 8000 },
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn whole_messages_with_their_head() {
+fn complete_messages_with_their_header() {
     let updates = vec![Update::Member {
         info: member_info(),
         state: MemberState::Dead,
@@ -203,14 +204,14 @@
 
 #[test]
 fn each_kind_of_audit_message() {
-    let (held, claims) = (version(), vec![claim()]);
+    let (in_use, claims) = (version(), vec![claim()]);
     assert_pinned!(
-        ReplicationMessage::ListStatus { version: held, digest: 0xabcd, entries: 110, confirmed_ms_ago: Some(40), claims },
+        ReplicationMessage::ListStatus { version: in_use, digest: 0xabcd, entries: 110, confirmed_ms_ago: Some(40), claims },
         "0100000002000000000000004d0000000000000fa1000000000000abcd0000006e0100000028000000010008726f757465722d3200000002000000000000004d0000000000000fa100000000feedbeef000000fa"
     );
     assert_pinned!(
         ReplicationMessage::ListStatus {
-            version: held,
+            version: in_use,
             digest: 0xabcd,
             entries: 0,
             confirmed_ms_ago: None,
@@ -287,7 +288,7 @@
 }
 
 #[test]
-fn stored_pieces_of_the_audit_record() {
+fn stored_records_of_the_audit_log() {
     assert_pinned!(
         segment(),
         "000000000000000800000000000011220000000000003344000000000000000500000000000003e800000000000007d0010000000002000000000000004d0000000000000fa101000000000000000c0003322e31000000010008656e67696e652d3100000000000000050000000000000006000000000000000700000000000003e800000000000007d00000000100000000000005dc0000000000000063000000020000010000000000000004"
--- a/crates/gaparch-protocol/tests/pinned_list.rs
+++ b/crates/gaparch-protocol/tests/pinned_list.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn bare(state: ServerState) -> ListEntry {
+fn entry_without_optional_fields(state: ServerState) -> ListEntry {
     ListEntry { weight: None, started_at: None, ..entry(state) }
 }
 
@@ -36,14 +36,14 @@
     assert_frame(&ListFrame::Watch(true), "000000020201");
     assert_frame(&ListFrame::Watch(false), "000000020200");
     assert_frame(&ListFrame::Fetch, "0000000103");
-    let entries = vec![entry(ServerState::Ready), bare(ServerState::Draining)];
+    let entries = vec![entry(ServerState::Ready), entry_without_optional_fields(ServerState::Draining)];
     assert_frame(
         &ListFrame::Update { scope: Scope::Full, version: 12, entries },
         "0000006e0401000000000000000c000200027730000d31302e302e302e323a37303030000677726974657200056e\
          6f72746800026e3100013ff80000000000000117979cfe362a000000027730000d31302e302e302e323a37303030\
          000677726974657200056e6f72746800026e31010000",
     );
-    let entries = vec![bare(ServerState::Removed)];
+    let entries = vec![entry_without_optional_fields(ServerState::Removed)];
     assert_frame(
         &ListFrame::Update { scope: Scope::Delta, version: 13, entries },
         "000000350400000000000000000d000100027730000d31302e302e302e323a37303030000677726974657200056e\
@@ -61,11 +61,11 @@
          00000117979cfe362a0000",
     );
     assert_record(
-        &bare(ServerState::Draining),
+        &entry_without_optional_fields(ServerState::Draining),
         "00027730000d31302e302e302e323a37303030000677726974657200056e6f72746800026e31010000",
     );
     assert_record(
-        &bare(ServerState::Removed),
+        &entry_without_optional_fields(ServerState::Removed),
         "00027730000d31302e302e302e323a37303030000677726974657200056e6f72746800026e31020000",
     );
     assert_json(
@@ -73,11 +73,11 @@
         r#"{"engine":"w0","address":"10.0.0.2:7000","kind":"writer","zone":"north","rack":"n1","state":"ready","weight":1.5,"started_at":1700000000000000000}"#,
     );
     assert_json(
-        &bare(ServerState::Draining),
+        &entry_without_optional_fields(ServerState::Draining),
         r#"{"engine":"w0","address":"10.0.0.2:7000","kind":"writer","zone":"north","rack":"n1","state":"draining","weight":null,"started_at":null}"#,
     );
     assert_json(
-        &bare(ServerState::Removed),
+        &entry_without_optional_fields(ServerState::Removed),
         r#"{"engine":"w0","address":"10.0.0.2:7000","kind":"writer","zone":"north","rack":"n1","state":"gone","weight":null,"started_at":null}"#,
     );
 }
--- a/crates/gaparch-protocol/tests/pinned_operations.rs
+++ b/crates/gaparch-protocol/tests/pinned_operations.rs
@@ -1,5 +1,5 @@
-//! The bytes of each frame of the operations protocol, of each record that a router keeps on disk, and the JSON
-//! that operators' scripts read.
+//! The bytes of each frame of the operations protocol and of each record that a router stores on disk, and
+//! the JSON that operators' scripts read.
 
 mod common;
 
@@ -91,11 +91,11 @@
         }],
         fingerprint: 99,
         follow_up: Some(FollowUp { received_at: NOW + 9, request: NAME, kind: OutcomeKind::Served }),
-        ..bare_outcome()
+        ..outcome_without_details()
     }
 }
 
-fn bare_outcome() -> RequestOutcome {
+fn outcome_without_details() -> RequestOutcome {
     RequestOutcome::without_details(NAME, NOW, NOW + 5, OutcomeKind::Rejected, OutcomeCause::ObjectiveMissed)
 }
 
@@ -291,9 +291,9 @@
     }
 }
 
-fn fleet_order(number: u64, over: Option<OrderId>) -> FleetOrder {
+fn fleet_order(number: u64, replaces: Option<OrderId>) -> FleetOrder {
     let id = OrderId { number, restrictiveness: 2, router: "router-1".to_owned(), incarnation: 3 };
-    FleetOrder { id, replaces: over, change: drain(), note: note() }
+    FleetOrder { id, replaces, change: drain(), note: note() }
 }
 
 fn order_replication() -> OrderReplicationView {
@@ -461,7 +461,7 @@
          0000000009",
     );
     assert_frame(
-        &answer_frame(Answer::Outcomes { outcomes: vec![bare_outcome()], total: 9 }),
+        &answer_frame(Answer::Outcomes { outcomes: vec![outcome_without_details()], total: 9 }),
         "0000005004000000050700000001000000000018a2b3000000000000002a17979cfe362a000017979cfe362a0005\
          0000000002040000000000000000000000000000000000000000000000000000000000000009",
     );
@@ -620,7 +620,7 @@
          b3000000000000002a01",
     );
     assert_record(
-        &StoredOutcome::Outcome { outcome: Box::new(bare_outcome()) },
+        &StoredOutcome::Outcome { outcome: Box::new(outcome_without_details()) },
         "01000000000018a2b3000000000000002a17979cfe362a000017979cfe362a000500000000020400000000000000\
          0000000000000000000000000000000000",
     );
@@ -658,11 +658,11 @@
         r#"{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"ended_at":1700000000000000005,"class":"question","tenant":"app","kind":"refused","cause":"aim-lost","waited_for":"writers-full","retry_after_ms":1500,"first_after_us":2500,"tokens":20,"steps":[{"engine":"r0","stage":"read","from_us":10,"took_us":20,"end":"done"},{"engine":"r0","stage":"write","from_us":10,"took_us":20,"end":"called-off"}],"evidence":[{"engine":"w0","avoided":"full","memory":0.75,"unread":1000.0,"pace":1.25}],"fingerprint":99,"follow_up":{"asked_at":1700000000000000009,"request":{"run":1614515,"number":42},"kind":"served"}}"#,
     );
     assert_json(
-        &bare_outcome(),
+        &outcome_without_details(),
         r#"{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"ended_at":1700000000000000005,"class":"","tenant":"","kind":"refused","cause":"aim-lost","waited_for":null,"retry_after_ms":null,"first_after_us":null,"tokens":0,"steps":[],"evidence":[],"fingerprint":0,"follow_up":null}"#,
     );
     assert_json(
-        &StoredOutcome::Outcome { outcome: Box::new(bare_outcome()) },
+        &StoredOutcome::Outcome { outcome: Box::new(outcome_without_details()) },
         r#"{"ending":{"ending":{"request":{"run":1614515,"number":42},"asked_at":1700000000000000000,"ended_at":1700000000000000005,"class":"","tenant":"","kind":"refused","cause":"aim-lost","waited_for":null,"retry_after_ms":null,"first_after_us":null,"tokens":0,"steps":[],"evidence":[],"fingerprint":0,"follow_up":null}}}"#,
     );
     let follow_up = FollowUp { received_at: NOW, request: NAME, kind: OutcomeKind::Failed };
@@ -720,7 +720,7 @@
 }
 
 #[test]
-fn members_of_closed_sets_keep_their_names_and_codes() {
+fn enum_variants_keep_their_names_and_codes() {
     assert_json(&OutcomeKind::ALL, r#"["served","refused","failed","left"]"#);
     assert_json(
         &OutcomeCause::ALL,
