--- a/crates/gaparch-protocol/src/client/sse.rs
+++ b/crates/gaparch-protocol/src/client/sse.rs
@@ -80,9 +80,9 @@
                     false => Ok(None),
                 };
             };
-            let used = input.offset_from(&start);
+            let consumed = input.offset_from(&start);
             let is_end = add_line(line, &mut self.event, &mut self.data_lines)?;
-            self.buffer.advance(used);
+            self.buffer.advance(consumed);
             if self.event.data.len() > self.max {
                 return Err(SseError::Oversized { max: self.max });
             }
--- a/crates/gaparch-protocol/src/frame.rs
+++ b/crates/gaparch-protocol/src/frame.rs
@@ -103,13 +103,13 @@
             Err(_) => return Ok(None),
         };
         let length = body.len() + 1;
-        let used = input.offset_from(&Partial::new(&self.buffer[..]));
+        let consumed = input.offset_from(&Partial::new(&self.buffer[..]));
         let mut rest: Body<'_> = body;
         let frame = F::parse_body(kind, &mut rest)
             .ok()
             .filter(|_| rest.is_empty())
             .ok_or(FrameError::Malformed { kind, length })?;
-        self.buffer.advance(used);
+        self.buffer.advance(consumed);
         Ok(Some(frame))
     }
 }
