--- a/crates/gaparch-config/src/check/mod.rs
+++ b/crates/gaparch-config/src/check/mod.rs
@@ -65,7 +65,7 @@
         Some(Config {
             router: raw.router.name.clone(),
             listeners,
-            module: scheduler_settings(&raw, &names),
+            scheduler: scheduler_settings(&raw, &names),
             names,
             class_times: raw.classes.class.iter().map(class_times).collect(),
             default_class: default_class.map(ClassId),
--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -24,7 +24,7 @@
     /// Addresses at which clients connect.
     pub listeners: Vec<Listener>,
     /// Settings of the scheduler.
-    pub module: Settings,
+    pub scheduler: Settings,
     /// The names of what the scheduler knows by index.
     pub names: Names,
     /// Time limits of a stream that has started, by class.
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -20,10 +20,10 @@
     assert_eq!(config.router, "north-1");
     assert_eq!(config.listeners.len(), 3);
     assert_eq!(config.listeners[2].dialect.name(), "house");
-    assert_eq!(config.module.classes[1].idempotency, Idempotency::WithKey);
-    assert_eq!(config.module.classes[1].deduplication_scope, DeduplicationScope::Cell);
-    assert_eq!(config.module.classes[0].latency_objective_per_prompt_token, 60_000.0);
-    assert_eq!(config.module.kv_release_within, 500_000_000);
+    assert_eq!(config.scheduler.classes[1].idempotency, Idempotency::WithKey);
+    assert_eq!(config.scheduler.classes[1].deduplication_scope, DeduplicationScope::Cell);
+    assert_eq!(config.scheduler.classes[0].latency_objective_per_prompt_token, 60_000.0);
+    assert_eq!(config.scheduler.kv_release_within, 500_000_000);
     assert_eq!(config.engines[3].state, ServerState::Ready);
     assert_eq!(config.keys.len(), 2);
     assert_ne!(server_id("read-1"), server_id("read-2"));
--- a/crates/gaparch-platform-router/src/core_config.rs
+++ b/crates/gaparch-platform-router/src/core_config.rs
@@ -13,7 +13,7 @@
     Config {
         router: config.name.clone(),
         listeners: Vec::new(),
-        module: settings.scheduler.clone(),
+        scheduler: settings.scheduler.clone(),
         names: Names {
             classes: settings.classes.clone(),
             tenants: settings.tenants.clone(),
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -72,7 +72,7 @@
         subscription: watch::Sender<Subscription>,
     ) -> Owner {
         let now = shared.clock.now();
-        let polls_endpoints = config.module.poll_endpoints;
+        let polls_endpoints = config.scheduler.poll_endpoints;
         let probe_timeout = Duration::from_nanos(config.attempts.probe_timeout);
         let mut out = Vec::new();
         let mut core = Core::new(config, OrderRegistry::default(), RouterRun(now), now, &mut out);
--- a/crates/gaparch-router/src/core/actions.rs
+++ b/crates/gaparch-router/src/core/actions.rs
@@ -48,7 +48,7 @@
     /// Whether the send guards allow a rejection that the scheduler asks for.
     fn may_reject(&self, id: RequestId) -> Result<(), Denial> {
         let Some(tracked) = self.requests.get(&id) else { return Ok(()) };
-        let Some(class) = self.config.module.classes.get(tracked.request.class.0) else { return Ok(()) };
+        let Some(class) = self.config.scheduler.classes.get(tracked.request.class.0) else { return Ok(()) };
         let in_flight = tracked
             .attempt
             .is_some_and(|attempt| attempt.stage == Stage::Decode && !attempt.awaits_connection());
--- a/crates/gaparch-router/src/core/endpoint_table.rs
+++ b/crates/gaparch-router/src/core/endpoint_table.rs
@@ -176,7 +176,7 @@
         let starts: Vec<ListedStart> =
             entries.iter().map(|listed| self.listed_start(listed, config)).collect();
         let resolved = if is_full_list {
-            process_start::starts_of_full_list(now, config.module.slow_start_duration, &starts)
+            process_start::starts_of_full_list(now, config.scheduler.slow_start_duration, &starts)
         } else {
             process_start::starts_of_delta(now, &starts)
         };
@@ -311,7 +311,7 @@
         if facts.name != known.listed.engine {
             return Err(EngineMismatch::OtherName);
         }
-        match known.endpoint.kind.and_then(|kind| config.module.kind(Some(kind))) {
+        match known.endpoint.kind.and_then(|kind| config.scheduler.kind(Some(kind))) {
             Some((role, _)) if role == facts.role => Ok(()),
             _ => Err(EngineMismatch::OtherRole),
         }
--- a/crates/gaparch-router/src/core/endpoint_updates.rs
+++ b/crates/gaparch-router/src/core/endpoint_updates.rs
@@ -12,13 +12,13 @@
 impl Core {
     pub(super) fn on_list_service_up(&mut self, out: &mut Vec<Output>) {
         // If the list service has to be polled, the scheduler does so.
-        if !self.config.module.poll_endpoints {
+        if !self.config.scheduler.poll_endpoints {
             out.push(Output::WatchEndpoints(true));
         }
     }
 
     pub(super) fn on_list_service_down(&mut self) {
-        if self.config.module.poll_endpoints {
+        if self.config.scheduler.poll_endpoints {
             self.scheduler_events.push_back(Event::EndpointsChanged {
                 update: EndpointUpdate::Failed,
                 endpoints: Vec::new().into(),
--- a/crates/gaparch-router/src/core/mod.rs
+++ b/crates/gaparch-router/src/core/mod.rs
@@ -90,7 +90,7 @@
         out: &mut Vec<Output>,
     ) -> Core {
         let mut core = Core {
-            policy: Policy::new(config.module.clone()),
+            policy: Policy::new(config.scheduler.clone()),
             endpoints: EndpointTable::default(),
             run,
             now,
--- a/crates/gaparch-router/src/core/operator_orders.rs
+++ b/crates/gaparch-router/src/core/operator_orders.rs
@@ -61,7 +61,7 @@
             engines: self.engine_views().into_iter().map(engine_status).collect(),
             queued: metrics.queued,
             prefilling: metrics.prefilling,
-            decode_workers_can_prefill: self.config.module.decode_workers_can_prefill,
+            decode_workers_can_prefill: self.config.scheduler.decode_workers_can_prefill,
             limits: self.limits(),
         }
     }
@@ -77,7 +77,7 @@
             max,
             unit: unit.to_owned(),
         };
-        let tenants = self.config.names.tenants.iter().zip(&self.config.module.tenants);
+        let tenants = self.config.names.tenants.iter().zip(&self.config.scheduler.tenants);
         let quota_limit = |(name, tenant): (&String, &Tenant)| {
             let unit = "requests a second, 0: not bounded";
             limit(tenant_limit(name), tenant.quota_per_second, 0.0, MAX_QUOTA_PER_SECOND, unit)
@@ -118,7 +118,7 @@
                 if let Some(tenant) = tenant.map(TenantId) {
                     let configured_quota = self
                         .config
-                        .module
+                        .scheduler
                         .tenants
                         .get(tenant.0)
                         .map_or(0.0, |tenant| tenant.quota_per_second);
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -168,7 +168,7 @@
 
     /// The settings in force, under the names that operators' tools show.
     pub fn settings_listing(&self) -> Vec<Setting> {
-        let module = &self.config.module;
+        let module = &self.config.scheduler;
         let router = format!("{}, {} of {}", self.config.router, module.router_index, module.router_count);
         let slow_start =
             format!("{} from {} of full speed", Span(module.slow_start_duration), module.slow_start_speed);
--- a/crates/gaparch-router/src/core/request_lifecycle.rs
+++ b/crates/gaparch-router/src/core/request_lifecycle.rs
@@ -15,7 +15,7 @@
             self.counters.rejected += 1;
             return out.push(Output::Client { id, event: self.rejection(OutcomeCause::TooManyOpen) });
         }
-        let scheduler_request = request.to_scheduler_request(id, &self.config.module, self.now);
+        let scheduler_request = request.to_scheduler_request(id, &self.config.scheduler, self.now);
         let deadline_at = scheduler_request.deadline_at;
         let max_open = self.orders.limit(OPEN_REQUESTS).map_or(usize::MAX, |limit| limit as usize);
         let rejection_cause = match () {
@@ -31,7 +31,7 @@
             self.answer(id, self.rejection(cause), out);
             return self.forget_if_done(id);
         }
-        let overdue_at = deadline_at.saturating_add(self.config.module.answer_grace);
+        let overdue_at = deadline_at.saturating_add(self.config.scheduler.answer_grace);
         let overdue_timer = self.timers.set(overdue_at, Timer::RequestOverdue(id));
         let tracked = TrackedRequest::new(request, deadline_at, self.now);
         self.requests.insert(id, TrackedRequest { overdue_timer: Some(overdue_timer), ..tracked });
@@ -40,7 +40,7 @@
 
     /// The rejection of a request that is not accepted.
     pub(super) fn rejection(&self, cause: OutcomeCause) -> ResponseEvent {
-        let retry_after = self.config.module.advertised_retry_after();
+        let retry_after = self.config.scheduler.advertised_retry_after();
         ResponseEvent::Rejected { retry_after, cause, waited_for: None }
     }
 
--- a/crates/gaparch-router/src/core/request_outcomes.rs
+++ b/crates/gaparch-router/src/core/request_outcomes.rs
@@ -15,7 +15,7 @@
     /// Whether a request was served with its first token within the latency objective.
     pub(super) fn met_latency_objective(&self, id: RequestId, event: &ResponseEvent) -> bool {
         let Some(tracked) = self.requests.get(&id) else { return false };
-        let objective = tracked.request.latency_objective(&self.config.module);
+        let objective = tracked.request.latency_objective(&self.config.scheduler);
         let in_time = |first: Nanos| first.saturating_sub(tracked.arrived_at) <= objective;
         matches!(event, ResponseEvent::Finished { .. }) && tracked.first_token_at.is_some_and(in_time)
     }
--- a/crates/gaparch-router/src/core/sending.rs
+++ b/crates/gaparch-router/src/core/sending.rs
@@ -23,7 +23,7 @@
         let number = AttemptNumber(tracked.next_attempt);
         tracked.next_attempt += 1;
         tracked.send_by = send_by;
-        let role = self.endpoints.role(server, &self.config.module);
+        let role = self.endpoints.role(server, &self.config.scheduler);
         if let Err(denial) = permission {
             let answered = tracked.answered;
             self.counters.denials.count(denial);
@@ -58,7 +58,7 @@
             if let Some(attempt) = tracked.attempt.as_mut() {
                 attempt.state = AttemptState::AwaitingConnection;
             }
-            let until = now.saturating_add(self.config.module.connect_timeout).min(send_by);
+            let until = now.saturating_add(self.config.scheduler.connect_timeout).min(send_by);
             self.timers.set(until, Timer::ConnectTimeout(id, number));
         } else {
             self.finish_attempt_by_number(id, number, AttemptStatus::ConnectFailed);
@@ -68,7 +68,7 @@
     /// Whether the send guards allow an attempt that the scheduler asks for.
     fn may_send(&self, id: RequestId, server: ServerId, send_by: Nanos) -> Result<(), Denial> {
         let Some(tracked) = self.requests.get(&id) else { return Err(Denial::Answered) };
-        let settings = &self.config.module;
+        let settings = &self.config.scheduler;
         let is_prefill = self.endpoints.role(server, settings) == Some(Role::Prefill);
         let class = settings.classes.get(tracked.request.class.0);
         let (zone, cell) = self.endpoints.location(server);
--- a/crates/gaparch-router/src/shell/client/mod.rs
+++ b/crates/gaparch-router/src/shell/client/mod.rs
@@ -64,7 +64,7 @@
 impl ClientContext {
     /// Rejects a request that the owner never sees.
     fn reject(&self, id: RequestId, request: &AcceptedRequest) -> ErrorResponse {
-        let retry_after = self.config.module.advertised_retry_after();
+        let retry_after = self.config.scheduler.advertised_retry_after();
         if let Some(rejections) = &self.rejections {
             let names = &self.config.names;
             let class = names.classes.get(request.class.0).map_or("", String::as_str);
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -146,7 +146,7 @@
 }
 
 fn membership_settings(fleet: &Fleet, config: &Config, run: RouterRun, incarnation: u64) -> Settings {
-    let zone = config.module.zone.and_then(|zone| config.names.zones.get(zone.0));
+    let zone = config.scheduler.zone.and_then(|zone| config.names.zones.get(zone.0));
     Settings {
         name: config.router.clone(),
         zone: zone.cloned().unwrap_or_default(),
@@ -155,10 +155,10 @@
         run_id: run.0,
         incarnation,
         seeds: fleet.seeds.clone(),
-        max_routers: config.module.router_count,
+        max_routers: config.scheduler.router_count,
         probe_interval: fleet.period,
         dead_hold: fleet.hold,
-        seed: config.module.seed,
+        seed: config.scheduler.seed,
         use_extensions: fleet.refined,
     }
 }
@@ -198,7 +198,7 @@
     let mut out = Vec::new();
     let settings = membership_settings(fleet, config, run, incarnation);
     let membership = Membership::new(settings, clock.now(), &mut out);
-    let seed = config.module.seed ^ run.0;
+    let seed = config.scheduler.seed ^ run.0;
     let list_replication = fleet.confirm.map(|confirm| {
         let settings =
             audit::FollowerSettings { router: config.router.clone(), confirm_within: confirm, seed };
@@ -208,7 +208,7 @@
         .confirm
         .map(|_| audit::FleetOrders::new(&config.router, incarnation, seed, restored.orders, clock.now()));
     let (requests, requests_in) = mpsc::channel(REQUEST_QUEUE);
-    let (router_count, router_count_in) = watch::channel(config.module.router_count);
+    let (router_count, router_count_in) = watch::channel(config.scheduler.router_count);
     let (incarnation_out, incarnation_in) = watch::channel(0);
     let (adopted_list, adopted_list_in) = watch::channel(AdoptedList::default());
     let (remote_orders, remote_orders_in) = mpsc::channel(REMOTE_ORDER_QUEUE);
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -294,7 +294,7 @@
         return Ok(Replication { fleet: running, versions: None, audit: None });
     };
     let owner_ports = fleet::OwnerPorts { local_list, local_orders, audit: audit.clone() };
-    let versions = ListVersions::new(config.module.poll_endpoints, confirm, owner_ports);
+    let versions = ListVersions::new(config.scheduler.poll_endpoints, confirm, owner_ports);
     Ok(Replication { fleet: running, versions: Some(versions), audit: Some(audit) })
 }
 
--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -75,8 +75,8 @@
             address,
             run: self.core.run(),
             router: self.config.router.clone(),
-            connect_within: Duration::from_nanos(self.config.module.connect_timeout),
-            write_within: engine::write_within(self.config.module.drain_grace),
+            connect_within: Duration::from_nanos(self.config.scheduler.connect_timeout),
+            write_within: engine::write_within(self.config.scheduler.drain_grace),
             max_frame: self.config.limits.frame,
         };
         tokio::spawn(engine::run(plan, frames_in, self.engine_inbox.clone()));
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -40,7 +40,7 @@
     fn new() -> TestRouter {
         let mut config = Config::parse(EXAMPLE).expect("valid settings");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
-        config.module.can_probe = false;
+        config.scheduler.can_probe = false;
         let mut out = Vec::new();
         let core = Core::new(config, OrderRegistry::default(), RouterRun(1), 1000 * S, &mut out);
         let mut router = TestRouter { core, now: 1000 * S, initial_outputs: out };
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -42,7 +42,7 @@
     fn start(offset: i64, entries: Vec<ListEntry>) -> TestRouter {
         let mut config = Config::parse(EXAMPLE).expect("valid settings");
         (config.links, config.engines, config.list) = (Links::Exchanges, Vec::new(), None);
-        config.module.slow_start_duration = 14 * S;
+        config.scheduler.slow_start_duration = 14 * S;
         let at = TestRouter::clock(offset, 0);
         let core = Core::new(config, OrderRegistry::default(), RouterRun(1), at, &mut Vec::new());
         let mut router = TestRouter { core, offset, version: 0 };
--- a/crates/gaparch-setup/src/doctor.rs
+++ b/crates/gaparch-setup/src/doctor.rs
@@ -134,7 +134,7 @@
 
 /// Settings that are sound and yet can't keep a rule, or are unwise.
 fn rules(config: &Config) -> Vec<Finding> {
-    let module = &config.module;
+    let module = &config.scheduler;
     let mut all = Vec::new();
     let mut say = |level, what: String, to_do: &str| all.push(finding(level, what, to_do));
     for (name, class) in config.names.classes.iter().zip(&module.classes) {
@@ -280,7 +280,7 @@
 
 fn engine_finding(config: &Config, name: &str, engine: &EngineSeen, now: Nanos) -> Finding {
     let listed = config.engines.iter().find(|e| e.name == name);
-    let wanted = listed.and_then(|e| Some(config.module.kind(config.names.kind(&e.kind))?.0));
+    let wanted = listed.and_then(|e| Some(config.scheduler.kind(config.names.kind(&e.kind))?.0));
     let address = listed.map(|e| e.address.to_string()).unwrap_or_default();
     match engine {
         EngineSeen::Silent(why) => finding(
