--- a/crates/gaparch-config/src/parse.rs
+++ b/crates/gaparch-config/src/parse.rs
@@ -14,7 +14,7 @@
     /// is valid against the schema.
     pub fn parse(text: &str) -> Result<Config, Vec<Problem>> {
         let document = document::parse(text).map_err(|problem| vec![problem])?;
-        let problems = Schema::published().judge_node(&document);
+        let problems = Schema::published().validate_root(&document);
         if !problems.is_empty() {
             return Err(problems);
         }
--- a/crates/gaparch-config/src/schema.rs
+++ b/crates/gaparch-config/src/schema.rs
@@ -104,7 +104,7 @@
     }
 
     /// Each element with the names of its attributes, for a test against the reader.
-    pub fn vocabulary(&self) -> BTreeMap<String, Vec<String>> {
+    pub fn attributes_by_element(&self) -> BTreeMap<String, Vec<String>> {
         let mut all = BTreeMap::new();
         let names = |c: &Complex| c.attributes.iter().map(|a| a.name.clone()).collect::<Vec<_>>();
         all.insert(self.root.0.clone(), names(&self.root.1));
@@ -117,14 +117,14 @@
     }
 
     /// Judges a text by this schema alone; all that is wrong with it.
-    pub fn judge(&self, text: &str) -> Vec<Problem> {
+    pub fn validate(&self, text: &str) -> Vec<Problem> {
         match document::parse(text) {
-            Ok(root) => self.judge_node(&root),
+            Ok(root) => self.validate_root(&root),
             Err(problem) => vec![problem],
         }
     }
 
-    pub(crate) fn judge_node(&self, root: &Node) -> Vec<Problem> {
+    pub(crate) fn validate_root(&self, root: &Node) -> Vec<Problem> {
         if root.name != self.root.0 {
             return vec![Problem::at(root, format!("should be <{}>", self.root.0))];
         }
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -148,7 +148,7 @@
 /// reader takes the example, and it takes nothing that the schema does not name (`deny_unknown_fields`).
 #[test]
 fn schema_and_reader_know_the_same_words() {
-    for (element, attributes) in Schema::published().vocabulary() {
+    for (element, attributes) in Schema::published().attributes_by_element() {
         assert!(EXAMPLE.contains(&format!("<{element}")), "<{element}> is not in the example");
         for attribute in attributes {
             let used = EXAMPLE.split(&format!("<{element} ")).skip(1).any(|rest| {
@@ -163,7 +163,7 @@
 /// And the other way round: what the reader's structs name, the schema names too.
 #[test]
 fn what_the_reader_names_is_in_the_schema() {
-    let vocabulary = Schema::published().vocabulary();
+    let vocabulary = Schema::published().attributes_by_element();
     let mut seen = 0;
     let reader = concat!(
         include_str!("../src/raw/mod.rs"),
@@ -190,7 +190,7 @@
 #[test]
 fn the_schema_alone_judges_shapes_as_the_reader_does() {
     let schema = Schema::published();
-    assert_eq!(schema.judge(EXAMPLE), vec![]);
+    assert_eq!(schema.validate(EXAMPLE), vec![]);
     for (from, to) in [
         ("<zones>", "<zonen/><zones>"),
         ("most=\"5\"", "most=\"0\""),
@@ -198,7 +198,7 @@
         ("  <rules", "  <!-- --><list address=\"127.0.0.1:1\"/><rules"),
     ] {
         let text = edited(from, to);
-        assert!(!schema.judge(&text).is_empty(), "{to}");
+        assert!(!schema.validate(&text).is_empty(), "{to}");
         assert!(Config::parse(&text).is_err(), "{to}");
     }
 }
--- a/crates/gaparch-testbed/src/fleet/day.rs
+++ b/crates/gaparch-testbed/src/fleet/day.rs
@@ -325,7 +325,7 @@
         static PARSED: OnceLock<Schema> = OnceLock::new();
         let schema = PARSED
             .get_or_init(|| Schema::parse(SCHEMA).unwrap_or_else(|e| panic!("schema/fleet-day.xsd: {e}")));
-        let problems = schema.judge(text);
+        let problems = schema.validate(text);
         if !problems.is_empty() {
             return Err(problems.iter().map(ToString::to_string).collect());
         }
