--- a/crates/gaparch-cli/src/commands/mod.rs
+++ b/crates/gaparch-cli/src/commands/mod.rs
@@ -29,8 +29,8 @@
         lines.join("\n")
     })?;
     let folder = file.parent().unwrap_or(Path::new(""));
-    config.operations = config.operations.map(|operations| operations.at(folder));
-    config.fleet = config.fleet.map(|fleet| fleet.at(folder));
+    config.operations = config.operations.map(|operations| operations.resolve_paths(folder));
+    config.fleet = config.fleet.map(|fleet| fleet.resolve_paths(folder));
     Ok(config)
 }
 
--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -73,7 +73,7 @@
 
 impl Fleet {
     /// These settings with a relative key file resolved against a folder.
-    pub fn at(mut self, folder: &Path) -> Fleet {
+    pub fn resolve_paths(mut self, folder: &Path) -> Fleet {
         self.key_file = folder.join(&self.key_file);
         self
     }
@@ -100,7 +100,7 @@
 
 impl Operations {
     /// These settings with relative paths resolved against a folder.
-    pub fn at(mut self, folder: &Path) -> Operations {
+    pub fn resolve_paths(mut self, folder: &Path) -> Operations {
         self.state = folder.join(&self.state);
         self.socket = self.socket.map(|socket| folder.join(socket));
         for operator in &mut self.operators {
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -43,7 +43,10 @@
         "nothing is followed unless it is wanted"
     );
     assert_eq!(gaparch_config::Fleet { confirm: None, ..example.clone() }, fleet);
-    assert_eq!(example.at("/etc/gaparch".as_ref()).key_file.to_str(), Some("/etc/gaparch/fleet.key"));
+    assert_eq!(
+        example.resolve_paths("/etc/gaparch".as_ref()).key_file.to_str(),
+        Some("/etc/gaparch/fleet.key")
+    );
 }
 
 #[test]
