--- a/crates/gaparch-config/src/check/dialects.rs
+++ b/crates/gaparch-config/src/check/dialects.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the dialects of the client protocol that they speak.
+//! Listeners, and the dialects of the client protocol that they use.
 
 use super::Check;
 use crate::config::Listener;
@@ -17,13 +17,17 @@
         all: &[raw::Listen],
         dialects: &BTreeMap<String, Arc<Dialect>>,
     ) -> Vec<Listener> {
-        let fixed = |l: &raw::Listen| !l.address.ends_with(":0");
-        self.unique("listen", "address", all.iter().filter(|l| fixed(l)).map(|l| l.address.as_str()));
+        let has_fixed_port = |l: &raw::Listen| !l.address.ends_with(":0");
+        self.unique(
+            "listen",
+            "address",
+            all.iter().filter(|l| has_fixed_port(l)).map(|l| l.address.as_str()),
+        );
         let mut listeners = Vec::new();
         for (n, listen) in all.iter().enumerate() {
             let address = self.address("listen", n, &listen.address);
             let Some(dialect) = dialects.get(&listen.dialect) else {
-                self.wrong("listen", n, "dialect", format!("there is no dialect '{}'", listen.dialect));
+                self.report("listen", n, "dialect", format!("unknown dialect '{}'", listen.dialect));
                 continue;
             };
             listeners.extend(address.map(|address| Listener { address, dialect: Arc::clone(dialect) }));
@@ -39,20 +43,20 @@
         let events_before = |n: usize| raw[..n].iter().map(|d| d.event.len()).sum::<usize>();
         for (n, dialect) in raw.iter().enumerate() {
             if all.contains_key(&dialect.id) {
-                self.wrong("dialect", n, "id", format!("there is a dialect '{}' already", dialect.id));
+                self.report("dialect", n, "id", format!("dialect '{}' is already defined", dialect.id));
                 continue;
             }
             let base = match dialect.based_on.as_str() {
                 "own" => DialectDefinition::own(),
                 "messages" => DialectDefinition::messages(),
                 other => {
-                    self.wrong("dialect", n, "based-on", format!("'{other}' is neither own nor messages"));
+                    self.report("dialect", n, "based-on", format!("must be own or messages, not '{other}'"));
                     continue;
                 }
             };
-            let parts = self.dialect(dialect, base, events_before(n));
-            match Dialect::new(parts) {
-                Ok(ready) => drop(all.insert(dialect.id.clone(), Arc::new(ready))),
+            let definition = self.dialect(dialect, base, events_before(n));
+            match Dialect::new(definition) {
+                Ok(built) => drop(all.insert(dialect.id.clone(), Arc::new(built))),
                 Err(errors) => {
                     let node = self.nth("dialect", n);
                     self.problems.extend(errors.iter().map(|e| Problem::at(node, e.to_string())));
@@ -68,7 +72,7 @@
         base: DialectDefinition,
         events_before: usize,
     ) -> DialectDefinition {
-        let mut parts = DialectDefinition { name: raw.id.clone(), ..base };
+        let mut definition = DialectDefinition { name: raw.id.clone(), ..base };
         for (n, event) in raw.event.iter().enumerate() {
             let Some(kind) = EventKind::from_name(&event.kind) else { continue };
             let mut fields = Vec::new();
@@ -82,20 +86,20 @@
                     (Some(path), Some(source)) => fields.push(EventField { path, source }),
                     _ => {
                         let message =
-                            format!("field '{}' needs a sound path and either value or text", field.path);
-                        self.wrong("event", events_before + n, "kind", message);
+                            format!("field '{}' needs a valid path and either a value or a text", field.path);
+                        self.report("event", events_before + n, "kind", message);
                     }
                 }
             }
-            parts.events.insert(kind, EventShape { name: event.name.clone(), fields });
+            definition.events.insert(kind, EventShape { name: event.name.clone(), fields });
         }
         for word in &raw.word {
-            parts.labels.extend(Label::from_name(&word.of).map(|w| (w, word.spelt.clone())));
+            definition.labels.extend(Label::from_name(&word.of).map(|w| (w, word.spelt.clone())));
         }
         for request in &raw.request {
             let field = RequestField::from_name(&request.field).zip(JsonPath::parse(&request.path));
-            parts.request.extend(field);
+            definition.request.extend(field);
         }
-        parts
+        definition
     }
 }
--- a/crates/gaparch-config/src/check/engines.rs
+++ b/crates/gaparch-config/src/check/engines.rs
@@ -1,4 +1,4 @@
-//! Engines and the roles that they run.
+//! Engines and their roles.
 
 use super::Check;
 use crate::config::{server_id, EngineConfig, Names};
@@ -16,14 +16,19 @@
         let mut engines = Vec::new();
         for (n, engine) in all.iter().enumerate() {
             if let Some(zone) = engine.zone.as_deref().filter(|z| names.zone(z).is_none()) {
-                self.wrong("engine", n, "zone", format!("there is no zone '{zone}'"));
+                self.report("engine", n, "zone", format!("unknown zone '{zone}'"));
             }
             if names.kind(&engine.kind).is_none() {
-                self.wrong("engine", n, "kind", format!("there is no kind '{}'", engine.kind));
+                self.report("engine", n, "kind", format!("unknown kind '{}'", engine.kind));
             }
             let other = ids.insert(server_id(&engine.id), &engine.id);
             if let Some(other) = other.filter(|o| **o != engine.id) {
-                self.wrong("engine", n, "id", format!("has the same number as '{other}': choose another"));
+                self.report(
+                    "engine",
+                    n,
+                    "id",
+                    format!("has the same server id, a hash of the name, as '{other}': choose another name"),
+                );
             }
             let Some(address) = self.address("engine", n, &engine.address) else { continue };
             engines.push(EngineConfig {
@@ -43,18 +48,19 @@
         engines
     }
 
-    /// Without a list service, engines that are missing never come.
+    /// Checks that the listed engines cover prefill and decode, unless a list service may add others later.
     fn roles(&mut self, raw: &raw::Gaparch, engines: &[raw::Engine]) {
         if raw.list.is_some() || engines.is_empty() {
             return;
         }
-        let runs = |wanted: raw::Role| {
+        let has_role = |wanted: raw::Role| {
             let mut roles = engines.iter().filter_map(|engine| role_of(engine, &raw.kinds));
             roles.any(|role| role == wanted || role == raw::Role::Both)
         };
-        let prefill = runs(raw::Role::Read) || raw.attempts.self_prefill;
-        if !(prefill && runs(raw::Role::Write)) {
-            let message = "no engine reads, or none writes: no request could be served";
+        let prefill = has_role(raw::Role::Read) || raw.attempts.self_prefill;
+        if !(prefill && has_role(raw::Role::Write)) {
+            let message =
+                "no engine prefills (role read), or none decodes (role write): no request could be served";
             self.problems.push(Problem::at(self.nth("engines", 0), message));
         }
     }
--- a/crates/gaparch-config/src/check/fleet.rs
+++ b/crates/gaparch-config/src/check/fleet.rs
@@ -5,21 +5,22 @@
 use crate::raw;
 use crate::units::Span;
 
-/// Bytes per second that a router may send to the others: a probe each period, its answer, and as many to others that
-/// probe it, some four datagrams of 1,200 bytes at most.
+/// Maximum number of bytes per second that a router sends to the others. In each probe period that is a probe
+/// and its answer, and the same for the routers that probe this one: about four datagrams of at most 1,200
+/// bytes.
 const FLEET_BYTES_PER_S: u64 = 65_536;
-/// Probe periods in which a router learns which version of the endpoint list some of the others hold.
+/// Number of probe periods in which a router learns which version of the endpoint list some others have.
 const CONFIRM_PERIODS: u64 = 5;
-/// Shortest probe period: with a shorter one a router would exceed its bytes per second.
+/// Minimum probe period: with a shorter one a router would exceed its bytes per second.
 const MIN_PERIOD: Span = Span::millis(80);
-/// Longest probe period: with a longer one a dead router would be noticed after minutes.
+/// Maximum probe period: with a longer one a dead router would be detected only after minutes.
 const MAX_PERIOD: Span = Span::secs(10);
 
 impl Check<'_> {
     pub(super) fn fleet(&mut self, raw: &raw::Fleet, all: &raw::Gaparch) -> Option<Fleet> {
         if all.operations.is_none() {
-            let message = "wants <operations>: the state folder keeps how often this router was started";
-            self.wrong("fleet", 0, "listen", message);
+            let message = "requires <operations>: the state folder stores how often this router was started";
+            self.report("fleet", 0, "listen", message);
         }
         let listen = self.address("fleet", 0, &raw.listen);
         let address = match &raw.address {
@@ -28,42 +29,44 @@
         };
         if address.is_some_and(|a| a.ip().is_unspecified() || a.port() == 0) {
             let message =
-                "the others can't send to that: name the address and the port that reach this router";
-            self.wrong("fleet", 0, if raw.address.is_some() { "address" } else { "listen" }, message);
+                "other routers can't send to this: specify the address and port that reach this router";
+            self.report("fleet", 0, if raw.address.is_some() { "address" } else { "listen" }, message);
         }
         if raw.period < MIN_PERIOD {
-            let needed = MIN_PERIOD.0 / 1_000_000;
+            let min_ms = MIN_PERIOD.0 / 1_000_000;
             let message = format!(
-                "at less than {needed}ms a router would have to send more than the {FLEET_BYTES_PER_S} bytes a second \
-                 that it may, whatever the number of routers"
+                "below {min_ms}ms a router would exceed its limit of {FLEET_BYTES_PER_S} bytes per second, \
+                 whatever the number of routers"
             );
-            self.wrong("fleet", 0, "period", message);
+            self.report("fleet", 0, "period", message);
         }
         if raw.period > MAX_PERIOD {
-            self.wrong("fleet", 0, "period", "at more than 10s a dead router would be noticed after minutes");
+            self.report("fleet", 0, "period", "above 10s a dead router would be detected only after minutes");
         }
-        let longest = all.classes.class.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let least = longest.max(all.rules.fall);
-        if raw.hold < least {
+        let longest_deadline = all.classes.class.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let min_hold = longest_deadline.max(all.rules.fall);
+        if raw.hold < min_hold {
             let message = format!(
-                "{} ms at least: the longest deadline or the time of a fall, in which what a dead router sent still counts",
-                least.0 / 1_000_000
+                "must be at least {} ms: the longest deadline or 'fall' of the rules, during which the load \
+                 that a dead router sent still counts",
+                min_hold.0 / 1_000_000
             );
-            self.wrong("fleet", 0, "hold", message);
+            self.report("fleet", 0, "hold", message);
         }
         if let Some(confirm) = raw.confirm {
-            let least = Span(raw.period.0.saturating_mul(CONFIRM_PERIODS));
-            if confirm < least {
+            let min_confirm = Span(raw.period.0.saturating_mul(CONFIRM_PERIODS));
+            if confirm < min_confirm {
                 let message = format!(
-                    "{} ms at least, {CONFIRM_PERIODS} periods: what others hold is not told faster",
-                    least.0 / 1_000_000
+                    "must be at least {} ms, {CONFIRM_PERIODS} periods: a router learns no sooner which list \
+                     version others have",
+                    min_confirm.0 / 1_000_000
                 );
-                self.wrong("fleet", 0, "confirm", message);
+                self.report("fleet", 0, "confirm", message);
             }
             if all.list.is_none() {
                 let message =
-                    "wants <list>: with no list service nobody knows a newer list than the settings'";
-                self.wrong("fleet", 0, "confirm", message);
+                    "requires <list>: without a list service no router has a newer list than the settings";
+                self.report("fleet", 0, "confirm", message);
             }
         }
         let mut seeds = Vec::new();
@@ -71,8 +74,8 @@
             seeds.extend(self.address("seed", n, &seed.address));
         }
         if seeds.is_empty() && all.router.routers > 1 {
-            let message = "<seed> is wanted: with none this router and the others never find one another";
-            self.wrong("fleet", 0, "listen", message);
+            let message = "requires a <seed>: without one, this router and the others never find one another";
+            self.report("fleet", 0, "listen", message);
         }
         Some(Fleet {
             listen: listen?,
--- a/crates/gaparch-config/src/check/mod.rs
+++ b/crates/gaparch-config/src/check/mod.rs
@@ -1,4 +1,5 @@
-//! What the schema can't express: names that have to be known or unique, and values that contradict one another.
+//! Checks that the schema can't express: names that must be defined or unique, and values that contradict
+//! one another.
 
 mod dialects;
 mod engines;
@@ -14,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The version of the settings file's format.
+/// Version of the settings file's format.
 const VERSION: u32 = 1;
 
 /// The checks of one settings file, and the problems found so far.
@@ -33,20 +34,21 @@
         self.problems
     }
 
-    /// The nth element of that name. Each name occurs at one place of the schema only.
+    /// Returns the nth element with this name, counted from 0. The schema uses each element name in one place
+    /// only, so that the name and the number identify the element.
     fn nth(&self, name: &str, n: usize) -> &'d Node {
-        self.document.all(name).get(n).copied().unwrap_or(self.document)
+        self.document.descendants(name).get(n).copied().unwrap_or(self.document)
     }
 
-    fn wrong(&mut self, element: &str, n: usize, attribute: &str, message: impl Into<String>) {
+    fn report(&mut self, element: &str, n: usize, attribute: &str, message: impl Into<String>) {
         let node = self.nth(element, n);
         self.problems.push(Problem::attribute(node, attribute, message));
     }
 
-    /// Checks the settings and builds them; the problems are in [`Check::into_problems`].
+    /// Checks the settings and builds the configuration; [`Check::into_problems`] returns the errors.
     pub fn run(&mut self, raw: raw::Gaparch) -> Option<Config> {
         if raw.version != VERSION {
-            self.wrong("gaparch", 0, "version", format!("version {VERSION} is wanted"));
+            self.report("gaparch", 0, "version", format!("only version {VERSION} is supported"));
         }
         let names = self.names(&raw);
         self.classes(&raw.classes.class);
@@ -83,17 +85,27 @@
     fn limits(&mut self, raw: &raw::Limits) -> Limits {
         let limits = limits(raw);
         if limits.frame < limits.body + 4096 {
-            self.wrong("limits", 0, "frame", "a frame must hold a whole body and 4 KiB more");
+            self.report(
+                "limits",
+                0,
+                "frame",
+                "must exceed 'body' by at least 4 KiB: a frame holds a whole body",
+            );
         }
         limits
     }
 
     fn attempts(&mut self, raw: &raw::Attempts) -> Attempts {
         if raw.most < 2 {
-            self.wrong("attempts", 0, "most", "a read and a write take 2 attempts");
+            self.report(
+                "attempts",
+                0,
+                "most",
+                "must be at least 2: a request takes a prefill and a decode attempt",
+            );
         }
         if raw.reconnect_after > raw.reconnect_most || raw.reconnect_after.0 == 0 {
-            self.wrong("attempts", 0, "reconnect-after", "must be above 0 and at most reconnect-most");
+            self.report("attempts", 0, "reconnect-after", "must be above 0 and at most reconnect-most");
         }
         Attempts {
             probe_timeout: raw.probe_timeout.0,
@@ -107,21 +119,23 @@
         for (n, name) in names.enumerate() {
             if let Some(first) = seen.insert(name, n) {
                 let line = self.nth(element, first).line;
-                self.wrong(element, n, attribute, format!("'{name}' stands in line {line} already"));
+                self.report(element, n, attribute, format!("'{name}' is already used in line {line}"));
             }
         }
     }
 
     fn router(&mut self, raw: &raw::Gaparch, names: &Names) {
         if let Some(zone) = raw.router.zone.as_deref().filter(|z| names.zone(z).is_none()) {
-            self.wrong("router", 0, "zone", format!("there is no zone '{zone}'"));
+            self.report("router", 0, "zone", format!("unknown zone '{zone}'"));
         }
         if raw.router.number.fract() != 0.0 || raw.router.number >= f64::from(raw.router.routers) {
-            self.wrong("router", 0, "number", "must be a whole number below 'routers'");
+            self.report("router", 0, "number", "must be a whole number below 'routers'");
         }
         if raw.engines.is_none() && raw.list.is_none() {
-            self.problems
-                .push(Problem::at(self.document, "neither <engines> nor a <list>: nothing to route to"));
+            self.problems.push(Problem::at(
+                self.document,
+                "has neither <engines> nor <list>: there is no engine to route to",
+            ));
         }
     }
 
@@ -129,7 +143,7 @@
         match text.parse() {
             Ok(address) => Some(address),
             Err(_) => {
-                self.wrong(element, n, "address", format!("'{text}' is no address and port"));
+                self.report(element, n, "address", format!("'{text}' is not an IP address with a port"));
                 None
             }
         }
--- a/crates/gaparch-config/src/check/operations.rs
+++ b/crates/gaparch-config/src/check/operations.rs
@@ -7,19 +7,25 @@
 impl Check<'_> {
     pub(super) fn operations(&mut self, raw: &raw::Operations) -> Operations {
         let address = raw.address.as_ref().and_then(|a| self.address("operations", 0, a));
-        if let Some(outside) = address.filter(|a| !a.ip().is_loopback()) {
-            let message = format!("{} is not on loopback: what is said there is not encrypted", outside.ip());
-            self.wrong("operations", 0, "address", message);
+        if let Some(external) = address.filter(|a| !a.ip().is_loopback()) {
+            let message =
+                format!("{} is not a loopback address: connections are not encrypted", external.ip());
+            self.report("operations", 0, "address", message);
         }
         if raw.socket.is_none() && raw.address.is_none() {
-            self.wrong("operations", 0, "socket", "neither a socket nor an address: nobody could come in");
+            self.report(
+                "operations",
+                0,
+                "socket",
+                "a socket or an address is required: without one, no operator could connect",
+            );
         }
         if raw.address.is_some() && raw.operator.is_empty() {
-            self.wrong("operations", 0, "address", "an address wants an <operator> with a key");
+            self.report("operations", 0, "address", "requires an <operator> with a key");
         }
         for (name, bytes) in [("history", raw.history.0), ("refusals", raw.refusals.0)] {
             if bytes < 1 << 20 {
-                self.wrong("operations", 0, name, "1MiB at least");
+                self.report("operations", 0, name, "must be at least 1MiB");
             }
         }
         self.unique("operator", "name", raw.operator.iter().map(|o| o.name.as_str()));
@@ -29,7 +35,7 @@
                 (Some(file), None) => KeySource::File(file.into()),
                 (None, Some(key)) => KeySource::Text(key.clone()),
                 _ => {
-                    self.wrong("operator", n, "key-file", "one of key-file and key is wanted");
+                    self.report("operator", n, "key-file", "exactly one of key-file and key is required");
                     continue;
                 }
             };
--- a/crates/gaparch-config/src/check/traffic.rs
+++ b/crates/gaparch-config/src/check/traffic.rs
@@ -7,9 +7,9 @@
 use gaparch_scheduler::api::TenantId;
 use std::collections::BTreeMap;
 
-/// Shortest release time: the scheduler looks at its requests every 10 ms, so that a shorter one can't be kept.
+/// Minimum release time: the scheduler checks its requests every 10 ms, so a shorter time could not be met.
 const MIN_RELEASE_WITHIN: Span = Span::millis(50);
-/// Shortest deadline: a shorter one leaves no time to answer before it.
+/// Minimum deadline: a shorter one leaves no time to answer.
 const MIN_DEADLINE: Span = Span::millis(100);
 
 impl Check<'_> {
@@ -31,49 +31,55 @@
     pub(super) fn classes(&mut self, classes: &[raw::Class]) {
         for (n, class) in classes.iter().enumerate() {
             if class.deadline < MIN_DEADLINE {
-                self.wrong(
+                self.report(
                     "class",
                     n,
                     "deadline",
-                    format!("{} is too short: {MIN_DEADLINE} at least", class.deadline),
+                    format!("{} is too short: must be at least {MIN_DEADLINE}", class.deadline),
                 );
             }
             if class.aim.0 == 0 || class.aim > class.deadline {
-                self.wrong("class", n, "aim", "must be above 0 and at most the deadline");
+                self.report("class", n, "aim", "must be above 0 and at most the deadline");
             }
             if class.effect == raw::Effect::Keyed && class.window.0 == 0 {
-                self.wrong(
+                self.report(
                     "class",
                     n,
                     "window",
-                    "a keyed class needs the time for which repeats are dropped",
+                    "a keyed class needs the time during which duplicates are dropped",
                 );
             }
             if class.effect != raw::Effect::Keyed && class.window.0 > 0 {
-                self.wrong("class", n, "window", "means something for a keyed class only");
+                self.report("class", n, "window", "is allowed for a keyed class only");
             }
             if class.silence_limit.0 == 0 || class.silence_limit > class.stream_limit {
-                self.wrong("class", n, "silence-limit", "must be above 0 and at most stream-limit");
+                self.report("class", n, "silence-limit", "must be above 0 and at most stream-limit");
             }
             if class.default && classes[..n].iter().any(|c| c.default) {
-                self.wrong("class", n, "default", "another class is the default already");
+                self.report("class", n, "default", "another class is already the default");
             }
         }
     }
 
     pub(super) fn rules(&mut self, rules: &raw::Rules) {
         if rules.release_within < MIN_RELEASE_WITHIN {
-            let message = format!("{} can't be kept: {MIN_RELEASE_WITHIN} at least", rules.release_within);
-            self.wrong("rules", 0, "release-within", message);
+            let message =
+                format!("{} is too short: must be at least {MIN_RELEASE_WITHIN}", rules.release_within);
+            self.report("rules", 0, "release-within", message);
         }
         if rules.fall.0 == 0 {
-            self.wrong("rules", 0, "fall", "must be above 0");
+            self.report("rules", 0, "fall", "must be above 0");
         }
         if rules.cold_from <= 0.0 {
-            self.wrong("rules", 0, "cold-from", "must be above 0");
+            self.report("rules", 0, "cold-from", "must be above 0");
         }
         if rules.fall_multiple < 1.0 {
-            self.wrong("rules", 0, "fall-multiple", "below 1 an engine falls over at what it can do");
+            self.report(
+                "rules",
+                0,
+                "fall-multiple",
+                "must be at least 1: below that, an engine would be overloaded within its capacity",
+            );
         }
     }
 
@@ -83,15 +89,20 @@
             tenants().flat_map(|(i, t)| t.key.iter().map(move |k| (TenantId(i), k.value.as_str()))).collect();
         let mut by_key: BTreeMap<String, TenantId> = BTreeMap::new();
         for (n, (tenant, key)) in keys.into_iter().enumerate() {
-            // The key itself is not repeated: messages end up in logs.
+            // The message must not contain the key, since it may be logged.
             if by_key.insert(key.to_owned(), tenant).is_some() {
-                self.wrong("key", n, "value", "the same key stands there twice");
+                self.report("key", n, "value", "the same key is used twice");
             }
         }
         if let Some(tenants) = &raw.tenants {
             let sum: f64 = tenants.tenant.iter().map(|t| t.share).sum();
             if sum > 1.0 + 1e-9 {
-                self.wrong("tenants", 0, "share", format!("the shares add up to {sum}, more than 1"));
+                self.report(
+                    "tenants",
+                    0,
+                    "share",
+                    format!("the shares add up to {sum}, which is more than 1"),
+                );
             }
         }
         by_key
--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -1,4 +1,4 @@
-//! The checked settings, as the router uses them.
+//! The checked settings as the router uses them.
 
 use crate::units::Span;
 use gaparch_protocol::client::Dialect;
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The id of the engine with this name, the same on every router.
+/// Returns the id of the engine with this name: a hash of the name, the same on every router.
 pub fn server_id(name: &str) -> ServerId {
     let digest = AffinityKey::from_text(name).0;
     ServerId((digest ^ (digest >> 32)) as u32)
@@ -25,54 +25,54 @@
     pub listeners: Vec<Listener>,
     /// Settings of the scheduler.
     pub scheduler: Settings,
-    /// The names of what the scheduler knows by index.
+    /// Names of the classes, tenants, zones and kinds that the scheduler identifies by index.
     pub names: Names,
-    /// Time limits of a stream that has started, by class.
+    /// Time limits for streaming responses, by class.
     pub class_times: Vec<ClassTimes>,
-    /// Class of a request that names none; `None`: a request has to name one.
+    /// Class of a request that states none; `None` if each request must state one.
     pub default_class: Option<ClassId>,
-    /// Tenants by API key; empty: clients need no key.
+    /// Tenants by API key; empty if clients need no key.
     pub keys: BTreeMap<String, TenantId>,
-    /// Engines that the settings list.
+    /// Engines listed in the settings.
     pub engines: Vec<EngineConfig>,
-    /// The service that publishes the endpoint list; `None`: the engines of the settings are all.
+    /// The discovery service; `None` if there are no engines but those of the settings.
     pub list: Option<ListConfig>,
-    /// How engines are connected to.
+    /// How the router connects to engines.
     pub links: Links,
-    /// Timing of probes and of reconnects.
+    /// Timing of probes and reconnects.
     pub attempts: Attempts,
-    /// Bounds of what is held at once.
+    /// Limits on connections, requests, buffers and waiting times.
     pub limits: Limits,
-    /// The operations interface; `None`: there is none.
+    /// The operations interface, if there is one.
     pub operations: Option<Operations>,
-    /// Membership among the routers of the site; `None`: this router knows of no other.
+    /// Membership among the routers of the site; `None` if this router communicates with no other.
     pub fleet: Option<Fleet>,
 }
 
-/// How this router and the others of its site find one another, and monitor one another (SWIM).
+/// Settings of membership: how the routers of a site find and monitor one another (SWIM).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Address at which datagrams are received.
+    /// Address at which this router receives datagrams.
     pub listen: SocketAddr,
-    /// Address that the other routers send them to.
+    /// Address to which the other routers send their datagrams.
     pub address: SocketAddr,
-    /// File whose first line is the key shared by the routers of the site.
+    /// File whose first line is the key that the routers of the site share.
     pub key_file: PathBuf,
-    /// Addresses of routers to join.
+    /// Addresses of routers through which this one joins the others.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two probes, in nanoseconds.
+    /// Time between two probes in nanoseconds.
     pub period: Nanos,
-    /// How long a dead router still counts among those that share the site, in nanoseconds.
+    /// Dead hold: how long a dead router still counts as one of the routers of the site, in nanoseconds.
     pub hold: Nanos,
-    /// How long the endpoint list may go unconfirmed before another router is asked for it, in nanoseconds; `None`:
-    /// no router ever is.
+    /// How long the endpoint list may remain unconfirmed before this router requests it from another, in
+    /// nanoseconds; `None` if it never does.
     pub confirm: Option<Nanos>,
-    /// Whether the refinements of SWIM are on; plain SWIM is there to compare with.
+    /// Whether the extensions of SWIM are enabled; plain SWIM exists for comparison.
     pub refined: bool,
 }
 
 impl Fleet {
-    /// These settings with a relative key file resolved against a folder.
+    /// Resolves a relative path of the key file against a folder.
     pub fn resolve_paths(mut self, folder: &Path) -> Fleet {
         self.key_file = folder.join(&self.key_file);
         self
@@ -82,24 +82,24 @@
 /// Settings of the operations interface.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operations {
-    /// Folder for what must survive a restart.
+    /// Folder for data that must survive a restart.
     pub state: PathBuf,
-    /// Unix socket to listen at.
+    /// Path of the Unix socket to listen on.
     pub socket: Option<PathBuf>,
-    /// Loopback TCP address to listen at.
+    /// Loopback TCP address to listen on.
     pub address: Option<SocketAddr>,
-    /// Most consoles and scripts that are connected at once.
+    /// Maximum number of concurrent connections of consoles and scripts.
     pub sessions: usize,
-    /// Most bytes of history on disk.
+    /// Maximum size of the history on disk, in bytes.
     pub history: usize,
-    /// Most bytes of rejections kept in memory.
+    /// Maximum size of the rejections kept in memory, in bytes.
     pub refusals: usize,
     /// Operators who may connect over TCP.
     pub operators: Vec<Operator>,
 }
 
 impl Operations {
-    /// These settings with relative paths resolved against a folder.
+    /// Resolves relative paths against a folder.
     pub fn resolve_paths(mut self, folder: &Path) -> Operations {
         self.state = folder.join(&self.state);
         self.socket = self.socket.map(|socket| folder.join(socket));
@@ -112,14 +112,14 @@
     }
 }
 
-/// An operator and what they may do.
+/// An operator and their permissions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// Name, as it appears in the records of their orders.
+    /// Name, as recorded with their orders.
     pub name: String,
-    /// Whether they may give orders; else they may only read.
+    /// Whether they may give orders; otherwise they have read-only access.
     pub may_change: bool,
-    /// Key by which they identify themselves.
+    /// Key with which they authenticate.
     pub key: KeySource,
 }
 
@@ -128,7 +128,7 @@
 pub enum KeySource {
     /// The first line of a file.
     File(PathBuf),
-    /// The settings themselves.
+    /// The key is in the settings.
     Text(String),
 }
 
@@ -147,11 +147,11 @@
 pub struct Listener {
     /// The address.
     pub address: SocketAddr,
-    /// The dialect that is spoken there.
+    /// Dialect of the client protocol at this address.
     pub dialect: Arc<Dialect>,
 }
 
-/// The names of what the scheduler knows by index.
+/// Names of what the scheduler identifies by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Traffic classes.
@@ -164,109 +164,110 @@
     pub kinds: Vec<String>,
 }
 
-/// The names of the traffic classes, by their index.
+/// Names of the traffic classes, by index.
 pub type ClassNames = Vec<String>;
 
 impl Names {
-    /// The class of this name.
+    /// Finds the class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|n| n == name).map(ClassId)
     }
 
-    /// The zone of this name.
+    /// Finds the zone with this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         self.zones.iter().position(|n| n == name).map(ZoneId)
     }
 
-    /// The kind of engine of this name.
+    /// Finds the kind of engine with this name.
     pub fn kind(&self, name: &str) -> Option<KindId> {
         self.kinds.iter().position(|n| n == name).map(KindId)
     }
 
-    /// The cell of a rack, the same on every router whatever its settings list; `None` without a rack.
+    /// Returns the cell of a rack; `None` without a rack. It is a hash of the names, so that it is the same
+    /// on every router, whatever its settings list.
     pub fn cell(&self, zone: &str, rack: &str) -> Option<CellId> {
         (!rack.is_empty()).then(|| CellId(AffinityKey::from_text(&format!("{zone}/{rack}")).0))
     }
 }
 
-/// Time limits of a stream that has started, in nanoseconds.
+/// Time limits for a streaming response, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassTimes {
-    /// Longest duration of the whole stream.
+    /// Maximum duration of the whole stream.
     pub stream: Nanos,
-    /// Longest pause between two events.
+    /// Maximum time between two events.
     pub silence: Nanos,
 }
 
-/// An engine that the settings list.
+/// An engine listed in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineConfig {
-    /// Name, unique in the site.
+    /// Name, unique within the site.
     pub name: String,
     /// Address of the engine protocol.
     pub address: SocketAddr,
     /// Name of its kind.
     pub kind: String,
-    /// Name of its zone; empty: none.
+    /// Name of its zone; empty if it has none.
     pub zone: String,
-    /// Name of its rack; empty: none.
+    /// Name of its rack; empty if it has none.
     pub rack: String,
-    /// Capacity relative to other engines of its role; `None`: 1.
+    /// Capacity relative to other engines of its role; `None` counts as 1.
     pub weight: Option<f64>,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServerState,
 }
 
-/// How engines are connected to.
+/// How the router connects to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Links {
-    /// One connection to each engine carries all attempts; what the engine holds is lost with it.
+    /// One connection to each engine carries all attempts; if it breaks, what the engine holds is lost.
     Connections,
-    /// Each attempt has an HTTP exchange of its own, and only that can fail: an engine counts as reachable while it is
-    /// listed.
+    /// Each attempt is an HTTP exchange of its own, and no other can fail with it: an engine counts as
+    /// reachable while it is listed.
     Exchanges,
 }
 
-/// The service that publishes the endpoint list.
+/// The discovery service, which publishes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListConfig {
-    /// Its address.
+    /// Address of the service.
     pub address: SocketAddr,
 }
 
 /// Timing of probes and reconnects, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempts {
-    /// How long a probe may take.
+    /// Timeout of a probe.
     pub probe_timeout: Nanos,
-    /// First backoff before a reconnect; it doubles with each failure.
+    /// Initial backoff before a reconnect; it doubles with each failure.
     pub reconnect_after: Nanos,
-    /// Longest backoff before a reconnect.
+    /// Maximum backoff before a reconnect.
     pub reconnect_most: Nanos,
 }
 
-/// Bounds of what is held at once.
+/// Limits on connections, requests, buffers and waiting times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body: usize,
-    /// Most client connections.
+    /// Maximum number of client connections.
     pub connections: usize,
-    /// Most requests that are accepted and not yet ended.
+    /// Maximum number of accepted requests that have not ended yet.
     pub open_requests: usize,
-    /// Most requests that wait to be accepted.
+    /// Maximum number of requests waiting to be accepted.
     pub inbox: usize,
-    /// Most events of one stream that wait for its client.
+    /// Maximum number of buffered events per stream, while its client is slow to read.
     pub stream_buffer: usize,
-    /// Most bytes of a frame of the engine protocol.
+    /// Maximum size of a frame of the engine protocol, in bytes.
     pub frame: usize,
-    /// Time for the head of a request to arrive.
+    /// Timeout for the arrival of a request's head.
     pub head_time: Span,
-    /// Time for the body of a request to arrive.
+    /// Timeout for the arrival of a request's body.
     pub body_time: Span,
-    /// Time between two keep-alive events while nothing else is sent.
+    /// Interval of keep-alive events while nothing else is sent.
     pub keep_alive: Span,
-    /// Time for requests in flight to finish in a graceful shutdown.
+    /// Time that requests in flight get to finish in a graceful shutdown.
     pub shutdown: Span,
 }
 
--- a/crates/gaparch-config/src/document.rs
+++ b/crates/gaparch-config/src/document.rs
@@ -1,22 +1,22 @@
-//! An XML text as a tree whose nodes know their lines.
+//! Parses XML into a tree whose nodes keep their line numbers.
 
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::Reader;
 
-/// Deepest nesting of elements that is accepted; no settings need more.
+/// Maximum nesting depth of elements; no settings file needs more.
 const MAX_DEPTH: usize = 16;
-/// Most elements that are accepted.
+/// Maximum number of elements in a document.
 const MAX_NODES: usize = 100_000;
 
-/// One problem of a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {place}: {message}")]
 pub struct Problem {
-    /// Line of the file, counted from 1.
+    /// Line number in the file, counted from 1.
     pub line: usize,
-    /// The element, in angle brackets, with the attribute if one is wrong.
+    /// The element in angle brackets, with the attribute if the error is in one.
     pub place: String,
-    /// What is wrong, and what is wanted.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
@@ -48,86 +48,92 @@
         self.children.iter().filter(move |c| c.name == name)
     }
 
-    /// All elements of that name below this one, in the order of the text.
-    pub fn all<'n>(&'n self, name: &str) -> Vec<&'n Node> {
+    /// Returns all descendants with this name, in document order.
+    pub fn descendants<'n>(&'n self, name: &str) -> Vec<&'n Node> {
         let mut found = Vec::new();
-        self.collect(name, &mut found);
+        self.collect_descendants(name, &mut found);
         found
     }
 
-    fn collect<'n>(&'n self, name: &str, found: &mut Vec<&'n Node>) {
+    fn collect_descendants<'n>(&'n self, name: &str, found: &mut Vec<&'n Node>) {
         for child in &self.children {
             if child.name == name {
                 found.push(child);
             }
-            child.collect(name, found);
+            child.collect_descendants(name, found);
         }
     }
 }
 
-/// Reads an XML text; its one element.
+/// Parses an XML document and returns its root element.
 pub(crate) fn parse(text: &str) -> Result<Node, Problem> {
     let mut reader = Reader::from_str(text);
-    let mut lines = Lines { text, at: 0, line: 1 };
-    // The first stands for the document.
+    let mut lines = LineCounter { text, position: 0, line: 1 };
+    // The first node stands for the document itself.
     let mut open = vec![Node::default()];
     let mut nodes = 0;
     loop {
-        let line = lines.up_to(reader.buffer_position());
-        let wrong = |message: String| Problem { line, place: "XML".to_owned(), message };
+        let line = lines.line_at(reader.buffer_position());
+        let xml_error = |message: String| Problem { line, place: "XML".to_owned(), message };
         let event = reader.read_event();
-        let line = lines.up_to(reader.error_position().max(reader.buffer_position()));
+        let line = lines.line_at(reader.error_position().max(reader.buffer_position()));
         let event = event.map_err(|e| Problem { line, place: "XML".to_owned(), message: e.to_string() })?;
         match event {
             Event::Start(start) | Event::Empty(start) if open.len() > MAX_DEPTH || nodes >= MAX_NODES => {
                 let name = String::from_utf8_lossy(start.name().as_ref()).into_owned();
-                return Err(wrong(format!("<{name}>: too many elements, or too deep")));
+                return Err(xml_error(format!("<{name}>: too many elements, or nested too deeply")));
             }
             Event::Start(start) => {
                 nodes += 1;
-                open.push(node(&start, line)?);
+                open.push(node_from_start_tag(&start, line)?);
             }
             Event::Empty(start) => {
                 nodes += 1;
-                let node = node(&start, line)?;
+                let node = node_from_start_tag(&start, line)?;
                 parent(&mut open).children.push(node);
             }
             Event::End(_) => {
-                let done = open.pop().unwrap_or_default();
-                parent(&mut open).children.push(done);
+                let closed = open.pop().unwrap_or_default();
+                parent(&mut open).children.push(closed);
             }
             Event::Text(bytes) => {
-                let text = bytes.decode().map_err(|e| wrong(e.to_string()))?;
+                let text = bytes.decode().map_err(|e| xml_error(e.to_string()))?;
                 parent(&mut open).text.push_str(text.trim());
             }
             Event::CData(bytes) => {
-                let text = bytes.decode().map_err(|e| wrong(e.to_string()))?;
+                let text = bytes.decode().map_err(|e| xml_error(e.to_string()))?;
                 parent(&mut open).text.push_str(&text);
             }
             Event::GeneralRef(_) => parent(&mut open).text.push('&'),
-            Event::DocType(_) => return Err(wrong("a document type is not taken".to_owned())),
+            Event::DocType(_) => {
+                return Err(xml_error("a document type declaration is not allowed".to_owned()))
+            }
             Event::Decl(_) | Event::PI(_) | Event::Comment(_) => {}
             Event::Eof => break,
         }
     }
-    let line = lines.up_to(text.len() as u64);
+    let line = lines.line_at(text.len() as u64);
     if let Some(unclosed) = open.get(1) {
-        return Err(Problem::at(unclosed, "is never closed"));
+        return Err(Problem::at(unclosed, "has no end tag"));
     }
     let mut document = open.pop().unwrap_or_default();
     match (document.children.pop(), document.children.is_empty()) {
         (Some(root), true) => Ok(root),
-        _ => Err(Problem { line, place: "XML".to_owned(), message: "one element is wanted".to_owned() }),
+        _ => Err(Problem {
+            line,
+            place: "XML".to_owned(),
+            message: "exactly one root element is expected".to_owned(),
+        }),
     }
 }
 
 fn parent(open: &mut [Node]) -> &mut Node {
-    // The document's own node is never popped: an end without a start is an error of the reader.
+    // The document's own node is never popped: an end tag without a start tag is an error of the XML reader.
     let last = open.len() - 1;
     &mut open[last]
 }
 
-fn node(start: &BytesStart<'_>, line: usize) -> Result<Node, Problem> {
+fn node_from_start_tag(start: &BytesStart<'_>, line: usize) -> Result<Node, Problem> {
     let name = String::from_utf8_lossy(start.name().as_ref()).into_owned();
     let mut node = Node { name, line, ..Node::default() };
     for attribute in start.attributes() {
@@ -141,17 +147,18 @@
     Ok(node)
 }
 
-struct Lines<'t> {
+/// Converts ascending byte positions into line numbers.
+struct LineCounter<'t> {
     text: &'t str,
-    at: usize,
+    position: usize,
     line: usize,
 }
 
-impl Lines<'_> {
-    fn up_to(&mut self, position: u64) -> usize {
-        let position = usize::try_from(position).unwrap_or(usize::MAX).clamp(self.at, self.text.len());
-        self.line += self.text.as_bytes()[self.at..position].iter().filter(|b| **b == b'\n').count();
-        self.at = position;
+impl LineCounter<'_> {
+    fn line_at(&mut self, position: u64) -> usize {
+        let position = usize::try_from(position).unwrap_or(usize::MAX).clamp(self.position, self.text.len());
+        self.line += self.text.as_bytes()[self.position..position].iter().filter(|b| **b == b'\n').count();
+        self.position = position;
         self.line
     }
 }
--- a/crates/gaparch-config/src/lib.rs
+++ b/crates/gaparch-config/src/lib.rs
@@ -1,8 +1,9 @@
-//! The XML settings of a router, validated by `schema/gaparch.xsd` and by checks that a schema can't express.
+//! The XML settings of a router, validated against `schema/gaparch.xsd` and by checks that a schema can't
+//! express.
 //!
-//! [`Config::parse`] reads a file's text and reports every problem at once, each with its line and element. The schema
-//! alone defines which elements and attributes there are: [`schema`] interprets it, so that what this crate accepts and
-//! what the published schema accepts can't drift apart. The crate does no I/O.
+//! [`Config::parse`] reads the text of a file and reports all errors at once, each with its line and element.
+//! The schema alone defines the valid elements and attributes: [`schema`] interprets it at run time, so that
+//! this crate and the published schema can't disagree on them. The crate does no I/O.
 
 #![warn(missing_docs)]
 
@@ -22,5 +23,5 @@
 pub use document::Problem;
 pub use units::{Bytes, Span};
 
-/// The commented example of a settings file.
+/// An example settings file with comments.
 pub const EXAMPLE: &str = include_str!("../../../examples/gaparch.xml");
--- a/crates/gaparch-config/src/parse.rs
+++ b/crates/gaparch-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! From the text of a settings file to checked settings.
+//! Reads a settings file and checks it.
 
 use crate::check::Check;
 use crate::config::Config;
@@ -10,8 +10,8 @@
     /// Reads and checks the text of a settings file.
     ///
     /// # Errors
-    /// Every problem of the file, in the order of its lines. Its values are checked against one another only once it
-    /// is valid against the schema.
+    /// All errors of the file, in the order of its lines. The checks that a schema can't express run only if
+    /// the file is valid against the schema.
     pub fn parse(text: &str) -> Result<Config, Vec<Problem>> {
         let document = document::parse(text).map_err(|problem| vec![problem])?;
         let problems = Schema::published().validate_root(&document);
@@ -19,7 +19,7 @@
             return Err(problems);
         }
         let raw: raw::Gaparch = quick_xml::de::from_str(text).map_err(|e| {
-            // It is valid against the schema: what is left are values that the schema can't describe.
+            // The file is valid against the schema, so only a value that the schema can't describe is left.
             vec![Problem { line: document.line, place: "settings".to_owned(), message: e.to_string() }]
         })?;
         let mut check = Check::new(&document);
--- a/crates/gaparch-config/src/raw/dialects.rs
+++ b/crates/gaparch-config/src/raw/dialects.rs
@@ -1,4 +1,4 @@
-//! The elements of dialects.
+//! The elements for dialects of the client protocol.
 
 use serde::Deserialize;
 
@@ -6,7 +6,7 @@
     "own".to_owned()
 }
 
-/// `<dialects>` of the client protocol.
+/// `<dialects>`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Dialects {
@@ -54,7 +54,7 @@
     pub text: Option<String>,
 }
 
-/// `<word>`: another spelling of a value.
+/// `<word>`: another spelling of one of the protocol's words.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Word {
@@ -64,7 +64,7 @@
     pub spelt: String,
 }
 
-/// `<request>`: where a field of a request is found.
+/// `<request>`: the path of a field of requests.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Request {
--- a/crates/gaparch-config/src/raw/mod.rs
+++ b/crates/gaparch-config/src/raw/mod.rs
@@ -1,6 +1,6 @@
-//! The settings file's elements and attributes, as they are written, with the defaults of absent attributes.
+//! The elements and attributes of the settings file as deserialized, with the defaults of absent attributes.
 //!
-//! Field names follow the file's keys; what they mean is documented in [`crate::config`] and in the schema.
+//! Field names follow the file's keys; their meaning is documented in [`crate::config`] and in the schema.
 
 mod dialects;
 mod operations;
@@ -110,7 +110,7 @@
     pub listen: Vec<Listen>,
 }
 
-/// `<listen>`: an address for clients.
+/// `<listen>`: an address at which clients connect.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Listen {
@@ -144,7 +144,7 @@
     pub kind: Vec<Kind>,
 }
 
-/// `<kind>` of engine.
+/// `<kind>`: a kind of engine.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Kind {
@@ -201,7 +201,7 @@
     Draining,
 }
 
-/// `<list>`: the service that publishes the endpoint list.
+/// `<list>`: the discovery service, which publishes the endpoint list.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct List {
@@ -213,7 +213,7 @@
     pub ask_within: Span,
 }
 
-/// `list/@mode`: whether updates are pushed or asked for.
+/// `list/@mode`: whether updates are pushed or polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Mode {
@@ -267,7 +267,7 @@
     }
 }
 
-/// `<rules>` of the site.
+/// `<rules>`: timing rules of the site.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Rules {
@@ -287,7 +287,7 @@
     pub answer_slack: Span,
 }
 
-/// `<limits>`; what is absent has its default in [`crate::config::Limits`].
+/// `<limits>`; absent attributes have their defaults in [`crate::config::Limits`].
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Limits {
--- a/crates/gaparch-config/src/raw/operations.rs
+++ b/crates/gaparch-config/src/raw/operations.rs
@@ -1,4 +1,4 @@
-//! The elements of the operations interface and of membership.
+//! The elements for the operations interface and for membership.
 
 use crate::units::{Bytes, Span};
 use serde::Deserialize;
@@ -95,7 +95,7 @@
     pub seed: Vec<Seed>,
 }
 
-/// `<seed>`: a router to join.
+/// `<seed>`: a router through which this one joins the others.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Seed {
--- a/crates/gaparch-config/src/raw/traffic.rs
+++ b/crates/gaparch-config/src/raw/traffic.rs
@@ -1,4 +1,4 @@
-//! The elements of traffic classes and tenants.
+//! The elements for traffic classes and tenants.
 
 use crate::units::Span;
 use serde::Deserialize;
@@ -27,7 +27,7 @@
     pub class: Vec<Class>,
 }
 
-/// `<class>` of traffic.
+/// `<class>`: a traffic class.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Class {
@@ -59,7 +59,7 @@
     pub silence_limit: Span,
 }
 
-/// `class/@effect`: whether a repeat does harm.
+/// `class/@effect`: whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Effect {
@@ -68,7 +68,7 @@
     Unsafe,
 }
 
-/// `class/@group`: the engines that drop a repeat.
+/// `class/@group`: the engines among which a duplicate is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Group {
--- a/crates/gaparch-config/src/scheduler_settings.rs
+++ b/crates/gaparch-config/src/scheduler_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file's elements as settings of the scheduler.
+//! Converts the elements of the settings file into settings of the scheduler.
 
 use crate::config::Names;
 use crate::raw;
@@ -6,7 +6,7 @@
     DeduplicationScope, Idempotency, Role, ServerKind, Settings, Tenant, TrafficClass,
 };
 
-/// The scheduler's settings, with names resolved to their index.
+/// Returns the scheduler's settings, with names resolved to indices.
 pub(crate) fn scheduler_settings(raw: &raw::Gaparch, names: &Names) -> Settings {
     let (attempts, rules) = (&raw.attempts, &raw.rules);
     Settings {
--- a/crates/gaparch-config/src/units.rs
+++ b/crates/gaparch-config/src/units.rs
@@ -1,4 +1,4 @@
-//! Times and sizes with a unit, as the settings write them.
+//! Durations and sizes with a unit, as written in the settings.
 
 use gaparch_scheduler::api::Nanos;
 use serde::{de, Deserialize, Deserializer};
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A span of time, such as `250ms`, `1.5s` or `2m`.
+/// A duration, such as `250ms`, `1.5s` or `2m`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Nanos);
 
@@ -14,23 +14,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub usize);
 
-/// The error of a text that is not a number with a unit.
+/// A text that is not a number with a known unit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no value with a unit")]
+#[error("'{0}' is not a number with a known unit")]
 pub struct UnitError(String);
 
 impl Span {
-    /// A span of milliseconds.
+    /// Creates a span of this many milliseconds.
     pub const fn millis(ms: u64) -> Span {
         Span(ms * 1_000_000)
     }
 
-    /// A span of seconds.
+    /// Creates a span of this many seconds.
     pub const fn secs(s: u64) -> Span {
         Span(s * 1_000_000_000)
     }
 
-    /// The span as a standard duration.
+    /// Returns the span as a standard duration.
     pub fn duration(self) -> Duration {
         Duration::from_nanos(self.0)
     }
@@ -40,22 +40,22 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Span, UnitError> {
-        let wrong = || UnitError(text.to_owned());
-        let unit_at = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(wrong)?;
-        let (number, unit) = text.split_at(unit_at);
-        let number: f64 = number.parse().map_err(|_| wrong())?;
+        let error = || UnitError(text.to_owned());
+        let unit_start = text.find(|c: char| c.is_ascii_alphabetic()).ok_or_else(error)?;
+        let (number, unit) = text.split_at(unit_start);
+        let number: f64 = number.parse().map_err(|_| error())?;
         let scale = match unit {
             "us" => 1e3,
             "ms" => 1e6,
             "s" => 1e9,
             "m" => 60e9,
             "h" => 3600e9,
-            _ => return Err(wrong()),
+            _ => return Err(error()),
         };
         let nanos = number * scale;
         match nanos.is_finite() && (0.0..1e18).contains(&nanos) {
             true => Ok(Span(nanos.round() as Nanos)),
-            false => Err(wrong()),
+            false => Err(error()),
         }
     }
 }
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the example is sound, every mistake is named with its line, schema and reader agree.
+//! Settings files: the example is valid, errors are reported with their lines, schema and reader agree.
 
 use gaparch_config::schema::{self, Schema};
 use gaparch_config::{server_id, Config, EXAMPLE};
@@ -8,15 +8,15 @@
     Config::parse(text).err().unwrap_or_default().iter().map(ToString::to_string).collect()
 }
 
-/// The example with one text put in place of another, which must be there.
+/// Returns the example with the first occurrence of a text replaced; panics if the text does not occur.
 fn edited(from: &str, to: &str) -> String {
     assert!(EXAMPLE.contains(from), "{from}");
     EXAMPLE.replacen(from, to, 1)
 }
 
 #[test]
-fn the_example_is_sound_and_says_what_it_says() {
-    let config = Config::parse(EXAMPLE).expect("sound");
+fn the_example_is_valid_and_parsed_as_written() {
+    let config = Config::parse(EXAMPLE).expect("valid settings");
     assert_eq!(config.router, "north-1");
     assert_eq!(config.listeners.len(), 3);
     assert_eq!(config.listeners[2].dialect.name(), "house");
@@ -30,17 +30,17 @@
 }
 
 #[test]
-fn a_fleet_has_defaults_and_its_key_file_counts_from_the_settings_folder() {
+fn fleet_defaults_apply_and_the_key_file_is_resolved_against_the_settings_folder() {
     let text = edited(" address=\"127.0.0.1:7400\" key-file", " key-file")
         .replace(" period=\"200ms\" hold=\"60s\" confirm=\"3s\" refined=\"true\"", "");
-    let fleet = Config::parse(&text).expect("sound").fleet.expect("there is one");
+    let fleet = Config::parse(&text).expect("valid settings").fleet.expect("a fleet");
     assert_eq!((fleet.address, fleet.period, fleet.hold), (fleet.listen, 200_000_000, 60_000_000_000));
     assert!(fleet.refined);
-    let example = Config::parse(EXAMPLE).expect("sound").fleet.expect("there is one");
+    let example = Config::parse(EXAMPLE).expect("valid settings").fleet.expect("a fleet");
     assert_eq!(
         (fleet.confirm, example.confirm),
         (None, Some(3_000_000_000)),
-        "nothing is followed unless it is wanted"
+        "lists of other routers are used only if configured"
     );
     assert_eq!(gaparch_config::Fleet { confirm: None, ..example.clone() }, fleet);
     assert_eq!(
@@ -50,84 +50,92 @@
 }
 
 #[test]
-fn a_fleet_that_cannot_be_says_why() {
+fn each_invalid_fleet_setting_is_reported() {
     for (from, to, wanted) in [
         (" key-file=\"fleet.key\"", "", "<fleet>: attribute 'key-file' is missing"),
-        (
-            "period=\"200ms\"",
-            "period=\"10ms\"",
-            "<fleet period>: at less than 80ms a router would have to send more",
-        ),
-        ("period=\"200ms\"", "period=\"1m\"", "<fleet period>: at more than 10s"),
-        ("hold=\"60s\"", "hold=\"1s\"", "<fleet hold>: 6000 ms at least: the longest deadline"),
+        ("period=\"200ms\"", "period=\"10ms\"", "<fleet period>: below 80ms a router would exceed its limit"),
+        ("period=\"200ms\"", "period=\"1m\"", "<fleet period>: above 10s"),
+        ("hold=\"60s\"", "hold=\"1s\"", "<fleet hold>: must be at least 6000 ms: the longest deadline"),
         (
             "address=\"127.0.0.1:7400\" key",
             "address=\"0.0.0.0:7400\" key",
-            "<fleet address>: the others can't send to that",
+            "<fleet address>: other routers can't send to this",
         ),
         (
             "<fleet listen=\"127.0.0.1:7400\" address=\"127.0.0.1:7400\"",
             "<fleet listen=\"127.0.0.1:0\"",
-            "<fleet listen>: the others can't",
+            "<fleet listen>: other routers can't",
         ),
         ("<seed address=\"127.0.0.1:7401\"/>", "<seed address=\"127.0.0.1:99999\"/>", "<seed address>"),
     ] {
         let found = problems(&edited(from, to));
         assert!(found.iter().any(|p| p.contains(wanted)), "{wanted}: {found:?}");
     }
-    let (before, rest) = EXAMPLE.split_once("<operations ").expect("it has one");
-    let (_, after) = rest.split_once("</operations>").expect("it ends");
+    let (before, rest) = EXAMPLE.split_once("<operations ").expect("the element");
+    let (_, after) = rest.split_once("</operations>").expect("its end tag");
     let found = problems(&format!("{before}{after}"));
-    assert!(found.iter().any(|p| p.contains("<fleet listen>: wants <operations>")), "{found:?}");
-    let (before, rest) = EXAMPLE.split_once("<seed ").expect("it has one");
-    let (_, after) = rest.split_once("</fleet>").expect("it ends");
+    assert!(found.iter().any(|p| p.contains("<fleet listen>: requires <operations>")), "{found:?}");
+    let (before, rest) = EXAMPLE.split_once("<seed ").expect("the element");
+    let (_, after) = rest.split_once("</fleet>").expect("its end tag");
     let found = problems(&format!("{before}</fleet>{after}"));
-    assert!(found.iter().any(|p| p.contains("<fleet listen>: <seed> is wanted")), "{found:?}");
+    assert!(found.iter().any(|p| p.contains("<fleet listen>: requires a <seed>")), "{found:?}");
 }
 
 #[test]
-fn each_mistake_is_named_with_line_and_element() {
+fn each_error_is_reported_with_line_and_element() {
     for (from, to, wanted) in [
-        ("<zone id=\"south\"/>", "<zone id=\"north\"/>", "<zone id>: 'north' stands in line 11 already"),
+        ("<zone id=\"south\"/>", "<zone id=\"north\"/>", "<zone id>: 'north' is already used in line 11"),
         (
             "kind=\"reader\" zone=\"south\"",
             "kind=\"raeder\" zone=\"south\"",
-            "<engine kind>: there is no kind 'raeder'",
+            "<engine kind>: unknown kind 'raeder'",
         ),
-        ("zone=\"north\" rack", "zone=\"west\" rack", "<engine zone>: there is no zone 'west'"),
+        ("zone=\"north\" rack", "zone=\"west\" rack", "<engine zone>: unknown zone 'west'"),
         ("aim=\"1s\"", "aim=\"9s\"", "<class aim>: must be above 0"),
         (" window=\"5s\"", "", "<class window>: a keyed class needs"),
         ("deadline=\"5s\"", "", "<class>: attribute 'deadline' is missing"),
-        ("deadline=\"5s\"", "deadline=\"5\"", "<class deadline>: '5' is no time"),
-        ("release-within=\"500ms\"", "release-within=\"5ms\"", "<rules release-within>: 5ms can't be kept"),
+        ("deadline=\"5s\"", "deadline=\"5\"", "<class deadline>: '5' is not a valid time"),
+        (
+            "release-within=\"500ms\"",
+            "release-within=\"5ms\"",
+            "<rules release-within>: 5ms is too short: must be at least 50ms",
+        ),
         ("<zones>", "<zonen/><zones>", "<zonen>: unknown element 'zonen'"),
-        ("mode=\"push\"", "mode=\"pull\"", "<list mode>: 'pull' is no mode: one of push, ask"),
-        ("most=\"5\"", "most=\"0\"", "<attempts most>: '0' is no count: at least 1"),
+        (
+            "mode=\"push\"",
+            "mode=\"pull\"",
+            "<list mode>: 'pull' is not a valid mode: must be one of push, ask",
+        ),
+        ("most=\"5\"", "most=\"0\"", "<attempts most>: '0' is not a valid count: must be at least 1"),
         ("weight=\"1\"", "weight=\"1e300\"", "<engine weight>"),
         ("weight=\"1\"", "weight=\"NaN\"", "<engine weight>"),
         ("weight=\"1\"", "weihgt=\"1\"", "<engine>: unknown attribute 'weihgt'"),
-        ("value=\"change-me-web\"", "value=\"change-me-app\"", "<key value>: the same key"),
+        ("value=\"change-me-web\"", "value=\"change-me-app\"", "<key value>: the same key is used twice"),
         ("share=\"0.6\"", "share=\"0.7\"", "<tenants share>: the shares add up"),
-        ("dialect=\"house\"", "dialect=\"cottage\"", "<listen dialect>: there is no dialect 'cottage'"),
+        ("dialect=\"house\"", "dialect=\"cottage\"", "<listen dialect>: unknown dialect 'cottage'"),
         ("spelt=\"busy\"", "spelt=\"api_error\"", "<dialect>: two words are spelt 'api_error'"),
         ("name=\"tick\"", "name=\"error\"", "<dialect>: events 'failed' and 'keep-alive' have the same name"),
         ("number=\"0\"", "number=\"2\"", "<router number>"),
-        ("127.0.0.1:7101", "127.0.0.1:99999", "<engine address>: '127.0.0.1:99999' is no address"),
-        ("127.0.0.1:8090", "10.1.2.3:8090", "<operations address>: 10.1.2.3 is not on loopback"),
-        (" key=\"change-me-wall\"", "", "<operator key-file>: one of key-file and key"),
-        ("name=\"wall\"", "name=\"office\"", "<operator name>: 'office' stands in line"),
-        ("role=\"watch\"", "role=\"root\"", "<operator role>: 'root' is no operator-role"),
-        ("history=\"64MiB\"", "history=\"64\"", "<operations history>: 1MiB at least"),
-        ("version=\"1\">", "version=\"2\">", "<gaparch version>: version 1 is wanted"),
+        (
+            "127.0.0.1:7101",
+            "127.0.0.1:99999",
+            "<engine address>: '127.0.0.1:99999' is not an IP address with a port",
+        ),
+        ("127.0.0.1:8090", "10.1.2.3:8090", "<operations address>: 10.1.2.3 is not a loopback address"),
+        (" key=\"change-me-wall\"", "", "<operator key-file>: exactly one of key-file and key"),
+        ("name=\"wall\"", "name=\"office\"", "<operator name>: 'office' is already used in line"),
+        ("role=\"watch\"", "role=\"root\"", "<operator role>: 'root' is not a valid operator-role"),
+        ("history=\"64MiB\"", "history=\"64\"", "<operations history>: must be at least 1MiB"),
+        ("version=\"1\">", "version=\"2\">", "<gaparch version>: only version 1 is supported"),
     ] {
         let found = problems(&edited(from, to));
-        let named = found.iter().any(|p| p.starts_with("line ") && p.contains(wanted));
-        assert!(named, "{from} -> {to}: {found:?}");
+        let reported = found.iter().any(|p| p.starts_with("line ") && p.contains(wanted));
+        assert!(reported, "{from} -> {to}: {found:?}");
     }
 }
 
 #[test]
-fn all_mistakes_come_at_once_in_the_order_of_their_lines() {
+fn all_errors_are_reported_at_once_in_line_order() {
     let text = edited("aim=\"1s\"", "aim=\"9s\"").replacen("kind=\"writer\"", "kind=\"w\"", 2);
     let found = problems(&text);
     assert_eq!(found.len(), 3, "{found:?}");
@@ -137,7 +145,7 @@
 }
 
 #[test]
-fn a_text_that_is_no_xml_is_one_problem_with_its_line() {
+fn malformed_xml_is_reported_as_a_single_error() {
     for text in ["", "<gaparch>", "<gaparch version='1'>\n<router></gaparch>", "hello", "<a/><b/>"] {
         let found = problems(text);
         assert_eq!(found.len(), 1, "{text}: {found:?}");
@@ -147,10 +155,10 @@
     assert!(problems(&deep)[0].contains("too deep"));
 }
 
-/// Each element and attribute of the schema is known to the reader: the example uses every one of them, the
-/// reader takes the example, and it takes nothing that the schema does not name (`deny_unknown_fields`).
+/// Shows, together with the test that the reader accepts the example, that the reader knows each element and
+/// attribute of the schema: it rejects those that it does not know (`deny_unknown_fields`).
 #[test]
-fn schema_and_reader_know_the_same_words() {
+fn the_example_uses_each_element_and_attribute_of_the_schema() {
     for (element, attributes) in Schema::published().attributes_by_element() {
         assert!(EXAMPLE.contains(&format!("<{element}")), "<{element}> is not in the example");
         for attribute in attributes {
@@ -163,9 +171,9 @@
     }
 }
 
-/// And the other way round: what the reader's structs name, the schema names too.
+/// The reverse: each element and attribute that the reader's structs declare is in the schema.
 #[test]
-fn what_the_reader_names_is_in_the_schema() {
+fn the_schema_has_each_attribute_of_the_reader() {
     let vocabulary = Schema::published().attributes_by_element();
     let mut seen = 0;
     let reader = concat!(
@@ -191,7 +199,7 @@
 }
 
 #[test]
-fn the_schema_alone_judges_shapes_as_the_reader_does() {
+fn the_schema_alone_accepts_the_example_and_rejects_structural_errors() {
     let schema = Schema::published();
     assert_eq!(schema.validate(EXAMPLE), vec![]);
     for (from, to) in [
@@ -207,7 +215,7 @@
 }
 
 #[test]
-fn a_schema_in_words_that_are_not_known_is_refused() {
+fn unsupported_or_undefined_schema_constructs_are_rejected() {
     for text in [
         schema::TEXT.replacen("xs:sequence", "xs:choice", 2),
         schema::TEXT.replacen("xs:pattern", "xs:length", 1),
--- a/crates/gaparch-setup/tests/setup.rs
+++ b/crates/gaparch-setup/tests/setup.rs
@@ -59,7 +59,7 @@
     assert!(problems[0].to_string().contains("<class aim>"), "{problems:?}");
     let twice = files(&answers(&["r=read@10.0.0.1:1", "r=read@10.0.0.2:1"]), &secrets(), &place());
     let twice = twice.expect_err("refused");
-    assert!(twice.iter().any(|p| p.to_string().contains("'r' stands in line")), "{twice:?}");
+    assert!(twice.iter().any(|p| p.to_string().contains("'r' is already used in line")), "{twice:?}");
     let quote = Answers { name: "a\" b".to_owned(), ..answers(&SITE) };
     assert!(files(&quote, &secrets(), &place()).is_err(), "no way out of the attribute");
     for (text, word) in
