--- a/crates/gaparch-platform-protocol/src/body.rs
+++ b/crates/gaparch-platform-protocol/src/body.rs
@@ -1,15 +1,15 @@
-//! Bodies of HTTP/1.1 messages: how a head frames one, its decoder, and the encoder of chunks.
+//! Bodies of HTTP/1.1 messages: framing, a decoder, and the encoding of chunks.
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Longest body of a request that the protocol allows, in bytes.
+/// Maximum length of a request's body in the protocol, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Longest line of a chunk's size with its extensions, or of a trailer, in bytes.
+/// Maximum length of a line with a chunk's size and its extensions, or of a trailer's line, in bytes.
 const MAX_LINE_BYTES: usize = 256;
-/// Longest trailer in bytes.
+/// Maximum length of a trailer in bytes.
 const MAX_TRAILER_BYTES: usize = 4 * 1024;
-/// The end of a line.
+/// Line terminator.
 const CRLF: &[u8] = b"\r\n";
 
 /// How the end of a body is recognized.
@@ -17,9 +17,9 @@
 pub enum Framing {
     /// The body has this many bytes.
     Length(u64),
-    /// The body is sent in chunks, and a last one of length 0 ends it.
+    /// The body is sent in chunks and ends with a chunk of length 0.
     Chunked,
-    /// The end of the connection ends the body.
+    /// The body ends with the connection.
     UntilClose,
 }
 
@@ -29,10 +29,10 @@
     /// The size of a chunk is malformed.
     #[error("a chunk whose size can't be read")]
     ChunkSize,
-    /// A chunk is longer than the decoder allows.
+    /// A chunk exceeds the decoder's maximum length.
     #[error("a chunk of more bytes than a body may have")]
     ChunkTooLong,
-    /// The end of a line does not follow a chunk.
+    /// A chunk is not followed by a line terminator.
     #[error("a chunk that does not end where its size says")]
     ChunkEnd,
     /// The trailer is malformed or too long.
@@ -40,7 +40,7 @@
     Trailer,
 }
 
-/// What the front of a buffer holds of a body.
+/// The next part of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyPart {
     /// Some bytes of the body.
@@ -54,10 +54,10 @@
 /// What the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// This many bytes of a body of stated length.
+    /// This many more bytes of a body of known length.
     Remaining(u64),
     ChunkSize,
-    /// This many bytes of a chunk.
+    /// This many more bytes of a chunk.
     Chunk(u64),
     ChunkEnd,
     /// A line of the trailer, of which this many bytes have been read.
@@ -66,11 +66,11 @@
     Complete,
 }
 
-/// Decodes a body as its bytes arrive. It holds none of them itself.
+/// Decodes a body incrementally, without buffering any of its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyDecoder {
     state: State,
-    /// Longest chunk in bytes.
+    /// Maximum length of a chunk in bytes.
     max_chunk: u64,
 }
 
@@ -91,15 +91,15 @@
         BodyDecoder { state, max_chunk: max_chunk as u64 }
     }
 
-    /// Whether the body is complete where the connection ends now.
+    /// Whether the body is complete if the connection ends now.
     pub fn ends_with_connection(&self) -> bool {
         matches!(self.state, State::UntilClose | State::Complete)
     }
 
-    /// Takes the next part of the body off the front of `buffer`.
+    /// Removes the next part of the body from the front of `buffer`.
     ///
     /// # Errors
-    /// When the framing is malformed. Nothing after that can be decoded.
+    /// Returns an error if the framing is malformed. The rest of the message can't be decoded then.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<BodyPart, BodyError> {
         loop {
             match self.state {
@@ -139,7 +139,7 @@
         BodyPart::Data(data)
     }
 
-    /// Decodes the end of a chunk; `false` where more bytes are needed.
+    /// Decodes the end of a chunk. Returns `false` if more bytes are needed.
     fn decode_chunk_end(&mut self, buffer: &mut BytesMut) -> Result<bool, BodyError> {
         if buffer.len() < CRLF.len() && buffer[0] == b'\r' {
             return Ok(false);
@@ -152,7 +152,7 @@
         Ok(true)
     }
 
-    /// Decodes the size of a chunk; `false` where more bytes are needed.
+    /// Decodes the size of a chunk. Returns `false` if more bytes are needed.
     fn decode_chunk_size(&mut self, buffer: &mut BytesMut) -> Result<bool, BodyError> {
         let line = split_line(buffer).map_err(|MalformedLine| BodyError::ChunkSize)?;
         let Some(line) = line else { return Ok(false) };
@@ -163,7 +163,7 @@
         Ok(true)
     }
 
-    /// Decodes a line of the trailer; `false` where more bytes are needed.
+    /// Decodes a line of the trailer. Returns `false` if more bytes are needed.
     fn decode_trailer_line(&mut self, buffer: &mut BytesMut, length: usize) -> Result<bool, BodyError> {
         let line = split_line(buffer).map_err(|MalformedLine| BodyError::Trailer)?;
         let Some(line) = line else { return Ok(false) };
@@ -176,16 +176,16 @@
     }
 }
 
-/// Splits at most `limit` bytes off the front of the buffer; with them, how many of the limit are left.
+/// Splits at most `limit` bytes off the front of the buffer. Returns them, and how much of the limit is left.
 fn split_up_to(buffer: &mut BytesMut, limit: u64) -> (Bytes, u64) {
     let length = usize::try_from(limit).unwrap_or(usize::MAX).min(buffer.len());
     (buffer.split_to(length).freeze(), limit - length as u64)
 }
 
-/// A line that is too long, or does not end with CR LF.
+/// A line that is too long or does not end with CR LF.
 struct MalformedLine;
 
-/// Splits a line off the front of the buffer and returns it without its end; `None` while it is incomplete.
+/// Splits a line off the front of the buffer. Returns it without its terminator; `None` if it is incomplete.
 fn split_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, MalformedLine> {
     let newline = buffer.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n');
     match newline {
@@ -200,14 +200,14 @@
     }
 }
 
-/// Parses the size of a chunk; its extensions are skipped.
+/// Parses the size of a chunk, and skips its extensions.
 fn parse_chunk_size(line: &[u8], max: u64) -> Result<u64, BodyError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = std::str::from_utf8(digits).map_err(|_| BodyError::ChunkSize)?.trim_end();
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(BodyError::ChunkSize);
     }
-    // The digits are sound, so the only failure left is an overflow.
+    // The digits are valid, so the only possible error is an overflow.
     let size = u64::from_str_radix(digits, 16).map_err(|_| BodyError::ChunkTooLong)?;
     if size > max {
         return Err(BodyError::ChunkTooLong);
@@ -215,7 +215,7 @@
     Ok(size)
 }
 
-/// Appends one chunk to `out`; nothing where `data` is empty, since an empty chunk would end the body.
+/// Appends one chunk to `out`; nothing if `data` is empty, since an empty chunk would end the body.
 pub fn encode_chunk(out: &mut BytesMut, data: &[u8]) {
     if !data.is_empty() {
         out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -224,5 +224,5 @@
     }
 }
 
-/// The last chunk with an empty trailer, which ends a body.
+/// The last chunk and an empty trailer, which end a body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/gaparch-platform-protocol/src/client_request.rs
+++ b/crates/gaparch-platform-protocol/src/client_request.rs
@@ -1,30 +1,30 @@
-//! Requests of clients, as their heads state them.
+//! Client requests, as stated by the heads of HTTP requests.
 
 use crate::head::{HeaderValue, RequestHead};
 use gaparch_platform_settings::PlatformSettings;
 use gaparch_scheduler::api::{AffinityKey, ClassId, Nanos, TenantId};
 use thiserror::Error;
 
-/// Path of the completions endpoint, which clients send their requests to.
+/// Path of the completions endpoint, to which clients send their requests.
 pub const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 /// Path of the readiness check.
 pub const HEALTH_PATH: &str = "/_health";
-/// Estimated bytes of a body per token of its prompt, where the client states no length.
+/// Estimated bytes of the body per token of the prompt, used if the client does not state its length.
 const BYTES_PER_TOKEN: usize = 4;
-/// Longest transaction id in bytes; those of the platform have 16.
+/// Maximum length of a transaction id in bytes; those of the platform have 16.
 const MAX_ID_BYTES: usize = 64;
-/// Longest time that a client may state for its first token: an hour, in milliseconds.
+/// Maximum time that a client may allow for its first token: an hour, in milliseconds.
 const MAX_REMAINING_MS: u64 = 3_600_000;
-/// Largest number of tokens that a label may state.
+/// Maximum number of tokens in a label.
 const MAX_TOKENS: u32 = 100_000_000;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// Id of a request, chosen by its client: 1 to 64 letters, digits, `-` and `_`.
+/// Request id chosen by the client: 1 to 64 letters, digits, `-` and `_`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TransactionId(String);
 
 impl TransactionId {
-    /// Parses an id; `None` where the text can't be one.
+    /// Parses an id. Returns `None` if the text is not a valid one.
     pub fn new(id: &str) -> Option<TransactionId> {
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
         let is_valid = (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(is_allowed);
@@ -37,10 +37,10 @@
     }
 }
 
-/// Why the request of a client is not accepted. The text is the body of the answer.
+/// Why a client's request is rejected. The error text is sent as the response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ClientRequestError {
-    /// The path is none that the router serves.
+    /// The router does not serve the path.
     #[error("nothing is served there")]
     Path,
     /// The method is not POST.
@@ -52,7 +52,7 @@
     /// The traffic class is missing, repeated or unknown.
     #[error("X-Lane must name a class of the settings")]
     Class,
-    /// The time that is left to the client is missing, repeated or malformed.
+    /// The client's remaining time is missing, repeated or malformed.
     #[error("X-Remaining-Ms must be a whole number of milliseconds")]
     Deadline,
     /// An optional header is repeated.
@@ -64,7 +64,7 @@
 }
 
 impl ClientRequestError {
-    /// Returns the HTTP status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             ClientRequestError::Path => 404,
@@ -74,38 +74,39 @@
     }
 }
 
-/// A client's request without its body.
+/// A client's request, without its body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Id that the client has given the request.
+    /// Request id chosen by the client.
     pub transaction: TransactionId,
     /// Traffic class.
     pub class: ClassId,
-    /// Tenant; `None` where the client names none that is known.
+    /// Tenant; `None` if the client states none, or an unknown one.
     pub tenant: Option<TenantId>,
     /// Conversation that the request belongs to.
     pub session: Option<AffinityKey>,
-    /// Prefix that its prompt shares with other requests.
+    /// Prefix that the prompt shares with other requests.
     pub prefix: Option<AffinityKey>,
-    /// Tokens of the prompt; 0 where the client does not state them.
+    /// Number of tokens of the prompt; 0 if the client does not state it.
     pub prompt_tokens: u32,
-    /// Tokens of the shared prefix; 0 where the client does not state them.
+    /// Number of tokens of the shared prefix; 0 if the client does not state it.
     pub prefix_tokens: u32,
-    /// Most tokens of the answer; 0 where the client does not state them.
+    /// Maximum number of tokens to generate; 0 if the client does not state it.
     pub max_output_tokens: u32,
-    /// How long the client waits for the first token, from the arrival of its request, in nanoseconds.
+    /// How long the client waits for the first token after the arrival of its request, in nanoseconds.
     pub remaining: Nanos,
     /// Whether the client has sent the request before.
     pub client_retry: bool,
-    /// Whether the client asks for the rest of a stream that broke.
+    /// Whether the client requests the rest of a stream that broke off.
     pub client_reconnect: bool,
 }
 
 impl ClientRequest {
-    /// Reads the head of a request.
+    /// Interprets the head of a request.
     ///
     /// # Errors
-    /// When something in it is missing or malformed.
+    /// Returns an error if the router does not serve the path or method, a required header is missing, or a
+    /// header is malformed or repeated.
     pub fn from_head(
         head: &RequestHead,
         settings: &PlatformSettings,
@@ -132,7 +133,7 @@
         Ok(request)
     }
 
-    /// Takes what the labels state. They are hints: a malformed one counts as absent.
+    /// Applies the labels. They are hints: a malformed one counts as absent.
     fn apply_labels(&mut self, labels: &str) {
         for label in labels.split(',') {
             let Some((name, value)) = label.trim().split_once('=') else { continue };
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Estimates the tokens of the prompt from the length of the body, where the client has not stated them.
+    /// Estimates the tokens of the prompt from the length of the body, if the client has not stated them.
     pub fn with_body_length(mut self, bytes: usize) -> ClientRequest {
         if self.prompt_tokens == 0 {
             let estimate = u32::try_from(bytes / BYTES_PER_TOKEN).unwrap_or(MAX_TOKENS);
--- a/crates/gaparch-platform-protocol/src/config.rs
+++ b/crates/gaparch-platform-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that the platform gives a router, read at its start and again at each SIGHUP.
+//! The configuration file that the platform provides to a router, read at start-up and again on each SIGHUP.
 
 use crate::endpoint_list::{EndpointList, ListLimits};
 use gaparch_platform_settings::{diagnose, PlatformSettings, SettingsDiagnostic};
@@ -6,20 +6,20 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Fewest sockets that a router works with: listeners, discovery, signals, a few clients and workers.
+/// Minimum number of sockets that a router needs: listeners, discovery, signals, a few clients and workers.
 const MIN_SOCKETS: u64 = 32;
-/// Sockets of a router where the file states no limit.
+/// Limit on a router's sockets if the file states none.
 const DEFAULT_SOCKETS: u64 = 256;
-/// Memory of a router in mebibytes where the file states no limit.
+/// Memory limit of a router in mebibytes if the file states none.
 const DEFAULT_MEMORY_MB: f64 = 64.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
-/// What an address has to be, for an error's text.
-const ADDRESS: &str = "an address with its port";
+/// Description of a valid address in error texts.
+const ADDRESS: &str = "an IP address with a port";
 
-/// The first field of a configuration that can't be used.
+/// The first invalid field of a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The file is no JSON object.
+    /// The file is not a JSON object.
     #[error("not JSON: {0}")]
     Json(String),
     /// A field is missing.
@@ -30,33 +30,33 @@
     Invalid {
         /// Path of the field.
         field: &'static str,
-        /// What it has to be.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
-/// The configuration of a router in service.
+/// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
     /// Name of the router, for the log.
     pub name: String,
-    /// Address that clients connect to.
+    /// Address to which clients connect.
     pub listen: SocketAddr,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Most sockets that the router may use.
+    /// Maximum number of sockets that the router may use.
     pub sockets: usize,
-    /// Bounds of an endpoint list, by the memory limit.
+    /// Limits on the size of an endpoint list, derived from the memory limit.
     pub list_limits: ListLimits,
-    /// Addresses for gossip; `None` where there is none.
+    /// Addresses for gossip; `None` if gossip is not configured.
     pub gossip: Option<GossipAddresses>,
-    /// The endpoint list as this router last knew it.
+    /// The last endpoint list known to this router.
     pub last_known_list: Option<EndpointList>,
     /// The platform's settings object.
     pub settings: PlatformSettings,
-    /// What of the settings object is missing or malformed.
+    /// Diagnostics of the settings object: fields that are missing or malformed.
     pub diagnostics: Vec<SettingsDiagnostic>,
-    /// After how long a worker closes an idle connection, in nanoseconds; `None` where it is not stated.
+    /// Time after which a worker closes an idle connection, in nanoseconds; `None` if not stated.
     pub idle_close_ns: Option<u64>,
 }
 
@@ -67,16 +67,16 @@
     pub listen: SocketAddr,
     /// Address of each router, by its index.
     pub routers: Vec<SocketAddr>,
-    /// Address that reaches all routers, if there is one.
+    /// Broadcast address that reaches all routers, if there is one.
     pub broadcast: Option<SocketAddr>,
 }
 
 impl RouterConfig {
-    /// Reads the text of the file. `fallback` is asked by the name of the field for `name`, `listen` and `discovery`
-    /// where the file lacks them.
+    /// Parses the text of the file. If the file lacks `name`, `listen` or `discovery`, `fallback` is called
+    /// with the name of the field.
     ///
     /// # Errors
-    /// The first field that is missing or malformed.
+    /// Returns the first field that is missing or malformed.
     pub fn from_json(
         json: &[u8],
         fallback: impl Fn(&str) -> Option<String>,
@@ -84,7 +84,7 @@
         let file: Value =
             serde_json::from_slice(json).map_err(|error| ConfigError::Json(error.to_string()))?;
         if !file.is_object() {
-            return Err(ConfigError::Json("an object is wanted".to_owned()));
+            return Err(ConfigError::Json("expected an object".to_owned()));
         }
         let settings = read_settings(&file)?;
         let sockets = read_sockets(&file["limits"]["sockets"])?;
@@ -96,7 +96,7 @@
             sockets,
             list_limits: ListLimits::for_memory(memory_bytes),
             gossip: read_gossip(&file)?,
-            // The discovery service states the list: one that can't be read here is no loss.
+            // An invalid list is ignored, since the discovery service provides the current one.
             last_known_list: EndpointList::from_value(&file["known"]).ok(),
             idle_close_ns: file["settings"]["caps"]["idleCloseNs"].as_u64().filter(|ns| *ns > 0),
             diagnostics: diagnose(&file["settings"], &settings),
@@ -130,7 +130,7 @@
 }
 
 fn read_sockets(value: &Value) -> Result<usize, ConfigError> {
-    let error = ConfigError::Invalid { field: "limits.sockets", expected: "a whole number from 32" };
+    let error = ConfigError::Invalid { field: "limits.sockets", expected: "a whole number of at least 32" };
     let sockets = match value {
         Value::Null => DEFAULT_SOCKETS,
         value => value.as_u64().filter(|sockets| *sockets >= MIN_SOCKETS).ok_or(error)?,
@@ -155,7 +155,7 @@
     match &file[field] {
         Value::String(text) => Ok(text.clone()),
         Value::Null => fallback(field).ok_or(ConfigError::Missing(field)),
-        _ => Err(ConfigError::Invalid { field, expected: "a text" }),
+        _ => Err(ConfigError::Invalid { field, expected: "a string" }),
     }
 }
 
--- a/crates/gaparch-platform-protocol/src/endpoint_list/endpoint_list_tests.rs
+++ b/crates/gaparch-platform-protocol/src/endpoint_list/endpoint_list_tests.rs
@@ -1,4 +1,4 @@
-//! Answers of the discovery service, complete and in pieces.
+//! Endpoint lists of the discovery service, parsed whole and in pieces.
 
 use super::*;
 use proptest::prelude::*;
@@ -6,9 +6,9 @@
 
 const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 1_000 };
 
-/// A site may name its cells: an entry was dropped for it, and with all of them the list.
+/// Guards against rejecting entries, and with them the whole list, at a site whose cells have names.
 #[test]
-fn an_entry_is_taken_whatever_stands_for_its_cell_and_weight() {
+fn an_entry_is_accepted_with_any_value_as_its_cell_and_weight() {
     let cases = [
         (json!(3), json!(1.5), "3", Some(1.5)),
         (json!("rack-b"), json!("heavy"), "rack-b", None),
@@ -16,25 +16,28 @@
         (json!([3]), json!({}), "", None),
         (json!(-3), json!(2), "-3", Some(2.0)),
     ];
-    for (cell, weight, rack, taken) in cases {
-        let list = json!({"generation": 1, "reset": true, "instances": [{"instanceId": "s", "hostPort": "127.0.0.1:1",
-            "cell": cell, "weight": weight, "lifecycle": "ready"}]});
-        let members = EndpointList::from_json(list.to_string().as_bytes(), LIMITS).expect("it is a list");
-        let entry = &members.entries[0];
-        assert_eq!((entry.rack.as_str(), entry.weight, members.rejected_entries), (rack, taken, 0));
+    for (cell, weight, expected_rack, expected_weight) in cases {
+        let list = json!({"generation": 1, "reset": true, "instances": [{"instanceId": "s",
+            "hostPort": "127.0.0.1:1", "cell": cell, "weight": weight, "lifecycle": "ready"}]});
+        let parsed = EndpointList::from_json(list.to_string().as_bytes(), LIMITS).expect("a valid list");
+        let entry = &parsed.entries[0];
+        assert_eq!(
+            (entry.rack.as_str(), entry.weight, parsed.rejected_entries),
+            (expected_rack, expected_weight, 0)
+        );
     }
 }
 
-/// An entry whose start can't be read may be in slow start, and is not taken for one that is past it.
+/// A worker whose start time can't be read may be in slow start, so it must not count as fully warmed up.
 #[test]
-fn an_entry_whose_start_makes_no_sense_is_rejected() {
-    let list = json!({"generation": 1, "reset": false, "instances": [{"instanceId": "s", "hostPort": "127.0.0.1:1",
-        "startedAtMs": "just now", "lifecycle": "ready"}]});
-    let members = EndpointList::from_json(list.to_string().as_bytes(), LIMITS).expect("it is a list");
-    assert_eq!((members.entries.len(), members.rejected_entries), (0, 1));
+fn an_entry_with_an_invalid_start_time_is_rejected() {
+    let list = json!({"generation": 1, "reset": false, "instances": [{"instanceId": "s",
+        "hostPort": "127.0.0.1:1", "startedAtMs": "just now", "lifecycle": "ready"}]});
+    let parsed = EndpointList::from_json(list.to_string().as_bytes(), LIMITS).expect("a valid list");
+    assert_eq!((parsed.entries.len(), parsed.rejected_entries), (0, 1));
 }
 
-/// A list of so many workers, indented or not.
+/// Returns a list of this many workers, indented or not.
 fn list(workers: usize, indented: bool) -> String {
     let instance = |n: usize| {
         json!({"instanceId": format!("s-{n} \"[{{]}},"), "hostPort": format!("10.0.0.{n}:80"), "zone": "a",
@@ -44,64 +47,64 @@
     let list = json!({"other": {"instances": ["not these"]}, "generation": 7, "reset": true, "instances": all,
         "later": [{"x": "]"}]});
     if indented {
-        serde_json::to_string_pretty(&list).expect("it is JSON")
+        serde_json::to_string_pretty(&list).expect("valid JSON")
     } else {
         list.to_string()
     }
 }
 
-fn read_in_pieces(
+fn parse_in_pieces(
     text: &[u8],
     cuts: &[usize],
     limits: ListLimits,
 ) -> Result<EndpointList, EndpointListError> {
-    let mut reader = EndpointListParser::new(limits);
+    let mut parser = EndpointListParser::new(limits);
     let mut from = 0;
     for cut in cuts {
         let to = (from + cut).min(text.len());
-        reader.push(&text[from..to])?;
+        parser.push(&text[from..to])?;
         from = to;
     }
-    reader.push(&text[from..])?;
-    reader.finish()
+    parser.push(&text[from..])?;
+    parser.finish()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_cut_gives_the_same_list(
+    fn the_list_does_not_depend_on_how_its_bytes_are_split(
         workers in 1usize..20, indented in any::<bool>(), cuts in prop::collection::vec(1usize..97, 0..40)
     ) {
         let text = list(workers, indented);
-        let members = read_in_pieces(text.as_bytes(), &cuts, LIMITS).expect("it is a list");
-        prop_assert_eq!((members.generation, members.scope, members.rejected_entries), (7, Scope::Full, 0));
-        prop_assert_eq!(members.entries.len(), workers);
-        prop_assert_eq!(&members.entries[workers - 1].engine, &format!("s-{} \"[{{]}},", workers - 1));
-        prop_assert_eq!(&EndpointList::from_json(text.as_bytes(), LIMITS).expect("it is a list"), &members);
+        let parsed = parse_in_pieces(text.as_bytes(), &cuts, LIMITS).expect("a valid list");
+        prop_assert_eq!((parsed.generation, parsed.scope, parsed.rejected_entries), (7, Scope::Full, 0));
+        prop_assert_eq!(parsed.entries.len(), workers);
+        prop_assert_eq!(&parsed.entries[workers - 1].engine, &format!("s-{} \"[{{]}},", workers - 1));
+        prop_assert_eq!(&EndpointList::from_json(text.as_bytes(), LIMITS).expect("a valid list"), &parsed);
     }
 
     #[test]
-    fn a_list_that_is_cut_off_is_none(workers in 1usize..20, indented in any::<bool>(), at in 0.0..1.0) {
+    fn a_truncated_list_is_rejected(workers in 1usize..20, indented in any::<bool>(), at in 0.0..1.0) {
         let text = list(workers, indented);
         let kept = (text.len() as f64 * at) as usize;
         prop_assert!(EndpointList::from_json(&text.as_bytes()[..kept], LIMITS).is_err());
     }
 
     #[test]
-    fn no_bytes_make_the_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_make_the_parser_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = EndpointList::from_json(&bytes, LIMITS);
     }
 
-    /// Noise built of what the reader looks at.
+    /// Random text made of the characters that the parser treats specially.
     #[test]
-    fn no_brackets_make_the_reader_panic(text in "[\\[\\]{},:\" a1\\\\]{0,60}") {
+    fn arbitrary_brackets_and_quotes_do_not_make_the_parser_panic(text in "[\\[\\]{},:\" a1\\\\]{0,60}") {
         let _ = EndpointList::from_json(format!("{{\"instances\":{text}").as_bytes(), LIMITS);
     }
 }
 
 #[test]
-fn entries_that_make_no_sense_are_rejected_and_counted() {
+fn invalid_entries_are_rejected_and_counted() {
     let good = r#"{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}"#;
     let long = format!(r#"{{"instanceId":"{}","hostPort":"127.0.0.1:1"}}"#, "x".repeat(9_000));
     for bad in [
@@ -114,13 +117,13 @@
         &long,
     ] {
         let text = format!(r#"{{"generation":1,"reset":true,"instances":[{good}, {bad} ,{good}]}}"#);
-        let members = EndpointList::from_json(text.as_bytes(), LIMITS).expect("the others are a list");
-        assert_eq!((members.entries.len(), members.rejected_entries), (2, 1), "{bad:.60}");
+        let parsed = EndpointList::from_json(text.as_bytes(), LIMITS).expect("a list of the other entries");
+        assert_eq!((parsed.entries.len(), parsed.rejected_entries), (2, 1), "{bad:.60}");
     }
 }
 
 #[test]
-fn what_is_no_json_is_rejected_as_a_whole() {
+fn a_list_that_is_not_json_is_rejected_as_a_whole() {
     let good = r#"{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}"#;
     for entries in [
         format!("{good},"),
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn a_list_beyond_the_limits_is_rejected_by_name() {
+fn each_exceeded_limit_has_its_own_error() {
     let text = list(20, false);
     let few = ListLimits { entries: 19, ..LIMITS };
     assert!(matches!(
@@ -161,20 +164,24 @@
         Err(EndpointListError::TooLong { .. })
     ));
     assert!(EndpointList::from_json(text.as_bytes(), ListLimits { bytes: text.len(), entries: 20 }).is_ok());
-    let noise = format!("{{\"x\":\"{}\"", "x".repeat(100_000));
+    let long_envelope = format!("{{\"x\":\"{}\"", "x".repeat(100_000));
     assert!(matches!(
-        EndpointList::from_json(noise.as_bytes(), LIMITS),
-        Err(EndpointListError::OutlineTooLong { .. })
+        EndpointList::from_json(long_envelope.as_bytes(), LIMITS),
+        Err(EndpointListError::EnvelopeTooLong { .. })
     ));
 }
 
-/// The letter's fleet fits into the letter's memory; less memory allows a shorter list, and never none.
+/// A list of 10,000 workers fits into the limits for 64 MiB. Less memory lowers the limits, but not below the
+/// platform's usual list length.
 #[test]
-fn limits_follow_from_the_memory() {
+fn list_limits_depend_on_the_memory_limit() {
     const MIB: usize = 1 << 20;
     let fleet = list(10_000, true);
     let limits = ListLimits::for_memory(64 * MIB);
-    assert_eq!(EndpointList::from_json(fleet.as_bytes(), limits).expect("it fits").entries.len(), 10_000);
+    assert_eq!(
+        EndpointList::from_json(fleet.as_bytes(), limits).expect("a list within the limits").entries.len(),
+        10_000
+    );
     assert!(limits.entries >= 16_000 && ListLimits::for_memory(32 * MIB).entries < limits.entries);
     assert!(ListLimits::for_memory(0).entries >= 2_000);
 }
--- a/crates/gaparch-platform-protocol/src/endpoint_list/entry.rs
+++ b/crates/gaparch-platform-protocol/src/endpoint_list/entry.rs
@@ -7,7 +7,7 @@
 
 const NANOS_PER_MS: f64 = 1e6;
 
-/// An entry as its JSON states it.
+/// An entry as written in JSON.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ListedInstance {
@@ -17,12 +17,12 @@
     zone: String,
     #[serde(default)]
     machine_type: String,
-    /// A number or a name; any other value counts as none.
+    /// A number or a name; any other value counts as absent.
     #[serde(default)]
     cell: Value,
     #[serde(default)]
     lifecycle: String,
-    /// Any value but a number counts as none.
+    /// A number; any other value counts as absent.
     #[serde(default)]
     weight: Value,
     /// Unix time in milliseconds.
@@ -31,7 +31,7 @@
 }
 
 impl ListedInstance {
-    /// Returns the entry; `None` where it has no name or no address.
+    /// Returns the entry, or `None` if it has no name or no address.
     pub(super) fn into_entry(self) -> Option<ListEntry> {
         if self.instance_id.is_empty() || self.host_port.is_empty() {
             return None;
@@ -58,7 +58,7 @@
     }
 }
 
-/// An unknown state counts as draining: it does not invite requests.
+/// Returns the state for a lifecycle. An unknown one counts as draining, so that the worker gets no requests.
 fn server_state(lifecycle: &str) -> ServerState {
     match lifecycle {
         "ready" => ServerState::Ready,
--- a/crates/gaparch-platform-protocol/src/endpoint_list/parser.rs
+++ b/crates/gaparch-platform-protocol/src/endpoint_list/parser.rs
@@ -1,5 +1,5 @@
-//! An incremental parser of endpoint lists. Each entry is parsed and its text dropped as soon as its last byte is there, so
-//! that a list of any length takes the memory of its entries and of one entry's text.
+//! An incremental parser for endpoint lists. Each entry is parsed, and its text dropped, as soon as it is
+//! complete, so that a list of any length takes only the memory of its entries and the text of one of them.
 
 use super::entry::ListedInstance;
 use super::{scope, EndpointList, EndpointListError, ListLimits};
@@ -7,72 +7,72 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Most bytes beside the entries: a handful of fields, with room for unknown ones.
-const MAX_OUTLINE_BYTES: usize = 64 * 1024;
-/// Most bytes of one entry, of which some 160 are usual. A longer one is rejected.
+/// Maximum number of bytes outside the entries: a handful of fields, with room for unknown ones.
+const MAX_ENVELOPE_BYTES: usize = 64 * 1024;
+/// Maximum number of bytes of one entry; about 160 are usual. A longer entry is rejected.
 const MAX_ENTRY_BYTES: usize = 4 * 1024;
-/// Name of the field that holds the entries.
+/// Name of the field that contains the entries, in quotes.
 const ENTRIES_FIELD: &[u8] = b"\"instances\"";
-/// Nesting depth of the fields of the list.
+/// Nesting depth at which the list's fields are.
 const DEPTH_OF_FIELDS: usize = 1;
-/// Nesting depth of the entries.
+/// Nesting depth at which the entries are.
 const DEPTH_OF_ENTRIES: usize = 2;
 
 /// The list without its entries.
 #[derive(Deserialize)]
-struct Outline {
+struct Envelope {
     generation: u64,
     #[serde(default)]
     reset: bool,
-    /// The entries have been taken out; the field is read to be of the right type.
+    /// Empty, since the entries are parsed separately; declared so that the field's type is checked.
     #[serde(default, rename = "instances")]
     _entries: Vec<Value>,
 }
 
-/// Where the next byte belongs.
+/// The part of the list that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Section {
-    /// To the list without its entries.
-    Outline,
-    /// To the array of entries: before, in or after one.
+    /// The list without its entries.
+    Envelope,
+    /// The array of entries: before, in or after an entry.
     Entries,
 }
 
-/// Position in the syntax of JSON: texts and nesting.
+/// Position in the JSON syntax: strings and nesting.
 #[derive(Debug, Default)]
 struct Syntax {
-    /// Open brackets and braces.
+    /// Number of open brackets and braces.
     depth: usize,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
 impl Syntax {
     fn advance(&mut self, byte: u8) {
-        if self.in_text {
-            self.advance_in_text(byte);
+        if self.in_string {
+            self.advance_in_string(byte);
             return;
         }
         match byte {
-            b'"' => self.in_text = true,
+            b'"' => self.in_string = true,
             b'[' | b'{' => self.depth += 1,
             b']' | b'}' => self.depth = self.depth.saturating_sub(1),
             _ => {}
         }
     }
 
-    fn advance_in_text(&mut self, byte: u8) {
+    fn advance_in_string(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
-            b'"' => self.in_text = false,
+            b'"' => self.in_string = false,
             _ => {}
         }
     }
 
-    /// Whether the next byte stands at this depth and in no text.
+    /// Whether the next byte is at this nesting depth and not in a string.
     fn is_at(&self, depth: usize) -> bool {
-        self.depth == depth && !self.in_text
+        self.depth == depth && !self.in_string
     }
 }
 
@@ -80,30 +80,30 @@
 #[derive(Debug)]
 pub struct EndpointListParser {
     limits: ListLimits,
-    /// Bytes that have come.
+    /// Number of bytes received.
     bytes: usize,
     section: Section,
     syntax: Syntax,
-    outline: Vec<u8>,
-    /// The bytes of the entry that is incomplete.
+    envelope: Vec<u8>,
+    /// Bytes of the current, incomplete entry.
     entry: Vec<u8>,
-    /// Whether that entry has more bytes than one may have.
+    /// Whether that entry exceeds the maximum length.
     entry_too_long: bool,
-    /// Whether a comma came last in the array, so that an entry has to follow.
+    /// Whether a comma came last in the array, so that an entry must follow.
     entry_expected: bool,
     entries: Vec<ListEntry>,
     rejected_entries: usize,
 }
 
 impl EndpointListParser {
-    /// Creates a parser of one list.
+    /// Creates a parser for one list.
     pub fn new(limits: ListLimits) -> EndpointListParser {
         EndpointListParser {
             limits,
             bytes: 0,
-            section: Section::Outline,
+            section: Section::Envelope,
             syntax: Syntax::default(),
-            outline: Vec::new(),
+            envelope: Vec::new(),
             entry: Vec::new(),
             entry_too_long: false,
             entry_expected: false,
@@ -112,10 +112,10 @@
         }
     }
 
-    /// Takes the next bytes of the list.
+    /// Parses the next bytes of the list.
     ///
     /// # Errors
-    /// When the list has more bytes or entries than the limits allow, or an entry is no JSON.
+    /// Returns an error if the list has more bytes or entries than the limits allow, or an entry is not JSON.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EndpointListError> {
         self.bytes = self.bytes.saturating_add(bytes.len());
         if self.bytes > self.limits.bytes {
@@ -123,7 +123,7 @@
         }
         for byte in bytes {
             match self.section {
-                Section::Outline => self.push_outline(*byte)?,
+                Section::Envelope => self.push_envelope(*byte)?,
                 Section::Entries => self.push_entries(*byte)?,
             }
         }
@@ -133,19 +133,19 @@
     /// Returns the list after its last byte.
     ///
     /// # Errors
-    /// When it is no endpoint list, or would leave the router without a worker.
+    /// Returns an error if it is not an endpoint list, or would leave the router without workers.
     pub fn finish(self) -> Result<EndpointList, EndpointListError> {
-        let outline: Outline = serde_json::from_slice(&self.outline)?;
-        EndpointList::new(outline.generation, scope(outline.reset), self.entries, self.rejected_entries)
+        let envelope: Envelope = serde_json::from_slice(&self.envelope)?;
+        EndpointList::new(envelope.generation, scope(envelope.reset), self.entries, self.rejected_entries)
     }
 
-    fn push_outline(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        if self.outline.len() >= MAX_OUTLINE_BYTES {
-            return Err(EndpointListError::OutlineTooLong { max: MAX_OUTLINE_BYTES });
+    fn push_envelope(&mut self, byte: u8) -> Result<(), EndpointListError> {
+        if self.envelope.len() >= MAX_ENVELOPE_BYTES {
+            return Err(EndpointListError::EnvelopeTooLong { max: MAX_ENVELOPE_BYTES });
         }
         let begins_array = byte == b'[' && self.syntax.is_at(DEPTH_OF_FIELDS);
-        let begins_entries = begins_array && self.outline_ends_with_entries_field();
-        self.outline.push(byte);
+        let begins_entries = begins_array && self.envelope_ends_with_entries_field();
+        self.envelope.push(byte);
         self.syntax.advance(byte);
         if begins_entries {
             self.section = Section::Entries;
@@ -154,10 +154,10 @@
         Ok(())
     }
 
-    /// Whether the value that begins now is that of the field with the entries.
-    fn outline_ends_with_entries_field(&self) -> bool {
-        let outline = self.outline.trim_ascii_end();
-        let Some(before_colon) = outline.strip_suffix(b":") else { return false };
+    /// Whether the value that begins now belongs to the field with the entries.
+    fn envelope_ends_with_entries_field(&self) -> bool {
+        let envelope = self.envelope.trim_ascii_end();
+        let Some(before_colon) = envelope.strip_suffix(b":") else { return false };
         before_colon.trim_ascii_end().ends_with(ENTRIES_FIELD)
     }
 
@@ -186,14 +186,14 @@
         }
     }
 
-    /// Takes the bracket that ends the entries.
+    /// Handles the bracket that ends the entries.
     fn end_entries(&mut self) -> Result<(), EndpointListError> {
         let array_is_empty = !self.entry_expected && self.entry.trim_ascii().is_empty();
         if !array_is_empty {
             self.end_entry()?;
         }
-        self.section = Section::Outline;
-        self.outline.push(b']');
+        self.section = Section::Envelope;
+        self.envelope.push(b']');
         self.syntax.advance(b']');
         Ok(())
     }
@@ -211,7 +211,8 @@
         Ok(())
     }
 
-    /// Parses the entry that is complete now; `None` where it is not usable. Bytes that are no JSON spoil the whole list.
+    /// Parses the entry that is now complete; returns `None` if it is unusable. Bytes that are not JSON make
+    /// the whole list invalid.
     fn parse_entry(&mut self) -> Result<Option<ListEntry>, EndpointListError> {
         if std::mem::take(&mut self.entry_too_long) {
             return Ok(None);
--- a/crates/gaparch-platform-protocol/src/event_stream.rs
+++ b/crates/gaparch-platform-protocol/src/event_stream.rs
@@ -1,21 +1,21 @@
-//! A worker's stream of server-sent events. It is forwarded unchanged: only the ends of events, and the last event, are
-//! looked for.
+//! A worker's stream of server-sent events. It is forwarded unchanged, so only the ends of events and the
+//! last event are detected.
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// Longest event in bytes: some tokens, or the usage statistics at the end.
+/// Maximum length of an event in bytes: some tokens, or the usage statistics at the end.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
-/// The last event of a complete stream, without the blank line that ends it.
+/// The last event of a complete stream, without the blank line that terminates it.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 
 /// Why bytes are not a stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EventStreamError {
-    /// Something else than an event begins where one should.
-    #[error("no event where one should begin")]
+    /// Bytes that can't begin an event stand where one is expected.
+    #[error("bytes that do not begin an event")]
     NotAnEvent,
-    /// An event does not end within the bound.
+    /// An event exceeds the maximum length.
     #[error("an event of more than {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// Events follow the last one.
@@ -23,7 +23,7 @@
     AfterDone,
 }
 
-/// Splits a stream into runs of complete events. It holds the bytes of at most one incomplete event.
+/// Splits a stream into runs of complete events. It buffers at most one incomplete event.
 #[derive(Debug, Default)]
 pub struct EventStream {
     incomplete: BytesMut,
@@ -31,10 +31,10 @@
 }
 
 impl EventStream {
-    /// Takes more bytes of the stream, and returns the events that are complete now as one run of bytes.
+    /// Adds bytes of the stream, and returns the events that are complete now as one run of bytes.
     ///
     /// # Errors
-    /// When the bytes are not a stream of events.
+    /// Returns an error if the bytes are not a stream of events.
     pub fn push(&mut self, data: &[u8]) -> Result<Option<Bytes>, EventStreamError> {
         self.incomplete.extend_from_slice(data);
         let mut complete = 0;
@@ -59,13 +59,13 @@
         Ok((complete > 0).then(|| self.incomplete.split_to(complete).freeze()))
     }
 
-    /// Whether the last event has come, and nothing after it.
+    /// Whether the last event has arrived, and nothing after it.
     pub fn is_complete(&self) -> bool {
         self.done && self.incomplete.is_empty()
     }
 }
 
-/// Returns the length of the first event with the blank line that ends it; `None` while it is incomplete.
+/// Returns the length of the first event, with its terminating blank line; `None` while it is incomplete.
 fn first_event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     while let Some(length) = bytes[line_start..].iter().position(|byte| *byte == b'\n') {
@@ -79,9 +79,9 @@
     None
 }
 
-/// Whether an event may begin with these bytes, which may end within its field name.
+/// Whether an event may begin with these bytes, which may be only a part of its first field's name.
 fn may_begin_event(bytes: &[u8]) -> bool {
     let field_names = [b"data:".as_slice(), b"event:", b"id:", b"retry:", b":"];
-    let agrees = |name: &[u8]| bytes.iter().zip(name).all(|(byte, expected)| byte == expected);
-    field_names.into_iter().any(agrees)
+    let is_compatible = |name: &[u8]| bytes.iter().zip(name).all(|(byte, expected)| byte == expected);
+    field_names.into_iter().any(is_compatible)
 }
--- a/crates/gaparch-platform-protocol/src/head.rs
+++ b/crates/gaparch-platform-protocol/src/head.rs
@@ -1,24 +1,24 @@
-//! Heads of HTTP/1.1 messages, in both directions.
+//! Heads of HTTP/1.1 messages: decoding and encoding.
 
 use crate::body::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Longest head in bytes; those of the platform take a few hundred.
+/// Maximum length of a head in bytes; those of the platform have a few hundred.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Most header lines of a head.
+/// Maximum number of header lines in a head.
 const MAX_HEADERS: usize = 64;
 
-/// Why a head can't be decoded. Where its message ends is not known, so the connection is of no further use.
+/// Why a head can't be decoded. The end of its message is unknown, so the connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// The bytes are no head of HTTP/1.1.
+    /// The bytes are not an HTTP/1.1 head.
     #[error("no HTTP/1.1 head")]
     Malformed,
     /// The head has too many bytes or lines.
     #[error("a head of more than {MAX_HEAD_BYTES} bytes")]
     TooLong,
-    /// The framing of the body is missing, repeated, malformed or stated in two ways.
+    /// The framing of the body is repeated, malformed or stated in two ways.
     #[error("a length that can't be told")]
     Framing,
 }
@@ -56,23 +56,23 @@
     value: String,
 }
 
-/// Header lines in their order.
+/// Header lines in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Headers(Vec<Header>);
 
-/// The value of a header that may be there once.
+/// The value of a header that may occur once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderValue<'h> {
-    /// The header is not there.
+    /// The header does not occur.
     Absent,
-    /// The header is there once, with this value.
+    /// The header occurs once, with this value.
     Single(&'h str),
-    /// The header is there more than once.
+    /// The header occurs more than once.
     Repeated,
 }
 
 impl Headers {
-    /// Takes the headers of a request, of which each must be text.
+    /// Converts the headers of a request, whose values must be valid UTF-8.
     fn strict(lines: &[httparse::Header<'_>]) -> Result<Headers, HeadError> {
         let mut headers = Vec::with_capacity(lines.len());
         for line in lines {
@@ -82,7 +82,7 @@
         Ok(Headers(headers))
     }
 
-    /// Takes the headers of a response; what is no text in a value is replaced.
+    /// Converts the headers of a response, and replaces invalid UTF-8 in their values.
     fn lenient(lines: &[httparse::Header<'_>]) -> Headers {
         let header = |line: &httparse::Header<'_>| Header {
             name: line.name.to_owned(),
@@ -110,7 +110,8 @@
         options.map(str::trim).any(|option| option.eq_ignore_ascii_case("close"))
     }
 
-    /// Returns how the body ends, if the headers state it. Both ways at once may hide a second message in the first.
+    /// Returns how the end of the body is recognized, if the headers state it. Stating it in two ways is an
+    /// error, since a second message could be hidden in the body (request smuggling).
     fn framing(&self) -> Result<Option<Framing>, HeadError> {
         match (self.value("content-length"), self.value("transfer-encoding")) {
             (HeaderValue::Absent, HeaderValue::Absent) => Ok(None),
@@ -127,7 +128,7 @@
 }
 
 fn parse_content_length(digits: &str) -> Result<u64, HeadError> {
-    // `parse` would take a sign, too.
+    // `parse` would also accept a sign.
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HeadError::Framing);
     }
@@ -135,7 +136,7 @@
 }
 
 impl RequestHead {
-    /// Returns the value of a header that may be there once. Case does not matter in `name`.
+    /// Returns the value of a header that may occur once. `name` is case-insensitive.
     pub fn header<'h>(&'h self, name: &'h str) -> HeaderValue<'h> {
         self.headers.value(name)
     }
@@ -147,13 +148,13 @@
         (100..200).contains(&self.status)
     }
 
-    /// Returns the first value of a header. Case does not matter in `name`.
+    /// Returns the first value of a header. `name` is case-insensitive.
     pub fn first_value<'h>(&'h self, name: &'h str) -> Option<&'h str> {
         self.headers.values(name).next()
     }
 }
 
-/// Returns the length of a head by the parser's result; `None` while the head is incomplete.
+/// Converts the parser's result into the length of the head; `None` while the head is incomplete.
 fn head_length(
     parsed: httparse::Result<usize>,
     available: usize,
@@ -167,10 +168,10 @@
     }
 }
 
-/// Takes the head of a request off the front of `buffer`; `None` while it is incomplete.
+/// Removes the head of a request from the front of `buffer`. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// When no more bytes can make it a head that is understood.
+/// Returns an error if the head is invalid, whatever bytes follow.
 pub fn decode_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, HeadError> {
     skip_blank_lines(buffer);
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -189,14 +190,14 @@
     Ok(Some(head))
 }
 
-/// Takes the head of a response off the front of `buffer`; `None` while it is incomplete.
+/// Removes the head of a response from the front of `buffer`. Returns `None` while it is incomplete.
 ///
 /// # Errors
 /// As for [`decode_request`].
 pub fn decode_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, HeadError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut lines);
-    // A load report that is malformed states nothing; the response that it came with stands.
+    // A malformed load report is ignored, and must not invalidate the response that contains it.
     let mut parser = httparse::ParserConfig::default();
     parser.ignore_invalid_headers_in_responses(true);
     let parsed = parser.parse_response(&mut response, &buffer[..buffer.len().min(MAX_HEAD_BYTES)]);
@@ -214,19 +215,19 @@
     Ok(Some(ResponseHead { status, framing, close, headers }))
 }
 
-/// Whether responses of this status never have a body, whatever their heads state.
+/// Whether a response with this status never has a body, whatever its head states.
 fn has_no_body(status: u16) -> bool {
     status < 200 || status == 204 || status == 304
 }
 
-/// Skips blank lines before a request: some clients end a body with a line too many.
+/// Skips blank lines before a request: some clients send an extra line terminator after a body.
 fn skip_blank_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
         buffer.advance(2);
     }
 }
 
-/// Encodes a complete response with a short text as its body, and with `headers` beside those that frame it.
+/// Encodes a complete response with a short text as its body, and with `headers` besides the framing ones.
 pub fn encode_response(status: u16, headers: &[(&str, String)], text: &str, close: bool) -> Bytes {
     let mut out = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n",
@@ -241,7 +242,7 @@
     Bytes::from(out)
 }
 
-/// Returns the head of a response that streams events in chunks.
+/// Returns the head of a response that streams events as chunks.
 pub fn event_stream_head(close: bool) -> &'static [u8] {
     if close {
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
--- a/crates/gaparch-platform-protocol/src/lib.rs
+++ b/crates/gaparch-platform-protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! The platform's protocol, without I/O and without a clock: HTTP/1.1 heads and bodies with strict framing, and the
-//! meaning of the messages of clients, workers and the discovery service. `docs/protocols/platform.md` describes it.
+//! The platform's protocol, without I/O and without a clock: HTTP/1.1 heads and bodies with strict framing,
+//! and the meaning of the messages of clients, workers and the discovery service. The protocol is described
+//! in `docs/protocols/platform.md`.
 //!
-//! Only this crate knows the platform's names. It states what a message means, never what to do about it, and holds no
-//! state beyond that of a decoder.
+//! Only this crate knows the names that the platform uses. It states what a message means, but not how to
+//! react to it, and has no state except that of a decoder.
 
 #![warn(missing_docs)]
 
--- a/crates/gaparch-platform-protocol/src/worker.rs
+++ b/crates/gaparch-platform-protocol/src/worker.rs
@@ -1,4 +1,4 @@
-//! Messages to workers, and the meaning of their responses.
+//! Messages to workers, and the interpretation of their responses.
 
 use crate::client_request::TransactionId;
 use crate::head::ResponseHead;
@@ -6,20 +6,20 @@
 use gaparch_scheduler::api::AttemptStatus;
 use serde::Deserialize;
 
-/// Most interim responses (1xx) that may precede a response.
+/// Maximum number of interim responses (1xx) before a response.
 pub const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// What a worker does for a request.
+/// The stage of a request that a worker runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It computes the KV cache of the prompt.
+    /// The worker computes the KV cache of the prompt.
     Prefill,
-    /// It generates tokens.
+    /// The worker generates tokens.
     Decode,
 }
 
 impl Stage {
-    /// Returns the name that the log states.
+    /// Returns the name used in the log.
     pub fn name(self) -> &'static str {
         match self {
             Stage::Prefill => "prefill",
@@ -28,7 +28,8 @@
     }
 }
 
-/// Encodes the head of a request to a worker. `remaining_ms` is what is left to the client, `body_length` is in bytes.
+/// Encodes the head of a request to a worker. `remaining_ms` is the time that the client still waits, and
+/// `body_length` is in bytes.
 pub fn encode_request_head(
     target: &str,
     transaction: &TransactionId,
@@ -48,7 +49,7 @@
     encode_call("POST", &reservation_path(transaction), host)
 }
 
-/// Encodes a call that releases all that is reserved or cached for a request, at whichever worker.
+/// Encodes a call that releases everything that a worker has reserved or cached for a request.
 pub fn encode_release(transaction: &TransactionId, host: &str) -> Bytes {
     encode_call("DELETE", &reservation_path(transaction), host)
 }
@@ -70,15 +71,15 @@
 /// What the head of a worker's response means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMeaning {
-    /// The prompt is prefilled; the body states how much of it was cached.
+    /// The prompt is prefilled. The body states how much of it was cached.
     Prefilled,
-    /// Events follow.
+    /// A stream of events follows.
     EventStream,
     /// The attempt has ended.
     Ended {
-        /// How it has ended.
+        /// How the attempt has ended.
         status: AttemptStatus,
-        /// Whether the KV cache that it was to decode from is not there.
+        /// Whether the KV cache to decode from is missing.
         kv_cache_missing: bool,
     },
 }
@@ -89,7 +90,7 @@
     }
 }
 
-/// Interprets the response to a request at this stage.
+/// Interprets the response to an attempt of this stage.
 pub fn interpret_response(head: &ResponseHead, stage: Stage) -> ResponseMeaning {
     let rejected = head.first_value("x-turned-away") == Some("1");
     match head.status {
@@ -98,7 +99,7 @@
         410 if rejected => ResponseMeaning::Ended { status: AttemptStatus::Rejected, kv_cache_missing: true },
         503 | 504 if rejected => ResponseMeaning::ended(AttemptStatus::Rejected),
         500 => ResponseMeaning::ended(AttemptStatus::Error),
-        // Whatever else it states, the request may have run.
+        // With any other response, the request may have run.
         _ => ResponseMeaning::ended(AttemptStatus::Unknown),
     }
 }
@@ -112,7 +113,7 @@
     }
 }
 
-/// What is known of a reservation after its response.
+/// State of a reservation after its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
     /// The capacity is reserved.
@@ -124,7 +125,7 @@
 }
 
 impl Reservation {
-    /// Whether the capacity has to be treated as reserved.
+    /// Whether the capacity must be treated as reserved.
     pub fn may_be_reserved(self) -> bool {
         self != Reservation::Rejected
     }
@@ -139,7 +140,8 @@
     }
 }
 
-/// Reads how many tokens of a prompt were cached from the body of a prefill's response; 0 where it does not state that.
+/// Returns how many tokens of a prompt were cached, as stated in the body of a prefill response; 0 if it does
+/// not state that.
 pub fn cached_prompt_tokens(body: &[u8]) -> u32 {
     #[derive(Deserialize)]
     struct PrefillResponse {
--- a/crates/gaparch-platform-protocol/tests/codec.rs
+++ b/crates/gaparch-platform-protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec takes the same from the same bytes however they are cut, and never holds more than its bounds.
+//! The decoders return the same for the same bytes however they are split, and enforce their limits.
 
 use bytes::{Bytes, BytesMut};
 use gaparch_platform_protocol::body::{
@@ -10,13 +10,13 @@
 };
 use proptest::prelude::*;
 
-type Taken = Result<(RequestHead, Vec<u8>), String>;
+type DecodedRequest = Result<(RequestHead, Vec<u8>), String>;
 
-/// What a message is, fed in pieces that end at these places.
-fn request(bytes: &[u8], cuts: &[usize]) -> Option<Taken> {
+/// Decodes a request whose bytes arrive in pieces that end at these positions; `None` if it is incomplete.
+fn decode_in_pieces(bytes: &[u8], cuts: &[usize]) -> Option<DecodedRequest> {
     let mut buf = BytesMut::new();
     let mut head: Option<(RequestHead, BodyDecoder)> = None;
-    let mut whole = Vec::new();
+    let mut complete_body = Vec::new();
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).chain([bytes.len()]).collect();
     ends.sort_unstable();
     let mut from = 0;
@@ -25,17 +25,17 @@
         from = end;
         if head.is_none() {
             match decode_request(&mut buf) {
-                Ok(Some(taken)) => head = Some((taken.clone(), BodyDecoder::new(taken.framing))),
+                Ok(Some(decoded)) => head = Some((decoded.clone(), BodyDecoder::new(decoded.framing))),
                 Ok(None) => continue,
                 Err(error) => return Some(Err(error.to_string())),
             }
         }
-        let Some((taken, body)) = head.as_mut() else { continue };
+        let Some((decoded_head, body)) = head.as_mut() else { continue };
         loop {
             match body.decode(&mut buf) {
-                Ok(BodyPart::Data(data)) => whole.extend_from_slice(&data),
+                Ok(BodyPart::Data(data)) => complete_body.extend_from_slice(&data),
                 Ok(BodyPart::Incomplete) => break,
-                Ok(BodyPart::End) => return Some(Ok((taken.clone(), whole))),
+                Ok(BodyPart::End) => return Some(Ok((decoded_head.clone(), complete_body))),
                 Err(error) => return Some(Err(error.to_string())),
             }
         }
@@ -43,77 +43,79 @@
     None
 }
 
-fn chunked(pieces: &[Vec<u8>]) -> Vec<u8> {
+fn chunked_request(pieces: &[Vec<u8>]) -> Vec<u8> {
     let mut out = BytesMut::from(&b"POST /x HTTP/1.1\r\nX-Txn: 1\r\nTransfer-Encoding: chunked\r\n\r\n"[..]);
     pieces.iter().for_each(|piece| encode_chunk(&mut out, piece));
     out.extend_from_slice(LAST_CHUNK);
     out.to_vec()
 }
 
-/// What a stream of events is, cut so; whether it was whole.
-fn events(bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, Result<bool, EventStreamError>) {
+/// Forwards a stream of events that arrives in pieces that end at these positions. Returns the forwarded
+/// bytes, and whether the stream is complete.
+fn forward_events(bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, Result<bool, EventStreamError>) {
     let mut events = EventStream::default();
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
     let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).chain([bytes.len()]).collect();
     ends.sort_unstable();
     let mut from = 0;
     for end in ends {
         match events.push(&bytes[from..end]) {
-            Ok(run) => passed.extend_from_slice(&run.unwrap_or_default()),
-            Err(error) => return (passed, Err(error)),
+            Ok(run) => forwarded.extend_from_slice(&run.unwrap_or_default()),
+            Err(error) => return (forwarded, Err(error)),
         }
         from = end;
     }
-    (passed, Ok(events.is_complete()))
+    (forwarded, Ok(events.is_complete()))
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_chunked_message_is_the_same_however_it_is_cut(
+    fn a_chunked_request_does_not_depend_on_how_it_is_split(
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..300), 0..8),
         cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
-        let bytes = chunked(&pieces);
-        let (head, body) = request(&bytes, &cuts).expect("whole").expect("sound");
+        let bytes = chunked_request(&pieces);
+        let (head, body) = decode_in_pieces(&bytes, &cuts).expect("complete").expect("valid");
         prop_assert_eq!(head.framing, Framing::Chunked);
         prop_assert_eq!(body, pieces.concat());
     }
 
     #[test]
-    fn rubbish_is_the_same_however_it_is_cut_and_holds_no_more_than_a_head(
+    fn the_result_for_arbitrary_bytes_does_not_depend_on_how_they_are_split(
         mut bytes in prop::collection::vec(any::<u8>(), 0..400),
-        sound in 0usize..60,
+        valid_prefix in 0usize..60,
         cuts in prop::collection::vec(any::<usize>(), 0..6),
     ) {
-        // A sound beginning gets further in.
-        let start = chunked(&[b"abc".to_vec()]);
-        bytes.splice(0..0, start[..sound.min(start.len())].iter().copied());
-        let once = request(&bytes, &[]);
-        let cut = request(&bytes, &cuts);
-        if let (Some(Ok(once)), Some(Ok(cut))) = (&once, &cut) {
-            prop_assert_eq!(once, cut);
+        // A valid beginning lets the decoder get beyond the first bytes.
+        let start = chunked_request(&[b"abc".to_vec()]);
+        bytes.splice(0..0, start[..valid_prefix.min(start.len())].iter().copied());
+        let at_once = decode_in_pieces(&bytes, &[]);
+        let split = decode_in_pieces(&bytes, &cuts);
+        if let (Some(Ok(at_once)), Some(Ok(split))) = (&at_once, &split) {
+            prop_assert_eq!(at_once, split);
         }
-        prop_assert_eq!(once.as_ref().map(Result::is_ok), cut.as_ref().map(Result::is_ok));
+        prop_assert_eq!(at_once.as_ref().map(Result::is_ok), split.as_ref().map(Result::is_ok));
         let _ = decode_response(&mut BytesMut::from(&bytes[..]));
     }
 
     #[test]
-    fn events_pass_unchanged_however_they_are_cut(
+    fn events_are_forwarded_unchanged_however_they_are_split(
         texts in prop::collection::vec("[a-z{}\":]{0,40}", 1..6),
         cuts in prop::collection::vec(any::<usize>(), 0..12),
     ) {
         let text: String = texts.iter().map(|text| format!("data: {text}\n\n")).collect();
-        let whole = format!("{text}data: [DONE]\n\n");
-        prop_assert_eq!(events(whole.as_bytes(), &cuts), (whole.clone().into_bytes(), Ok(true)));
-        // Without its last event it is not whole.
-        prop_assert_eq!(events(text.as_bytes(), &cuts).1, Ok(false));
+        let complete = format!("{text}data: [DONE]\n\n");
+        let expected = (complete.clone().into_bytes(), Ok(true));
+        prop_assert_eq!(forward_events(complete.as_bytes(), &cuts), expected);
+        // Without its last event the stream is incomplete.
+        prop_assert_eq!(forward_events(text.as_bytes(), &cuts).1, Ok(false));
     }
 }
 
 #[test]
-fn lengths_that_may_hide_a_message_are_none() {
+fn ambiguous_framing_that_may_hide_a_message_is_rejected() {
     let head = |lines: &str| {
         let bytes = format!("POST / HTTP/1.1\r\n{lines}\r\n\r\n");
         decode_request(&mut BytesMut::from(bytes.as_bytes()))
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn a_head_without_end_is_told_at_its_bound() {
+fn a_head_that_exceeds_the_maximum_length_is_rejected() {
     let mut bytes = BytesMut::from(&b"GET / HTTP/1.1\r\nX: "[..]);
     bytes.extend_from_slice(&vec![b'x'; MAX_HEAD_BYTES]);
     assert_eq!(decode_request(&mut bytes), Err(HeadError::TooLong));
@@ -148,8 +150,8 @@
 }
 
 #[test]
-fn chunks_that_make_no_sense_are_told_and_take_no_memory() {
-    let first = |bytes: &str| {
+fn malformed_or_too_long_chunks_are_rejected() {
+    let first_non_data = |bytes: &str| {
         let mut body = BodyDecoder::new(Framing::Chunked);
         let mut bytes = BytesMut::from(bytes.as_bytes());
         loop {
@@ -159,16 +161,16 @@
             }
         }
     };
-    assert_eq!(first("zz\r\n"), Err(BodyError::ChunkSize));
-    assert_eq!(first("-1\r\n"), Err(BodyError::ChunkSize));
-    assert_eq!(first("\r\n"), Err(BodyError::ChunkSize));
-    assert_eq!(first(&format!("{:x}\r\n", MAX_BODY_BYTES + 1)), Err(BodyError::ChunkTooLong));
-    assert_eq!(first("ffffffffffffffffff\r\n"), Err(BodyError::ChunkTooLong));
-    assert_eq!(first("3\r\nabcd"), Err(BodyError::ChunkEnd));
-    assert_eq!(first(&"1".repeat(300)), Err(BodyError::ChunkSize));
-    assert_eq!(first("2;name=value\r\nab\r\n0\r\nX: y\r\n\r\n"), Ok(BodyPart::End));
-    assert_eq!(first(&format!("0\r\n{}", "X: y\r\n".repeat(2000))), Err(BodyError::Trailer));
-    // Another message right behind is left alone.
+    assert_eq!(first_non_data("zz\r\n"), Err(BodyError::ChunkSize));
+    assert_eq!(first_non_data("-1\r\n"), Err(BodyError::ChunkSize));
+    assert_eq!(first_non_data("\r\n"), Err(BodyError::ChunkSize));
+    assert_eq!(first_non_data(&format!("{:x}\r\n", MAX_BODY_BYTES + 1)), Err(BodyError::ChunkTooLong));
+    assert_eq!(first_non_data("ffffffffffffffffff\r\n"), Err(BodyError::ChunkTooLong));
+    assert_eq!(first_non_data("3\r\nabcd"), Err(BodyError::ChunkEnd));
+    assert_eq!(first_non_data(&"1".repeat(300)), Err(BodyError::ChunkSize));
+    assert_eq!(first_non_data("2;name=value\r\nab\r\n0\r\nX: y\r\n\r\n"), Ok(BodyPart::End));
+    assert_eq!(first_non_data(&format!("0\r\n{}", "X: y\r\n".repeat(2000))), Err(BodyError::Trailer));
+    // A message that follows in the buffer is not touched.
     let mut body = BodyDecoder::new(Framing::Length(2));
     let mut bytes = BytesMut::from(&b"abGET / HTTP/1.1"[..]);
     assert_eq!(body.decode(&mut bytes), Ok(BodyPart::Data(Bytes::from_static(b"ab"))));
@@ -177,12 +179,12 @@
 }
 
 #[test]
-fn what_is_no_event_is_told_before_it_is_passed_on() {
-    assert_eq!(events(b"noise", &[]).1, Err(EventStreamError::NotAnEvent));
-    assert_eq!(events(b"data: a\n\nnoise", &[]).1, Err(EventStreamError::NotAnEvent));
-    assert_eq!(events(b"data: [DONE]\n\ndata: b\n\n", &[]).1, Err(EventStreamError::AfterDone));
+fn bytes_that_are_not_an_event_are_rejected_before_they_are_forwarded() {
+    assert_eq!(forward_events(b"noise", &[]).1, Err(EventStreamError::NotAnEvent));
+    assert_eq!(forward_events(b"data: a\n\nnoise", &[]).1, Err(EventStreamError::NotAnEvent));
+    assert_eq!(forward_events(b"data: [DONE]\n\ndata: b\n\n", &[]).1, Err(EventStreamError::AfterDone));
     assert_eq!(
-        events(format!("data: {}", "x".repeat(70_000)).as_bytes(), &[]).1,
+        forward_events(format!("data: {}", "x".repeat(70_000)).as_bytes(), &[]).1,
         Err(EventStreamError::TooLong)
     );
 }
--- a/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes of the platform's protocol, as a build before the code's names changed wrote and read them.
+//! Bytes of the platform's protocol, as written and read by an earlier build: they must not change.
 
 use bytes::{Bytes, BytesMut};
 use gaparch_platform_protocol::body::{encode_chunk, BodyDecoder, BodyPart, Framing, LAST_CHUNK};
@@ -109,7 +109,7 @@
     assert_eq!(body.decode(&mut bytes), Ok(BodyPart::End));
 }
 
-/// The texts are bodies of answers: clients see them.
+/// The texts are bodies of responses, which clients see.
 #[test]
 fn errors_of_a_clients_request() {
     let expected = [
--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -1,5 +1,5 @@
-//! What answers of workers and of the catalogue, and the configuration, mean: as a build before the code's names changed
-//! read them.
+//! The meaning of responses of workers, of endpoint lists and of the configuration, as read by an earlier
+//! build: it must not change.
 
 use bytes::BytesMut;
 use gaparch_platform_protocol::config::{ConfigError, GossipAddresses, RouterConfig};
--- a/crates/gaparch-platform-settings/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings object with every key, and what a build before the code's names changed read from it.
+//! The platform's settings object with every key, and what an earlier build read from it, which must not
+//! change.
 
 use gaparch_platform_settings::{diagnose, PlatformSettings, SettingsDiagnostic};
 use gaparch_scheduler::api::{
@@ -125,7 +126,7 @@
     );
 }
 
-/// A field of the wrong type counts as absent, and so does a number that is negative.
+/// A field of the wrong type counts as absent, and so does a negative number.
 #[test]
 fn a_value_that_makes_no_sense_counts_as_absent() {
     let mut env = every_key();
@@ -142,7 +143,7 @@
     );
 }
 
-/// Which fields a diagnostic is given for, in which order.
+/// The fields for which diagnostics are reported, and their order.
 #[test]
 fn diagnostics_name_these_fields_in_this_order() {
     let fields = |env: &Value| -> Vec<String> {
