--- a/crates/gaparch-audit/src/endpoint_list/event.rs
+++ b/crates/gaparch-audit/src/endpoint_list/event.rs
@@ -1,29 +1,29 @@
-//! Events of the endpoint list that an operator may want to know of.
+//! Events of the endpoint list that are reported to operators.
 
 use crate::Nanos;
 use gaparch_protocol::versions::ListVersion;
 use std::fmt;
 
-/// A change in how this router's list compares with what others have.
+/// A change in the relation of this router's list to those of other routers and of the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListEvent {
-    /// The list service has confirmed nothing to this router for too long.
+    /// The list service has confirmed no list to this router for too long.
     Unconfirmed {
         /// For how long, in nanoseconds.
         silent_for: Nanos,
     },
     /// The list service confirms the list in use again.
     Confirmed,
-    /// Others have a later version.
+    /// Other routers have had a later version for some time.
     Behind {
         /// The version in use here.
         in_use: ListVersion,
-        /// The version that others have.
+        /// The version that other routers have.
         believed: ListVersion,
         /// For how long, in nanoseconds.
         lag: Nanos,
     },
-    /// The list in use is the one that others have.
+    /// The list in use is up to date again.
     CaughtUp {
         /// The version in use.
         version: ListVersion,
@@ -39,30 +39,31 @@
         /// For how long this router was behind, in nanoseconds.
         after: Nanos,
     },
-    /// The list service answers versions that others have left behind.
+    /// The list service sends an older version than other routers have from it.
     SourceOutdated {
         /// The version in use here.
         in_use: ListVersion,
-        /// The version that others have.
+        /// The version that other routers have.
         believed: ListVersion,
     },
-    /// The list service is of another epoch than that of others: there are two, or one has begun anew unseen.
+    /// The list service is at another epoch than that of other routers: there are two services, or one has
+    /// started a new epoch that some routers have not seen.
     SourcesDiffer {
         /// The version in use here.
         in_use: ListVersion,
-        /// The version that others have.
+        /// The version that other routers have.
         believed: ListVersion,
     },
-    /// One router states a version that nobody else has.
+    /// One router states a version that no other router has.
     Outlier {
         /// The router.
         router: String,
         /// The version that it states.
         stated: ListVersion,
-        /// The version that others have.
+        /// The version that is believed instead.
         believed: ListVersion,
     },
-    /// A list that was fetched from a router does not fit the digest that was stated with it.
+    /// A list that was fetched from a router does not match the digest that was stated with it.
     DigestMismatch {
         /// The router.
         by: String,
@@ -75,7 +76,7 @@
     time as f64 / 1e9
 }
 
-/// A version as operators see it: rank of the epoch and count.
+/// A version in the form shown to operators: the rank of its epoch and its number.
 struct ShortVersion<'a>(&'a ListVersion);
 
 impl fmt::Display for ShortVersion<'_> {
