--- a/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn answers_to_clients() {
+fn responses_to_clients() {
     let reasons = [
         (200, "OK"),
         (204, "No Content"),
--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn answers_of_workers() {
+fn responses_of_workers() {
     assert_eq!(interpret_response(&head(202, false), Stage::Prefill), ResponseMeaning::Prefilled);
     assert_eq!(interpret_response(&head(202, false), Stage::Decode), ended(AttemptStatus::Unknown, false));
     assert_eq!(interpret_response(&head(200, false), Stage::Decode), ResponseMeaning::EventStream);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn answers_of_workers_to_calls() {
+fn responses_of_workers_to_calls() {
     let probes = [200, 503, 404, 500].map(interpret_probe);
     assert_eq!(
         probes,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn calls_of_the_catalogue() {
+fn requests_for_endpoint_lists() {
     assert_eq!(encode_list_request("a:1"), "GET /catalog/members HTTP/1.1\r\nHost: a:1\r\n\r\n");
     let watch = "GET /catalog/members?after=41&wait_ms=1000 HTTP/1.1\r\nHost: a:1\r\n\r\n";
     assert_eq!(encode_watch_request("a:1", 41, 1000), watch);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn answers_of_the_catalogue() {
+fn endpoint_lists() {
     let json = br#"{"generation":42,"reset":true,"instances":[
         {"instanceId":"w-1","hostPort":"10.0.0.1:80","zone":"a","machineType":"decode","cell":7,"lifecycle":"ready",
          "weight":0.5,"startedAtMs":1500.5},
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn configuration_with_a_field_that_makes_no_sense() {
+fn configuration_with_an_invalid_field() {
     let without_settings = br#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}"#;
     let error = RouterConfig::from_json(without_settings, |_| None).expect_err("no settings");
     assert_eq!(error, ConfigError::Missing("settings"));
--- a/crates/gaparch-platform-settings/src/diagnostics.rs
+++ b/crates/gaparch-platform-settings/src/diagnostics.rs
@@ -1,20 +1,20 @@
-//! Diagnostics of the settings object: which of its fields are missing, malformed or contradict one another, and what the
-//! router does about each.
+//! Diagnostics of the settings object: the fields that are missing, malformed or contradict one another, and
+//! what the router does instead.
 
-use crate::json::{index_of, items, non_negative_number, text, whole_number};
+use crate::json::{index_of, items, non_negative_number, string, whole_number};
 use crate::settings::read_role;
 use crate::PlatformSettings;
 use gaparch_scheduler::api::{Role, Settings};
 use serde_json::Value;
 use std::fmt;
 
-/// Diagnostics that are kept of one settings object: a file that is wrong throughout needs no more.
+/// Maximum number of diagnostics of one settings object; more don't help if a file is wrong throughout.
 const MAX_DIAGNOSTICS: usize = 32;
 
-/// One field of the settings object that is not as it should be. It never stops a router.
+/// A field of the settings object that is missing, malformed or contradictory. The router works nevertheless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsDiagnostic {
-    /// Path of the field below `settings`, for example `caps.maxAttempts`.
+    /// Path of the field within `settings`, for example `caps.maxAttempts`.
     pub field: String,
     /// What is wrong with the field, and what the router does instead.
     pub problem: String,
@@ -26,11 +26,11 @@
     }
 }
 
-/// A number that a router needs.
+/// A number that the settings should state.
 struct RequiredNumber {
     group: &'static str,
     field: &'static str,
-    /// What holds where it is missing.
+    /// What applies if the number is missing.
     fallback: &'static str,
 }
 
@@ -59,16 +59,16 @@
     RequiredNumber {
         group: "rules",
         field: "coldFrom",
-        fallback: "a worker in slow start gets next to nothing at first",
+        fallback: "a worker in slow start gets almost no requests at first",
     },
     RequiredNumber {
         group: "rules",
         field: "overloadForNs",
-        fallback: "the load of a worker in slow start is counted over 0.1 s",
+        fallback: "the load of a worker in slow start is measured over 0.1 s",
     },
 ];
 
-/// Returns a diagnostic for each field that is not as it should be, at most 32 of them.
+/// Returns a diagnostic for each field that is missing, malformed or contradictory; at most 32.
 pub fn diagnose(object: &Value, settings: &PlatformSettings) -> Vec<SettingsDiagnostic> {
     let mut diagnostics = Diagnostics::default();
     diagnostics.check_required_numbers(object);
@@ -98,7 +98,7 @@
             if non_negative_number(value).is_some() {
                 continue;
             }
-            let defect = if value.is_null() { "is missing" } else { "is no number from 0" };
+            let defect = if value.is_null() { "is missing" } else { "is not a number of at least 0" };
             self.add(format!("{group}.{field}"), format!("{defect}: {fallback}"));
         }
     }
@@ -112,18 +112,21 @@
         for (index, kind) in settings.kinds.iter().enumerate() {
             let role = items(roles).get(index);
             if let (Some(stated), None) = (role, read_role(role)) {
-                let problem = format!("is {stated}, which is no role: '{kind}' is sent nothing");
+                let problem = format!("is {stated}, which is not a role: kind '{kind}' gets no requests");
                 self.add(format!("familyInfo.roleByKind[{index}]"), problem);
             }
             let capacity = capacities.get(index).and_then(non_negative_number);
             if capacity.is_none_or(|tokens| tokens <= 0.0) {
                 let problem = format!(
-                    "states no KV cache capacity of '{kind}': it counts as saturated only when it says so"
+                    "states no KV cache capacity of '{kind}': a worker counts as saturated only if it reports so"
                 );
                 self.add(format!("familyInfo.tokensByKind[{index}]"), problem);
             }
             if settings.kinds[..index].contains(kind) {
-                self.add(format!("flavors[{index}]"), format!("repeats '{kind}': the first one counts"));
+                self.add(
+                    format!("flavors[{index}]"),
+                    format!("repeats '{kind}': only the first one is used"),
+                );
             }
         }
     }
@@ -132,16 +135,16 @@
         let mut earlier_names: Vec<String> = Vec::new();
         for (index, class) in items(&object["services"]).iter().enumerate() {
             let field = |name: &str| format!("services[{index}].{name}");
-            let name = text(&class["name"]);
+            let name = string(&class["name"]);
             if name.is_empty() {
                 self.add(field("name"), "is missing: no request can be of this class");
             } else if earlier_names.contains(&name) {
-                self.add(field("name"), format!("repeats '{name}': the first one counts"));
+                self.add(field("name"), format!("repeats '{name}': only the first one is used"));
             }
             earlier_names.push(name);
             if whole_number(&class["aimNs"]).is_none_or(|objective| objective == 0) {
                 let problem =
-                    "is missing: an answer is worth as much at any time until its client disconnects";
+                    "is missing: a response has the same value at any time until its client disconnects";
                 self.add(field("aimNs"), problem);
             }
             self.check_idempotency(class, field);
@@ -158,35 +161,36 @@
             return;
         }
         if !matches!(class["dedupScope"].as_str(), Some("all" | "zone" | "cell")) {
-            self.add(field("dedupScope"), "is none of all, zone and cell: it is taken for cell");
+            self.add(field("dedupScope"), "is not one of all, zone and cell: cell is used");
         }
         if whole_number(&class["dedupWindowNs"]).is_none() {
             self.add(field("dedupWindowNs"), format!("is missing: {NO_RETRY}"));
         }
     }
 
-    /// Checks that the roles of all kinds together can serve a request.
+    /// Checks that the roles of all kinds together suffice to serve a request.
     fn check_roles(&mut self, settings: &Settings) {
         const FIELD: &str = "familyInfo.roleByKind";
         if !some_kind_can(settings, Role::Decode) {
-            self.add(FIELD, "has no kind that decodes: nothing can be served");
+            self.add(FIELD, "has no kind that decodes: no request can be served");
         } else if !some_kind_can(settings, Role::Prefill) && !settings.decode_workers_can_prefill {
-            self.add(FIELD, "has no kind that prefills, and decode workers can't: nothing can be served");
+            self.add(FIELD, "has no kind that prefills, and decode workers can't: no request can be served");
         }
     }
 
     /// Checks limits against the rest of the settings.
     fn check_limits(&mut self, object: &Value, settings: &Settings) {
         let has_mixed_kind = settings.kinds.iter().any(|kind| kind.role.unwrap_or_default() == Role::Mixed);
-        let one_worker_serves = settings.decode_workers_can_prefill || has_mixed_kind;
+        let one_worker_suffices = settings.decode_workers_can_prefill || has_mixed_kind;
         let too_few = whole_number(&object["caps"]["maxAttempts"]).is_some_and(|attempts| attempts < 2);
-        if too_few && !one_worker_serves {
-            let problem = "is under 2 where one worker prefills and another decodes: nothing can be served";
+        if too_few && !one_worker_suffices {
+            let problem =
+                "is below 2, but prefill and decode run on different workers: no request can be served";
             self.add("caps.maxAttempts", problem);
         }
         if settings.drain_grace > 0 && settings.connect_timeout > settings.drain_grace {
             let problem =
-                "is longer than the drain grace period: connecting times out after four fifths of that";
+                "is longer than the drain grace period: connecting times out after four fifths of the period";
             self.add("caps.connectTimeoutNs", problem);
         }
     }
@@ -196,13 +200,15 @@
         if !zone.is_null() && index_of(&settings.zones, zone).is_none() {
             self.add(
                 "zone",
-                format!("is {zone}, none of 'settings.zones': this router counts as in no zone"),
+                format!(
+                    "is {zone}, which is not one of 'settings.zones': this router counts as being in no zone"
+                ),
             );
         }
     }
 }
 
-/// Whether workers of some kind have the role `wanted` or are mixed.
+/// Whether some kind of worker has the role `wanted` or is mixed.
 fn some_kind_can(settings: &Settings, wanted: Role) -> bool {
     let mut roles = settings.kinds.iter().filter_map(|kind| kind.role);
     roles.any(|role| role == wanted || role == Role::Mixed)
--- a/crates/gaparch-platform-settings/src/diagnostics_tests.rs
+++ b/crates/gaparch-platform-settings/src/diagnostics_tests.rs
@@ -1,9 +1,9 @@
-//! Each field that a diagnostic can name.
+//! The fields for which diagnostics are reported.
 
 use super::{diagnose, PlatformSettings};
 use serde_json::{json, Value};
 
-fn sound() -> Value {
+fn valid_settings() -> Value {
     json!({"zone": "a", "zones": ["a"], "flavors": ["r", "w"],
         "services": [{"name": "chat", "idempotency": "free", "aimNs": 1}],
         "caps": {"maxAttempts": 4, "connectTimeoutNs": 1},
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn each_field_that_is_not_as_it_should_be_is_named_and_nothing_else() {
-    assert_eq!(diagnostics(&sound()), Vec::<String>::new());
+fn each_missing_invalid_or_contradictory_field_is_reported() {
+    assert_eq!(diagnostics(&valid_settings()), Vec::<String>::new());
     let cases = [
         ("/caps/maxAttempts", Value::Null, "caps.maxAttempts' is missing"),
-        ("/caps/maxAttempts", json!(1), "caps.maxAttempts' is under 2"),
-        ("/caps/connectTimeoutNs", json!(-3), "caps.connectTimeoutNs' is no number"),
+        ("/caps/maxAttempts", json!(1), "caps.maxAttempts' is below 2"),
+        ("/caps/connectTimeoutNs", json!(-3), "caps.connectTimeoutNs' is not a number of at least 0"),
         ("/caps/connectTimeoutNs", json!(6), "caps.connectTimeoutNs' is longer than"),
-        ("/rules/coldFrom", json!("a third"), "rules.coldFrom' is no number"),
+        ("/rules/coldFrom", json!("a third"), "rules.coldFrom' is not a number of at least 0"),
         ("/familyInfo/roleByKind", json!(["read", "encode"]), "familyInfo.roleByKind[1]' is \"encode\""),
         ("/familyInfo/roleByKind", json!(["read", "read"]), "has no kind that decodes"),
         ("/familyInfo/roleByKind", json!(["write", "write"]), "has no kind that prefills"),
@@ -37,17 +37,17 @@
         ("/services/0/name", Value::Null, "services[0].name' is missing"),
         ("/services/0/aimNs", Value::Null, "services[0].aimNs' is missing"),
         ("/services/0/idempotency", json!("often"), "services[0].idempotency' is \"often\""),
-        ("/services/0/idempotency", json!("guarded"), "services[0].dedupScope' is none of"),
+        ("/services/0/idempotency", json!("guarded"), "services[0].dedupScope' is not one of"),
         ("/zone", json!("z"), "'settings.zone' is \"z\""),
     ];
     for (field, value, text) in cases {
-        let mut object = sound();
-        *object.pointer_mut(field).expect("it is there") = value;
+        let mut object = valid_settings();
+        *object.pointer_mut(field).expect("the field") = value;
         let lines = diagnostics(&object);
         assert!(lines.iter().any(|line| line.contains(text)), "{field}: {lines:?}");
         assert!(lines.iter().all(|line| line.starts_with("'settings.")), "{lines:?}");
     }
-    // Whatever stands there, it is read, and the number of diagnostics is bounded.
+    // Any object can be read, and the number of diagnostics is limited.
     for object in [json!({}), json!({"services": 3, "flavors": {}, "caps": []}), Value::Null] {
         assert!((1..=32).contains(&diagnostics(&object).len()));
     }
@@ -55,10 +55,10 @@
     assert_eq!(diagnostics(&json!({ "services": many })).len(), 32);
 }
 
-/// A kind of unknown role is no proof that a prefill and a decode take two attempts.
+/// A kind of unknown role does not prove that prefill and decode need two attempts.
 #[test]
-fn one_attempt_is_not_named_beside_a_kind_of_unknown_role() {
-    let mut object = sound();
+fn a_limit_of_one_attempt_is_not_reported_if_a_kind_has_an_unknown_role() {
+    let mut object = valid_settings();
     object["caps"]["maxAttempts"] = json!(1);
     object["familyInfo"]["roleByKind"] = json!(["read", "encode"]);
     let lines = diagnostics(&object);
--- a/crates/gaparch-platform-settings/src/lib.rs
+++ b/crates/gaparch-platform-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the platform's start-up settings object into the scheduler's [`Settings`](gaparch_scheduler::api::Settings) and
-//! into the names of classes, tenants, zones and kinds.
+//! Converts the platform's start-up settings object into the scheduler's
+//! [`Settings`](gaparch_scheduler::api::Settings) and the names of classes, tenants, zones and kinds.
 //!
-//! The simulator's adapter gets the object in its first message, and the router in service in its configuration file:
-//! both read it with this crate. It holds no state and does no I/O.
+//! The simulator's adapter receives the object in its first message, and the platform's router in its
+//! configuration file: both read it with this crate, which has no state and does no I/O.
 
 #![warn(missing_docs)]
 
--- a/crates/gaparch-platform-settings/src/settings.rs
+++ b/crates/gaparch-platform-settings/src/settings.rs
@@ -1,15 +1,15 @@
-//! The settings object as the scheduler takes it.
+//! Converts the settings object into the scheduler's settings.
 
-use crate::json::{flag, index_of, items, non_negative_number, text, texts, whole_number};
+use crate::json::{flag, index_of, items, non_negative_number, string, strings, whole_number};
 use gaparch_scheduler::api::{
     DeduplicationScope, Idempotency, Role, ServerKind, Settings, Tenant, TrafficClass, ZoneId,
 };
 use serde_json::Value;
 
-/// The scheduler's settings, and the names used outside for what the scheduler knows by its index.
+/// The scheduler's settings, and the names of what the scheduler identifies by index.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Settings of the scheduler.
+    /// The scheduler's settings.
     pub scheduler: Settings,
     /// Names of the traffic classes, by the index of `ClassId`.
     pub classes: Vec<String>,
@@ -19,28 +19,28 @@
     pub zones: Vec<String>,
     /// Names of the kinds of workers, by the index of `KindId`.
     pub kinds: Vec<String>,
-    /// Fields of the load reports that workers send, in their order.
+    /// Fields of the workers' load reports, in order.
     pub load_report_fields: Vec<String>,
 }
 
 impl PlatformSettings {
-    /// Reads the settings object. What it does not state has the scheduler's default.
+    /// Reads the settings object. Fields that it does not state have the scheduler's defaults.
     pub fn read(object: &Value, seed: u64) -> PlatformSettings {
-        let zones = texts(&object["zones"]);
-        let kinds = texts(&object["flavors"]);
+        let zones = strings(&object["zones"]);
+        let kinds = strings(&object["flavors"]);
         PlatformSettings {
             scheduler: read_scheduler(object, seed, &zones, kinds.len()),
             classes: item_names(&object["services"]),
             tenants: item_names(&object["tenants"]),
             zones,
             kinds,
-            load_report_fields: texts(&object["report"]["fields"]),
+            load_report_fields: strings(&object["report"]["fields"]),
         }
     }
 }
 
 fn item_names(value: &Value) -> Vec<String> {
-    items(value).iter().map(|item| text(&item["name"])).collect()
+    items(value).iter().map(|item| string(&item["name"])).collect()
 }
 
 fn read_scheduler(object: &Value, seed: u64, zones: &[String], kinds: usize) -> Settings {
@@ -99,7 +99,7 @@
     items(services).iter().enumerate().map(read).collect()
 }
 
-/// Reads a class but for its objectives per token, which stand beside the classes.
+/// Reads a class without its objectives per token, which are in `familyInfo`.
 fn read_class(service: &Value) -> TrafficClass {
     TrafficClass {
         idempotency: read_idempotency(&service["idempotency"]),
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads whether a request may run twice. An unknown value counts as "it may not".
+/// Reads whether a request may run twice. An unknown value counts as not idempotent.
 fn read_idempotency(value: &Value) -> Idempotency {
     match value.as_str() {
         Some("free") => Idempotency::Idempotent,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Reads which workers drop a duplicate. An unknown value counts as the smallest scope.
+/// Reads the scope within which workers drop duplicates. An unknown value counts as the smallest scope.
 fn read_deduplication_scope(value: &Value) -> DeduplicationScope {
     match value.as_str() {
         Some("all") => DeduplicationScope::All,
@@ -150,7 +150,7 @@
     (0..count).map(read).collect()
 }
 
-/// Reads the role of a kind: mixed where none is stated, `None` for an unknown role.
+/// Reads the role of a kind: mixed if none is stated, `None` for an unknown role.
 pub(crate) fn read_role(value: Option<&Value>) -> Option<Role> {
     let stated = value.filter(|value| !value.is_null());
     let Some(stated) = stated else { return Some(Role::Mixed) };
--- a/crates/gaparch-platform-settings/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn every_key_has_its_field() {
+fn each_key_sets_its_field() {
     let settings = PlatformSettings::read(&every_key(), 99);
     let chat = TrafficClass {
         idempotency: Idempotency::Idempotent,
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_absent_key_is_the_modules_own_default() {
+fn an_absent_key_has_the_schedulers_default() {
     let settings = PlatformSettings::read(&json!({}), 0);
     assert_eq!(settings.scheduler, Settings::default());
     assert!(
@@ -128,7 +128,7 @@
 
 /// A field of the wrong type counts as absent, and so does a negative number.
 #[test]
-fn a_value_that_makes_no_sense_counts_as_absent() {
+fn an_invalid_value_counts_as_absent() {
     let mut env = every_key();
     env["rules"]["coldFrom"] = json!("a third");
     env["rules"]["rampTimeNs"] = json!(-1);
