--- a/crates/gaparch-config/src/config.rs
+++ b/crates/gaparch-config/src/config.rs
@@ -183,8 +183,8 @@
         self.kinds.iter().position(|n| n == name).map(KindId)
     }
 
-    /// Returns the cell of a rack; `None` without a rack. It is a hash of the names, so that it is the same
-    /// on every router, whatever its settings list.
+    /// Returns the cell of a rack; `None` without a rack. It is a hash of the names, so it is the same on
+    /// every router, regardless of its settings.
     pub fn cell(&self, zone: &str, rack: &str) -> Option<CellId> {
         (!rack.is_empty()).then(|| CellId(AffinityKey::from_text(&format!("{zone}/{rack}")).0))
     }
--- a/crates/gaparch-config/tests/settings.rs
+++ b/crates/gaparch-config/tests/settings.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn each_invalid_fleet_setting_is_reported() {
-    for (from, to, wanted) in [
+    for (from, to, expected) in [
         (" key-file=\"fleet.key\"", "", "<fleet>: attribute 'key-file' is missing"),
         ("period=\"200ms\"", "period=\"10ms\"", "<fleet period>: below 80ms a router would exceed its limit"),
         ("period=\"200ms\"", "period=\"1m\"", "<fleet period>: above 10s"),
@@ -69,7 +69,7 @@
         ("<seed address=\"127.0.0.1:7401\"/>", "<seed address=\"127.0.0.1:99999\"/>", "<seed address>"),
     ] {
         let found = problems(&edited(from, to));
-        assert!(found.iter().any(|p| p.contains(wanted)), "{wanted}: {found:?}");
+        assert!(found.iter().any(|p| p.contains(expected)), "{expected}: {found:?}");
     }
     let (before, rest) = EXAMPLE.split_once("<operations ").expect("the element");
     let (_, after) = rest.split_once("</operations>").expect("its end tag");
@@ -83,7 +83,7 @@
 
 #[test]
 fn each_error_is_reported_with_line_and_element() {
-    for (from, to, wanted) in [
+    for (from, to, expected) in [
         ("<zone id=\"south\"/>", "<zone id=\"north\"/>", "<zone id>: 'north' is already used in line 11"),
         (
             "kind=\"reader\" zone=\"south\"",
@@ -129,7 +129,7 @@
         ("version=\"1\">", "version=\"2\">", "<gaparch version>: only version 1 is supported"),
     ] {
         let found = problems(&edited(from, to));
-        let reported = found.iter().any(|p| p.starts_with("line ") && p.contains(wanted));
+        let reported = found.iter().any(|p| p.starts_with("line ") && p.contains(expected));
         assert!(reported, "{from} -> {to}: {found:?}");
     }
 }
--- a/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -23,7 +23,7 @@
 
 fn request(text: &str) -> RequestHead {
     let mut bytes = BytesMut::from(text.as_bytes());
-    let head = decode_request(&mut bytes).expect("sound").expect("complete");
+    let head = decode_request(&mut bytes).expect("valid").expect("complete");
     assert!(bytes.is_empty(), "{text}");
     head
 }
@@ -81,7 +81,7 @@
     let bytes = encode_response(429, &[("Retry-After", "0.250".to_owned())], "text", true);
     assert_eq!(bytes, closing.as_bytes());
     let mut buffer = BytesMut::from(closing.as_bytes());
-    let head = decode_response(&mut buffer).expect("sound").expect("complete");
+    let head = decode_response(&mut buffer).expect("valid").expect("complete");
     assert_eq!((head.status, head.framing, head.close), (429, Framing::Length(4), true));
     assert_eq!((head.first_value("retry-after"), &buffer[..]), (Some("0.250"), &b"text"[..]));
 }
@@ -92,7 +92,7 @@
     let closing = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     assert_eq!((event_stream_head(false), event_stream_head(true)), (&open[..], &closing[..]));
     for (bytes, close) in [(&open[..], false), (&closing[..], true)] {
-        let head = decode_response(&mut BytesMut::from(bytes)).expect("sound").expect("complete");
+        let head = decode_response(&mut BytesMut::from(bytes)).expect("valid").expect("complete");
         assert_eq!((head.status, head.framing, head.close), (200, Framing::Chunked, close));
     }
 
@@ -163,7 +163,7 @@
     #[test]
     fn with_only_what_must_be_there() {
         let request =
-            read("X-Txn: t-1\r\nX-Lane: batch\r\nX-Remaining-Ms: 3600000\r\nX-Resent: 1").expect("sound");
+            read("X-Txn: t-1\r\nX-Lane: batch\r\nX-Remaining-Ms: 3600000\r\nX-Resent: 1").expect("valid");
         assert_eq!(
             (request.class, request.tenant, request.session, request.prefix),
             (ClassId(0), None, None, None)
--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -16,10 +16,10 @@
 
 const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 100 };
 
-fn head(status: u16, turned_away: bool) -> ResponseHead {
-    let header = if turned_away { "X-Turned-Away: 1\r\n" } else { "" };
+fn head(status: u16, rejected: bool) -> ResponseHead {
+    let header = if rejected { "X-Turned-Away: 1\r\n" } else { "" };
     let text = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 0\r\n\r\n");
-    decode_response(&mut BytesMut::from(text.as_bytes())).expect("sound").expect("complete")
+    decode_response(&mut BytesMut::from(text.as_bytes())).expect("valid").expect("complete")
 }
 
 fn ended(status: AttemptStatus, kv_cache_missing: bool) -> ResponseMeaning {
@@ -124,7 +124,7 @@
 
 #[test]
 fn configuration_with_every_field() {
-    let config = RouterConfig::from_json(CONFIG.as_bytes(), |_| None).expect("sound");
+    let config = RouterConfig::from_json(CONFIG.as_bytes(), |_| None).expect("valid");
     assert_eq!((config.name.as_str(), config.sockets), ("n0", 400));
     assert_eq!(config.listen.to_string(), "127.0.0.1:8080");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:9090");
@@ -155,7 +155,7 @@
         _ => None,
     };
     let text = br#"{"settings":{"services":[{"name":"chat"}],"flavors":["m"]}}"#;
-    let config = RouterConfig::from_json(text, fallback).expect("sound");
+    let config = RouterConfig::from_json(text, fallback).expect("valid");
     assert_eq!((config.name.as_str(), config.sockets), ("from-environment", 256));
     assert_eq!((config.listen.port(), config.discovery.port()), (1, 2));
     assert_eq!(config.list_limits, ListLimits { bytes: 16384 * 512, entries: 16384 });
@@ -183,9 +183,9 @@
         (r#"["m"]"#, "[]", "'settings.flavors' is missing"),
         (r#"{"name":"n0","#, "{{", "not JSON: "),
     ];
-    for (from, to, said) in cases {
+    for (from, to, expected) in cases {
         let error =
             RouterConfig::from_json(CONFIG.replacen(from, to, 1).as_bytes(), |_| None).expect_err(from);
-        assert!(error.to_string().starts_with(said), "{from}: {error}");
+        assert!(error.to_string().starts_with(expected), "{from}: {error}");
     }
 }
--- a/crates/gaparch-platform-settings/src/diagnostics.rs
+++ b/crates/gaparch-platform-settings/src/diagnostics.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::fmt;
 
-/// Maximum number of diagnostics of one settings object; more don't help if a file is wrong throughout.
+/// Maximum number of diagnostics of one settings object. A file that is wrong throughout needs no more.
 const MAX_DIAGNOSTICS: usize = 32;
 
 /// A field of the settings object that is missing, malformed or contradictory. The router works nevertheless.
@@ -118,7 +118,8 @@
             let capacity = capacities.get(index).and_then(non_negative_number);
             if capacity.is_none_or(|tokens| tokens <= 0.0) {
                 let problem = format!(
-                    "states no KV cache capacity of '{kind}': a worker counts as saturated only if it reports so"
+                    "states no KV cache capacity of '{kind}': a worker counts as saturated only if it \
+                     reports so"
                 );
                 self.add(format!("familyInfo.tokensByKind[{index}]"), problem);
             }
--- a/crates/gaparch-platform-settings/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -129,12 +129,12 @@
 /// A field of the wrong type counts as absent, and so does a negative number.
 #[test]
 fn an_invalid_value_counts_as_absent() {
-    let mut env = every_key();
-    env["rules"]["coldFrom"] = json!("a third");
-    env["rules"]["rampTimeNs"] = json!(-1);
-    env["caps"]["cancel"] = json!("yes");
-    env["zone"] = json!("c");
-    let settings = PlatformSettings::read(&env, 0).scheduler;
+    let mut object = every_key();
+    object["rules"]["coldFrom"] = json!("a third");
+    object["rules"]["rampTimeNs"] = json!(-1);
+    object["caps"]["cancel"] = json!("yes");
+    object["zone"] = json!("c");
+    let settings = PlatformSettings::read(&object, 0).scheduler;
     let defaults = Settings::default();
     assert_eq!(settings.slow_start_speed, defaults.slow_start_speed);
     assert_eq!(
@@ -146,12 +146,12 @@
 /// The fields for which diagnostics are reported, and their order.
 #[test]
 fn diagnostics_name_these_fields_in_this_order() {
-    let fields = |env: &Value| -> Vec<String> {
-        let lines = diagnose(env, &PlatformSettings::read(env, 0));
+    let fields = |object: &Value| -> Vec<String> {
+        let lines = diagnose(object, &PlatformSettings::read(object, 0));
         let field = |diagnostic: &SettingsDiagnostic| {
             let line = diagnostic.to_string();
-            let named = line.strip_prefix("'settings.").expect("a field first");
-            named.split('\'').next().expect("its end").to_owned()
+            let path = line.strip_prefix("'settings.").expect("a field");
+            path.split('\'').next().expect("the field's end").to_owned()
         };
         lines.iter().map(field).collect()
     };
