--- a/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes of the platform's protocol, as a build before the code's names changed wrote and read them.
+//! Bytes of the platform's protocol, as written and read by an earlier build: they must not change.
 
 use bytes::{Bytes, BytesMut};
 use gaparch_platform_protocol::body::{encode_chunk, BodyDecoder, BodyPart, Framing, LAST_CHUNK};
@@ -23,7 +23,7 @@
 
 fn request(text: &str) -> RequestHead {
     let mut bytes = BytesMut::from(text.as_bytes());
-    let head = decode_request(&mut bytes).expect("sound").expect("complete");
+    let head = decode_request(&mut bytes).expect("valid").expect("complete");
     assert!(bytes.is_empty(), "{text}");
     head
 }
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn answers_to_clients() {
+fn responses_to_clients() {
     let reasons = [
         (200, "OK"),
         (204, "No Content"),
@@ -81,7 +81,7 @@
     let bytes = encode_response(429, &[("Retry-After", "0.250".to_owned())], "text", true);
     assert_eq!(bytes, closing.as_bytes());
     let mut buffer = BytesMut::from(closing.as_bytes());
-    let head = decode_response(&mut buffer).expect("sound").expect("complete");
+    let head = decode_response(&mut buffer).expect("valid").expect("complete");
     assert_eq!((head.status, head.framing, head.close), (429, Framing::Length(4), true));
     assert_eq!((head.first_value("retry-after"), &buffer[..]), (Some("0.250"), &b"text"[..]));
 }
@@ -92,7 +92,7 @@
     let closing = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     assert_eq!((event_stream_head(false), event_stream_head(true)), (&open[..], &closing[..]));
     for (bytes, close) in [(&open[..], false), (&closing[..], true)] {
-        let head = decode_response(&mut BytesMut::from(bytes)).expect("sound").expect("complete");
+        let head = decode_response(&mut BytesMut::from(bytes)).expect("valid").expect("complete");
         assert_eq!((head.status, head.framing, head.close), (200, Framing::Chunked, close));
     }
 
@@ -109,7 +109,7 @@
     assert_eq!(body.decode(&mut bytes), Ok(BodyPart::End));
 }
 
-/// The texts are bodies of answers: clients see them.
+/// The texts are bodies of responses, which clients see.
 #[test]
 fn errors_of_a_clients_request() {
     let expected = [
@@ -163,7 +163,7 @@
     #[test]
     fn with_only_what_must_be_there() {
         let request =
-            read("X-Txn: t-1\r\nX-Lane: batch\r\nX-Remaining-Ms: 3600000\r\nX-Resent: 1").expect("sound");
+            read("X-Txn: t-1\r\nX-Lane: batch\r\nX-Remaining-Ms: 3600000\r\nX-Resent: 1").expect("valid");
         assert_eq!(
             (request.class, request.tenant, request.session, request.prefix),
             (ClassId(0), None, None, None)
