--- a/crates/gaparch-cli/src/commands/doctor.rs
+++ b/crates/gaparch-cli/src/commands/doctor.rs
@@ -59,8 +59,8 @@
         let seen = match read_key(file) {
             Ok(_) => FileSeen::Sound,
             Err(KeyError::Missing) => FileSeen::Missing,
-            Err(KeyError::Open { mode }) => FileSeen::Open(mode),
-            Err(error @ (KeyError::Io(_) | KeyError::Short)) => FileSeen::Unusable(error.to_string()),
+            Err(KeyError::ReadableByOthers { mode }) => FileSeen::Open(mode),
+            Err(error @ (KeyError::Io(_) | KeyError::TooShort)) => FileSeen::Unusable(error.to_string()),
         };
         (file.display().to_string(), seen)
     };
--- a/crates/gaparch-net/src/key.rs
+++ b/crates/gaparch-net/src/key.rs
@@ -1,11 +1,11 @@
-//! Operators' keys in files.
+//! Reads secret keys from files.
 
 use std::io;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use thiserror::Error;
 
-/// The length of the shortest key, in bytes.
+/// The minimum length of a key, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
 /// Why a key file can't be used.
@@ -17,15 +17,15 @@
     /// The file can't be read.
     #[error(transparent)]
     Io(io::Error),
-    /// The file is readable by others, so that the key is no secret.
+    /// The file's mode gives access to its group or to others, so the key isn't secret.
     #[error("others may read it (mode {mode:o}); chmod 600 it")]
-    Open {
+    ReadableByOthers {
         /// The permission bits of the file.
         mode: u32,
     },
-    /// The first line is too short.
+    /// The first line is shorter than [`MIN_KEY_BYTES`].
     #[error("its first line is no key of {MIN_KEY_BYTES} bytes or more")]
-    Short,
+    TooShort,
 }
 
 impl From<io::Error> for KeyError {
@@ -37,19 +37,19 @@
     }
 }
 
-/// The key in a file: its first line.
+/// Reads the key from the first line of a file, without surrounding whitespace.
 ///
 /// # Errors
-/// When the file can't be read, others may read it too, or there is no key in it.
+/// When the file can't be read, its mode gives access to its group or to others, or the key is too short.
 pub fn read_key(file: &Path) -> Result<String, KeyError> {
     let mode = std::fs::metadata(file)?.permissions().mode() & 0o777;
     if mode & 0o077 != 0 {
-        return Err(KeyError::Open { mode });
+        return Err(KeyError::ReadableByOthers { mode });
     }
     let text = std::fs::read_to_string(file)?;
     let key = text.lines().next().unwrap_or_default().trim();
     if key.len() < MIN_KEY_BYTES {
-        return Err(KeyError::Short);
+        return Err(KeyError::TooShort);
     }
     Ok(key.to_owned())
 }
