--- a/crates/gaparch-net/src/clock.rs
+++ b/crates/gaparch-net/src/clock.rs
@@ -1,51 +1,60 @@
-//! The clock by which routers and engines measure time.
+//! A monotonic clock that starts at the system time.
 
 use gaparch_scheduler::api::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nanoseconds since the Unix epoch as it was known when the clock was made, and monotonic from there: two
-/// machines agree roughly, one never goes back.
+/// Later times than this, counted from the creation of a clock, are clamped when they are converted to an
+/// instant. No wait is meant to be that long.
+const MAX_TIME_SINCE_START: Duration = Duration::from_secs(86_400 * 30);
+
+/// A monotonic clock in nanoseconds since the Unix epoch.
+///
+/// It reads the system time once, when it is created, and advances with the monotonic clock from there.
+/// Clocks on two machines agree as closely as their system times did; later changes of the system time have
+/// no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    instant: Instant,
-    nanos: Nanos,
+    started: Instant,
+    nanos_at_start: Nanos,
 }
 
 impl Default for Clock {
     fn default() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::from_secs(1));
-        Clock { instant: Instant::now(), nanos: nanos(unix) }
+        Clock { started: Instant::now(), nanos_at_start: nanos(unix) }
     }
 }
 
 impl Clock {
-    /// The same clock, ahead by so many seconds; behind, if they are negative.
+    /// Returns this clock moved forward by a number of seconds, or back if the number is negative.
     #[must_use]
     pub fn with_offset(self, seconds: i32) -> Clock {
         let offset = nanos(Duration::from_secs(u64::from(seconds.unsigned_abs())));
-        let nanos =
-            if seconds < 0 { self.nanos.saturating_sub(offset) } else { self.nanos.saturating_add(offset) };
-        Clock { nanos, ..self }
+        let nanos_at_start = if seconds < 0 {
+            self.nanos_at_start.saturating_sub(offset)
+        } else {
+            self.nanos_at_start.saturating_add(offset)
+        };
+        Clock { nanos_at_start, ..self }
     }
 
-    /// The time now, in nanoseconds since the Unix epoch.
+    /// The current time, in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
         self.at(Instant::now())
     }
 
-    /// The time that this clock shows at an instant.
+    /// Converts an instant to the time of this clock.
     pub fn at(&self, instant: Instant) -> Nanos {
-        self.nanos.saturating_add(nanos(instant.saturating_duration_since(self.instant)))
+        self.nanos_at_start.saturating_add(nanos(instant.saturating_duration_since(self.started)))
     }
 
-    /// The instant at which this clock shows that time; never one before its own beginning.
+    /// Converts a time of this clock to an instant, which is never before the creation of the clock.
     pub fn instant(&self, at: Nanos) -> Instant {
-        // A day is longer than anything here waits for.
-        let wait = Duration::from_nanos(at.saturating_sub(self.nanos)).min(Duration::from_secs(86_400 * 30));
-        self.instant + wait
+        let since_start = Duration::from_nanos(at.saturating_sub(self.nanos_at_start));
+        self.started + since_start.min(MAX_TIME_SINCE_START)
     }
 }
 
-fn nanos(span: Duration) -> Nanos {
-    Nanos::try_from(span.as_nanos()).unwrap_or(Nanos::MAX)
+fn nanos(duration: Duration) -> Nanos {
+    Nanos::try_from(duration.as_nanos()).unwrap_or(Nanos::MAX)
 }
--- a/crates/gaparch-net/src/framed.rs
+++ b/crates/gaparch-net/src/framed.rs
@@ -1,4 +1,4 @@
-//! Frames in and out of a socket.
+//! Reads frames from a socket and writes them to it.
 
 use bytes::BytesMut;
 use gaparch_protocol::frame::{encode, Frame};
@@ -10,23 +10,23 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Bytes reserved for one read.
+/// Buffer capacity reserved for one read, in bytes.
 const READ_CAPACITY: usize = 16 * 1024;
-/// Frames written with one call.
-const BATCH: usize = 128;
-/// A write buffer larger than this, in bytes, is freed after use.
-const MAX_KEPT_BUFFER: usize = 256 * 1024;
+/// Maximum number of frames written with one call.
+const MAX_BATCH_FRAMES: usize = 128;
+/// A write buffer with a larger capacity than this, in bytes, is freed after a write.
+const MAX_RETAINED_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Why no more frames come.
+/// Why no more frames can be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
     /// The peer closed the connection.
     #[error("closed by the peer")]
     Closed,
-    /// The socket failed.
+    /// Reading from the socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes are no frames.
+    /// The received bytes are not a valid frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -39,22 +39,22 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// A reader of frames of at most `max` bytes.
-    pub fn new(socket: R, max: usize) -> Self {
-        FrameReader { socket, decoder: FrameDecoder::new(max) }
+    /// Creates a reader that accepts frames of at most `max_frame_bytes` bytes.
+    pub fn new(socket: R, max_frame_bytes: usize) -> Self {
+        FrameReader { socket, decoder: FrameDecoder::new(max_frame_bytes) }
     }
 
-    /// Waits for bytes and appends all the frames that are whole then; at least one.
+    /// Waits until at least one frame is complete, and appends all complete frames to `frames`.
     ///
     /// # Errors
-    /// When the connection ended or its bytes make no sense. Frames before the error are in `frames`.
+    /// When the connection has ended or a frame is invalid. Frames decoded before the error are in `frames`.
     pub async fn read<F: Frame>(&mut self, frames: &mut Vec<F>) -> Result<(), ReadError> {
-        let before = frames.len();
+        let initial_len = frames.len();
         loop {
             while let Some(frame) = self.decoder.next_frame()? {
                 frames.push(frame);
             }
-            if frames.len() > before {
+            if frames.len() > initial_len {
                 return Ok(());
             }
             let buffer = self.decoder.buffer();
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Waits for one frame. Only before [`read`](Self::read) is used: it leaves the others for later.
+    /// Waits for one frame, for a handshake that precedes [`read`](Self::read); later frames stay buffered.
     ///
     /// # Errors
-    /// As for [`read`](Self::read).
+    /// When the connection has ended or the frame is invalid.
     pub async fn read_one<F: Frame>(&mut self) -> Result<F, ReadError> {
         loop {
             if let Some(frame) = self.decoder.next_frame()? {
@@ -83,22 +83,23 @@
     }
 }
 
-/// Writes what comes through a channel until it is closed, as many frames with one call as there are.
+/// Writes the frames from a channel to a socket until the channel is closed, then shuts the socket down.
+/// Frames that are queued in the channel are written in batches.
 ///
 /// # Errors
-/// What the socket said, or that it took no bytes for as long as `within`.
+/// When the socket reports an error, or the write of a batch takes longer than `write_timeout`.
 pub async fn write_frames<F: Frame, W: AsyncWrite + Unpin>(
     socket: &mut W,
     frames: &mut mpsc::Receiver<F>,
-    within: Duration,
+    write_timeout: Duration,
 ) -> io::Result<()> {
-    let mut waiting = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH_FRAMES);
     let mut bytes = BytesMut::new();
-    while frames.recv_many(&mut waiting, BATCH).await > 0 {
-        waiting.drain(..).for_each(|frame| encode(&frame, &mut bytes));
-        timeout(within, socket.write_all(&bytes)).await.map_err(|_| io::ErrorKind::TimedOut)??;
+    while frames.recv_many(&mut batch, MAX_BATCH_FRAMES).await > 0 {
+        batch.drain(..).for_each(|frame| encode(&frame, &mut bytes));
+        timeout(write_timeout, socket.write_all(&bytes)).await.map_err(|_| io::ErrorKind::TimedOut)??;
         bytes.clear();
-        if bytes.capacity() > MAX_KEPT_BUFFER {
+        if bytes.capacity() > MAX_RETAINED_BUFFER_BYTES {
             bytes = BytesMut::new();
         }
     }
--- a/crates/gaparch-net/src/lib.rs
+++ b/crates/gaparch-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the programs share that touch the system: a clock that never goes back, signals, sockets that carry frames, key
-//! files, and the operators' side of the operations protocol.
+//! System interfaces shared by the programs: a monotonic clock, signals, framed sockets, key files, and the
+//! client of the operations protocol.
 
 #![warn(missing_docs)]
 
--- a/crates/gaparch-net/src/operations.rs
+++ b/crates/gaparch-net/src/operations.rs
@@ -1,4 +1,4 @@
-//! The operators' side of the operations protocol.
+//! The client of the operations protocol.
 
 use crate::framed::{FrameReader, ReadError};
 use bytes::BytesMut;
@@ -14,15 +14,15 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::timeout;
 
-/// Time for the connection and the welcome.
-const CONNECT_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout for the connection and the handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a router accepts operators.
+/// The address at which a router accepts operators' sessions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperationsAddress {
-    /// The local socket.
+    /// The path of the local socket.
     Socket(PathBuf),
-    /// An address over TCP.
+    /// A TCP address.
     Tcp(SocketAddr),
 }
 
@@ -35,55 +35,55 @@
     }
 }
 
-/// Who opens a session, and in which role.
+/// The credentials with which a session is opened.
 #[derive(Clone)]
 pub struct Credentials {
-    /// The operator's key; none is needed on the local socket.
+    /// The operator's key, which the local socket doesn't require.
     pub key: Option<String>,
-    /// The role that is asked for.
+    /// The requested role.
     pub role: SessionRole,
-    /// The operator's name, where no key says it.
+    /// The operator's name, for sessions without a key.
     pub operator: String,
 }
 
 impl fmt::Debug for Credentials {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The key must not end up in logs.
+        // The key must not be written to logs.
         write!(f, "{} ({})", self.operator, self.role)
     }
 }
 
-/// Why a router does not answer.
+/// Why a session with a router can't be opened or has ended.
 #[derive(Debug, Error)]
 pub enum OpsError {
-    /// Nothing accepts the connection in time.
+    /// The connection can't be established, or the handshake has timed out.
     #[error("no router answers at {address}: {source}")]
     Connect {
-        /// Where the router should be.
+        /// The address of the router.
         address: OperationsAddress,
-        /// What the system says.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// The router closed the session, for the reason given.
-    #[error("the router says: {0}")]
+    /// The router rejected or closed the session, for this reason.
+    #[error("the router closed the session: {0}")]
     Rejected(String),
-    /// No more frames come.
-    #[error("the connection broke: {0}")]
+    /// No more frames can be read.
+    #[error("the connection failed: {0}")]
     Read(#[from] ReadError),
-    /// A frame could not be sent.
-    #[error("the connection broke: {0}")]
+    /// A frame can't be sent.
+    #[error("the connection failed: {0}")]
     Write(#[from] std::io::Error),
-    /// The router sent a frame that it should not send.
-    #[error("the router speaks another protocol")]
+    /// The router sent a frame that the protocol doesn't allow here, or uses another protocol version.
+    #[error("the router sent an unexpected frame or uses another protocol version")]
     Protocol,
 }
 
-/// What a router sends.
+/// A message from the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Incoming {
-    /// The answer to a question.
+    /// The answer to a query.
     Answer {
-        /// The number of the question.
+        /// The sequence number of the query.
         seq: u32,
         /// The answer.
         answer: Answer,
@@ -92,46 +92,47 @@
     Update(Update),
 }
 
-/// A connection to a router's operations side.
+/// A session with a router over the operations protocol.
 pub struct OpsClient {
     reader: FrameReader<Box<dyn AsyncRead + Send + Unpin>>,
     writer: Box<dyn AsyncWrite + Send + Unpin>,
-    /// Frames received together with the last one taken.
+    /// Frames that were received but not yet returned.
     received: VecDeque<OpsFrame>,
     next_seq: u32,
-    /// The name of the router.
+    /// The router's name.
     pub router: String,
-    /// The run of the router, which differs after each start.
+    /// The router's run id, which changes with each start.
     pub run: u64,
     /// The role that the router granted.
     pub role: SessionRole,
 }
 
 impl OpsClient {
-    /// Connects and authenticates.
+    /// Connects to a router and authenticates.
     ///
     /// # Errors
-    /// When nobody listens there, or the router rejects the session; its reason is in the error.
+    /// When the connection or the handshake fails, or the router rejects the session; the error has its
+    /// reason.
     pub async fn connect(
         address: &OperationsAddress,
         credentials: &Credentials,
     ) -> Result<OpsClient, OpsError> {
-        let late =
+        let timed_out =
             |_| OpsError::Connect { address: address.clone(), source: std::io::ErrorKind::TimedOut.into() };
-        timeout(CONNECT_WITHIN, OpsClient::open(address, credentials)).await.map_err(late)?
+        timeout(CONNECT_TIMEOUT, OpsClient::open(address, credentials)).await.map_err(timed_out)?
     }
 
     async fn open(address: &OperationsAddress, credentials: &Credentials) -> Result<OpsClient, OpsError> {
-        let failed = |source| OpsError::Connect { address: address.clone(), source };
+        let connect_error = |source| OpsError::Connect { address: address.clone(), source };
         type Halves = (Box<dyn AsyncRead + Send + Unpin>, Box<dyn AsyncWrite + Send + Unpin>);
         let (reader, writer): Halves = match address {
             OperationsAddress::Socket(path) => {
-                let (reader, writer) = UnixStream::connect(path).await.map_err(failed)?.into_split();
+                let (reader, writer) = UnixStream::connect(path).await.map_err(connect_error)?.into_split();
                 (Box::new(reader), Box::new(writer))
             }
             OperationsAddress::Tcp(address) => {
-                let socket = TcpStream::connect(address).await.map_err(failed)?;
-                socket.set_nodelay(true).map_err(failed)?;
+                let socket = TcpStream::connect(address).await.map_err(connect_error)?;
+                socket.set_nodelay(true).map_err(connect_error)?;
                 let (reader, writer) = socket.into_split();
                 (Box::new(reader), Box::new(writer))
             }
@@ -165,10 +166,10 @@
         Ok(self.writer.write_all(&bytes).await?)
     }
 
-    /// Sends a question and returns the number that its answer will have.
+    /// Sends a query and returns the sequence number that its answer will have.
     ///
     /// # Errors
-    /// When the connection is gone.
+    /// When the connection has failed.
     pub async fn send(&mut self, query: Query) -> Result<u32, OpsError> {
         let seq = self.next_seq;
         self.next_seq = self.next_seq.wrapping_add(1);
@@ -176,10 +177,10 @@
         Ok(seq)
     }
 
-    /// Waits for what the router sends next. Cancelling the wait loses nothing.
+    /// Waits for the next answer or update. The future can be cancelled without losing a frame.
     ///
     /// # Errors
-    /// When the connection is gone.
+    /// When the connection has failed, or the router closes the session or sends an unexpected frame.
     pub async fn next(&mut self) -> Result<Incoming, OpsError> {
         loop {
             match self.received.pop_front() {
@@ -198,15 +199,15 @@
         }
     }
 
-    /// Sends a question and waits for its answer. Updates that come before it are dropped.
+    /// Sends a query and waits for its answer. Updates that arrive before the answer are dropped.
     ///
     /// # Errors
-    /// When the connection is gone.
+    /// As for [`next`](OpsClient::next).
     pub async fn query(&mut self, query: Query) -> Result<Answer, OpsError> {
-        let wanted = self.send(query).await?;
+        let query_seq = self.send(query).await?;
         loop {
             match self.next().await? {
-                Incoming::Answer { seq, answer } if seq == wanted => return Ok(answer),
+                Incoming::Answer { seq, answer } if seq == query_seq => return Ok(answer),
                 _ => {}
             }
         }
--- a/crates/gaparch-net/src/signals.rs
+++ b/crates/gaparch-net/src/signals.rs
@@ -1,7 +1,8 @@
-//! Signals of this process, received also while system calls fail.
+//! Signal handling that also works while system calls fail.
 //!
-//! A signal's handler sets a flag in memory and does nothing else: no call that could fail, and none that a library loaded
-//! into the process may have replaced by one that must not run in a handler. The flags are polled.
+//! A signal handler only sets a flag in memory, and the flags are polled. The handler makes no system call,
+//! since a call could fail, and a library loaded into the process may have replaced it with a function that
+//! isn't async-signal-safe.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
@@ -11,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Interval at which the flags are polled.
+/// Interval between two polls of the flags.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A signal that a process handles.
@@ -19,9 +20,9 @@
 pub enum Signal {
     /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGINT: as by Ctrl-C in a terminal.
+    /// SIGINT: sent by Ctrl-C in a terminal.
     Interrupt,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Hangup,
 }
 
@@ -35,40 +36,43 @@
     }
 }
 
-/// Signals that are handled instead of ending the process, from when this was installed.
+/// Installed handlers for signals that would otherwise end the process.
 #[derive(Debug)]
 pub struct Signals {
     flags: Vec<(Signal, Arc<AtomicBool>)>,
 }
 
 impl Signals {
-    /// Handles these signals. Where several are pending the first of `signals` is reported first.
+    /// Installs handlers for these signals. Pending signals are reported in the order of `signals`.
     ///
     /// # Errors
     /// When a handler can't be installed.
     pub fn install(signals: &[Signal]) -> io::Result<Signals> {
         let mut flags = Vec::new();
         for signal in signals {
-            let is_set = Arc::new(AtomicBool::new(false));
-            flag::register(signal.number(), Arc::clone(&is_set))?;
-            flags.push((*signal, is_set));
+            let is_pending = Arc::new(AtomicBool::new(false));
+            flag::register(signal.number(), Arc::clone(&is_pending))?;
+            flags.push((*signal, is_pending));
         }
         Ok(Signals { flags })
     }
 
-    /// Waits for the next signal, which is reported within 25 ms. Several of a kind that come at once are reported once.
+    /// Waits for the next signal, which is reported within 25 ms. A signal that arrives several times between
+    /// two polls is reported once.
     pub async fn next(&self) -> Signal {
         loop {
-            if let Some(signal) = self.take() {
+            if let Some(signal) = self.take_pending() {
                 return signal;
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn take(&self) -> Option<Signal> {
-        let came = |(_, is_set): &&(Signal, Arc<AtomicBool>)| is_set.swap(false, Ordering::SeqCst);
-        self.flags.iter().find(came).map(|(signal, _)| *signal)
+    /// Clears the first flag that is set and returns its signal.
+    fn take_pending(&self) -> Option<Signal> {
+        let was_pending =
+            |(_, is_pending): &&(Signal, Arc<AtomicBool>)| is_pending.swap(false, Ordering::SeqCst);
+        self.flags.iter().find(was_pending).map(|(signal, _)| *signal)
     }
 }
 
--- a/crates/gaparch-net/src/signals_tests.rs
+++ b/crates/gaparch-net/src/signals_tests.rs
@@ -1,4 +1,4 @@
-//! Signals that come together are reported one after the other.
+//! Pending signals are reported one at a time.
 
 use super::*;
 use signal_hook::low_level::raise;
@@ -6,9 +6,9 @@
 
 #[tokio::test]
 async fn each_signal_is_reported_once_in_the_order_of_its_registration() {
-    let signals = Signals::install(&[Signal::Terminate, Signal::Hangup]).expect("handlers");
+    let signals = Signals::install(&[Signal::Terminate, Signal::Hangup]).expect("the handlers are installed");
     for signal in [SIGHUP, SIGTERM, SIGHUP] {
-        raise(signal).expect("raised");
+        raise(signal).expect("the signal is raised");
     }
     assert_eq!(signals.next().await, Signal::Terminate);
     assert_eq!(signals.next().await, Signal::Hangup);
