--- a/crates/gaparch-store/src/directory.rs
+++ b/crates/gaparch-store/src/directory.rs
@@ -1,4 +1,4 @@
-//! A directory on a real file system, locked by this process.
+//! A directory on a file system, locked by this process.
 
 use crate::disk::Disk;
 use crate::StoreError;
@@ -13,22 +13,24 @@
 const DIRECTORY_MODE: u32 = 0o700;
 const FILE_MODE: u32 = 0o600;
 
-/// A directory that no other process uses until this value is dropped.
+/// A directory that is locked against other processes until the last value that shares it is dropped.
 #[derive(Debug)]
 pub struct StateDirectory {
     path: PathBuf,
-    /// Released with the last value that shares it.
+    /// The open lock file; the lock is released when the last clone is dropped.
     lock: Arc<File>,
     open_files: HashMap<String, File>,
-    /// Files that were created since the directory was last synced: their names may not survive a crash yet.
+    /// Files created since the last sync of the directory: their directory entries may not survive a crash
+    /// yet.
     created_unsynced: HashSet<String>,
 }
 
 impl StateDirectory {
-    /// Creates the directory if there is none (mode 0700) and locks it.
+    /// Creates the directory with mode 0700 if it doesn't exist, and locks it.
     ///
     /// # Errors
-    /// [`StoreError::InUse`] if another process has locked it, else the error of the file system.
+    /// [`StoreError::InUse`] if another process has locked the directory, otherwise the error of the file
+    /// system.
     pub fn open(path: &Path) -> Result<StateDirectory, StoreError> {
         let io_error = |source| StoreError::io(path.display().to_string(), source);
         fs::DirBuilder::new().recursive(true).mode(DIRECTORY_MODE).create(path).map_err(io_error)?;
@@ -36,17 +38,18 @@
         match lock_file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
-                let process = lock_holder(&mut lock_file);
+                let process = read_lock_holder(&mut lock_file);
                 return Err(StoreError::InUse { directory: path.display().to_string(), process });
             }
             Err(TryLockError::Error(source)) => return Err(io_error(source)),
         }
-        // The number is only for the message above: a full disk must not keep a router from its state.
+        // The process id only serves the error message above, so a full disk must not make the directory
+        // unusable.
         let _ = lock_file.set_len(0).and_then(|()| writeln!(lock_file, "{}", std::process::id()));
         Ok(StateDirectory::new(path.to_owned(), Arc::new(lock_file)))
     }
 
-    /// The same directory under the same lock, for another part of the program.
+    /// Returns another handle to the directory that shares its lock.
     pub fn share(&self) -> StateDirectory {
         StateDirectory::new(self.path.clone(), Arc::clone(&self.lock))
     }
@@ -55,7 +58,8 @@
         StateDirectory { path, lock, open_files: HashMap::new(), created_unsynced: HashSet::new() }
     }
 
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+    /// Returns a file opened for appending, which is created if it doesn't exist.
+    fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open_files.contains_key(name) {
             let path = self.path.join(name);
             if !path.exists() {
@@ -72,16 +76,16 @@
     }
 }
 
-/// Opens the lock file. On a disk that has become read-only it is opened for reading, so that what is stored can still
-/// be read.
+/// Opens the lock file, for reading only where it can't be written: the stored data of a read-only file
+/// system stays readable.
 fn open_lock_file(path: &Path) -> io::Result<File> {
     let mut options = OpenOptions::new();
     options.read(true).write(true).create(true).truncate(false).mode(FILE_MODE);
     options.open(path).or_else(|_| File::open(path))
 }
 
-/// The id of the process that holds the lock, where it can be read.
-fn lock_holder(lock_file: &mut File) -> Option<String> {
+/// Returns the id of the process that holds the lock, if the lock file has it.
+fn read_lock_holder(lock_file: &mut File) -> Option<String> {
     let mut text = String::new();
     lock_file.read_to_string(&mut text).ok()?;
     let process = text.trim();
@@ -106,11 +110,11 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
+        self.open_file(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()?;
+        self.open_file(name)?.sync_data()?;
         if self.created_unsynced.contains(name) {
             self.sync_directory()?;
             self.created_unsynced.clear();
@@ -119,7 +123,7 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.file(name)?.set_len(length)
+        self.open_file(name)?.set_len(length)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/gaparch-store/src/disk.rs
+++ b/crates/gaparch-store/src/disk.rs
@@ -1,49 +1,49 @@
-//! What the store needs of a file system.
+//! The interface of the store to a file system.
 
 use std::io;
 
-/// Files by name, in one directory. Whatever was written can be lost in a crash until it is synced.
+/// Named files in one directory. Written data may be lost in a crash until it is synced.
 pub trait Disk: Send {
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     /// When the directory can't be read.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// All bytes of a file.
+    /// Reads a whole file.
     ///
     /// # Errors
-    /// When there is no such file, or it can't be read.
+    /// When the file doesn't exist or can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Adds bytes to the end of a file, which is made if there is none.
+    /// Appends bytes to a file, which is created if it doesn't exist.
     ///
     /// # Errors
-    /// When they can't be written; part of them may be there then.
+    /// When the bytes can't be written; some of them may have been appended.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes sure that all of a file survives a crash.
+    /// Makes the content of a file durable.
     ///
     /// # Errors
-    /// When it may not; what is on the disk is unknown then.
+    /// When the content may not be durable; what is on the disk is then unknown.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Cuts a file to a length in bytes.
+    /// Truncates a file to a length in bytes.
     ///
     /// # Errors
-    /// When it can't be cut.
+    /// When the file can't be truncated.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Renames a file in place of the one that has the new name, and makes sure that this survives a crash.
+    /// Durably renames a file, replacing a file that has the new name.
     ///
     /// # Errors
-    /// When it may not survive; either name may be there then.
+    /// When the rename may not be durable; the file may then have either name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// When there is no such file, or it can't be removed.
+    /// When the file doesn't exist or can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
--- a/crates/gaparch-store/src/faulty.rs
+++ b/crates/gaparch-store/src/faulty.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails on purpose, for tests of the code that uses a store.
+//! An in-memory disk with fault injection, for tests of code that uses a store.
 
 use crate::disk::Disk;
 use std::collections::BTreeMap;
@@ -9,24 +9,24 @@
 #[derive(Clone, Debug, Default)]
 struct File {
     bytes: Vec<u8>,
-    /// The first bytes, this many, survive a crash.
+    /// The number of bytes, from the start of the file, that survive a crash.
     synced_bytes: usize,
 }
 
-/// The faults of a disk; by default there are none.
+/// The faults to inject; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// The disk crashes in the middle of this operation, counted from 0 since the faults were set.
+    /// The disk crashes in the middle of this write operation, counted from 0 since the faults were set.
     pub crash_at: Option<u64>,
-    /// The most bytes of all files together.
+    /// Maximum total size of all files.
     pub capacity_bytes: Option<usize>,
-    /// Each operation that changes something fails.
+    /// Each write operation fails.
     pub read_only: bool,
-    /// Each sync fails, and the unsynced bytes may be lost in a crash.
+    /// Each sync fails, so that unsynced bytes may be lost in a crash.
     pub sync_fails: bool,
-    /// A rename takes effect but reports an error, as if the sync of the directory had failed after it.
+    /// A rename takes effect but reports an error, as when the sync of the directory fails afterwards.
     pub rename_fails_late: bool,
-    /// How long each operation that changes something takes.
+    /// Delay before each write operation.
     pub delay: Duration,
 }
 
@@ -34,17 +34,17 @@
 struct DiskState {
     files: BTreeMap<String, File>,
     faults: Faults,
-    operations: u64,
+    write_operations: u64,
     crashed: bool,
 }
 
-/// A disk in memory with [`Faults`]. Clones are the same disk.
+/// An in-memory disk with [`Faults`]. Clones share their files and faults.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk {
     state: Arc<Mutex<DiskState>>,
 }
 
-/// What a crash leaves of bytes that were written but not synced.
+/// How many of the unsynced bytes of a file survive a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsynced {
     /// None of them.
@@ -60,24 +60,24 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults from now on, and counts operations from 0 again.
+    /// Sets the faults and resets the count of write operations.
     pub fn set_faults(&self, faults: Faults) {
         let mut state = self.lock();
         state.faults = faults;
-        state.operations = 0;
+        state.write_operations = 0;
     }
 
-    /// The number of operations that change something since the faults were set.
+    /// The number of write operations since the faults were set.
     pub fn operations(&self) -> u64 {
-        self.lock().operations
+        self.lock().write_operations
     }
 
-    /// Whether the disk has crashed: every operation that changes something fails from then on.
+    /// Whether the disk has crashed; after a crash every write operation fails.
     pub fn has_crashed(&self) -> bool {
         self.lock().crashed
     }
 
-    /// The disk as the next start finds it, without faults.
+    /// Returns a copy of the disk as it is after a crash and a restart, without faults.
     pub fn after_crash(&self, unsynced: Unsynced) -> FaultyDisk {
         let mut files = self.lock().files.clone();
         for file in files.values_mut() {
@@ -93,7 +93,7 @@
         FaultyDisk { state: Arc::new(Mutex::new(DiskState { files, ..DiskState::default() })) }
     }
 
-    /// Changes the bytes of a file without the knowledge of the store.
+    /// Changes the bytes of a file directly, to simulate disk corruption.
     pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         if let Some(file) = self.lock().files.get_mut(name) {
             change(&mut file.bytes);
@@ -101,13 +101,13 @@
         }
     }
 
-    /// The bytes of all files together.
+    /// The total size of all files, in bytes.
     pub fn bytes(&self) -> usize {
         self.lock().files.values().map(|f| f.bytes.len()).sum()
     }
 
-    /// Begins an operation that changes something. The flag says that the disk crashes in the middle of it.
-    fn begin(&self) -> io::Result<(MutexGuard<'_, DiskState>, bool)> {
+    /// Begins a write operation. The returned flag is set if the disk crashes in the middle of it.
+    fn begin_write(&self) -> io::Result<(MutexGuard<'_, DiskState>, bool)> {
         let delay = self.lock().faults.delay;
         std::thread::sleep(delay);
         let mut state = self.lock();
@@ -117,8 +117,8 @@
         if state.faults.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
-        let crashes = state.faults.crash_at == Some(state.operations);
-        state.operations += 1;
+        let crashes = state.faults.crash_at == Some(state.write_operations);
+        state.write_operations += 1;
         state.crashed = crashes;
         Ok((state, crashes))
     }
@@ -138,7 +138,7 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let (mut state, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin_write()?;
         let used: usize = state.files.values().map(|f| f.bytes.len()).sum();
         let capacity = state.faults.capacity_bytes.unwrap_or(usize::MAX);
         let free = capacity.saturating_sub(used);
@@ -153,7 +153,7 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let (mut state, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin_write()?;
         if crashes {
             return Err(crash_error());
         }
@@ -166,7 +166,7 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let (mut state, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin_write()?;
         if crashes {
             return Err(crash_error());
         }
@@ -177,8 +177,8 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let (mut state, crashes) = self.begin()?;
-        // A rename is atomic: the crash comes before it.
+        let (mut state, crashes) = self.begin_write()?;
+        // A rename is atomic, so the crash happens before it.
         if crashes {
             return Err(crash_error());
         }
@@ -191,7 +191,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let (mut state, crashes) = self.begin()?;
+        let (mut state, crashes) = self.begin_write()?;
         if crashes {
             return Err(crash_error());
         }
--- a/crates/gaparch-store/src/format.rs
+++ b/crates/gaparch-store/src/format.rs
@@ -1,18 +1,18 @@
-//! The bytes of file headers and records.
+//! Encoding and decoding of file headers and records.
 
 use crate::StoreError;
 
-/// The version of the file format written here.
+/// The file format version that this version of the crate writes.
 pub const FORMAT: u16 = 1;
-/// The most bytes of a record's body: 1 MiB.
+/// Maximum length of a record's body: 1 MiB.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 const MAGIC: &[u8; 8] = b"gaparch\n";
 pub(crate) const FILE_HEADER_BYTES: usize = 16;
 const RECORD_HEADER_BYTES: usize = 8;
 
-/// The header of a file whose records have the given schema.
-pub(crate) fn file_header(schema: u16) -> [u8; FILE_HEADER_BYTES] {
+/// Encodes the header of a file whose records have the given schema.
+pub(crate) fn encode_file_header(schema: u16) -> [u8; FILE_HEADER_BYTES] {
     let mut header = [0; FILE_HEADER_BYTES];
     header[..8].copy_from_slice(MAGIC);
     header[8..10].copy_from_slice(&FORMAT.to_be_bytes());
@@ -22,20 +22,23 @@
     header
 }
 
-/// What a file's header says.
+/// The result of parsing a file's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileHeader {
-    /// The header is valid and names this schema.
+    /// The header is valid and has this schema.
     Schema(u16),
-    /// The header is cut off, or is not one of this format.
+    /// The header is truncated, or its magic number or checksum is wrong.
     Damaged,
 }
 
-/// Reads a file's header; a format or schema newer than the one that is understood is an error.
+/// Parses a file's header.
+///
+/// # Errors
+/// When the format or the schema is newer than the supported one.
 pub(crate) fn parse_file_header(
     file: &str,
     bytes: &[u8],
-    newest_schema: u16,
+    supported_schema: u16,
 ) -> Result<FileHeader, StoreError> {
     let Some(header) = bytes.first_chunk::<FILE_HEADER_BYTES>() else { return Ok(FileHeader::Damaged) };
     let checksum = crc32fast::hash(&header[..12]).to_be_bytes();
@@ -44,14 +47,14 @@
     }
     let format = u16::from_be_bytes([header[8], header[9]]);
     let schema = u16::from_be_bytes([header[10], header[11]]);
-    if format > FORMAT || schema > newest_schema {
+    if format > FORMAT || schema > supported_schema {
         return Err(StoreError::UnsupportedVersion { file: file.to_owned(), format, schema });
     }
     Ok(FileHeader::Schema(schema))
 }
 
-/// Appends a record with its header.
-pub(crate) fn put_record(body: &[u8], out: &mut Vec<u8>) -> Result<(), StoreError> {
+/// Appends a record with its header to `out`.
+pub(crate) fn encode_record(body: &[u8], out: &mut Vec<u8>) -> Result<(), StoreError> {
     if body.len() > MAX_RECORD_BYTES {
         return Err(StoreError::RecordTooLong { length: body.len() });
     }
@@ -70,14 +73,14 @@
     hasher.finalize()
 }
 
-/// What was found in a file after its header.
+/// Statistics of a scan of a file's records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ScanResult {
-    /// Bytes from the start of the file to the end of its last valid record.
+    /// Bytes from the start of the file to the end of the last valid record.
     pub valid_bytes: usize,
-    /// Bytes after that: what a crash in the middle of a write leaves.
+    /// Bytes after the last valid record, as left by a crash in the middle of a write.
     pub torn_bytes: usize,
-    /// Records before that end whose checksum is wrong.
+    /// Records with a wrong checksum before the last valid record.
     pub damaged_records: usize,
 }
 
@@ -86,11 +89,11 @@
         body: &'a [u8],
         bytes: usize,
     },
-    /// All of its bytes are there, but its checksum is wrong.
+    /// The record is complete, but its checksum is wrong.
     Damaged {
         bytes: usize,
     },
-    /// It reaches past the end of the file, or its length makes no sense.
+    /// The record extends past the end of the file, or its length is invalid.
     Incomplete,
 }
 
@@ -111,8 +114,9 @@
     }
 }
 
-/// Reads the records after a file's header. A damaged record between valid ones costs only itself. Damaged records at
-/// the end count as torn, for that is what a crash in the middle of a write leaves.
+/// Calls `on_record` with the body of each valid record after the file's header. A damaged record before a
+/// valid one is skipped; damaged records at the end count as torn, since a crash in the middle of a write
+/// leaves such records.
 pub(crate) fn scan(bytes: &[u8], mut on_record: impl FnMut(&[u8])) -> ScanResult {
     let mut result = ScanResult { valid_bytes: FILE_HEADER_BYTES.min(bytes.len()), ..ScanResult::default() };
     let mut position = result.valid_bytes;
@@ -122,7 +126,7 @@
             NextRecord::Valid { body, bytes } => {
                 on_record(body);
                 position += bytes;
-                // This record was written after the damaged ones, so they are not a torn end.
+                // The damaged records before this valid one are not the remains of a torn write.
                 result.damaged_records += std::mem::take(&mut damaged_since_valid);
                 result.valid_bytes = position;
             }
--- a/crates/gaparch-store/src/history.rs
+++ b/crates/gaparch-store/src/history.rs
@@ -1,15 +1,16 @@
-//! A bounded history: many records, of which the oldest are removed.
+//! A history of records that is bounded in size: the oldest records are removed.
 
 use crate::disk::Disk;
 use crate::format::{self, FileHeader, FILE_HEADER_BYTES};
 use crate::StoreError;
 
-/// How much a history stores.
+/// The bounds on the size of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryLimits {
-    /// Bytes after which a file is followed by another; at least 1024. The last records may exceed it.
+    /// Size in bytes at which a new segment is started; at least 1024. The records of the last flush may
+    /// exceed it.
     pub segment_bytes: u64,
-    /// The most files, at least 2; the oldest is removed when there would be one more.
+    /// Maximum number of segments, at least 2. The oldest segment is removed before one more is created.
     pub max_segments: usize,
 }
 
@@ -19,16 +20,16 @@
     }
 }
 
-/// Records in files `NAME.N.part`, called segments, bounded in bytes by the number and size of these.
+/// A log of records in segments, which are files named `NAME.N.part`.
 ///
-/// Records are buffered in memory until [`flush`](History::flush), at most 1 MiB of them; past that new ones are
-/// dropped and counted.
+/// The number and the size of the segments are bounded. Records are buffered in memory until
+/// [`flush`](History::flush). The buffer holds at most 1 MiB; records that don't fit are dropped and counted.
 pub struct History<D> {
     disk: D,
     name: String,
     schema: u16,
     limits: HistoryLimits,
-    /// Numbers of the segments, oldest first; the last one is written to.
+    /// Numbers of the segments, oldest first; records are appended to the last one.
     segments: Vec<u64>,
     last_segment: LastSegment,
     buffer: Vec<u8>,
@@ -42,19 +43,20 @@
 /// The state of the last segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LastSegment {
-    /// It is not written to any more, or there is none.
+    /// There is no segment, or the last one is complete.
     Closed,
-    /// It holds this many bytes, all of them synced.
+    /// All of its bytes, this many, are synced.
     Synced(u64),
-    /// After this many synced bytes there may be some of a write or a sync that failed.
+    /// After this many synced bytes there may be bytes of a failed write or sync.
     Uncertain(u64),
 }
 
 impl<D: Disk> History<D> {
     /// Opens a history and calls `on_record` with the schema and the body of each record, oldest first.
+    /// Segments that have a damaged header or were written by a later version are skipped and left unchanged.
     ///
     /// # Errors
-    /// When the disk can't be read. Segments of a later version are left alone and passed over.
+    /// When the disk can't be read.
     pub fn open(
         disk: D,
         name: &str,
@@ -72,18 +74,18 @@
             schema,
             limits,
             segments: Vec::new(),
-            // New records go to a new segment: the last one may end in the middle of a record.
+            // New records are written to a new segment, since the last one may end with an incomplete record.
             last_segment: LastSegment::Closed,
             buffer: Vec::new(),
             dropped_records: 0,
         };
         let names = history.disk.list().map_err(|e| StoreError::io("listing the directory", e))?;
-        history.segments = names.iter().filter_map(|name| history.segment_of(name)).collect();
+        history.segments = names.iter().filter_map(|name| history.segment_number(name)).collect();
         history.segments.sort_unstable();
         for segment in history.segments.clone() {
-            let file = history.file(segment);
+            let file = history.segment_file(segment);
             let bytes = history.disk.read(&file).map_err(|e| StoreError::io(format!("reading {file}"), e))?;
-            // The other segments can be read without a damaged one.
+            // A damaged segment doesn't prevent the others from being read.
             if let Ok(FileHeader::Schema(found)) = format::parse_file_header(&file, &bytes, schema) {
                 format::scan(&bytes, |body| on_record(found, body));
             }
@@ -91,35 +93,36 @@
         Ok(history)
     }
 
-    fn file(&self, segment: u64) -> String {
+    fn segment_file(&self, segment: u64) -> String {
         format!("{}.{segment}.part", self.name)
     }
 
-    fn segment_of(&self, file: &str) -> Option<u64> {
+    fn segment_number(&self, file: &str) -> Option<u64> {
         file.strip_prefix(&self.name)?.strip_prefix('.')?.strip_suffix(".part")?.parse().ok()
     }
 
-    /// The number of records that were dropped because the buffer was full.
+    /// The number of records dropped because the buffer was full.
     pub fn dropped_records(&self) -> u64 {
         self.dropped_records
     }
 
-    /// Adds a record to the buffer; it is durable after a [`flush`](History::flush).
+    /// Adds a record to the buffer; it becomes durable with the next successful [`flush`](History::flush).
     ///
     /// # Errors
-    /// When the record is too long.
+    /// When the record exceeds the maximum length.
     pub fn push(&mut self, body: &[u8]) -> Result<(), StoreError> {
         if self.buffer.len() + body.len() > MAX_BUFFERED_BYTES {
             self.dropped_records += 1;
             return Ok(());
         }
-        format::put_record(body, &mut self.buffer)
+        format::encode_record(body, &mut self.buffer)
     }
 
-    /// Writes the buffered records, and syncs them.
+    /// Writes and syncs the buffered records.
     ///
     /// # Errors
-    /// When they can't be made durable: they stay buffered for the next flush, and earlier records stay on the disk.
+    /// When the records can't be made durable. They stay buffered for the next flush; earlier records stay on
+    /// disk.
     pub fn flush(&mut self) -> Result<(), StoreError> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -128,26 +131,26 @@
         let file = self.last_segment_file();
         let written = self.disk.append(&file, &self.buffer).and_then(|()| self.disk.sync(&file));
         if let Err(error) = written {
-            return Err(self.failed(length, &file, error));
+            return Err(self.mark_uncertain(length, &file, error));
         }
         self.last_segment = LastSegment::Synced(length + self.buffer.len() as u64);
         self.buffer.clear();
         Ok(())
     }
 
-    /// Makes the last segment ready to be appended to. Returns its length.
+    /// Prepares the last segment for an append, or starts a new one. Returns its length.
     fn prepare_last_segment(&mut self) -> Result<u64, StoreError> {
         if let LastSegment::Uncertain(length) = self.last_segment {
             self.discard_uncertain(length)?;
         }
         match self.last_segment {
             LastSegment::Synced(length) if length < self.limits.segment_bytes => Ok(length),
-            LastSegment::Synced(_) | LastSegment::Closed | LastSegment::Uncertain(_) => self.begin_segment(),
+            LastSegment::Synced(_) | LastSegment::Closed | LastSegment::Uncertain(_) => self.start_segment(),
         }
     }
 
-    /// Removes the bytes that a failed write or sync may have left, since their records are written again. The cut is
-    /// synced, so that the last page of what stays is written again too.
+    /// Removes the bytes that a failed write or sync may have left, since their records are written again.
+    /// The truncation is synced, so that the last page of the remaining content is written to the disk again.
     fn discard_uncertain(&mut self, length: u64) -> Result<(), StoreError> {
         let file = self.last_segment_file();
         let is_empty = length <= FILE_HEADER_BYTES as u64;
@@ -156,9 +159,9 @@
             false => self.disk.truncate(&file, length).and_then(|()| self.disk.sync(&file)),
         };
         match done {
-            // A file that was never created needs no removal.
+            // A file that was never created doesn't need to be removed.
             Err(error) if !(is_empty && error.kind() == std::io::ErrorKind::NotFound) => {
-                Err(self.failed(length, &file, error))
+                Err(self.mark_uncertain(length, &file, error))
             }
             _ if is_empty => {
                 self.segments.pop();
@@ -172,32 +175,34 @@
         }
     }
 
-    /// Begins another segment. Returns its length.
-    fn begin_segment(&mut self) -> Result<u64, StoreError> {
+    /// Starts a new segment and removes the oldest ones past the limit. Returns its length.
+    fn start_segment(&mut self) -> Result<u64, StoreError> {
         while self.segments.len() >= self.limits.max_segments {
             let oldest = self.segments.remove(0);
-            // If this fails the segment costs space and nothing else.
-            let _ = self.disk.remove(&self.file(oldest));
+            // If the removal fails, the segment only takes up disk space.
+            let _ = self.disk.remove(&self.segment_file(oldest));
         }
         let segment = self.segments.last().map_or(1, |last| last + 1);
-        let file = self.file(segment);
-        // It counts from now on, written or not, so that the leftover of a failed attempt is removed in its turn.
+        let file = self.segment_file(segment);
+        // The segment is counted before it is written, so that the remains of a failed write are removed like
+        // any other segment.
         self.segments.push(segment);
-        let header = format::file_header(self.schema);
+        let header = format::encode_file_header(self.schema);
         if let Err(error) = self.disk.append(&file, &header) {
-            return Err(self.failed(0, &file, error));
+            return Err(self.mark_uncertain(0, &file, error));
         }
         self.last_segment = LastSegment::Synced(FILE_HEADER_BYTES as u64);
         Ok(FILE_HEADER_BYTES as u64)
     }
 
-    /// Remembers that a write or sync of the last segment has failed after this many synced bytes.
-    fn failed(&mut self, length: u64, file: &str, error: std::io::Error) -> StoreError {
+    /// Records that a write or sync of the last segment has failed after `length` synced bytes. Returns the
+    /// error.
+    fn mark_uncertain(&mut self, length: u64, file: &str, error: std::io::Error) -> StoreError {
         self.last_segment = LastSegment::Uncertain(length);
         StoreError::io(format!("writing {file}"), error)
     }
 
     fn last_segment_file(&self) -> String {
-        self.segments.last().map(|segment| self.file(*segment)).unwrap_or_default()
+        self.segments.last().map(|segment| self.segment_file(*segment)).unwrap_or_default()
     }
 }
--- a/crates/gaparch-store/src/lib.rs
+++ b/crates/gaparch-store/src/lib.rs
@@ -1,12 +1,13 @@
-//! Storage that survives a crash at any instant.
+//! Crash-safe storage of records in files.
 //!
-//! [`Journal`] holds few records that must all be there again: a record is durable once
-//! [`append`](Journal::append) has returned. [`History`] holds many records of which the oldest are removed: it is
-//! bounded in bytes, and may lose what was not yet synced. Both write to a [`Disk`], which is a
-//! locked directory ([`StateDirectory`]) or a disk that fails on purpose ([`faulty::FaultyDisk`]). The caller defines
-//! what the records mean; each file's header has the version of that meaning, its schema.
+//! A [`Journal`] holds a small number of records, all of which must survive: a record is durable once
+//! [`append`](Journal::append) has returned. A [`History`] holds many records and removes the oldest: it is
+//! bounded in size, and may lose records that were not yet synced. Both write to a [`Disk`], which is a
+//! locked directory ([`StateDirectory`]) or an in-memory disk with fault injection ([`faulty::FaultyDisk`]).
+//! The caller defines the content of the records; the header of each file has the version of that definition,
+//! its schema.
 //!
-//! A file is a header and records, all numbers big-endian:
+//! A file consists of a header and records. All numbers are big-endian:
 //!
 //! | part | bytes |
 //! | --- | --- |
@@ -30,33 +31,34 @@
 
 use thiserror::Error;
 
-/// Why something can't be stored or read.
+/// Why data can't be stored or read.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The file system reported an error.
     #[error("{what}: {source}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         what: String,
         /// The error of the file system.
         source: std::io::Error,
     },
-    /// Another process has locked the directory: the two would overwrite each other's files.
+    /// Another process has locked the directory; two processes would overwrite each other's files.
     #[error("{directory} is in use{}", .process.as_ref().map(|id| format!(" by process {id}")).unwrap_or_default())]
     InUse {
         /// The path of the directory.
         directory: String,
-        /// The id of the other process, where it is known.
+        /// The id of the other process, if known.
         process: Option<String>,
     },
-    /// A later version of the program wrote the file. It is left alone, so that the later version can still read it.
+    /// The file was written by a later version of the program. It is left unchanged, so that the later
+    /// version can still read it.
     #[error("{file} was written by a later version (format {format}, schema {schema})")]
     UnsupportedVersion {
         /// The name of the file.
         file: String,
-        /// The version of its format.
+        /// The file's format version.
         format: u16,
-        /// The version of its records.
+        /// The schema of its records.
         schema: u16,
     },
     /// A record is longer than [`MAX_RECORD_BYTES`].
@@ -65,7 +67,7 @@
         /// The length of the record's body in bytes.
         length: usize,
     },
-    /// A sync has failed, or there is no valid file: all records have to be written anew.
+    /// A sync has failed, or there is no valid file: all records have to be rewritten.
     #[error("{file} has to be rewritten after a failure")]
     NeedsRewrite {
         /// The name of the file.
