--- a/crates/gaparch-store/tests/common/mod.rs
+++ b/crates/gaparch-store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Comparison of bytes with hex digits.
+//! Helpers that convert between bytes and hex digits.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 pub fn assert_bytes(bytes: &[u8], pinned: &str) {
     let mut hex = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
-        write!(hex, "{byte:02x}").expect("a string takes all that is written to it");
+        write!(hex, "{byte:02x}").expect("writing to a string succeeds");
     }
     assert_eq!(hex, pinned);
 }
