--- a/crates/gaparch-ops/src/change_text.rs
+++ b/crates/gaparch-ops/src/change_text.rs
@@ -1,8 +1,8 @@
-//! Changes in words.
+//! Human-readable descriptions of changes.
 
 use gaparch_protocol::ops::intent::{Change, DrainMode};
 
-/// What a change did, for people.
+/// Describes what a change did. The texts are sent to operators' clients and stay as they are.
 pub fn change_text(change: &Change) -> String {
     match change {
         Change::Drain { engine, mode: DrainMode::Drain } => format!("{engine} drained"),
--- a/crates/gaparch-ops/src/event_log.rs
+++ b/crates/gaparch-ops/src/event_log.rs
@@ -1,19 +1,19 @@
-//! The latest events, in memory.
+//! An in-memory log of the latest events.
 
 use gaparch_protocol::ops::view::Event;
 use std::collections::VecDeque;
 
-/// The most events in memory; past it the oldest is dropped.
+/// Maximum number of events; the oldest is dropped to make space for a new one.
 const MAX_EVENTS: usize = 10_000;
 
-/// The latest events, in the order in which they happened.
+/// A bounded log of events in the order they happened.
 #[derive(Clone, Debug, Default)]
 pub struct EventLog {
     events: VecDeque<Event>,
 }
 
 impl EventLog {
-    /// Adds an event.
+    /// Appends an event.
     pub fn push(&mut self, event: Event) {
         if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
@@ -21,13 +21,14 @@
         self.events.push_back(event);
     }
 
-    /// The latest events since a time, at most `max`, of one engine or of all; the last one last.
+    /// Returns the latest events since a time, at most `max` of them, oldest first. `engine` restricts them
+    /// to one engine.
     pub fn latest(&self, engine: Option<&str>, since: u64, max: usize) -> Vec<Event> {
-        let is_wanted = |event: &&Event| {
-            let is_of_engine = engine.is_none_or(|name| event.engine.as_deref() == Some(name));
-            event.at >= since && is_of_engine
+        let matches = |event: &&Event| {
+            let matches_engine = engine.is_none_or(|name| event.engine.as_deref() == Some(name));
+            event.at >= since && matches_engine
         };
-        let mut events: Vec<Event> = self.events.iter().rev().filter(is_wanted).take(max).cloned().collect();
+        let mut events: Vec<Event> = self.events.iter().rev().filter(matches).take(max).cloned().collect();
         events.reverse();
         events
     }
--- a/crates/gaparch-ops/src/lib.rs
+++ b/crates/gaparch-ops/src/lib.rs
@@ -1,10 +1,10 @@
-//! What operators order, and what they are shown: decided without I/O or a clock.
+//! The logic of operators' orders and of the data shown to operators, without I/O or a clock.
 //!
-//! [`OrderRegistry`] holds what operators have ordered and decides which orders may be carried out;
-//! [`effective_state`] combines orders and the endpoint list. [`OutcomeLog`] holds why requests were not served,
-//! [`Monitor`] turns what a router observes of its engines into events, [`EventLog`] holds these, and
-//! [`SubscriberFeed`] decides what a slow subscriber gets. Times are nanoseconds since the Unix epoch; they go back only
-//! if the clock does.
+//! [`OrderRegistry`] holds the operators' orders and decides which orders may be carried out;
+//! [`effective_state`] combines the orders with the endpoint list. [`OutcomeLog`] records why requests were
+//! not served, [`Monitor`] derives events from a router's observations of its engines, [`EventLog`] holds the
+//! events, and [`SubscriberFeed`] decides which updates a slow subscriber gets. Times are nanoseconds since
+//! the Unix epoch; they only go back if the clock does.
 
 #![warn(missing_docs)]
 
@@ -29,5 +29,5 @@
 pub use stored_change::{read_change, CHANGE_SCHEMA};
 pub use subscriber::{Delivery, SubscriberFeed};
 
-/// One second, in the unit of all times here.
+/// One second in nanoseconds, the unit of all times in this crate.
 pub const SECOND: u64 = 1_000_000_000;
--- a/crates/gaparch-ops/src/limits.rs
+++ b/crates/gaparch-ops/src/limits.rs
@@ -4,25 +4,25 @@
 use gaparch_protocol::ops::intent::LimitView;
 use gaparch_protocol::ops::DenyCode;
 
-/// The name of the limit of open requests: those accepted and not yet ended.
+/// The name of the limit on open requests, which are those accepted and not yet ended.
 pub const OPEN_REQUESTS: &str = "open-requests";
-/// The most limits that an error message lists.
+/// Maximum number of limits listed in an error message.
 const MAX_LISTED_LIMITS: usize = 20;
 
-/// The name of the limit of a tenant's requests a second within its quota.
+/// Returns the name of the limit on a tenant's requests per second, its quota.
 pub fn tenant_limit(tenant: &str) -> String {
     format!("tenant.{tenant}.requests-per-second")
 }
 
-/// The tenant whose limit has this name, if it is a tenant's.
+/// Returns the tenant of a limit with this name, if it is the limit of a tenant.
 pub fn limited_tenant(name: &str) -> Option<&str> {
     name.strip_prefix("tenant.")?.strip_suffix(".requests-per-second")
 }
 
-/// What setting a limit does, for people. `None`: to the value in the settings.
+/// Checks the new value of a limit and describes the effect. `None` stands for the value in the settings.
 ///
 /// # Errors
-/// When there is no such limit, or the value is outside of its bounds.
+/// When the limit doesn't exist, or the value is out of its bounds.
 pub fn check(name: &str, value: Option<f64>, limits: &[LimitView]) -> Result<String, OrderDenied> {
     let Some(limit) = limits.iter().find(|limit| limit.name == name) else {
         let known: Vec<&str> =
--- a/crates/gaparch-ops/src/monitor/engine.rs
+++ b/crates/gaparch-ops/src/monitor/engine.rs
@@ -1,4 +1,4 @@
-//! Events of one engine.
+//! Detects the events of one engine.
 
 use super::fault::{faults, Fault, FaultPeriod};
 use super::{event, text, FAULT_CLEARED_AFTER};
@@ -7,10 +7,10 @@
 use gaparch_protocol::ops::view::{EngineState, EngineView, Event, Severity};
 use std::collections::BTreeMap;
 
-/// The most faults of one engine at once; there are no events for more.
+/// Maximum number of simultaneous faults of one engine; further faults are not reported.
 const MAX_FAULTS: usize = 64;
 
-/// What is remembered of one engine.
+/// The monitored state of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineMonitor {
     state: EngineState,
@@ -19,12 +19,12 @@
 }
 
 impl EngineMonitor {
-    /// Begins with an engine that is observed for the first time.
+    /// Starts to monitor an engine with its first observation.
     pub fn new(engine: &EngineView) -> EngineMonitor {
         EngineMonitor { state: engine.state, started_at: engine.started_at, faults: BTreeMap::new() }
     }
 
-    /// Takes an observation and adds its events.
+    /// Processes an observation and appends the resulting events.
     pub fn observe(
         &mut self,
         now: u64,
@@ -56,7 +56,7 @@
         if self.started_at >= engine.started_at {
             return;
         }
-        // The first time that an engine says when it started is no restart.
+        // The first report of a start time is not a restart.
         let is_restart = self.started_at.is_some();
         let warning = drain(&engine.name).and_then(|drain| restart_warning(drain, engine.started_at));
         if let Some(text) = warning {
@@ -72,7 +72,7 @@
             if let Some(period) = self.faults.get_mut(&fault) {
                 period.last_observed_at = now;
             } else if self.faults.len() < MAX_FAULTS {
-                let text = text::fault_begins(&fault, engine);
+                let text = text::fault_start_text(&fault, engine);
                 events.push(event(now, Severity::Fault, Some(&engine.name), text));
                 self.faults.insert(fault, FaultPeriod::new(now, engine));
             }
@@ -81,12 +81,12 @@
 
     fn end_faults(&mut self, now: u64, engine: &EngineView, events: &mut Vec<Event>) {
         self.faults.retain(|fault, period| {
-            let goes_on = now < period.last_observed_at.saturating_add(FAULT_CLEARED_AFTER);
-            if !goes_on {
-                let text = text::fault_ends(fault, period, engine);
+            let is_ongoing = now < period.last_observed_at.saturating_add(FAULT_CLEARED_AFTER);
+            if !is_ongoing {
+                let text = text::fault_end_text(fault, period, engine);
                 events.push(event(now, Severity::Info, Some(&engine.name), text));
             }
-            goes_on
+            is_ongoing
         });
     }
 }
--- a/crates/gaparch-ops/src/monitor/mod.rs
+++ b/crates/gaparch-ops/src/monitor/mod.rs
@@ -1,6 +1,6 @@
-//! Events from what a router observes of its engines and of itself.
+//! Derives events from a router's observations of its engines and of itself.
 //!
-//! [`Monitor`] compares each observation with the last one and owns what it remembers of them.
+//! [`Monitor`] compares each observation with the state that it keeps from earlier ones.
 
 mod engine;
 mod fault;
@@ -16,12 +16,12 @@
 use router::RouterMonitor;
 use std::collections::BTreeMap;
 
-/// A fault is over once it has not been observed for this long. So an engine that fails and recovers ten times a
-/// minute has one fault and not twenty events.
+/// A fault has ended once it has not been observed for this long. An engine that fails and recovers ten times
+/// a minute then has one fault instead of twenty events.
 const FAULT_CLEARED_AFTER: u64 = 2 * SECOND;
 
-/// Turns observations into events: faults of engines, their restarts and changes of state, and periods in which
-/// requests are not served.
+/// Turns observations into events: faults, restarts and state changes of engines, periods in which requests
+/// are not served, and lag of the router.
 #[derive(Clone, Debug, Default)]
 pub struct Monitor {
     engines: BTreeMap<String, EngineMonitor>,
@@ -29,8 +29,8 @@
 }
 
 impl Monitor {
-    /// Takes an observation of the router and all engines. `drain` says how an engine is out of service by an operator's
-    /// order.
+    /// Processes an observation of the router and all engines, and returns the resulting events. `drain`
+    /// returns the operator's order that keeps an engine out of service.
     pub fn observe(
         &mut self,
         metrics: &RouterMetrics,
--- a/crates/gaparch-ops/src/monitor/router.rs
+++ b/crates/gaparch-ops/src/monitor/router.rs
@@ -1,14 +1,14 @@
-//! Events of the router itself.
+//! Detects the events of the router itself.
 
 use super::{event, text, FAULT_CLEARED_AFTER};
 use crate::SECOND;
 use gaparch_protocol::ops::view::{Event, RouterMetrics, Severity};
 
-/// A period in which requests are not served ends once none was lost for this long.
+/// A loss period ends once no request has been rejected or has failed for this long.
 const LOSS_CLEARED_AFTER: u64 = 5 * FAULT_CLEARED_AFTER;
-/// A router whose owner task lags by more microseconds than this can't keep deadlines.
+/// Lag of the router's owner task, in microseconds, above which deadlines can't be met.
 const MAX_LAG_US: u64 = 50_000;
-/// Between two events of lag, in nanoseconds.
+/// Minimum time between two lag events, in nanoseconds.
 const LAG_EVENT_INTERVAL: u64 = 30 * SECOND;
 
 /// A period in which requests are rejected or fail.
@@ -16,10 +16,11 @@
 struct LossPeriod {
     since: u64,
     last_loss_at: u64,
+    /// The last metrics before the period.
     before: RouterMetrics,
 }
 
-/// What is remembered of the router.
+/// The monitored state of the router.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RouterMonitor {
     last: Option<RouterMetrics>,
@@ -28,7 +29,7 @@
 }
 
 impl RouterMonitor {
-    /// Takes an observation and adds its events.
+    /// Processes an observation and appends the resulting events.
     pub fn observe(&mut self, metrics: &RouterMetrics, events: &mut Vec<Event>) {
         let Some(last) = self.last.replace(*metrics) else { return };
         self.observe_losses(metrics, last, events);
@@ -37,7 +38,7 @@
     }
 
     fn observe_losses(&mut self, metrics: &RouterMetrics, last: RouterMetrics, events: &mut Vec<Event>) {
-        if lost(metrics) <= lost(&last) {
+        if lost_requests(metrics) <= lost_requests(&last) {
             return;
         }
         if let Some(loss) = &mut self.loss {
@@ -88,6 +89,7 @@
     }
 }
 
-fn lost(metrics: &RouterMetrics) -> u64 {
+/// The number of requests since the start that were rejected or failed.
+fn lost_requests(metrics: &RouterMetrics) -> u64 {
     metrics.rejected + metrics.failed
 }
--- a/crates/gaparch-ops/src/monitor/text.rs
+++ b/crates/gaparch-ops/src/monitor/text.rs
@@ -1,10 +1,10 @@
-//! Events in words.
+//! The texts of events. They are sent to operators' clients and stay as they are.
 
 use super::fault::{Fault, FaultPeriod};
 use crate::SECOND;
 use gaparch_protocol::ops::view::{EngineState, EngineView};
 
-/// What an engine's new state means.
+/// Describes an engine's new state.
 pub(super) fn state_text(state: EngineState) -> &'static str {
     match state {
         EngineState::Ready => "ready: it is sent requests",
@@ -13,8 +13,8 @@
     }
 }
 
-/// A fault that begins, and what is in flight at the engine.
-pub(super) fn fault_begins(fault: &Fault, engine: &EngineView) -> String {
+/// Describes a fault that begins, and the requests in flight at the engine.
+pub(super) fn fault_start_text(fault: &Fault, engine: &EngineView) -> String {
     let in_flight = format!(
         "{} awaiting their first token and {} streaming there",
         engine.awaiting_first_token, engine.streaming
@@ -33,13 +33,16 @@
         }
         Fault::PartiallyEjected { class, tenant } => {
             let part = traffic_text(class, tenant);
-            format!("rejects {part} or leaves it unanswered; it gets none of it for a while, but all other requests")
+            format!(
+                "rejects {part} or leaves it unanswered; it gets none of it for a while, but all other \
+                 requests"
+            )
         }
     }
 }
 
-/// A fault that has ended, how long it lasted, and what became of the attempts there.
-pub(super) fn fault_ends(fault: &Fault, period: &FaultPeriod, engine: &EngineView) -> String {
+/// Describes a fault that has ended, its duration, and the attempts that failed or were cancelled meanwhile.
+pub(super) fn fault_end_text(fault: &Fault, period: &FaultPeriod, engine: &EngineView) -> String {
     let what = match fault {
         Fault::Unreachable => "answers again".to_owned(),
         Fault::Ejected => "is used again".to_owned(),
@@ -63,7 +66,7 @@
     }
 }
 
-/// A duration in nanoseconds as text, in its two largest units.
+/// Formats a duration in nanoseconds in its two largest units.
 pub fn duration_text(nanos: u64) -> String {
     let seconds = nanos / SECOND;
     match seconds {
--- a/crates/gaparch-ops/src/outcomes/groups.rs
+++ b/crates/gaparch-ops/src/outcomes/groups.rs
@@ -1,4 +1,4 @@
-//! Outcomes in groups of one kind, cause, queueing reason, class and tenant.
+//! Groups outcomes by kind, cause, queueing reason, class and tenant.
 
 use gaparch_protocol::ops::outcome::{
     OutcomeCause, OutcomeGroup, OutcomeKind, QueueingReason, RequestOutcome,
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// What the outcomes of a group have in common.
+/// The properties that the outcomes of a group have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupKey {
     kind: OutcomeKind,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The groups, the largest first, and the number of all outcomes.
+/// Returns the groups, largest first, and the total number of outcomes.
 pub(super) fn group<'o>(outcomes: impl Iterator<Item = &'o RequestOutcome>) -> (Vec<OutcomeGroup>, u64) {
     let mut groups: BTreeMap<GroupKey, OutcomeGroup> = BTreeMap::new();
     let mut total = 0;
--- a/crates/gaparch-ops/src/outcomes/matching.rs
+++ b/crates/gaparch-ops/src/outcomes/matching.rs
@@ -1,4 +1,4 @@
-//! Which outcomes match a filter.
+//! Matches outcomes against a filter.
 
 use super::LoggedOutcome;
 use gaparch_protocol::ops::outcome::OutcomeFilter;
@@ -11,14 +11,14 @@
         && filter.queueing_reason.is_none_or(|reason| Some(reason) == outcome.queueing_reason)
         && filter.class.as_ref().is_none_or(|class| *class == outcome.class)
         && filter.tenant.as_ref().is_none_or(|tenant| *tenant == outcome.tenant)
-        && filter.engine.as_ref().is_none_or(|engine| concerns_engine(logged, engine))
+        && filter.engine.as_ref().is_none_or(|engine| involves_engine(logged, engine))
         && filter.since.is_none_or(|since| outcome.ended_at >= since)
         && filter.until.is_none_or(|until| outcome.ended_at <= until)
 }
 
-/// Whether the request was sent to the engine, or the engine was avoided for it.
-fn concerns_engine(logged: &LoggedOutcome, engine: &str) -> bool {
-    let was_sent_there = logged.outcome.attempts.iter().any(|attempt| attempt.engine == engine);
+/// Whether the request was sent to the engine, or the scheduler avoided the engine for it.
+fn involves_engine(logged: &LoggedOutcome, engine: &str) -> bool {
+    let was_sent = logged.outcome.attempts.iter().any(|attempt| attempt.engine == engine);
     let mut avoided = logged.evidence.iter().filter(|evidence| !evidence.avoid_reason.is_empty());
-    was_sent_there || avoided.any(|evidence| evidence.engine == engine)
+    was_sent || avoided.any(|evidence| evidence.engine == engine)
 }
--- a/crates/gaparch-ops/src/outcomes/mod.rs
+++ b/crates/gaparch-ops/src/outcomes/mod.rs
@@ -1,4 +1,4 @@
-//! Why requests were not served, and what became of their clients.
+//! Records why requests were not served, and whether their clients retried.
 
 mod follow_ups;
 mod groups;
@@ -13,16 +13,16 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// The schema of the records on disk.
+/// The schema of outcome records on disk.
 pub const OUTCOME_SCHEMA: u16 = 1;
-/// The most outcomes of served requests in memory.
+/// Maximum number of outcomes of served requests in memory.
 const MAX_SERVED: usize = 500;
 const DEFAULT_MAX_BYTES: usize = 32 << 20;
 
 /// The bounds of an [`OutcomeLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutcomeLogLimits {
-    /// The most bytes of outcomes that were not served, as estimated.
+    /// Maximum estimated size of the outcomes of requests that were not served, in bytes.
     pub max_bytes: usize,
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// The outcome of a request that was not served. The evidence is shared: in an overload a thousand requests see the
-/// same engines.
+/// The outcome of a request that was not served. The evidence is shared with the previous outcome if it is
+/// equal: during an overload, a thousand requests may have the same evidence.
 #[derive(Clone, Debug)]
 struct LoggedOutcome {
-    /// Without its evidence.
+    /// The outcome without its evidence.
     outcome: RequestOutcome,
     evidence: Arc<Vec<EngineEvidence>>,
-    /// The estimated bytes that it takes.
+    /// The estimated size, in bytes.
     bytes: usize,
 }
 
@@ -49,29 +49,30 @@
     }
 }
 
-/// A client has sent a request again that was not served before.
+/// A retry of a request that was not served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedFollowUp {
     /// The earlier request.
     pub request: GlobalRequestId,
-    /// What came of the later one.
+    /// The retry and its outcome.
     pub follow_up: FollowUp,
 }
 
-/// The outcomes of requests that were not served, and the last few of those that were.
+/// The outcomes of requests that were not served, and of the last few that were served.
 ///
-/// It gets the outcomes of all requests, since a client that retries is recognized by how its next request ended. It
-/// is bounded in bytes: the oldest outcomes are dropped.
+/// The log gets the outcomes of all requests, since the retry of a request that was not served may be served.
+/// Its size is bounded: the oldest outcomes are dropped.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeLog {
     limits: OutcomeLogLimits,
     not_served: VecDeque<LoggedOutcome>,
-    /// The number of the first of these; each outcome has the next number.
+    /// The number of the first outcome in `not_served`; the outcomes are numbered consecutively.
     first_number: u64,
-    /// The estimated bytes of all of these.
+    /// The estimated size of `not_served`, in bytes.
     bytes: usize,
+    /// The numbers in `not_served` by request.
     numbers: HashMap<GlobalRequestId, u64>,
-    /// The numbers of those whose client has not been seen again, by fingerprint.
+    /// The numbers of outcomes without a follow-up, by fingerprint.
     without_follow_up: HashMap<u64, VecDeque<u64>>,
     served: VecDeque<RequestOutcome>,
     tenants: tenants::TenantCounters,
@@ -79,15 +80,15 @@
 }
 
 impl OutcomeLog {
-    /// An empty log with these bounds.
+    /// Creates an empty log with these bounds.
     pub fn new(limits: OutcomeLogLimits) -> OutcomeLog {
         OutcomeLog { limits, ..OutcomeLog::default() }
     }
 
-    /// Adds the outcome of a request. Returns the earlier requests that it is the follow-up of.
+    /// Adds the outcome of a request. Returns the earlier requests whose follow-up it is.
     pub fn add(&mut self, outcome: RequestOutcome) -> Vec<ObservedFollowUp> {
         self.tenants.count(&outcome);
-        let follow_ups = self.follow_ups_by(&outcome);
+        let follow_ups = self.record_follow_up(&outcome);
         match outcome.kind {
             OutcomeKind::Served => self.add_served(outcome),
             _ => self.add_not_served(outcome),
@@ -147,7 +148,7 @@
         if self.numbers.get(&oldest.outcome.request) == Some(&number) {
             self.numbers.remove(&oldest.outcome.request);
         }
-        self.forget_open(oldest.outcome.fingerprint, number);
+        self.remove_without_follow_up(oldest.outcome.fingerprint, number);
     }
 
     fn index(&self, number: u64) -> Option<usize> {
@@ -158,7 +159,7 @@
         self.not_served.get(self.index(number)?)
     }
 
-    /// The outcome of a request, if it is in the log.
+    /// Returns the outcome of a request, if it is in the log.
     pub fn find(&self, request: GlobalRequestId) -> Option<RequestOutcome> {
         let number = self.numbers.get(&request);
         if let Some(logged) = number.and_then(|number| self.get(*number)) {
@@ -167,7 +168,8 @@
         self.served.iter().find(|outcome| outcome.request == request).cloned()
     }
 
-    /// The outcomes that match a filter, the latest first and at most `max`, and how many match in all.
+    /// Returns the outcomes that match a filter, latest first and at most `max`, and the total number of
+    /// matches.
     pub fn outcomes(&self, filter: &OutcomeFilter, max: usize) -> (Vec<RequestOutcome>, u64) {
         let max = if filter.max == 0 { max } else { max.min(filter.max as usize) };
         let mut total = 0;
@@ -181,33 +183,34 @@
         (outcomes, total)
     }
 
-    /// The outcomes that match a filter in groups, the largest first, and how many match in all.
+    /// Groups the outcomes that match a filter. Returns the groups, largest first, and the total number of
+    /// matches.
     pub fn groups(&self, filter: &OutcomeFilter) -> (Vec<OutcomeGroup>, u64) {
         let matching = self.not_served.iter().filter(|logged| matching::matches(logged, filter));
         groups::group(matching.map(|logged| &logged.outcome))
     }
 
-    /// The last requests that were served, the latest last.
+    /// Returns the outcomes of the last served requests, oldest first.
     pub fn served(&self) -> impl DoubleEndedIterator<Item = &RequestOutcome> {
         self.served.iter()
     }
 
-    /// All tenants with their requests since the start.
+    /// Returns the request counters of all tenants since the start.
     pub fn tenants(&self) -> Vec<TenantView> {
         self.tenants.views()
     }
 
-    /// The number of outcomes that were not served.
+    /// The number of outcomes of requests that were not served.
     pub fn len(&self) -> usize {
         self.not_served.len()
     }
 
-    /// Whether there is no outcome that was not served.
+    /// Whether the log has no outcome of a request that was not served.
     pub fn is_empty(&self) -> bool {
         self.not_served.is_empty()
     }
 
-    /// The estimated bytes in use. They exceed the bound only if the last outcome alone does.
+    /// The estimated size in bytes. It exceeds the bound only if the last outcome alone does.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/gaparch-ops/src/outcomes/tenants.rs
+++ b/crates/gaparch-ops/src/outcomes/tenants.rs
@@ -1,13 +1,13 @@
-//! The requests of each tenant, counted by outcome.
+//! Counts the requests of each tenant by outcome.
 
 use gaparch_protocol::ops::outcome::{OutcomeKind, RequestOutcome};
 use gaparch_protocol::ops::view::TenantView;
 use std::collections::BTreeMap;
 
-/// The most tenants that are counted apart; those past it are counted together, under an empty name.
+/// Maximum number of tenants with their own counters; further tenants share the counters of the empty name.
 const MAX_TENANTS: usize = 1000;
 
-/// Counters by tenant, since the start.
+/// Request counters of each tenant since the start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantCounters {
     tenants: BTreeMap<String, TenantView>,
@@ -16,8 +16,8 @@
 impl TenantCounters {
     /// Counts a request that has ended.
     pub fn count(&mut self, outcome: &RequestOutcome) {
-        let is_counted_apart = self.tenants.contains_key(&outcome.tenant) || self.tenants.len() < MAX_TENANTS;
-        let name = if is_counted_apart { outcome.tenant.clone() } else { String::new() };
+        let has_own_counters = self.tenants.contains_key(&outcome.tenant) || self.tenants.len() < MAX_TENANTS;
+        let name = if has_own_counters { outcome.tenant.clone() } else { String::new() };
         let tenant = self.tenants.entry(name.clone()).or_default();
         tenant.name = name;
         tenant.requests += 1;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The counters, by name.
+    /// Returns the counters sorted by tenant name.
     pub fn views(&self) -> Vec<TenantView> {
         self.tenants.values().cloned().collect()
     }
--- a/crates/gaparch-ops/src/registry.rs
+++ b/crates/gaparch-ops/src/registry.rs
@@ -1,12 +1,13 @@
-//! The orders of operators that are in force.
+//! The operators' orders that are in force.
 
 use gaparch_protocol::ops::intent::{AcceptedChange, Change, DrainMode, Intent, Subject};
 use std::collections::BTreeMap;
 
-/// Subjects of which the last change is remembered. Past it the oldest of those that are not in force are forgotten.
+/// Maximum number of subjects whose last change is stored. Past it, the oldest change that is not in force is
+/// removed.
 const MAX_SUBJECTS: usize = 20_000;
 
-/// What a change is about: of each subject the last change counts.
+/// What a change applies to. Of each subject only the last change matters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ChangeSubject {
     Engine(String),
@@ -15,7 +16,7 @@
 }
 
 impl ChangeSubject {
-    /// The subject of a change; `None` for one that nothing remembers.
+    /// Returns the subject of a change; `None` for a change that isn't stored.
     pub(crate) fn of(change: &Change) -> Option<ChangeSubject> {
         match change {
             Change::Drain { engine, .. } | Change::Undrain { engine } => {
@@ -33,7 +34,7 @@
     matches!(change, Change::Drain { .. } | Change::Pause {} | Change::SetLimit { value: Some(_), .. })
 }
 
-/// What a change leaves in force.
+/// Returns the subject and value that a change puts in force, if any.
 fn subject_in_force(change: &Change) -> Option<Subject> {
     match change {
         Change::Drain { engine, mode } => Some(Subject::Engine { engine: engine.clone(), mode: *mode }),
@@ -45,16 +46,16 @@
     }
 }
 
-/// How an engine is out of service by an operator's order.
+/// An operator's order that takes an engine out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineDrain {
-    /// How it was taken out.
+    /// How the engine was taken out of service.
     pub mode: DrainMode,
-    /// When, in nanoseconds since the Unix epoch.
+    /// Time of the order, in nanoseconds since the Unix epoch.
     pub since: u64,
 }
 
-/// What is in force by operators' orders, and who changed each thing last.
+/// The last change of each subject by an operator, and so the orders that are in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderRegistry {
     revision: u64,
@@ -62,7 +63,7 @@
 }
 
 impl OrderRegistry {
-    /// The registry after these changes, in their order.
+    /// Builds a registry by applying changes in the given order.
     pub fn restore(changes: impl IntoIterator<Item = AcceptedChange>) -> OrderRegistry {
         let mut registry = OrderRegistry::default();
         for change in changes {
@@ -71,7 +72,8 @@
         registry
     }
 
-    /// Changes from which [`restore`](OrderRegistry::restore) makes this registry again, by revision.
+    /// Returns the stored changes, oldest first; [`restore`](OrderRegistry::restore) rebuilds this registry
+    /// from them.
     pub fn changes(&self) -> Vec<AcceptedChange> {
         let mut changes: Vec<AcceptedChange> = self.last_changes.values().cloned().collect();
         changes.sort_by_key(|accepted| accepted.revision);
@@ -83,18 +85,20 @@
         self.revision
     }
 
-    /// Applies a change that was [proposed](OrderRegistry::propose), here or before a restart.
+    /// Applies a change that was accepted by [`propose`](OrderRegistry::propose) or
+    /// [`adopt`](OrderRegistry::adopt), possibly before a restart.
     pub fn apply(&mut self, accepted: AcceptedChange) {
         self.revision = self.revision.max(accepted.revision);
         if let Some(subject) = ChangeSubject::of(&accepted.change) {
             self.last_changes.insert(subject, accepted);
         }
         if self.last_changes.len() > MAX_SUBJECTS {
-            self.forget_oldest();
+            self.remove_oldest_ended();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    /// Removes the oldest change that is not in force.
+    fn remove_oldest_ended(&mut self) {
         let ended = self.last_changes.iter().filter(|(_, accepted)| !is_in_force(&accepted.change));
         let oldest = ended.min_by_key(|(_, accepted)| accepted.revision);
         if let Some(subject) = oldest.map(|(subject, _)| subject.clone()) {
@@ -102,12 +106,12 @@
         }
     }
 
-    /// The last change of a subject.
+    /// Returns the last change of a subject.
     pub(crate) fn last_change(&self, subject: &ChangeSubject) -> Option<&AcceptedChange> {
         self.last_changes.get(subject)
     }
 
-    /// How an engine is out of service by an operator's order, if it is.
+    /// Returns the operator's order that keeps an engine out of service, if there is one.
     pub fn drain(&self, engine: &str) -> Option<EngineDrain> {
         let last = self.last_change(&ChangeSubject::Engine(engine.to_owned()))?;
         match last.change {
@@ -122,7 +126,7 @@
         last.is_some_and(|accepted| is_in_force(&accepted.change))
     }
 
-    /// The value to which an operator has set a limit, if one has.
+    /// Returns the value of a limit that an operator has set, if any.
     pub fn limit(&self, name: &str) -> Option<f64> {
         let last = self.last_change(&ChangeSubject::Limit(name.to_owned()))?;
         match last.change {
@@ -131,7 +135,8 @@
         }
     }
 
-    /// What is in force, the latest last. `is_persisted` says whether the change of a revision is on disk.
+    /// Returns the orders in force, oldest first. `is_persisted` tells whether the change of a revision is on
+    /// disk.
     pub fn intents(&self, is_persisted: impl Fn(u64) -> bool) -> Vec<Intent> {
         let intent = |accepted: &AcceptedChange| {
             Some(Intent {
--- a/crates/gaparch-ops/src/review.rs
+++ b/crates/gaparch-ops/src/review.rs
@@ -1,7 +1,7 @@
-//! Which orders may be carried out, and what they do.
+//! Decides which orders may be carried out, and describes their effects.
 //!
-//! Effects and denials are parts of answers that operators' scripts read: their texts keep their words, also where the
-//! code has other names by now.
+//! Effects and denials are parts of answers that operators' scripts read. Their texts must not change, even
+//! where the code uses other terms.
 
 use crate::change_text::change_text;
 use crate::limits;
@@ -11,42 +11,42 @@
 use gaparch_protocol::ops::{DenyCode, Order};
 use thiserror::Error;
 
-/// The most bytes of an operator's name or a reason.
+/// Maximum length of an operator's name or of a reason, in bytes.
 const MAX_TEXT_BYTES: usize = 500;
 
-/// Why an order is not carried out.
+/// An order that is not carried out, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{message}")]
 pub struct OrderDenied {
-    /// The reason, for scripts.
+    /// The reason, as a code for scripts.
     pub code: DenyCode,
-    /// The reason and what would help, for people.
+    /// The reason and a remedy, as text for operators.
     pub message: String,
 }
 
 impl OrderDenied {
-    /// A denial for this reason.
+    /// Creates a denial for this reason.
     pub fn new(code: DenyCode, message: impl Into<String>) -> OrderDenied {
         OrderDenied { code, message: message.into() }
     }
 }
 
-/// An engine at the time of an order.
+/// The status of an engine at the time of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineStatus {
-    /// Its name.
+    /// The engine's name.
     pub name: String,
-    /// What it does.
+    /// The engine's role.
     pub role: EngineRole,
-    /// It is ready by the endpoint list and operators' orders, and the router can reach it.
+    /// Whether the engine is ready by the endpoint list and operators' orders, and reachable by the router.
     pub accepts_requests: bool,
-    /// This router's attempts there that await their first token.
+    /// This router's attempts on the engine that are awaiting their first token.
     pub awaiting_first_token: u32,
-    /// This router's attempts there that are streaming.
+    /// This router's attempts on the engine that are streaming.
     pub streaming: u32,
 }
 
-/// The site at the time of an order.
+/// The status of the site at the time of an order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteStatus {
     /// All engines.
@@ -55,26 +55,26 @@
     pub queued: u32,
     /// Requests in prefill.
     pub prefilling: u32,
-    /// Decode workers do the prefill where there is no prefill worker.
+    /// Whether decode workers do the prefill if there is no prefill worker.
     pub decode_workers_can_prefill: bool,
     /// The limits that operators can change.
     pub limits: Vec<LimitView>,
 }
 
-/// A change that may be made.
+/// A change that is permitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposedChange {
     /// The change, to be stored and [applied](OrderRegistry::apply).
     pub change: AcceptedChange,
-    /// What it does to the requests in flight, for people.
+    /// The effect on the requests in flight, as text for operators.
     pub effect: String,
 }
 
 impl OrderRegistry {
-    /// The change that an order makes, and what it does to the requests in flight.
+    /// Checks an operator's order. Returns its change and the effect on the requests in flight.
     ///
     /// # Errors
-    /// When it may not be carried out; the message says why and what would help.
+    /// When the order may not be carried out; the message has the reason and a remedy.
     pub fn propose(
         &self,
         order: &Order,
@@ -90,11 +90,12 @@
         Ok(ProposedChange { change, effect })
     }
 
-    /// The change that an order makes here which another router has passed on; `None` where it is in force already.
-    /// Whether it leaves an engine of each role was decided where it was given.
+    /// Returns the change to apply for an order that was replicated from another router; `None` if it is in
+    /// force already. Whether an engine of each role remains was checked by the router that accepted the
+    /// order.
     ///
     /// # Errors
-    /// When it sets a limit that this router does not have, or outside of its bounds.
+    /// When the order sets a limit that this router does not have, or a value out of the limit's bounds.
     pub fn adopt(
         &self,
         change: &Change,
@@ -112,12 +113,13 @@
         Ok(Some(AcceptedChange { revision, change: change.clone(), note: note.clone() }))
     }
 
-    /// Two operators may look at the same engine; the second one to act should know of the first.
+    /// Denies an order if its subject has changed since the revision that the operator has seen. Otherwise an
+    /// operator could unknowingly overrule another one.
     fn check_revision(&self, order: &Order) -> Result<(), OrderDenied> {
         let Some(seen_revision) = order.revision else { return Ok(()) };
         let Some(subject) = ChangeSubject::of(&order.change) else { return Ok(()) };
-        let later = self.last_change(&subject).filter(|accepted| accepted.revision > seen_revision);
-        let Some(AcceptedChange { change, note, .. }) = later else { return Ok(()) };
+        let conflicting = self.last_change(&subject).filter(|accepted| accepted.revision > seen_revision);
+        let Some(AcceptedChange { change, note, .. }) = conflicting else { return Ok(()) };
         let change = change_text(change);
         let message = format!("{} was first: {change} ({})", note.operator, note.reason);
         Err(OrderDenied::new(DenyCode::Conflict, message))
@@ -154,9 +156,9 @@
         let message = "a reason is required, for colleagues who read it later";
         return Err(OrderDenied::new(DenyCode::Invalid, message));
     }
-    for (what, text) in [("the reason", order.reason.as_str()), ("the operator's name", operator)] {
+    for (field, text) in [("the reason", order.reason.as_str()), ("the operator's name", operator)] {
         if text.len() > MAX_TEXT_BYTES {
-            let message = format!("{what} has {} bytes, at most {MAX_TEXT_BYTES} are stored", text.len());
+            let message = format!("{field} has {} bytes, at most {MAX_TEXT_BYTES} are stored", text.len());
             return Err(OrderDenied::new(DenyCode::Invalid, message));
         }
     }
@@ -172,35 +174,35 @@
     let Some(status) = site.engines.iter().find(|status| status.name == engine) else {
         return Err(OrderDenied::new(DenyCode::Unknown, format!("there is no engine '{engine}'")));
     };
-    let waiting = format!("{} held and {} being read", site.queued, site.prefilling);
+    let pending = format!("{} held and {} being read", site.queued, site.prefilling);
     let consequence = "would wait for another until their time is up, and then be refused";
     let mut effect = drain_text(status, mode);
     if let Some(role) = role_left_without_engine(status, site) {
         if !force {
             let message = format!(
-                "{engine} is the last {role} that takes anything: {waiting} requests {consequence}, as would all \
-                 that come; force it if that is wanted"
+                "{engine} is the last {role} that takes anything: {pending} requests {consequence}, as would \
+                 all that come; force it if that is wanted"
             );
             return Err(OrderDenied::new(DenyCode::LastOfRole, message));
         }
-        effect += &format!("; {waiting} {consequence}");
+        effect += &format!("; {pending} {consequence}");
     }
     Ok(effect)
 }
 
 fn drain_text(status: &EngineStatus, mode: DrainMode) -> String {
     let EngineStatus { name, awaiting_first_token, streaming, .. } = status;
-    let what = match mode {
+    let restriction = match mode {
         DrainMode::Drain => "gets nothing new",
         DrainMode::Detach => "gets nothing new, and no connection once nothing runs there",
     };
     format!(
-        "{name} {what}; {awaiting_first_token} sent there and {streaming} streaming end in \
+        "{name} {restriction}; {awaiting_first_token} sent there and {streaming} streaming end in \
          their own time"
     )
 }
 
-/// The role that no engine would have any more without this one, for people.
+/// Returns the role, as text for operators, that would have no available engine without this one.
 fn role_left_without_engine(status: &EngineStatus, site: &SiteStatus) -> Option<&'static str> {
     if !status.accepts_requests {
         return None;
--- a/crates/gaparch-ops/src/subscriber.rs
+++ b/crates/gaparch-ops/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! What a subscriber gets that may be too slow for all updates.
+//! Flow control for subscribers that may be too slow to receive every update.
 
 /// What to do with the next update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -7,24 +7,26 @@
     Send,
     /// Drop it: the subscriber's queue is full, or an earlier update was dropped.
     Skip,
-    /// The subscriber has caught up: tell it how many updates it missed, and send a snapshot.
+    /// The subscriber has caught up: report the number of missed updates, and send a snapshot.
     Resync {
-        /// The number of updates that it missed, this one among them.
+        /// The number of updates that the subscriber missed, including this one.
         missed: u64,
     },
 }
 
-/// The updates to one subscriber.
+/// Decides which updates are sent to one subscriber.
 ///
-/// Its queue has a fixed capacity. Past that updates are dropped until the queue is empty, and then the subscriber gets a
-/// snapshot: some of the changes would be worse than none.
+/// The subscriber's queue has a fixed capacity. Once it is full, updates are dropped until the queue is
+/// empty, and then the subscriber gets a snapshot. Dropping only some of the updates would leave it with an
+/// inconsistent state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberFeed {
     missed: u64,
 }
 
 impl SubscriberFeed {
-    /// Decides about an update while `queued` of at most `capacity` updates are in the subscriber's queue.
+    /// Decides what to do with an update while the subscriber's queue holds `queued` of at most `capacity`
+    /// updates.
     pub fn next(&mut self, queued: usize, capacity: usize) -> Delivery {
         let has_missed = self.missed > 0;
         if has_missed && queued == 0 {
