--- a/crates/gaparch-ops/tests/common/mod.rs
+++ b/crates/gaparch-ops/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of orders, sites and outcomes.
+//! Builders for orders, site statuses and outcomes.
 #![allow(dead_code)]
 
 use gaparch_ops::{EngineStatus, OrderDenied, OrderRegistry, SiteStatus, SECOND};
@@ -22,7 +22,8 @@
     order(Change::Undrain { engine: engine.to_owned() })
 }
 
-/// Prefill workers `r0`... and decode workers `w0`..., all in use.
+/// A site with prefill workers `r0`, `r1`, ... and decode workers `w0`, `w1`, ..., all of which accept
+/// requests.
 pub fn site(prefill_workers: usize, decode_workers: usize) -> SiteStatus {
     let engine = |role, name: String| EngineStatus {
         name,
@@ -51,15 +52,15 @@
     }
 }
 
-/// The site without the engines that the registry has drained.
-pub fn without_drained(mut site: SiteStatus, registry: &OrderRegistry) -> SiteStatus {
+/// Marks the engines that are drained in the registry as not accepting requests.
+pub fn apply_drains(mut site: SiteStatus, registry: &OrderRegistry) -> SiteStatus {
     for engine in &mut site.engines {
         engine.accepts_requests = registry.drain(&engine.name).is_none();
     }
     site
 }
 
-/// Orders one after the other, each at a site as the earlier ones left it.
+/// Carries out orders one after the other, each with the engines that the earlier ones have left.
 pub fn carry_out(
     registry: &mut OrderRegistry,
     site: &SiteStatus,
@@ -67,8 +68,8 @@
 ) -> Vec<Result<String, OrderDenied>> {
     let mut results = Vec::new();
     for (n, order) in orders.iter().enumerate() {
-        let now = without_drained(site.clone(), registry);
-        let result = registry.propose(order, "someone", n as u64 * SECOND, &now);
+        let current_site = apply_drains(site.clone(), registry);
+        let result = registry.propose(order, "someone", n as u64 * SECOND, &current_site);
         results.push(result.map(|proposed| {
             registry.apply(proposed.change);
             proposed.effect
@@ -78,17 +79,17 @@
 }
 
 pub fn evidence(engines: usize, avoid_reason: &str) -> Vec<EngineEvidence> {
-    let one = |n| EngineEvidence {
+    let evidence_of = |n| EngineEvidence {
         engine: format!("w{n}"),
         avoid_reason: avoid_reason.to_owned(),
         memory_utilization: 0.9,
         queued_prompt_tokens: 0.0,
         latency_ratio: 1.0,
     };
-    (0..engines).map(one).collect()
+    (0..engines).map(evidence_of).collect()
 }
 
-/// A rejection at this second, of a client with this fingerprint.
+/// A request with this fingerprint that was received at this second and rejected one second later.
 pub fn rejection(number: u64, second: u64, fingerprint: u64) -> RequestOutcome {
     let request = GlobalRequestId { run: 7, number };
     let (received_at, ended_at) = (second * SECOND, (second + 1) * SECOND);
@@ -116,6 +117,7 @@
     }
 }
 
+/// The same request, but served.
 pub fn served(number: u64, second: u64, fingerprint: u64) -> RequestOutcome {
     RequestOutcome {
         kind: OutcomeKind::Served,
--- a/crates/gaparch-ops/tests/pinned_records.rs
+++ b/crates/gaparch-ops/tests/pinned_records.rs
@@ -1,4 +1,5 @@
-//! Records of operators' orders as earlier versions kept them, and what the registry makes of them.
+//! The bytes of stored operators' orders, of this and of earlier versions, and the registry restored from
+//! them.
 
 use gaparch_ops::{limits, read_change, EngineDrain, OrderRegistry, CHANGE_SCHEMA, OUTCOME_SCHEMA};
 use gaparch_protocol::ops::intent::{AcceptedChange, Change, ChangeNote, DrainMode};
@@ -7,7 +8,7 @@
 
 const NOW: u64 = 1_700_000_000_000_000_000;
 
-/// Of schema 1: no revisions.
+/// Schema 1 had no revisions.
 const DRAIN_OF_SCHEMA_1: &str = "0100027730010003616e6e00056e6f69736517979cfe362a0000";
 const DRAIN: &str = "00000000000000040100027730010003616e6e00056e6f69736517979cfe362a0000";
 const ASIDE: &str = "00000000000000040100027730020003616e6e00056e6f69736517979cfe362a0000";
@@ -21,7 +22,7 @@
 fn hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("a string takes all that is written to it");
+        write!(text, "{byte:02x}").expect("writing to a string succeeds");
     }
     text
 }
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn changes_of_the_present_schema_keep_their_bytes() {
+fn changes_of_the_current_schema_have_the_pinned_bytes() {
     assert_eq!((CHANGE_SCHEMA, OUTCOME_SCHEMA), (2, 1));
     let records = [
         (drain(DrainMode::Drain), DRAIN),
@@ -63,14 +64,15 @@
 }
 
 #[test]
-fn a_change_of_the_first_schema_is_read() {
-    let wanted = AcceptedChange { revision: 9, change: drain(DrainMode::Drain), note: note() };
-    assert_eq!(read_change(1, &unhex(DRAIN_OF_SCHEMA_1), 9), Some(wanted));
+fn a_change_of_schema_1_can_be_read() {
+    let expected = AcceptedChange { revision: 9, change: drain(DrainMode::Drain), note: note() };
+    assert_eq!(read_change(1, &unhex(DRAIN_OF_SCHEMA_1), 9), Some(expected));
 }
 
 #[test]
-fn pinned_changes_make_the_same_registry() {
-    let changes = [DRAIN, PAUSE, LIMIT].map(|pinned| read_change(2, &unhex(pinned), 0).expect("read"));
+fn a_registry_is_restored_from_pinned_changes() {
+    let changes =
+        [DRAIN, PAUSE, LIMIT].map(|pinned| read_change(2, &unhex(pinned), 0).expect("the change is read"));
     let registry = OrderRegistry::restore(changes);
     assert_eq!(registry.revision(), 4);
     assert_eq!(registry.drain("w0"), Some(EngineDrain { mode: DrainMode::Drain, since: NOW }));
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn names_of_limits_stay() {
+fn limits_have_the_pinned_names() {
     assert_eq!(limits::OPEN_REQUESTS, "open-requests");
     assert_eq!(limits::tenant_limit("app"), "tenant.app.requests-per-second");
     assert_eq!(limits::limited_tenant("tenant.app.requests-per-second"), Some("app"));
