--- a/crates/gaparch-store/tests/crashes.rs
+++ b/crates/gaparch-store/tests/crashes.rs
@@ -255,7 +255,8 @@
         for step in 0..6_u32 {
             disk.set_faults(faults[(sequence / 5_u64.pow(step) % 5) as usize]);
             let record = vec![step as u8; 4];
-            // As a user of a journal does: a record that can't be appended is written by a rewrite, or given up.
+            // As a user of a journal does: a record that can't be appended is written by a rewrite, or given
+            // up.
             let mut all = acknowledged.clone();
             all.push(record.clone());
             let result = match journal.needs_rewrite() || step == 2 {
