--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -217,7 +217,7 @@
             let disk = FaultyDirectory::new(StateDirectory::open(&operations.state)?, fault)?;
             let share = || Box::new(disk.clone());
             let fleet = FleetDisks::of(|| share());
-            Some(Disks { intents: share(), events: share(), endings: share(), fleet })
+            Some(Disks { intents: share(), events: share(), outcomes: share(), fleet })
         }
     };
     super::serve::serve(config, disks, Clock::default().with_offset(options.ahead)).await
--- a/crates/gaparch-cli/src/commands/serve.rs
+++ b/crates/gaparch-cli/src/commands/serve.rs
@@ -54,9 +54,9 @@
             _ = looks.tick() => {
                 let lag = router.lag();
                 if lag.late > 0 {
-                    tracing::warn!(most_us = lag.most.as_micros() as u64, late = lag.late, rounds = lag.rounds, "owner late");
+                    tracing::warn!(most_us = lag.max.as_micros() as u64, late = lag.late, rounds = lag.rounds, "owner late");
                 } else {
-                    tracing::info!(most_us = lag.most.as_micros() as u64, rounds = lag.rounds, "owner lag");
+                    tracing::info!(most_us = lag.max.as_micros() as u64, rounds = lag.rounds, "owner lag");
                 }
             }
         }
--- a/crates/gaparch-router/src/shell/lag.rs
+++ b/crates/gaparch-router/src/shell/lag.rs
@@ -1,41 +1,42 @@
-//! How late the owner task is: the one figure that tells whether a router still keeps its times.
+//! Measures how late the owner task runs. While the lag is low, the router keeps its deadlines and timers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// From here on the owner is late.
-const LATE: Duration = Duration::from_millis(10);
+/// A round with more lag than this counts as late.
+const LATE_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// Written by the owner, read by anyone.
+/// Lag statistics, written by the owner and read from any task.
 #[derive(Debug, Default)]
 pub struct Lag {
-    most: AtomicU64,
+    max_nanos: AtomicU64,
     late: AtomicU64,
     rounds: AtomicU64,
 }
 
-/// The lag since it was last asked for.
+/// The owner's lag since the last summary was taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LagSummary {
     /// The longest lag.
-    pub most: Duration,
-    /// Rounds that were late by over 10 ms.
+    pub max: Duration,
+    /// Rounds with a lag over 10 ms.
     pub late: u64,
     /// All rounds.
     pub rounds: u64,
 }
 
 impl Lag {
-    /// One round of the owner, that much after it was due.
-    pub(super) fn add(&self, lag: Duration) {
-        self.most.fetch_max(u64::try_from(lag.as_nanos()).unwrap_or(u64::MAX), Ordering::Relaxed);
-        self.late.fetch_add(u64::from(lag > LATE), Ordering::Relaxed);
+    /// Records one round of the owner that finished this long after it was due.
+    pub(super) fn record(&self, lag: Duration) {
+        self.max_nanos.fetch_max(u64::try_from(lag.as_nanos()).unwrap_or(u64::MAX), Ordering::Relaxed);
+        self.late.fetch_add(u64::from(lag > LATE_THRESHOLD), Ordering::Relaxed);
         self.rounds.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// Returns the statistics and resets them.
     pub(super) fn take(&self) -> LagSummary {
         LagSummary {
-            most: Duration::from_nanos(self.most.swap(0, Ordering::Relaxed)),
+            max: Duration::from_nanos(self.max_nanos.swap(0, Ordering::Relaxed)),
             late: self.late.swap(0, Ordering::Relaxed),
             rounds: self.rounds.swap(0, Ordering::Relaxed),
         }
--- a/crates/gaparch-router/src/shell/ops/disks.rs
+++ b/crates/gaparch-router/src/shell/ops/disks.rs
@@ -10,7 +10,7 @@
     /// The history of events.
     pub events: Box<dyn Disk>,
     /// The history of requests that were not served.
-    pub endings: Box<dyn Disk>,
+    pub outcomes: Box<dyn Disk>,
     /// What concerns the other routers.
     pub fleet: FleetDisks,
 }
@@ -41,9 +41,9 @@
     /// When it can't be created or read, or another router has it.
     pub fn open(settings: &Operations) -> Result<Disks, StoreError> {
         let folder = StateDirectory::open(&settings.state)?;
-        let (events, endings) = (Box::new(folder.share()), Box::new(folder.share()));
+        let (events, outcomes) = (Box::new(folder.share()), Box::new(folder.share()));
         let fleet = FleetDisks::of(|| Box::new(folder.share()));
-        Ok(Disks { fleet, intents: Box::new(folder), events, endings })
+        Ok(Disks { fleet, intents: Box::new(folder), events, outcomes })
     }
 }
 
--- a/crates/gaparch-router/src/shell/ops/mod.rs
+++ b/crates/gaparch-router/src/shell/ops/mod.rs
@@ -1,9 +1,9 @@
 //! The operations side of a running router.
 //!
-//! The owner of the core carries out orders and reports the router's state, four times a second; everything else is done
-//! beside it. The [`order_store`] puts orders on disk and the [`history_writer`] what happened, the [`event_broadcaster`]
-//! keeps both in memory and updates subscribers, and each [`session`] serves one console or script. None of them can hold
-//! up the owner:
+//! The owner of the core carries out orders and reports the router's state, four times a second; everything
+//! else is done beside it. The [`order_store`] puts orders on disk and the [`history_writer`] what happened,
+//! the [`event_broadcaster`] keeps both in memory and updates subscribers, and each [`session`] serves one
+//! console or script. None of them can hold up the owner:
 //!
 //! | queue | bound | full |
 //! | --- | --- | --- |
@@ -109,7 +109,7 @@
     let mut event_log = EventLog::default();
     let history_writer = HistoryWriter::open(
         disks.events,
-        disks.endings,
+        disks.outcomes,
         settings.history as u64,
         &mut event_log,
         &mut ledger,
--- a/crates/gaparch-router/src/shell/owner/mod.rs
+++ b/crates/gaparch-router/src/shell/owner/mod.rs
@@ -1,5 +1,5 @@
-//! The owner: the one task that has the core, and the scheduler in it. Everything that concerns requests passes through it,
-//! in order.
+//! The owner: the one task that has the core, and the scheduler in it. Everything that concerns requests
+//! passes through it, in order.
 
 mod control;
 mod inputs;
@@ -31,8 +31,9 @@
 const LIST_INBOX: usize = 64;
 /// Interval at which operators are shown the router's state.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
-/// Batches of engine frames taken in one round, so that no kind of input starves another or the timers. A batch may hold some
-/// hundred frames: ten thousand streams that step at once kept the owner busy for 83 ms with 64 of them.
+/// Batches of engine frames taken in one round, so that no kind of input starves another or the timers. A
+/// batch may hold some hundred frames: ten thousand streams that step at once kept the owner busy for 83 ms
+/// with 64 of them.
 const ENGINE_BATCH: usize = 4;
 /// Requests taken in one round.
 const REQUEST_BATCH: usize = 32;
@@ -172,7 +173,7 @@
             self.carry_out(&mut out);
             let lag = late + began.elapsed();
             self.status_lag = self.status_lag.max(lag);
-            self.lag.add(lag);
+            self.lag.record(lag);
         }
     }
 }
--- a/crates/gaparch-router/tests/pinned_state.rs
+++ b/crates/gaparch-router/tests/pinned_state.rs
@@ -114,7 +114,7 @@
         let config = Config::parse(&settings).expect("valid settings");
         let disk = || Box::new(self.disk.clone());
         let disks =
-            Disks { intents: disk(), events: disk(), endings: disk(), fleet: FleetDisks::of(|| disk()) };
+            Disks { intents: disk(), events: disk(), outcomes: disk(), fleet: FleetDisks::of(|| disk()) };
         serve_on(config, Some(disks), Clock::default()).await.expect("it starts")
     }
 
--- a/crates/gaparch-testbed/src/badday.rs
+++ b/crates/gaparch-testbed/src/badday.rs
@@ -264,7 +264,7 @@
 fn note_lag(site: &Site, lag: &mut (Duration, u64)) {
     for router in 0..ROUTERS {
         if let Some(seen) = site.router(router).map(|r| r.lag()) {
-            *lag = (lag.0.max(seen.most), lag.1 + seen.late);
+            *lag = (lag.0.max(seen.max), lag.1 + seen.late);
         }
     }
 }
--- a/crates/gaparch-testbed/tests/appliance.rs
+++ b/crates/gaparch-testbed/tests/appliance.rs
@@ -244,7 +244,7 @@
 fn disks(intents: &FaultyDisk) -> Disks {
     let calm = || Box::new(FaultyDisk::default());
     let intents = Box::new(intents.clone());
-    Disks { intents, events: calm(), endings: calm(), fleet: FleetDisks::of(|| calm()) }
+    Disks { intents, events: calm(), outcomes: calm(), fleet: FleetDisks::of(|| calm()) }
 }
 
 /// Kills a router at each write of its store; what was acknowledged holds in the next one.
--- a/crates/gaparch-testbed/tests/hard_cases.rs
+++ b/crates/gaparch-testbed/tests/hard_cases.rs
@@ -245,7 +245,7 @@
     let lasted = began.elapsed();
     assert!(flood.iter().all(|a| a.end.is_some_and(|end| end != End::Broken)));
     let lag = site.router(0).map(|r| r.lag()).expect("it runs");
-    println!("flood of 1500 in {lasted:?}: {} served, owner late at most {:?}", served(&flood), lag.most);
+    println!("flood of 1500 in {lasted:?}: {} served, owner late at most {:?}", served(&flood), lag.max);
     assert!(lag.late * 100 <= lag.rounds, "{lag:?}");
     // What the engine can do it still does: about a stream of 0.25 s in each of four slots.
     assert!(served(&flood) >= 25, "{}", served(&flood));
