--- a/crates/gaparch-router/src/shell/client/mod.rs
+++ b/crates/gaparch-router/src/shell/client/mod.rs
@@ -7,7 +7,7 @@
 
 use super::ops::RejectionReporter;
 use super::owner::NewRequest;
-use super::stall::Stall;
+use super::write_timeout::WriteTimeout;
 use crate::core::AcceptedRequest;
 use admission::{accepted, class, tenant};
 use bytes::Bytes;
@@ -101,7 +101,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(head_time)
                 .max_buf_size(MAX_HEAD_BYTES)
-                .serve_connection(TokioIo::new(Stall::new(socket, silence)), service)
+                .serve_connection(TokioIo::new(WriteTimeout::new(socket, silence)), service)
                 .await;
             if let Err(error) = served {
                 tracing::debug!(%error, "client connection ended");
--- a/crates/gaparch-router/src/shell/client/pending_response.rs
+++ b/crates/gaparch-router/src/shell/client/pending_response.rs
@@ -12,8 +12,8 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{mpsc, OwnedSemaphorePermit};
 
-/// The response to a request that the owner has, or will have. If this is dropped before the last event, the client has
-/// disconnected.
+/// The response to a request that the owner has, or will have. If this is dropped before the last event, the
+/// client has disconnected.
 pub(super) struct PendingResponse {
     pub(super) id: RequestId,
     pub(super) events: mpsc::Receiver<ResponseEvent>,
--- a/crates/gaparch-router/src/shell/engine.rs
+++ b/crates/gaparch-router/src/shell/engine.rs
@@ -1,4 +1,4 @@
-//! One connection to one engine.
+//! The task of one connection to an engine.
 
 use crate::core::ConnectionNumber;
 use gaparch_net::{write_frames, FrameReader, ReadError};
@@ -12,73 +12,79 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-pub(super) struct Plan {
+/// Where and how to connect to an engine.
+pub(super) struct ConnectionParams {
     pub engine: ServerId,
     pub conn: ConnectionNumber,
     pub name: String,
     pub address: String,
     pub run: RouterRun,
     pub router: String,
-    pub connect_within: Duration,
-    pub write_within: Duration,
+    pub connect_timeout: Duration,
+    pub write_timeout: Duration,
     pub max_frame: usize,
 }
 
+/// A message of a connection's task to the owner.
 #[derive(Debug)]
 pub(super) enum EngineMessage {
-    Up { engine: ServerId, conn: ConnectionNumber, facts: EngineFacts },
-    Down { engine: ServerId, conn: ConnectionNumber, reason: String },
+    Connected { engine: ServerId, conn: ConnectionNumber, facts: EngineFacts },
+    Disconnected { engine: ServerId, conn: ConnectionNumber, reason: String },
     Frames { engine: ServerId, conn: ConnectionNumber, frames: Vec<EngineFrame> },
 }
 
-/// An engine that takes no bytes for so long loses its connection: what waits to be written must not reach
-/// it later than the grace after a drain that is learnt of meanwhile.
-pub(super) fn write_within(drain_grace: Nanos) -> Duration {
+/// How long an engine may accept no bytes before its connection is closed.
+///
+/// Half the drain grace period, so that a frame that waits to be written does not reach a draining engine
+/// after the grace period has ended.
+pub(super) fn write_timeout(drain_grace: Nanos) -> Duration {
     Duration::from_nanos(drain_grace / 2).clamp(Duration::from_millis(100), Duration::from_secs(5))
 }
 
-/// Connects, says who we are, and carries frames until the connection ends.
+/// Connects, exchanges hello frames and passes frames in both directions until the connection ends.
 pub(super) async fn run(
-    plan: Plan,
+    params: ConnectionParams,
     mut frames: mpsc::Receiver<EngineFrame>,
     inbox: mpsc::Sender<EngineMessage>,
 ) {
-    let (engine, conn) = (plan.engine, plan.conn);
-    let reason = match timeout(plan.connect_within, open(&plan)).await {
-        Err(_) => "no connection in time".to_owned(),
+    let (engine, conn) = (params.engine, params.conn);
+    let reason = match timeout(params.connect_timeout, connect(&params)).await {
+        Err(_) => "connect timed out".to_owned(),
         Ok(Err(reason)) => reason,
         Ok(Ok((reader, mut writer, facts))) => {
-            if inbox.send(EngineMessage::Up { engine, conn, facts }).await.is_err() {
+            if inbox.send(EngineMessage::Connected { engine, conn, facts }).await.is_err() {
                 return;
             }
             tokio::select! {
                 reason = read(engine, conn, reader, &inbox) => reason,
-                reason = write(&mut writer, &mut frames, plan.write_within) => reason,
+                reason = write(&mut writer, &mut frames, params.write_timeout) => reason,
             }
         }
     };
-    // The owner may have ended: then nobody has to know.
-    let _ = inbox.send(EngineMessage::Down { engine, conn, reason }).await;
+    // Fails only if the owner has ended.
+    let _ = inbox.send(EngineMessage::Disconnected { engine, conn, reason }).await;
 }
 
-async fn open(plan: &Plan) -> Result<(FrameReader<OwnedReadHalf>, OwnedWriteHalf, EngineFacts), String> {
-    let socket = TcpStream::connect(&plan.address).await.map_err(|e| e.to_string())?;
+async fn connect(
+    params: &ConnectionParams,
+) -> Result<(FrameReader<OwnedReadHalf>, OwnedWriteHalf, EngineFacts), String> {
+    let socket = TcpStream::connect(&params.address).await.map_err(|e| e.to_string())?;
     socket.set_nodelay(true).map_err(|e| e.to_string())?;
     let (read_half, mut writer) = socket.into_split();
-    let peer = Peer::Router { run: plan.run, name: plan.router.clone() };
+    let peer = Peer::Router { run: params.run, name: params.router.clone() };
     let mut bytes = bytes::BytesMut::new();
     encode(&EngineFrame::Hello { version: VERSION, peer }, &mut bytes);
     writer.write_all(&bytes).await.map_err(|e| e.to_string())?;
-    let mut reader = FrameReader::new(read_half, plan.max_frame);
+    let mut reader = FrameReader::new(read_half, params.max_frame);
     match reader.read_one().await.map_err(|e| e.to_string())? {
-        EngineFrame::Hello { version: VERSION, peer: Peer::Engine(facts) } if facts.name == plan.name => {
+        EngineFrame::Hello { version: VERSION, peer: Peer::Engine(facts) } if facts.name == params.name => {
             Ok((reader, writer, facts))
         }
         EngineFrame::Hello { version, .. } if version != VERSION => {
-            Err(format!("it speaks version {version}"))
+            Err(format!("the engine uses protocol version {version}, expected {VERSION}"))
         }
-        EngineFrame::Bye { reason } => Err(format!("it says: {reason}")),
-        _ => Err("its first frame is no hello of that engine".to_owned()),
+        EngineFrame::Bye { reason } => Err(format!("the engine closed the connection: {reason}")),
+        _ => Err("expected a hello frame of this engine".to_owned()),
     }
 }
 
@@ -94,7 +100,7 @@
         if !frames.is_empty() {
             let message = EngineMessage::Frames { engine, conn, frames };
             if inbox.send(message).await.is_err() {
-                return "the router has ended".to_owned();
+                return "the router has shut down".to_owned();
             }
         }
         match read {
@@ -108,11 +114,11 @@
 async fn write(
     writer: &mut OwnedWriteHalf,
     frames: &mut mpsc::Receiver<EngineFrame>,
-    within: Duration,
+    write_timeout: Duration,
 ) -> String {
-    match write_frames(writer, frames, within).await {
+    match write_frames(writer, frames, write_timeout).await {
         Ok(()) => "closed by the router".to_owned(),
-        Err(error) if error.kind() == std::io::ErrorKind::TimedOut => "it takes no bytes".to_owned(),
+        Err(error) if error.kind() == std::io::ErrorKind::TimedOut => "write timed out".to_owned(),
         Err(error) => error.to_string(),
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/audit_record.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_record.rs
@@ -1,5 +1,5 @@
-//! The audit record: what was sent under which version of the list. It is written beside everything else, and never waited
-//! for.
+//! The audit record: what was sent under which version of the list. It is written beside everything else, and
+//! never waited for.
 
 use super::incarnation_store::highest_number;
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter};
@@ -45,7 +45,8 @@
 }
 
 impl AuditStore {
-    /// Reads the stored record. A disk that can't be read keeps no router from starting; the record says what it lacks.
+    /// Reads the stored record. A disk that can't be read keeps no router from starting; the record says what
+    /// it lacks.
     pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (AuditStore, AuditLog) {
         let mut segments: Vec<AuditSegment> = Vec::new();
         let history =
--- a/crates/gaparch-router/src/shell/fleet/latest_value.rs
+++ b/crates/gaparch-router/src/shell/fleet/latest_value.rs
@@ -1,4 +1,5 @@
-//! Tasks that store the latest value of a cell: values that are replaced before they could be written are skipped.
+//! Tasks that store the latest value of a cell: values that are replaced before they could be written are
+//! skipped.
 
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter, RETRY_INTERVAL};
 use gaparch_store::{Disk, Journal, JournalContents, StoreError};
@@ -35,7 +36,8 @@
     fn write(&mut self, value: &Self::Value) -> Result<(), StorageFailure>;
 }
 
-/// Stores the latest value each time that it changes, and retries where that fails. `on_stored` gets what was stored.
+/// Stores the latest value each time that it changes, and retries where that fails. `on_stored` gets what was
+/// stored.
 pub(super) async fn store_latest<S: LatestValueStore>(
     mut store: S,
     mut wanted: watch::Receiver<S::Value>,
--- a/crates/gaparch-router/src/shell/fleet/list_versions.rs
+++ b/crates/gaparch-router/src/shell/fleet/list_versions.rs
@@ -1,5 +1,5 @@
-//! The owner's side of the replicated endpoint list: which version it holds, and the cells between it and the fleet's task.
-//! Neither waits for the other; each cell holds the latest value only.
+//! The owner's side of the replicated endpoint list: which version it holds, and the cells between it and the
+//! fleet's task. Neither waits for the other; each cell holds the latest value only.
 
 use super::audit_record::AuditMessage;
 use super::owner_updates::LocalOrder;
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Hands over what was sent under the versions that hold now: before each change of them, and now and then.
+    /// Hands over what was sent under the versions that hold now: before each change of them, and now and
+    /// then.
     pub fn hand_over_sends(&mut self, order_revision: u64, now: Nanos, engine_name: impl Fn(u32) -> String) {
         let confirmed_at = self.local_list.borrow().confirmed_at;
         let context = SendContext {
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Takes a list that another router has handed on; the update to act on, if it is later than the one held.
+    /// Takes a list that another router has handed on; the update to act on, if it is later than the one
+    /// held.
     pub fn on_adopted(&mut self, adopted: AdoptedList) -> Option<ListUpdate> {
         if let Some(version) = adopted.corroborated {
             let before = self.active.version();
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -1,7 +1,9 @@
-//! The other routers of the site: membership, replication of the endpoint list and of orders, and the audit record.
+//! The other routers of the site: membership, replication of the endpoint list and of orders, and the audit
+//! record.
 //!
-//! The [`task`] owns all of it and waits neither for the owner nor for the disk: what the owner is to know, and what is to
-//! be stored, stands in a cell that holds the latest value only, and is taken from there by tasks that may wait.
+//! The [`task`] owns all of it and waits neither for the owner nor for the disk: what the owner is to know,
+//! and what is to be stored, stands in a cell that holds the latest value only, and is taken from there by
+//! tasks that may wait.
 
 mod audit_queries;
 mod audit_record;
@@ -163,8 +165,8 @@
     }
 }
 
-/// Reads what is stored, binds the socket and starts the tasks; `None` without a key: then there is no fleet, and an event
-/// says so.
+/// Reads what is stored, binds the socket and starts the tasks; `None` without a key: then there is no fleet,
+/// and an event says so.
 ///
 /// A disk that can't be read does not keep a router from starting: what the others witnessed puts it right.
 ///
--- a/crates/gaparch-router/src/shell/fleet/order_store.rs
+++ b/crates/gaparch-router/src/shell/fleet/order_store.rs
@@ -19,7 +19,8 @@
 }
 
 impl FleetOrderStore {
-    /// Reads the stored orders. A disk that can't be read keeps no router from starting: the others know them.
+    /// Reads the stored orders. A disk that can't be read keeps no router from starting: the others know
+    /// them.
     pub fn open(disk: Box<dyn Disk>) -> (FleetOrderStore, Vec<FleetOrder>) {
         let (journal, found) = OptionalJournal::open(disk, "fleet-orders", SCHEMA);
         let orders = found.records.iter().filter_map(|record| from_bytes(record)).collect();
--- a/crates/gaparch-router/src/shell/fleet/replication.rs
+++ b/crates/gaparch-router/src/shell/fleet/replication.rs
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 
 impl FleetTask {
-    /// Lets the replication of orders do something, and does what it wants. `act` gets the time, the peers that are present
-    /// and where its outputs go.
+    /// Lets the replication of orders do something, and does what it wants. `act` gets the time, the peers
+    /// that are present and where its outputs go.
     pub(super) fn with_orders(
         &mut self,
         out: &mut Vec<Output>,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Which routers have stored the orders of the fleet. Every router that did not say that it leaves may be alive: one that
-    /// counts as dead may only be unreachable.
+    /// Which routers have stored the orders of the fleet. Every router that did not say that it leaves may be
+    /// alive: one that counts as dead may only be unreachable.
     pub(super) fn order_replication_view(&mut self) -> Option<OrderReplicationView> {
         let orders = self.order_replication.as_mut()?;
         let members = self.membership.view().members;
--- a/crates/gaparch-router/src/shell/fleet/send_recorder.rs
+++ b/crates/gaparch-router/src/shell/fleet/send_recorder.rs
@@ -1,4 +1,5 @@
-//! Counts what is sent to engines, on the hot path, and hands the counts to the audit record's task without waiting for it.
+//! Counts what is sent to engines, on the hot path, and hands the counts to the audit record's task without
+//! waiting for it.
 
 use super::audit_record::AuditMessage;
 use gaparch_audit::{Nanos, SendBatch, SendTally};
@@ -52,8 +53,8 @@
     }
 }
 
-/// Adds counts to those that wait already: the record's disk has been stuck for long. One count an engine is kept, and where
-/// the contexts differ no context, for a clean record of the wrong one would be false.
+/// Adds counts to those that wait already: the record's disk has been stuck for long. One count an engine is
+/// kept, and where the contexts differ no context, for a clean record of the wrong one would be false.
 fn merge(last: &mut SendBatch, sent: SendBatch) {
     last.omitted_records += sent.omitted_records + sent.records.len() as u64;
     last.at = sent.at;
--- a/crates/gaparch-router/src/shell/fleet/task.rs
+++ b/crates/gaparch-router/src/shell/fleet/task.rs
@@ -94,8 +94,8 @@
                 }
                 received = self.socket.recv_from(&mut datagram) => match received {
                     Ok((length, _)) => self.on_datagram(&datagram[..length], &mut out),
-                    // An earlier datagram was refused somewhere, or the system is short of something: nothing is
-                    // wrong here, and trying again without a pause would take a whole core for as long.
+                    // An earlier datagram was refused somewhere, or the system is short of something: nothing
+                    // is wrong here, and trying again without a pause would take a whole core for as long.
                     Err(_) => sleep(RECEIVE_RETRY_DELAY).await,
                 },
             }
--- a/crates/gaparch-router/src/shell/fleet/views.rs
+++ b/crates/gaparch-router/src/shell/fleet/views.rs
@@ -122,8 +122,8 @@
     }
 }
 
-/// The severity of a membership event; `None`: for the log alone, since a suspicion that ends by itself is no news to an
-/// operator.
+/// The severity of a membership event; `None`: for the log alone, since a suspicion that ends by itself is no
+/// news to an operator.
 pub(super) fn membership_severity(what: &MembershipEvent) -> Option<Severity> {
     Some(match what {
         MembershipEvent::Suspected { .. } | MembershipEvent::Refuted { .. } => return None,
--- a/crates/gaparch-router/src/shell/list.rs
+++ b/crates/gaparch-router/src/shell/list.rs
@@ -1,4 +1,4 @@
-//! The connection to the list service.
+//! The task that keeps a connection to the list service.
 
 use crate::core::ListUpdate;
 use gaparch_config::ListConfig;
@@ -12,33 +12,42 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
-/// For a few bytes to be taken.
-const WRITE_WITHIN: Duration = Duration::from_secs(10);
-const RETRY_FROM: Duration = Duration::from_millis(100);
-const RETRY_MOST: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for writing one frame, a few bytes, without `confirm`.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
+/// A command of the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListCommand {
+    /// Starts or stops updates.
     Watch(bool),
+    /// Requests the full list.
     Fetch,
 }
 
+/// A message to the owner.
 #[derive(Debug)]
 pub(super) enum ListMessage {
-    /// Connected, to that run of the service; 0 where it does not say.
-    Up(u64),
-    Down(String),
+    /// Connected to a list service with this epoch, which identifies its run; 0 if it tells none.
+    Connected(u64),
+    /// The connection has failed, or the service reports an error; the reason.
+    Unavailable(String),
     Update(ListUpdate),
 }
 
-/// Connections closed in place of a hello, after which the first version is tried once.
-const CLOSED: u32 = 3;
-/// A service that is silent is asked so many times before it counts as gone.
-const ASKED: u32 = 3;
+/// Connections in a row that the service closes before its hello, after which the first version of the
+/// protocol is tried once.
+const MAX_REJECTED_HELLOS: u32 = 3;
+/// The time for which the service may be silent is split into this many intervals: it is sent a fetch after
+/// each but the last, after which the connection is closed.
+const SILENCE_INTERVALS: u32 = 3;
 
-/// Connects again and again until nobody listens any more. With `confirm` a service that says nothing is asked, and left
-/// after so long: silence alone tells nothing, and a link that is held looks as one on which nothing changes.
+/// Keeps a connection until the owner has ended.
+///
+/// With `confirm` a silent service is sent fetch requests, and the connection is closed if nothing arrives
+/// for that long: without them, a link that delivers nothing can't be told from a list that does not change.
 pub(super) async fn run(
     settings: ListConfig,
     name: String,
@@ -46,85 +55,89 @@
     mut commands: mpsc::Receiver<ListCommand>,
     inbox: mpsc::Sender<ListMessage>,
 ) {
-    let mut retry = RETRY_FROM;
-    // A service of the first version knows no other, and closes: after some tries it is spoken to in that. Not for a
-    // link that is silent or breaks once, or a service that tells its epoch would be taken for one that does not.
-    let mut closed = 0;
+    let mut retry_delay = MIN_RETRY_DELAY;
+    // A service that only knows the first version of the protocol closes the connection when it gets another
+    // one, so after some attempts the first version is used. Timeouts and single failures don't count: the
+    // first version has no epoch, and must not be used with a service that sends its epoch.
+    let mut rejected_hellos = 0;
     loop {
-        let version = if confirm.is_some() && closed < CLOSED { VERSION_EPOCHS } else { VERSION };
-        let reason = match timeout(CONNECT_WITHIN, TcpStream::connect(settings.address)).await {
+        let version =
+            if confirm.is_some() && rejected_hellos < MAX_REJECTED_HELLOS { VERSION_EPOCHS } else { VERSION };
+        let reason = match timeout(CONNECT_TIMEOUT, TcpStream::connect(settings.address)).await {
             Ok(Ok(socket)) => {
-                retry = RETRY_FROM;
-                match talk(socket, (&name, version), confirm, &mut commands, &inbox).await {
-                    Some(Ended { reason, closed: at_once }) => {
-                        closed = if at_once && closed < CLOSED { closed + 1 } else { 0 };
+                retry_delay = MIN_RETRY_DELAY;
+                match run_connection(socket, (&name, version), confirm, &mut commands, &inbox).await {
+                    Some(ConnectionEnd { reason, hello_rejected }) => {
+                        let count = hello_rejected && rejected_hellos < MAX_REJECTED_HELLOS;
+                        rejected_hellos = if count { rejected_hellos + 1 } else { 0 };
                         reason
                     }
                     None => return,
                 }
             }
             Ok(Err(error)) => error.to_string(),
-            Err(_) => "no connection in time".to_owned(),
+            Err(_) => "connect timed out".to_owned(),
         };
-        // What was asked for meanwhile has no answer: the router is told so, once.
+        // Commands received meanwhile are dropped: this message tells the owner that they have no answer.
         while commands.try_recv().is_ok() {}
-        if inbox.send(ListMessage::Down(reason)).await.is_err() {
+        if inbox.send(ListMessage::Unavailable(reason)).await.is_err() {
             return;
         }
-        sleep(retry).await;
-        retry = (retry * 2).min(RETRY_MOST);
+        sleep(retry_delay).await;
+        retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// How a connection ended; `closed`: by the service, in place of a hello.
-struct Ended {
+/// How a connection ended.
+struct ConnectionEnd {
     reason: String,
-    closed: bool,
+    /// The service closed the connection or sent another frame in place of its hello.
+    hello_rejected: bool,
 }
 
-/// One connection; why it ended, or `None` if the router has.
-async fn talk(
+/// Runs one connection until it ends; `None` if the owner has ended.
+async fn run_connection(
     socket: TcpStream,
     (name, version): (&str, u16),
     confirm: Option<Duration>,
     commands: &mut mpsc::Receiver<ListCommand>,
     inbox: &mpsc::Sender<ListMessage>,
-) -> Option<Ended> {
+) -> Option<ConnectionEnd> {
     let _ = socket.set_nodelay(true);
     let (read_half, mut writer) = socket.into_split();
     let mut reader = FrameReader::new(read_half, DEFAULT_MAX_FRAME);
     let mut bytes = bytes::BytesMut::new();
-    let ended = |reason: String, closed| Some(Ended { reason, closed });
+    let ended = |reason: String, hello_rejected| Some(ConnectionEnd { reason, hello_rejected });
     encode(&ListFrame::Hello { version, name: name.to_owned(), epoch: 0 }, &mut bytes);
     if let Err(error) = writer.write_all(&bytes).await {
         return ended(error.to_string(), false);
     }
-    let epoch = match timeout(CONNECT_WITHIN, reader.read_one()).await {
-        Ok(Ok(ListFrame::Hello { version: theirs, epoch, .. })) if theirs == version => epoch,
-        Ok(Ok(_)) => return ended("its first frame is no hello of this version".to_owned(), true),
+    let epoch = match timeout(CONNECT_TIMEOUT, reader.read_one()).await {
+        Ok(Ok(ListFrame::Hello { version: peer_version, epoch, .. })) if peer_version == version => epoch,
+        Ok(Ok(_)) => return ended("expected a hello frame of this protocol version".to_owned(), true),
         Ok(Err(error)) => return ended(error.to_string(), true),
-        Err(_) => return ended("it does not say hello".to_owned(), false),
+        Err(_) => return ended("no hello frame in time".to_owned(), false),
     };
-    inbox.send(ListMessage::Up(epoch)).await.ok()?;
+    inbox.send(ListMessage::Connected(epoch)).await.ok()?;
     let mut frames = Vec::new();
-    let mut silent_from = Instant::now();
-    let mut asked = 0;
+    let mut silent_since = Instant::now();
+    let mut fetches = 0;
     loop {
-        let ask_at = confirm.map(|within| silent_from + within * (asked + 1) / ASKED);
+        let next_fetch_at = confirm.map(|limit| silent_since + limit * (fetches + 1) / SILENCE_INTERVALS);
         let frame = tokio::select! {
             command = commands.recv() => match command? {
                 ListCommand::Watch(on) => ListFrame::Watch(on),
                 ListCommand::Fetch => ListFrame::Fetch,
             },
-            () = sleep_until(ask_at.unwrap_or(silent_from)), if ask_at.is_some() => {
-                asked += 1;
-                if asked >= ASKED {
-                    return ended("it has said nothing for too long, though it was asked".to_owned(), false);
+            () = sleep_until(next_fetch_at.unwrap_or(silent_since)), if next_fetch_at.is_some() => {
+                fetches += 1;
+                if fetches >= SILENCE_INTERVALS {
+                    return ended("the service did not answer in time".to_owned(), false);
                 }
                 ListFrame::Fetch
             }
             read = reader.read(&mut frames) => {
-                (silent_from, asked) = (Instant::now(), 0);
+                (silent_since, fetches) = (Instant::now(), 0);
                 for frame in frames.drain(..) {
                     let message = match frame {
                         ListFrame::Update { scope, version, entries } => {
@@ -135,9 +148,9 @@
                                 entries,
                             })
                         }
-                        ListFrame::Failed { reason } => ListMessage::Down(reason),
+                        ListFrame::Failed { reason } => ListMessage::Unavailable(reason),
                         ListFrame::Bye { reason } => return ended(reason, false),
-                        _ => return ended("a frame that a list service does not send".to_owned(), false),
+                        _ => return ended("unexpected frame".to_owned(), false),
                     };
                     inbox.send(message).await.ok()?;
                 }
@@ -149,12 +162,11 @@
         };
         bytes.clear();
         encode(&frame, &mut bytes);
-        // One that takes no bytes is as good as gone.
-        let within = confirm.unwrap_or(WRITE_WITHIN);
-        match timeout(within, writer.write_all(&bytes)).await {
+        let write_timeout = confirm.unwrap_or(WRITE_TIMEOUT);
+        match timeout(write_timeout, writer.write_all(&bytes)).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => return ended(error.to_string(), false),
-            Err(_) => return ended("it takes no bytes".to_owned(), false),
+            Err(_) => return ended("write timed out".to_owned(), false),
         }
     }
 }
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -19,8 +19,8 @@
 mod list;
 mod ops;
 mod owner;
-mod stall;
 mod storage;
+mod write_timeout;
 
 pub use fleet::{verify_record, FleetError};
 pub use lag::{Lag, LagSummary};
@@ -126,8 +126,8 @@
         self.lag.take()
     }
 
-    /// Shuts down gracefully: no new requests are accepted, open ones have the time of the settings, and those that are left
-    /// then are failed or rejected. Returns what was counted.
+    /// Shuts down gracefully: no new requests are accepted, open ones have the time of the settings, and
+    /// those that are left then are failed or rejected. Returns what was counted.
     pub async fn stop(self) -> Option<Counters> {
         self.accepting.iter().for_each(JoinHandle::abort);
         self.control.send(Control::Stop).await.ok()?;
@@ -181,7 +181,8 @@
     serve_on(config, None, Clock::default()).await
 }
 
-/// Starts a router whose state is on other disks than the folder of the settings, or whose clock is wrong, for tests.
+/// Starts a router whose state is on other disks than the folder of the settings, or whose clock is wrong,
+/// for tests.
 ///
 /// # Errors
 /// As for [`serve`].
--- a/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
+++ b/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
@@ -1,5 +1,6 @@
-//! The event broadcaster: keeps in memory what operators may ask for, and passes changes on to subscribers. It owns the
-//! event log, the ledger of endings and the last status report; [`queries`](super::queries) answers from them.
+//! The event broadcaster: keeps in memory what operators may ask for, and passes changes on to subscribers.
+//! It owns the event log, the ledger of endings and the last status report; [`queries`](super::queries)
+//! answers from them.
 
 use super::history_writer::Batch;
 use super::pending_history::PendingHistory;
--- a/crates/gaparch-router/src/shell/ops/history_writer.rs
+++ b/crates/gaparch-router/src/shell/ops/history_writer.rs
@@ -1,4 +1,5 @@
-//! The history writer: puts events and endings of requests on disk, as far as there is time and room. It owns both histories.
+//! The history writer: puts events and endings of requests on disk, as far as there is time and room. It owns
+//! both histories.
 
 use super::BroadcasterMessage;
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter};
--- a/crates/gaparch-router/src/shell/ops/order_store.rs
+++ b/crates/gaparch-router/src/shell/ops/order_store.rs
@@ -1,4 +1,5 @@
-//! The order store task: puts operators' orders on disk before they are acknowledged. It owns the journal of orders.
+//! The order store task: puts operators' orders on disk before they are acknowledged. It owns the journal of
+//! orders.
 
 use super::{BroadcasterMessage, OrderOutcome, OrderReply};
 use crate::shell::storage::{
@@ -93,7 +94,7 @@
         reporter: &mut StorageReporter,
         messages: &mpsc::Sender<BroadcasterMessage>,
     ) -> Result<(), BroadcasterEnded> {
-        if self.failure.is_none() && reporter.is_news(None) {
+        if self.failure.is_none() && reporter.has_changed(None) {
             let stored = BroadcasterMessage::OrdersStored(self.orders.revision());
             messages.send(stored).await.map_err(|_| BroadcasterEnded)?;
         }
@@ -115,7 +116,8 @@
             self.append(records).await;
         }
         if self.failure.is_none() {
-            // The broadcaster learns it before the operator, so that whoever looks then sees the order as stored.
+            // The broadcaster learns it before the operator, so that whoever looks then sees the order as
+            // stored.
             let _ = messages.send(BroadcasterMessage::OrdersStored(self.orders.revision())).await;
         }
         for order in batch.drain(..) {
--- a/crates/gaparch-router/src/shell/ops/pending_history.rs
+++ b/crates/gaparch-router/src/shell/ops/pending_history.rs
@@ -36,8 +36,8 @@
         self.dropped
     }
 
-    /// Hands all pending records to the writer, if its queue has room. An empty batch is handed over too: the writer retries
-    /// then what it could not write.
+    /// Hands all pending records to the writer, if its queue has room. An empty batch is handed over too: the
+    /// writer retries then what it could not write.
     pub fn hand_over(&mut self) {
         if let Ok(permit) = self.writer.try_reserve() {
             permit.send(std::mem::take(&mut self.batch));
--- a/crates/gaparch-router/src/shell/ops/subscribers.rs
+++ b/crates/gaparch-router/src/shell/ops/subscribers.rs
@@ -1,5 +1,5 @@
-//! The sessions that are subscribed to updates. Each has a bounded queue; one that is too slow for it misses updates and is
-//! sent a fresh snapshot.
+//! The sessions that are subscribed to updates. Each has a bounded queue; one that is too slow for it misses
+//! updates and is sent a fresh snapshot.
 
 use gaparch_ops::{Delivery, SubscriberFeed};
 use gaparch_protocol::ops::view::Snapshot;
@@ -33,8 +33,8 @@
         self.by_session.remove(&session);
     }
 
-    /// Offers an update to every subscriber and forgets those that have gone. Returns the sessions that missed updates and
-    /// need a fresh snapshot.
+    /// Offers an update to every subscriber and forgets those that have gone. Returns the sessions that
+    /// missed updates and need a fresh snapshot.
     pub fn offer(&mut self, update: impl Fn() -> Update) -> Vec<u64> {
         let mut need_snapshot = Vec::new();
         self.by_session.retain(|session, subscriber| {
--- a/crates/gaparch-router/src/shell/owner/inputs.rs
+++ b/crates/gaparch-router/src/shell/owner/inputs.rs
@@ -12,10 +12,10 @@
 impl Owner {
     pub(super) fn on_engine_message(&mut self, now: u64, message: EngineMessage, out: &mut Vec<Output>) {
         match message {
-            EngineMessage::Up { engine, conn, facts } => {
+            EngineMessage::Connected { engine, conn, facts } => {
                 self.core.handle(now, Input::EngineConnected { engine, conn, facts }, out);
             }
-            EngineMessage::Down { engine, conn, reason } => {
+            EngineMessage::Disconnected { engine, conn, reason } => {
                 tracing::info!(engine = engine.0, conn = conn.0, %reason, "engine connection down");
                 // Another connection may be there already.
                 if self.engines.get(&engine).is_some_and(|task| task.conn == conn) {
@@ -34,13 +34,13 @@
     pub(super) fn on_list_message(&mut self, message: ListMessage, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let input = match message {
-            ListMessage::Up(epoch) => {
+            ListMessage::Connected(epoch) => {
                 if let Some(versions) = &mut self.versions {
                     versions.on_connected(epoch);
                 }
                 Input::ListServiceUp
             }
-            ListMessage::Down(reason) => {
+            ListMessage::Unavailable(reason) => {
                 tracing::warn!(%reason, "the list service is unavailable");
                 Input::ListServiceDown
             }
--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -68,18 +68,18 @@
 
     fn connect(&mut self, engine: ServerId, conn: ConnectionNumber, name: String, address: String) {
         let (frames, frames_in) = mpsc::channel(ENGINE_OUTBOX);
-        let plan = engine::Plan {
+        let params = engine::ConnectionParams {
             engine,
             conn,
             name,
             address,
             run: self.core.run(),
             router: self.config.router.clone(),
-            connect_within: Duration::from_nanos(self.config.module.connect_timeout),
-            write_within: engine::write_within(self.config.module.drain_grace),
+            connect_timeout: Duration::from_nanos(self.config.module.connect_timeout),
+            write_timeout: engine::write_timeout(self.config.module.drain_grace),
             max_frame: self.config.limits.frame,
         };
-        tokio::spawn(engine::run(plan, frames_in, self.engine_inbox.clone()));
+        tokio::spawn(engine::run(params, frames_in, self.engine_inbox.clone()));
         self.engines.insert(engine, EngineTask { conn, frames });
     }
 
--- a/crates/gaparch-router/src/shell/storage.rs
+++ b/crates/gaparch-router/src/shell/storage.rs
@@ -1,4 +1,5 @@
-//! Shared by the tasks that write to disk: blocking work on a thread of its own, and reports of what is not being stored.
+//! Shared by the tasks that write to disk: runs blocking work on another thread, and reports storage
+//! failures.
 
 use super::ops::BroadcasterMessage;
 use gaparch_store::StoreError;
@@ -7,28 +8,28 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Time after which a write that failed is tried again.
+/// Delay before a failed write is retried.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why something could not be written to disk.
+/// Why a store can't be written.
 #[derive(Clone, Debug, Error)]
 pub(super) enum StorageFailure {
-    /// The store refused a write, or could not be opened.
+    /// A write failed, or the store could not be opened.
     #[error(transparent)]
     Store(Arc<StoreError>),
-    /// The file could not be read at the start, and is not written to since.
+    /// The file could not be read at the start, so it is not written to.
     #[error("the folder can't be read")]
     Unreadable,
-    /// The thread that had the journal did not give it back.
+    /// The blocking task that held the journal has panicked.
     #[error("the journal is lost")]
     JournalLost,
-    /// The thread that wrote has panicked.
+    /// The blocking task that wrote has panicked.
     #[error("{0}")]
     Task(Arc<tokio::task::JoinError>),
-    /// The history's disk failed; records that found no room were dropped.
+    /// The history's disk failed; records that exceeded its buffer were dropped.
     #[error("{error}; {dropped} records were left out so far")]
     History {
-        /// What the store says.
+        /// The error of the store.
         error: Arc<StoreError>,
         /// Records dropped since the start.
         dropped: u64,
@@ -41,33 +42,33 @@
     }
 }
 
-/// The event broadcaster has ended, as it does with the router.
+/// The event broadcaster has ended, which happens when the router shuts down.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the event broadcaster has ended")]
 pub(super) struct BroadcasterEnded;
 
-/// Reports to the event broadcaster whether one store can be written, each time that this changes.
+/// Reports to the event broadcaster each time that a store becomes writable or unwritable.
 pub(super) struct StorageReporter {
     store: &'static str,
     messages: mpsc::Sender<BroadcasterMessage>,
-    /// The failure reported last, in words; the outer `None`: nothing was reported yet.
+    /// The text of the last reported failure, or `Some(None)` if no failure; `None` before the first report.
     reported: Option<Option<String>>,
 }
 
 impl StorageReporter {
-    /// `store`: what is stored there, as operators know it.
+    /// `store` describes the stored data to operators.
     pub fn new(store: &'static str, messages: mpsc::Sender<BroadcasterMessage>) -> StorageReporter {
         StorageReporter { store, messages, reported: None }
     }
 
-    /// Whether that failure, or that there is none, was not reported yet.
-    pub fn is_news(&self, failure: Option<&StorageFailure>) -> bool {
+    /// Whether this state differs from the one reported last.
+    pub fn has_changed(&self, failure: Option<&StorageFailure>) -> bool {
         self.reported != Some(failure.map(ToString::to_string))
     }
 
-    /// Reports a failure, or that there is none, if that is news.
+    /// Reports a failure or its end, if the state has changed.
     pub async fn report(&mut self, failure: Option<&StorageFailure>) -> Result<(), BroadcasterEnded> {
-        if !self.is_news(failure) {
+        if !self.has_changed(failure) {
             return Ok(());
         }
         let failure = failure.map(ToString::to_string);
@@ -78,10 +79,11 @@
     }
 }
 
-/// Does blocking work on a value on a thread where it holds up no other task; a disk may take seconds.
+/// Runs `work` on a thread for blocking work, since a disk access may take seconds, and returns the value
+/// with the result.
 ///
 /// # Errors
-/// When the work panicked: the value is lost then.
+/// When `work` panics; the value is lost then.
 pub(super) async fn run_blocking<T: Send + 'static, R: Send + 'static>(
     mut value: T,
     work: impl FnOnce(&mut T) -> R + Send + 'static,
--- a/crates/gaparch-router/src/shell/stall.rs
+++ b/crates/gaparch-router/src/shell/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A client's socket whose writes may not stand still for ever.
+//! A client's socket with a timeout on writes that make no progress.
 
 use std::future::Future;
 use std::io;
@@ -9,41 +9,42 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// Ends with an error once a write has made no progress for the stated time: its client does not read.
-pub(super) struct Stall {
+/// A socket whose write fails with `TimedOut` after it has made no progress for `timeout`, since the client
+/// does not read.
+pub(super) struct WriteTimeout {
     socket: TcpStream,
-    within: Duration,
-    waiting: Option<Pin<Box<Sleep>>>,
+    timeout: Duration,
+    timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
-    pub fn new(socket: TcpStream, within: Duration) -> Stall {
-        Stall { socket, within, waiting: None }
+impl WriteTimeout {
+    pub fn new(socket: TcpStream, timeout: Duration) -> WriteTimeout {
+        WriteTimeout { socket, timeout, timer: None }
     }
 
-    fn watch<T>(&mut self, cx: &mut Context<'_>, poll: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn check_progress<T>(&mut self, cx: &mut Context<'_>, poll: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if poll.is_ready() {
-            self.waiting = None;
+            self.timer = None;
             return poll;
         }
-        let within = self.within;
-        let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep(within)));
-        ready!(waiting.as_mut().poll(cx));
+        let timeout = self.timeout;
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(timeout)));
+        ready!(timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for Stall {
+impl AsyncRead for WriteTimeout {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.get_mut().socket).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Stall {
+impl AsyncWrite for WriteTimeout {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let poll = Pin::new(&mut this.socket).poll_write(cx, buf);
-        this.watch(cx, poll)
+        this.check_progress(cx, poll)
     }
 
     fn poll_write_vectored(
@@ -53,7 +54,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let poll = Pin::new(&mut this.socket).poll_write_vectored(cx, bufs);
-        this.watch(cx, poll)
+        this.check_progress(cx, poll)
     }
 
     fn is_write_vectored(&self) -> bool {
