--- a/crates/gaparch-router/src/shell/client/admission.rs
+++ b/crates/gaparch-router/src/shell/client/admission.rs
@@ -1,4 +1,4 @@
-//! Resolves the class, the tenant and the keys of a request.
+//! Resolves the traffic class, the tenant and the affinity keys of a request.
 
 use super::error_response::ErrorResponse;
 use super::ClientContext;
@@ -8,7 +8,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::StatusCode;
 
-/// The tenant whose key the client gives; `None` where tenants are not known by keys.
+/// The tenant of the API key that the client sends; `None` if the settings have no keys.
 pub(super) fn tenant<'h>(
     context: &ClientContext,
     header: impl Fn(&str) -> Option<&'h str>,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The traffic class that the client names, or the default.
+/// The traffic class that the client names, or the default class.
 pub(super) fn class(context: &ClientContext, request: &MessageRequest) -> Result<ClassId, ErrorResponse> {
     let names = &context.config.names;
     match &request.class {
@@ -32,22 +32,23 @@
             ErrorResponse::invalid(StatusCode::BAD_REQUEST, format!("'class' '{name}' is not known here"))
         }),
         None => {
-            let only = (names.classes.len() == 1).then_some(ClassId(0));
-            context.config.default_class.or(only).ok_or_else(|| {
+            let only_class = (names.classes.len() == 1).then_some(ClassId(0));
+            context.config.default_class.or(only_class).ok_or_else(|| {
                 ErrorResponse::invalid(StatusCode::BAD_REQUEST, "'class' is missing, and there is no default")
             })
         }
     }
 }
 
-/// The request with its class, tenant and keys resolved.
-pub(super) fn accepted(
+/// Builds the request for the owner, with its class, tenant and affinity keys.
+pub(super) fn accepted_request(
     context: &ClientContext,
     request: MessageRequest,
     class: ClassId,
     tenant: Option<TenantId>,
 ) -> AcceptedRequest {
-    // Retries are recognized only where there is an operations side; else the prompt need not be hashed.
+    // The fingerprint is only used by the operations side, to recognize retries; without one nothing is
+    // hashed.
     let fingerprint = context.rejections.as_ref().map_or(0, |_| fingerprint(&request, class, tenant));
     AcceptedRequest {
         class,
@@ -66,7 +67,7 @@
     }
 }
 
-/// A hash that is the same for the same prompt in the same session of a tenant, after a restart too.
+/// A hash of the prompt, session, class and tenant that stays the same across restarts.
 fn fingerprint(request: &MessageRequest, class: ClassId, tenant: Option<TenantId>) -> u64 {
     let session = request.session.as_deref().unwrap_or_default();
     let sender = format!("{session}/{}/{}", class.0, tenant.map_or(0, |tenant| tenant.0 + 1));
--- a/crates/gaparch-router/src/shell/client/error_response.rs
+++ b/crates/gaparch-router/src/shell/client/error_response.rs
@@ -1,4 +1,4 @@
-//! Responses that are errors.
+//! Error responses.
 
 use super::AnyBody;
 use bytes::Bytes;
@@ -10,41 +10,41 @@
 use hyper::{Response, StatusCode};
 use std::convert::Infallible;
 
-/// A response that is an error.
+/// An error response, independent of the client's dialect.
 pub(super) struct ErrorResponse {
     status: StatusCode,
     kind: ErrorKind,
     message: String,
     /// Whether a retry is safe.
-    harmless: bool,
+    retry_harmless: bool,
     retry_after: Option<Nanos>,
 }
 
 impl ErrorResponse {
-    /// The request itself is wrong.
+    /// The request is invalid.
     pub(super) fn invalid(status: StatusCode, message: impl Into<String>) -> ErrorResponse {
         ErrorResponse {
             status,
             kind: ErrorKind::Invalid,
             message: message.into(),
-            harmless: true,
+            retry_harmless: true,
             retry_after: None,
         }
     }
 
-    /// The request is rejected: a retry is safe.
+    /// The request is rejected without effect, so a retry is safe.
     pub(super) fn busy(retry_after: Nanos, message: &str) -> ErrorResponse {
         ErrorResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
             kind: ErrorKind::Rejected,
             message: message.to_owned(),
-            harmless: true,
-            // Where the settings allow no time to be told, none is.
+            retry_harmless: true,
+            // Zero if the settings allow no retry time to be sent.
             retry_after: Some(retry_after).filter(|wait| *wait > 0),
         }
     }
 
-    /// The client gave no known key.
+    /// The client sent no known API key.
     pub(super) fn unauthorized(message: &str) -> ErrorResponse {
         ErrorResponse {
             kind: ErrorKind::Unauthorized,
@@ -52,39 +52,39 @@
         }
     }
 
-    /// The request is rejected since its tenant's quota is exhausted.
+    /// The request is rejected because its tenant's quota is exhausted.
     pub(super) fn over_quota(retry_after: Nanos, message: &str) -> ErrorResponse {
         ErrorResponse { status: StatusCode::TOO_MANY_REQUESTS, ..ErrorResponse::busy(retry_after, message) }
     }
 
     /// The request failed, and may have had an effect.
-    pub(super) fn failed(why: &str) -> ErrorResponse {
-        ErrorResponse::failed_with(StatusCode::BAD_GATEWAY, why)
+    pub(super) fn failed(message: &str) -> ErrorResponse {
+        ErrorResponse::failed_with(StatusCode::BAD_GATEWAY, message)
     }
 
-    /// The request failed for that cause.
-    pub(super) fn failed_for(cause: OutcomeCause, why: &str) -> ErrorResponse {
-        let is_late = cause == OutcomeCause::Overdue;
-        let status = if is_late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        ErrorResponse::failed_with(status, why)
+    /// The request failed, with a status that depends on the cause.
+    pub(super) fn failed_for(cause: OutcomeCause, message: &str) -> ErrorResponse {
+        let is_overdue = cause == OutcomeCause::Overdue;
+        let status = if is_overdue { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
+        ErrorResponse::failed_with(status, message)
     }
 
-    fn failed_with(status: StatusCode, why: &str) -> ErrorResponse {
+    fn failed_with(status: StatusCode, message: &str) -> ErrorResponse {
         ErrorResponse {
             status,
             kind: ErrorKind::Failed,
-            message: why.to_owned(),
-            harmless: false,
+            message: message.to_owned(),
+            retry_harmless: false,
             retry_after: None,
         }
     }
 
-    /// The error in the client's dialect.
+    /// Encodes the error in the client's dialect.
     pub(super) fn response(&self, dialect: &Dialect) -> Response<AnyBody> {
-        let body = dialect.encode_error(self.kind, &self.message, self.harmless).freeze();
+        let body = dialect.encode_error(self.kind, &self.message, self.retry_harmless).freeze();
         let mut response = json(self.status, body);
         if let Some(wait) = self.retry_after {
-            // Whole seconds, as HTTP has them; the exact time stands beside it.
+            // `Retry-After` has whole seconds, so another header carries the exact time.
             let seconds = wait.div_ceil(1_000_000_000).max(1);
             let headers = response.headers_mut();
             headers.insert(RETRY_AFTER, seconds.into());
--- a/crates/gaparch-router/src/shell/client/event_stream.rs
+++ b/crates/gaparch-router/src/shell/client/event_stream.rs
@@ -1,4 +1,4 @@
-//! Response bodies that are a stream of events.
+//! Streaming response bodies (server-sent events).
 
 use super::pending_response::PendingResponse;
 use super::AnyBody;
@@ -16,15 +16,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Events put into one piece of a body.
+/// The most events in one body frame.
 const MAX_COALESCED_EVENTS: usize = 32;
 
-/// A stream that ends without its last event.
+/// The stream ended without its last event.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the stream broke off")]
 pub(super) struct StreamBroken;
 
-/// The response that is a stream of events.
+/// A streaming response with this body.
 pub(super) fn event_stream(body: EventStreamBody) -> Response<AnyBody> {
     let mut response = Response::new(body.boxed_unsync());
     let headers = response.headers_mut();
@@ -33,14 +33,14 @@
     response
 }
 
-/// A stream of events, with keep-alives while nothing else comes.
+/// A body that streams events, and sends keep-alives while there are none.
 pub(super) struct EventStreamBody {
     pending: PendingResponse,
     dialect: Arc<Dialect>,
-    /// The event that is sent before anything from the channel.
-    first: Option<ClientEvent>,
-    idle: Pin<Box<Sleep>>,
-    keep_alive: Duration,
+    /// The event that is sent before those of the channel.
+    opening_event: Option<ClientEvent>,
+    keep_alive_timer: Pin<Box<Sleep>>,
+    keep_alive_interval: Duration,
     done: bool,
 }
 
@@ -48,16 +48,23 @@
     pub(super) fn new(
         pending: PendingResponse,
         dialect: Arc<Dialect>,
-        opened: ClientEvent,
-        keep_alive: Duration,
+        opening_event: ClientEvent,
+        keep_alive_interval: Duration,
     ) -> EventStreamBody {
-        let idle = Box::pin(sleep(keep_alive));
-        EventStreamBody { pending, dialect, first: Some(opened), idle, keep_alive, done: false }
+        let keep_alive_timer = Box::pin(sleep(keep_alive_interval));
+        EventStreamBody {
+            pending,
+            dialect,
+            opening_event: Some(opening_event),
+            keep_alive_timer,
+            keep_alive_interval,
+            done: false,
+        }
     }
 
     fn encode(&mut self, event: ResponseEvent, out: &mut BytesMut) {
         self.done = event.is_last();
-        self.pending.is_over = self.done;
+        self.pending.is_finished = self.done;
         let mut encode = |event: ClientEvent| self.dialect.encode(&event, out);
         match event {
             ResponseEvent::Started { .. } => {}
@@ -67,15 +74,16 @@
                 encode(ClientEvent::Usage { usage, reason });
                 encode(ClientEvent::MessageStop { reason });
             }
-            // After the first event the request may have had an effect: a rejection becomes a failure.
+            // Once the response has started the request may have had an effect, so a rejection becomes a
+            // failure.
             ResponseEvent::Rejected { .. } => encode(failed("the answer broke off")),
             ResponseEvent::Failed { message, .. } => encode(failed(message)),
         }
     }
 }
 
-fn failed(why: &str) -> ClientEvent {
-    ClientEvent::Failed { kind: ErrorKind::Failed, message: why.to_owned(), retry_harmless: false }
+fn failed(message: &str) -> ClientEvent {
+    ClientEvent::Failed { kind: ErrorKind::Failed, message: message.to_owned(), retry_harmless: false }
 }
 
 impl Body for EventStreamBody {
@@ -91,16 +99,16 @@
             return Poll::Ready(None);
         }
         let mut out = BytesMut::new();
-        if let Some(opened) = this.first.take() {
-            this.dialect.encode(&opened, &mut out);
+        if let Some(event) = this.opening_event.take() {
+            this.dialect.encode(&event, &mut out);
             this.dialect.encode(&ClientEvent::ContentBlockStart, &mut out);
         }
         for _ in 0..MAX_COALESCED_EVENTS {
             match this.pending.events.poll_recv(cx) {
                 Poll::Ready(Some(event)) => this.encode(event, &mut out),
-                // The owner released it: this client read too slowly, or the router ended.
+                // The owner dropped the sender: the client read too slowly, or the router has ended.
                 Poll::Ready(None) => {
-                    this.pending.is_over = true;
+                    this.pending.is_finished = true;
                     return Poll::Ready(Some(Err(StreamBroken)));
                 }
                 Poll::Pending => break,
@@ -110,12 +118,12 @@
             }
         }
         if out.is_empty() {
-            if this.idle.as_mut().poll(cx).is_pending() {
+            if this.keep_alive_timer.as_mut().poll(cx).is_pending() {
                 return Poll::Pending;
             }
             this.dialect.encode(&ClientEvent::KeepAlive, &mut out);
         }
-        this.idle.as_mut().reset(Instant::now() + this.keep_alive);
+        this.keep_alive_timer.as_mut().reset(Instant::now() + this.keep_alive_interval);
         Poll::Ready(Some(Ok(Frame::data(out.freeze()))))
     }
 }
--- a/crates/gaparch-router/src/shell/client/mod.rs
+++ b/crates/gaparch-router/src/shell/client/mod.rs
@@ -1,4 +1,4 @@
-//! The client side: HTTP/1.1, with one JSON body or a stream of events as the response.
+//! The client-facing HTTP/1.1 server. A response is one JSON body or a stream of events.
 
 mod admission;
 mod error_response;
@@ -9,7 +9,7 @@
 use super::owner::NewRequest;
 use super::write_timeout::WriteTimeout;
 use crate::core::AcceptedRequest;
-use admission::{accepted, class, tenant};
+use admission::{accepted_request, class, tenant};
 use bytes::Bytes;
 use error_response::{json, ErrorResponse};
 use event_stream::{event_stream, EventStreamBody, StreamBroken};
@@ -24,7 +24,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use pending_response::{collect, first, submit};
+use pending_response::{collect_answer, submit, wait_for_start};
 use std::convert::Infallible;
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
@@ -33,36 +33,36 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Bytes of a request's head, and of a connection's read buffer.
+/// Maximum size of a request's head and of a connection's read buffer.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The header that names an accepted request in every response to it.
+/// The header with the id of an accepted request, in every response to it.
 const REQUEST_ID_HEADER: &str = "x-gaparch-request-id";
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The longest time for which a client's socket may take no bytes.
-const MAX_WRITE_STALL: Duration = Duration::from_secs(86_400);
+/// Upper limit of the write timeout of a client's socket.
+const MAX_WRITE_TIMEOUT: Duration = Duration::from_secs(86_400);
 
 type AnyBody = UnsyncBoxBody<Bytes, StreamBroken>;
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub(super) struct ClientContext {
     pub run: RouterRun,
     pub config: Config,
     pub requests: mpsc::Sender<NewRequest>,
-    /// Tells the owner of clients that disconnect.
+    /// Notifies the owner of clients that have disconnected.
     pub disconnected: mpsc::UnboundedSender<RequestId>,
     /// The number of the next request.
     pub next_id: AtomicU64,
-    /// Bounds the requests that are open at once.
+    /// Limits the number of open requests.
     pub open_requests: Arc<Semaphore>,
-    /// Bounds the connections.
+    /// Limits the number of connections.
     pub connections: Arc<Semaphore>,
-    /// Reports rejections to operators, where there is an operations side.
+    /// Reports rejections to operators, if there is an operations side.
     pub rejections: Option<Arc<RejectionReporter>>,
 }
 
 impl ClientContext {
-    /// Rejects a request that the owner never sees.
+    /// Rejects a request that was not passed to the owner.
     fn reject(&self, id: RequestId, request: &AcceptedRequest) -> ErrorResponse {
         let retry_after = self.config.module.advertised_retry_after();
         if let Some(rejections) = &self.rejections {
@@ -76,11 +76,12 @@
     }
 }
 
-/// Accepts connections until it is aborted.
+/// Accepts connections until the task is aborted.
 pub(super) async fn accept(listener: TcpListener, dialect: Arc<Dialect>, context: Arc<ClientContext>) {
-    // A client that reads nothing for as long as an engine may be silent is gone.
-    let silence = context.config.class_times.iter().map(|times| times.silence).max().unwrap_or(Nanos::MAX);
-    let silence = Duration::from_nanos(silence).min(MAX_WRITE_STALL);
+    // A client may read nothing for at most as long as an engine may be silent.
+    let write_timeout =
+        context.config.class_times.iter().map(|times| times.silence).max().unwrap_or(Nanos::MAX);
+    let write_timeout = Duration::from_nanos(write_timeout).min(MAX_WRITE_TIMEOUT);
     loop {
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
@@ -90,18 +91,18 @@
                 continue;
             }
         };
-        // Past the bound a connection is closed at once: there is nothing to answer it with.
+        // Over the limit a connection is closed at once: no request has been read that could be answered.
         let Ok(permit) = Arc::clone(&context.connections).try_acquire_owned() else { continue };
         let _ = socket.set_nodelay(true);
         let (dialect, context) = (Arc::clone(&dialect), Arc::clone(&context));
         tokio::spawn(async move {
             let head_time = context.config.limits.head_time.duration();
-            let service = service_fn(|request| answer(request, &dialect, &context));
+            let service = service_fn(|request| respond(request, &dialect, &context));
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(head_time)
                 .max_buf_size(MAX_HEAD_BYTES)
-                .serve_connection(TokioIo::new(WriteTimeout::new(socket, silence)), service)
+                .serve_connection(TokioIo::new(WriteTimeout::new(socket, write_timeout)), service)
                 .await;
             if let Err(error) = served {
                 tracing::debug!(%error, "client connection ended");
@@ -111,7 +112,7 @@
     }
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     dialect: &Arc<Dialect>,
     context: &Arc<ClientContext>,
@@ -120,7 +121,7 @@
     Ok(response.unwrap_or_else(|error| error.response(dialect)))
 }
 
-/// Serves one request.
+/// Handles one request.
 async fn handle(
     request: Request<Incoming>,
     dialect: &Arc<Dialect>,
@@ -153,20 +154,20 @@
     drop(body);
     let class = class(context, &request)?;
     let (model, stream) = (request.model.clone(), request.stream);
-    let mut pending = submit(context, accepted(context, request, class, tenant))?;
+    let mut pending = submit(context, accepted_request(context, request, class, tenant))?;
     let id = GlobalRequestId { run: context.run.0, number: pending.id.0 }.to_string();
-    let mut response = match first(&mut pending).await {
+    let mut response = match wait_for_start(&mut pending).await {
         Err(error) => error.response(dialect),
         Ok(usage) if stream => {
-            let opened = ClientEvent::MessageStart { id: id.clone(), model, usage };
+            let opening_event = ClientEvent::MessageStart { id: id.clone(), model, usage };
             event_stream(EventStreamBody::new(
                 pending,
                 Arc::clone(dialect),
-                opened,
+                opening_event,
                 limits.keep_alive.duration(),
             ))
         }
-        Ok(_) => match collect(pending, id.clone(), model).await {
+        Ok(_) => match collect_answer(pending, id.clone(), model).await {
             Ok(answer) => json(StatusCode::OK, dialect.encode_answer(&answer).freeze()),
             Err(error) => error.response(dialect),
         },
--- a/crates/gaparch-router/src/shell/client/pending_response.rs
+++ b/crates/gaparch-router/src/shell/client/pending_response.rs
@@ -1,4 +1,4 @@
-//! Requests that were handed to the owner, and the responses to them.
+//! Submits requests to the owner and receives the responses.
 
 use super::error_response::ErrorResponse;
 use super::ClientContext;
@@ -12,33 +12,33 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{mpsc, OwnedSemaphorePermit};
 
-/// The response to a request that the owner has, or will have. If this is dropped before the last event, the
-/// client has disconnected.
+/// The response to a submitted request. Dropping it before the last event tells the owner that the client has
+/// disconnected.
 pub(super) struct PendingResponse {
     pub(super) id: RequestId,
     pub(super) events: mpsc::Receiver<ResponseEvent>,
     disconnected: mpsc::UnboundedSender<RequestId>,
-    /// The last event has come.
-    pub(super) is_over: bool,
-    _open: OwnedSemaphorePermit,
+    /// Whether the last event was received.
+    pub(super) is_finished: bool,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if !self.is_over {
-            // The owner may have ended: then it need not know.
+        if !self.is_finished {
+            // Fails only if the owner has ended.
             let _ = self.disconnected.send(self.id);
         }
     }
 }
 
-/// Hands a request to the owner.
+/// Submits a request to the owner.
 pub(super) fn submit(
     context: &ClientContext,
     request: AcceptedRequest,
 ) -> Result<PendingResponse, ErrorResponse> {
     let id = RequestId(context.next_id.fetch_add(1, Ordering::Relaxed));
-    let Ok(open) = Arc::clone(&context.open_requests).try_acquire_owned() else {
+    let Ok(permit) = Arc::clone(&context.open_requests).try_acquire_owned() else {
         return Err(context.reject(id, &request));
     };
     let (response, events) = mpsc::channel(context.config.limits.stream_buffer);
@@ -50,21 +50,21 @@
         id,
         events,
         disconnected: context.disconnected.clone(),
-        is_over: false,
-        _open: open,
+        is_finished: false,
+        _permit: permit,
     })
 }
 
-/// Waits until the response starts, or it is clear that it will not.
-pub(super) async fn first(pending: &mut PendingResponse) -> Result<Usage, ErrorResponse> {
+/// Waits until the response starts, or the request has failed or is rejected.
+pub(super) async fn wait_for_start(pending: &mut PendingResponse) -> Result<Usage, ErrorResponse> {
     let first = pending.events.recv().await;
-    pending.is_over = first.as_ref().is_none_or(ResponseEvent::is_last);
+    pending.is_finished = first.as_ref().is_none_or(ResponseEvent::is_last);
     match first {
         Some(ResponseEvent::Started { usage }) => Ok(usage),
         Some(ResponseEvent::Rejected { retry_after, cause, waited_for }) => {
-            let why = waited_for.map_or(cause.name(), QueueingReason::name);
-            let message = format!("nothing was done; a retry is harmless ({why})");
-            // Its own quota is exhausted, or else the site is busy.
+            let reason = waited_for.map_or(cause.name(), QueueingReason::name);
+            let message = format!("nothing was done; a retry is harmless ({reason})");
+            // Over quota concerns this tenant only; otherwise the whole site is busy.
             Err(match waited_for {
                 Some(QueueingReason::OverQuota) => ErrorResponse::over_quota(retry_after, &message),
                 _ => ErrorResponse::busy(retry_after, &message),
@@ -76,7 +76,7 @@
 }
 
 /// Collects the whole response.
-pub(super) async fn collect(
+pub(super) async fn collect_answer(
     mut pending: PendingResponse,
     id: String,
     model: String,
@@ -84,18 +84,18 @@
     let mut text = String::new();
     loop {
         match pending.events.recv().await {
-            Some(ResponseEvent::Text { text: more }) => text.push_str(&more),
+            Some(ResponseEvent::Text { text: delta }) => text.push_str(&delta),
             Some(ResponseEvent::Finished { usage, reason }) => {
-                pending.is_over = true;
+                pending.is_finished = true;
                 return Ok(Answer { id, model, text, usage, reason });
             }
             Some(ResponseEvent::Started { .. }) => {}
             Some(ResponseEvent::Failed { message, cause }) => {
-                pending.is_over = true;
+                pending.is_finished = true;
                 return Err(ErrorResponse::failed_for(cause, message));
             }
             Some(ResponseEvent::Rejected { .. }) | None => {
-                pending.is_over = true;
+                pending.is_finished = true;
                 return Err(ErrorResponse::failed("the answer broke off"));
             }
         }
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -86,8 +86,8 @@
     pub local_list: watch::Receiver<LocalListState>,
     /// Orders given here that all routers are to keep.
     pub local_orders: mpsc::Receiver<LocalOrder>,
-    /// What was sent, to be recorded.
-    pub sent: mpsc::Receiver<AuditMessage>,
+    /// Send counts for the audit record.
+    pub audit: mpsc::Receiver<AuditMessage>,
 }
 
 /// The fleet's tasks. They end when this is dropped.
@@ -261,7 +261,7 @@
             tokio::spawn(audit_record::run(
                 restored.audit_store,
                 audit_record,
-                ports.sent,
+                ports.audit,
                 clock,
                 reporter("the audit's record"),
             )),
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -1,16 +1,17 @@
 //! The tokio shell: sockets, clocks and tasks around the core.
 //!
-//! One task, the owner, has the core and takes everything in order. Bounds, and what happens at them:
+//! One task, the owner, owns the core and handles all inputs in order. Every queue is bounded:
 //!
-//! | queue | bound | full |
+//! | queue | bound | when full |
 //! | --- | --- | --- |
 //! | requests to the owner | `limits/inbox` | the request is rejected at once |
-//! | engines' frames to the owner | 1,024 batches | engines' connections are not read from |
-//! | disconnected clients, to the owner | open requests | can't be: one message a request |
-//! | events to one client | `limits/stream-buffer` | the client reads too slowly: its request ends as if it had disconnected |
-//! | frames to one engine | 16,384 | the connection is closed, its attempts are reset |
-//! | datagrams of other routers | the socket's own buffer | lost, as any may be |
-//! | open requests, connections | `limits` | rejected; closed |
+//! | engines' frames to the owner | 1,024 batches | engine connections are not read |
+//! | notices of disconnected clients to the owner | open requests | not possible: one message per request |
+//! | events to one client | `limits/stream-buffer` | the request ends as if the slow client had disconnected |
+//! | frames to one engine | 16,384 | the connection is closed and its attempts are reset |
+//! | datagrams of other routers | the socket's receive buffer | dropped, as UDP may |
+//! | open requests | `limits` | the request is rejected |
+//! | connections | `limits` | the connection is closed |
 
 mod client;
 mod engine;
@@ -42,24 +43,24 @@
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::JoinHandle;
 
-/// Time for the last of the audit record to be written when the router ends.
+/// Time limit for writing the end of the audit record when the router shuts down.
 const AUDIT_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Messages of other tasks that wait for the owner.
+/// Capacity of the queue of other tasks' messages to the owner.
 const CONTROL_QUEUE: usize = 64;
-/// Interval at which the open requests are counted while the router drains.
+/// Interval at which the number of open requests is polled while the router drains.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the last responses to be written to clients' sockets.
+/// Time allowed for writing the last responses to clients' sockets.
 const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(50);
 
 /// Why a router can't start.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// An address for clients can't be bound.
+    /// A listen address for clients can't be bound.
     #[error("can't listen at {address}: {source}")]
     Listen {
-        /// The address of the settings.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The operations side can't start.
@@ -70,43 +71,43 @@
     Fleet(#[from] FleetError),
 }
 
-/// A running router. It ends abruptly when this is dropped.
+/// A running router. Dropping the handle stops it without draining.
 #[derive(Debug)]
 pub struct RouterHandle {
     addresses: Vec<SocketAddr>,
     control: mpsc::Sender<Control>,
     lag: Arc<Lag>,
-    accepting: Vec<JoinHandle<()>>,
+    acceptors: Vec<JoinHandle<()>>,
     owner: JoinHandle<()>,
     operations: Option<ops::Running>,
     fleet: Option<fleet::Running>,
-    /// Where what was sent is recorded.
+    /// The queue of the audit record's task.
     audit: Option<mpsc::Sender<fleet::AuditMessage>>,
-    shutdown: Duration,
+    shutdown_timeout: Duration,
 }
 
 impl RouterHandle {
-    /// The addresses for clients, in the order of the settings.
+    /// The listen addresses for clients, in the order of the settings.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// The address for operators, if there is one.
+    /// The TCP address for operators, if there is one.
     pub fn operations_address(&self) -> Option<SocketAddr> {
         self.operations.as_ref().and_then(|o| o.address)
     }
 
-    /// The local socket for operators, if there is one.
+    /// The Unix domain socket for operators, if there is one.
     pub fn operations_socket(&self) -> Option<&Path> {
         self.operations.as_ref().and_then(|o| o.socket.as_deref())
     }
 
-    /// Where the other routers reach it.
+    /// The address for the other routers, if there is a fleet.
     pub fn fleet_address(&self) -> Option<SocketAddr> {
         self.fleet.as_ref().map(|f| f.address)
     }
 
-    /// Waits until an operator orders a stop; without an operations side for ever.
+    /// Waits until an operator orders a stop; never returns if the router has no operations side.
     pub async fn asked_to_stop(&self) {
         match &self.operations {
             Some(operations) => operations.stop.notified().await,
@@ -114,61 +115,61 @@
         }
     }
 
-    /// What was counted so far; `None` once the router has ended.
+    /// The counters so far; `None` once the router has ended.
     pub async fn counts(&self) -> Option<Counters> {
-        let (answer, wait) = oneshot::channel();
-        self.control.send(Control::Counters(answer)).await.ok()?;
+        let (reply, wait) = oneshot::channel();
+        self.control.send(Control::Counters(reply)).await.ok()?;
         wait.await.ok()
     }
 
-    /// How late the owner was, from the start or from the last time this was asked.
+    /// The owner's lag since the start or the last call.
     pub fn lag(&self) -> LagSummary {
         self.lag.take()
     }
 
-    /// Shuts down gracefully: no new requests are accepted, open ones have the time of the settings, and
-    /// those that are left then are failed or rejected. Returns what was counted.
+    /// Shuts down gracefully: accepts no new requests, waits for open ones up to the configured shutdown
+    /// time, and then fails or rejects those that remain. Returns the final counters.
     pub async fn stop(self) -> Option<Counters> {
-        self.accepting.iter().for_each(JoinHandle::abort);
+        self.acceptors.iter().for_each(JoinHandle::abort);
         self.control.send(Control::Stop).await.ok()?;
-        // The others learn that it goes, and need not find it dead.
+        // Announces the departure, so that the other routers need not detect it as a failure.
         if let Some(fleet) = &self.fleet {
             fleet.leave().await;
         }
-        let deadline = tokio::time::Instant::now() + self.shutdown;
+        let deadline = tokio::time::Instant::now() + self.shutdown_timeout;
         loop {
-            let (answer, wait) = oneshot::channel();
-            self.control.send(Control::OpenRequestCount(answer)).await.ok()?;
+            let (reply, wait) = oneshot::channel();
+            self.control.send(Control::OpenRequestCount(reply)).await.ok()?;
             if wait.await.ok()? == 0 || tokio::time::Instant::now() >= deadline {
                 break;
             }
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.control.send(Control::StopNow).await.ok()?;
-        let counts = self.counts().await;
-        // The last answers are on their way to the clients' tasks: they get a moment to be written.
+        let counters = self.counts().await;
+        // The last responses have been sent to the clients' tasks, which need a moment to write them.
         tokio::time::sleep(RESPONSE_FLUSH_TIME).await;
         if let Some(audit) = &self.audit {
             let (written, wait) = oneshot::channel();
             let finish = async {
                 if audit.send(fleet::AuditMessage::Finish(written)).await.is_ok() {
-                    // Dropped unsent, its task has ended.
+                    // An error means that the audit record's task has ended.
                     let _ = wait.await;
                 }
             };
-            // Without its last segment the record shows a gap, as it should.
+            // If the last segment is not written, the record shows a gap in its place.
             let _ = tokio::time::timeout(AUDIT_FLUSH_TIMEOUT, finish).await;
         }
         if let Some(operations) = &self.operations {
             operations.flush().await;
         }
-        counts
+        counters
     }
 }
 
 impl Drop for RouterHandle {
     fn drop(&mut self) {
-        self.accepting.iter().for_each(JoinHandle::abort);
+        self.acceptors.iter().for_each(JoinHandle::abort);
         self.owner.abort();
     }
 }
@@ -176,13 +177,13 @@
 /// Starts a router.
 ///
 /// # Errors
-/// When an address can't be listened at, or the state folder can't be opened.
+/// If an address can't be bound, or the state folder can't be opened.
 pub async fn serve(config: Config) -> Result<RouterHandle, ServeError> {
     serve_on(config, None, Clock::default()).await
 }
 
-/// Starts a router whose state is on other disks than the folder of the settings, or whose clock is wrong,
-/// for tests.
+/// Starts a router with other disks than the configured state folder, or with a clock that is offset, for
+/// tests.
 ///
 /// # Errors
 /// As for [`serve`].
@@ -191,22 +192,22 @@
     disks: Option<Disks>,
     clock: Clock,
 ) -> Result<RouterHandle, ServeError> {
-    // Orders of operators are in force before the first request can arrive.
+    // Restores operators' orders before the first request can arrive.
     let prepared = match &config.operations {
         Some(settings) => Some(ops::prepare(settings.clone(), disks).await?),
         None => None,
     };
-    // Runs have different numbers: an engine must not take the KV caches of one run for those of another.
+    // Each run needs its own id, so that an engine never confuses KV caches of different runs.
     let run = RouterRun(clock.now() ^ (u64::from(std::process::id()) << 32) ^ run_number());
     let mut listeners = Vec::new();
     for listener in &config.listeners {
-        let wrong = |source| ServeError::Listen { address: listener.address, source };
-        let socket = TcpListener::bind(listener.address).await.map_err(wrong)?;
-        listeners.push((socket.local_addr().map_err(wrong)?, socket, Arc::clone(&listener.dialect)));
+        let listen_error = |source| ServeError::Listen { address: listener.address, source };
+        let socket = TcpListener::bind(listener.address).await.map_err(listen_error)?;
+        listeners.push((socket.local_addr().map_err(listen_error)?, socket, Arc::clone(&listener.dialect)));
     }
-    let (requests, requests_in) = mpsc::channel(config.limits.inbox);
-    let (disconnected, disconnected_in) = mpsc::unbounded_channel();
-    let (control, control_in) = mpsc::channel(CONTROL_QUEUE);
+    let (requests, requests_rx) = mpsc::channel(config.limits.inbox);
+    let (disconnected, disconnected_rx) = mpsc::unbounded_channel();
+    let (control, control_rx) = mpsc::channel(CONTROL_QUEUE);
     let lag = Arc::new(Lag::default());
     let mut out = Vec::new();
     let orders = prepared.as_ref().map(|p| p.orders.clone()).unwrap_or_default();
@@ -237,40 +238,40 @@
         rejections: operations_handle.as_ref().map(ops::OperationsHandle::rejection_reporter),
         config: config.clone(),
     });
-    let ports = Ports { requests: requests_in, disconnected: disconnected_in, control: control_in };
+    let ports = Ports { requests: requests_rx, disconnected: disconnected_rx, control: control_rx };
     let owner =
         Owner::new(core, clock, config.clone(), Arc::clone(&lag), operations_handle, replication.versions);
     let owner = tokio::spawn(owner.run(ports, out));
     let addresses = listeners.iter().map(|(address, ..)| *address).collect();
-    let accepting = listeners
+    let acceptors = listeners
         .into_iter()
         .map(|(_, socket, dialect)| tokio::spawn(client::accept(socket, dialect, Arc::clone(&context))))
         .collect();
-    let shutdown = config.limits.shutdown.duration();
+    let shutdown_timeout = config.limits.shutdown.duration();
     Ok(RouterHandle {
         addresses,
         control,
         lag,
-        accepting,
+        acceptors,
         owner,
         operations,
         fleet: replication.fleet,
         audit: replication.audit,
-        shutdown,
+        shutdown_timeout,
     })
 }
 
-/// What is started of the fleet, if there is one.
+/// The started parts of the fleet, if there is one.
 #[derive(Default)]
 struct Replication {
     fleet: Option<fleet::Running>,
-    /// The owner's side of the replicated list, where lists are replicated.
+    /// The owner's side of list replication, if it is enabled.
     versions: Option<ListVersions>,
-    /// Where what was sent is recorded.
+    /// The queue of the audit record's task.
     audit: Option<mpsc::Sender<fleet::AuditMessage>>,
 }
 
-/// What a fleet is started by.
+/// The arguments of [`start_fleet`].
 struct FleetStart<'a> {
     settings: &'a FleetSettings,
     config: &'a Config,
@@ -285,11 +286,16 @@
     messages: mpsc::Sender<ops::BroadcasterMessage>,
 ) -> Result<Replication, FleetError> {
     let FleetStart { settings, config, run, clock, disks } = start;
-    let (local_list, local_list_in) = watch::channel(fleet::LocalListState::default());
-    let (local_orders, local_orders_in) = mpsc::channel(fleet::LOCAL_ORDER_QUEUE);
-    let (audit, sent) = mpsc::channel(fleet::AUDIT_INBOX);
-    let ports =
-        fleet::Ports { control, messages, local_list: local_list_in, local_orders: local_orders_in, sent };
+    let (local_list, local_list_rx) = watch::channel(fleet::LocalListState::default());
+    let (local_orders, local_orders_rx) = mpsc::channel(fleet::LOCAL_ORDER_QUEUE);
+    let (audit, audit_rx) = mpsc::channel(fleet::AUDIT_INBOX);
+    let ports = fleet::Ports {
+        control,
+        messages,
+        local_list: local_list_rx,
+        local_orders: local_orders_rx,
+        audit: audit_rx,
+    };
     let running = fleet::start(settings, config, run, clock, disks, ports).await?;
     let Some(confirm) = settings.confirm.filter(|_| running.is_some()) else {
         return Ok(Replication { fleet: running, versions: None, audit: None });
@@ -299,7 +305,7 @@
     Ok(Replication { fleet: running, versions: Some(versions), audit: Some(audit) })
 }
 
-/// Two routers of one process never have the same run.
+/// Differs between routers of the same process, so that their run ids do too.
 fn run_number() -> u64 {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     RUNS.fetch_add(1, Ordering::Relaxed)
