--- a/crates/gaparch-router/src/shell/ops/operators.rs
+++ b/crates/gaparch-router/src/shell/ops/operators.rs
@@ -1,4 +1,4 @@
-//! Who may open a session, and as what.
+//! Authenticates the operators of sessions.
 
 use gaparch_config::{KeySource, Operations};
 use gaparch_net::read_key;
@@ -6,7 +6,7 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// An operator who authenticates by a key.
+/// An operator who authenticates with a key.
 #[derive(Clone)]
 pub(super) struct KnownOperator {
     pub name: String,
@@ -16,7 +16,7 @@
 
 impl std::fmt::Debug for KnownOperator {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The key must not end up in logs.
+        // Keeps the key out of logs.
         write!(f, "{} ({})", self.name, self.role)
     }
 }
@@ -24,18 +24,18 @@
 /// The operators of the settings.
 pub(super) struct Operators {
     pub known: Vec<KnownOperator>,
-    /// Operators that can't authenticate, and why, in words.
+    /// Event texts on operators that can't authenticate since their key can't be read.
     pub locked_out: Vec<String>,
 }
 
 impl Operators {
-    /// Reads the keys. One that is missing must not keep a router from routing.
+    /// Reads the keys. A key that can't be read does not prevent the router from starting.
     pub fn read(settings: &Operations) -> Operators {
         let mut operators = Operators { known: Vec::new(), locked_out: Vec::new() };
         for operator in &settings.operators {
             let role = if operator.may_change { SessionRole::ReadWrite } else { SessionRole::ReadOnly };
             let name = operator.name.clone();
-            match key_of(&operator.key) {
+            match load_key(&operator.key) {
                 Ok(key) => operators.known.push(KnownOperator { name, role, key: key.into_bytes() }),
                 Err(why) => {
                     operators.locked_out.push(format!("operator {name} can't come in by a key: {why}"));
@@ -54,7 +54,7 @@
     source: gaparch_net::KeyError,
 }
 
-fn key_of(source: &KeySource) -> Result<String, KeyFileError> {
+fn load_key(source: &KeySource) -> Result<String, KeyFileError> {
     match source {
         KeySource::Text(key) => Ok(key.clone()),
         KeySource::File(file) => {
@@ -63,48 +63,50 @@
     }
 }
 
-/// Why a session is not opened.
+/// Why a session is denied.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum AuthenticationError {
-    /// Only the local socket may be used without a key.
+    /// No key was sent, and the connection is not on the local socket.
     #[error("a key is required")]
     KeyRequired,
-    /// No operator has that key.
+    /// No operator has this key.
     #[error("the key is not known")]
     UnknownKey,
 }
 
-/// Who is at the other end of a session, and what they may do.
+/// The operator of a session, and the role of the session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Identity {
-    pub who: String,
+    pub name: String,
     pub role: SessionRole,
 }
 
-/// What a client says in its hello.
-pub(super) struct Claim<'a> {
+/// The credentials in a client's hello frame.
+pub(super) struct Credentials<'a> {
     pub key: Option<&'a str>,
     pub role: SessionRole,
-    pub who: &'a str,
+    /// The operator's name, used if there is no key.
+    pub name: &'a str,
 }
 
-/// With a key its operator; without one only whoever may open the local socket, by the name they give.
+/// Finds the operator of the key. Without a key only the local socket is accepted, with the name that the
+/// client sends.
 ///
 /// # Errors
-/// When a key is missing or not known.
+/// If the key is missing or not known.
 pub(super) fn authenticate(
     operators: &[KnownOperator],
     local: bool,
-    claim: &Claim<'_>,
+    credentials: &Credentials<'_>,
 ) -> Result<Identity, AuthenticationError> {
-    let Some(key) = claim.key else {
+    let Some(key) = credentials.key else {
         if !local {
             return Err(AuthenticationError::KeyRequired);
         }
-        let who = if claim.who.is_empty() { "someone" } else { claim.who };
-        return Ok(Identity { who: who.to_owned(), role: claim.role.min(SessionRole::ReadWrite) });
+        let name = if credentials.name.is_empty() { "someone" } else { credentials.name };
+        return Ok(Identity { name: name.to_owned(), role: credentials.role.min(SessionRole::ReadWrite) });
     };
-    // All keys are compared, each in constant time: how long it takes tells nothing of a key.
+    // Compares all keys, each in constant time, so that the duration reveals nothing about a key.
     let mut found = None;
     for operator in operators {
         if bool::from(operator.key.as_slice().ct_eq(key.as_bytes())) {
@@ -112,5 +114,5 @@
         }
     }
     let operator = found.ok_or(AuthenticationError::UnknownKey)?;
-    Ok(Identity { who: operator.name.clone(), role: claim.role.min(operator.role) })
+    Ok(Identity { name: operator.name.clone(), role: credentials.role.min(operator.role) })
 }
--- a/crates/gaparch-router/src/shell/ops/session.rs
+++ b/crates/gaparch-router/src/shell/ops/session.rs
@@ -1,6 +1,6 @@
-//! One session of a console or a script: authentication, then questions and answers, with updates in between.
+//! One session of a console or a script: authentication, then queries with answers, and updates in between.
 
-use super::operators::{authenticate, AuthenticationError, Claim, Identity, KnownOperator};
+use super::operators::{authenticate, AuthenticationError, Credentials, Identity, KnownOperator};
 use super::session_queries::answer;
 use super::BroadcasterMessage;
 use crate::shell::fleet;
@@ -18,50 +18,50 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::timeout;
 
-/// Time for the hello after a connection was accepted.
+/// Time limit for the hello frame after a connection was accepted.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// A socket that takes no bytes for so long is closed: its console was stopped, or is no more.
+/// Time limit for writing a frame. A peer that reads nothing for so long was suspended or has ended.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Updates that wait for one subscriber.
+/// Capacity of the queue of updates to one subscriber.
 const UPDATE_QUEUE: usize = 64;
 
-/// What all sessions share.
+/// State shared by all sessions.
 pub(super) struct SessionContext {
     pub router: String,
     pub run: RouterRun,
     pub operators: Vec<KnownOperator>,
-    /// Bounds the number of open sessions.
+    /// Limits the number of open sessions.
     pub sessions: Arc<Semaphore>,
     pub control: mpsc::Sender<Control>,
     pub messages: mpsc::Sender<BroadcasterMessage>,
-    /// Asks the fleet's task, where there are other routers.
+    /// Sends queries to the fleet's task, if there is one.
     pub fleet: Option<fleet::FleetHandle>,
 }
 
-/// Why a session ended; its text is the reason that the other end is given.
+/// Why a session ended; the text is sent to the client as the reason.
 #[derive(Debug, Error)]
 pub(super) enum SessionError {
-    /// No hello came in time, or another frame came in its place.
+    /// No hello frame came in time, or another frame came first.
     #[error("expected a hello frame")]
     HelloExpected,
-    /// The client speaks another version of the protocol.
+    /// The client uses another version of the protocol.
     #[error("version {0} is not spoken here, version {VERSION} is")]
     Version(u16),
     #[error(transparent)]
     Authentication(#[from] AuthenticationError),
-    /// A frame that only a router sends.
+    /// The client sent a frame that only a router may send.
     #[error("a frame that an operator does not send")]
     UnexpectedFrame,
     #[error(transparent)]
     Read(#[from] ReadError),
     #[error(transparent)]
     Write(#[from] std::io::Error),
-    /// A task that the session asks has ended, as it does with the router.
+    /// A task that the session depends on has ended, which happens when the router shuts down.
     #[error("the router has ended")]
     RouterEnded,
 }
 
-/// The writing side of a session.
+/// The writing half of a session.
 pub(super) struct Session<W> {
     writer: W,
     buffer: BytesMut,
@@ -78,22 +78,22 @@
         timeout(WRITE_TIMEOUT, self.writer.write_all(&self.buffer)).await?
     }
 
-    /// Gives the other end a reason and closes the connection.
+    /// Sends the client a reason and closes the connection.
     pub async fn close(&mut self, reason: &str) {
-        // Whatever comes of it, the connection ends.
+        // Errors don't matter: the connection ends in any case.
         let _ = self.write(&OpsFrame::Bye { reason: reason.to_owned() }).await;
         let _ = self.writer.shutdown().await;
     }
 
-    /// Runs the session to its end. `local`: it came in on the local socket.
+    /// Runs the session to its end. `local` is set for connections on the local socket.
     pub async fn run<R: AsyncRead + Unpin>(
         &mut self,
         mut reader: FrameReader<R>,
         local: bool,
         context: &SessionContext,
     ) {
-        let welcomed = timeout(HELLO_TIMEOUT, self.welcome(&mut reader, local, context)).await;
-        let identity = match welcomed {
+        let handshake = timeout(HELLO_TIMEOUT, self.handshake(&mut reader, local, context)).await;
+        let identity = match handshake {
             Ok(Ok(identity)) => identity,
             Ok(Err(reason)) => {
                 tracing::warn!(%reason, "operator session rejected");
@@ -103,23 +103,23 @@
         };
         let session = next_session_number();
         if let Err(reason) = self.serve(&mut reader, &identity, session, context).await {
-            tracing::info!(who = identity.who, %reason, "operator session ended");
+            tracing::info!(who = identity.name, %reason, "operator session ended");
             self.close(&reason.to_string()).await;
         }
-        // The broadcaster may have ended.
+        // Fails only if the broadcaster has ended.
         let _ = context.messages.send(BroadcasterMessage::Unsubscribe { session }).await;
     }
 
-    async fn welcome<R: AsyncRead + Unpin>(
+    async fn handshake<R: AsyncRead + Unpin>(
         &mut self,
         reader: &mut FrameReader<R>,
         local: bool,
         context: &SessionContext,
     ) -> Result<Identity, SessionError> {
         match reader.read_one().await? {
-            OpsFrame::Hello { version: VERSION, key, role, operator: who } => {
-                let claim = Claim { key: key.as_deref(), role, who: &who };
-                let identity = authenticate(&context.operators, local, &claim)?;
+            OpsFrame::Hello { version: VERSION, key, role, operator } => {
+                let credentials = Credentials { key: key.as_deref(), role, name: &operator };
+                let identity = authenticate(&context.operators, local, &credentials)?;
                 let welcome = OpsFrame::Welcome {
                     version: VERSION,
                     router: context.router.clone(),
@@ -141,7 +141,7 @@
         session: u64,
         context: &SessionContext,
     ) -> Result<(), SessionError> {
-        let (updates, mut updates_in) = mpsc::channel::<Update>(UPDATE_QUEUE);
+        let (updates, mut updates_rx) = mpsc::channel::<Update>(UPDATE_QUEUE);
         let mut frames = Vec::new();
         loop {
             tokio::select! {
@@ -163,7 +163,7 @@
                         Err(error) => return Err(error.into()),
                     }
                 }
-                Some(update) = updates_in.recv() => {
+                Some(update) = updates_rx.recv() => {
                     self.write(&OpsFrame::Update(update)).await?;
                 }
             }
@@ -171,7 +171,7 @@
     }
 }
 
-/// Numbers sessions of this process from 0.
+/// Returns the next session number of this process, from 0.
 fn next_session_number() -> u64 {
     static SESSIONS: AtomicU64 = AtomicU64::new(0);
     SESSIONS.fetch_add(1, Ordering::Relaxed)
--- a/crates/gaparch-router/src/shell/ops/session_queries.rs
+++ b/crates/gaparch-router/src/shell/ops/session_queries.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of one session, by asking the owner, the event broadcaster or the fleet's task.
+//! Answers the queries of one session, by asking the owner, the event broadcaster or the fleet's task.
 
 use super::operators::Identity;
 use super::session::{SessionContext, SessionError};
@@ -10,13 +10,13 @@
 use gaparch_scheduler::api::RequestId;
 use tokio::sync::{mpsc, oneshot};
 
-/// Requests of one answer.
+/// The most requests in one answer.
 const MAX_REQUESTS: u32 = 2000;
 
-/// Answers one question.
+/// Answers one query.
 ///
 /// # Errors
-/// When the task that would answer has ended; the session ends then.
+/// If the task that would answer has ended; the session ends then.
 pub(super) async fn answer(
     query: Query,
     identity: &Identity,
@@ -39,9 +39,9 @@
         Query::OrderReplication {} => order_replication(context).await,
         Query::Members {} => members(context).await,
         Query::Audit { filter } => audit(filter, context).await,
-        Query::ListVersions {} => versions(context).await,
-        Query::OpenRequests { max: most } => recent_requests(most, context).await,
-        Query::RequestDetails { request } => request_history(request, context).await,
+        Query::ListVersions {} => list_versions(context).await,
+        Query::OpenRequests { max } => recent_requests(max, context).await,
+        Query::RequestDetails { request } => request_details(request, context).await,
         other => ask_broadcaster(other, context).await,
     }
 }
@@ -51,8 +51,8 @@
         Some(fleet) => fleet.order_replication().await.ok_or(SessionError::RouterEnded)?,
         None => None,
     };
-    Ok(view.map_or_else(no_list_replication, |spread| Answer::OrderReplication {
-        replication: Box::new(spread),
+    Ok(view.map_or_else(no_list_replication, |replication| Answer::OrderReplication {
+        replication: Box::new(replication),
     }))
 }
 
@@ -75,7 +75,7 @@
     Ok(view.map_or_else(no_list_replication, |audit| Answer::Audit { audit: Box::new(audit) }))
 }
 
-async fn versions(context: &SessionContext) -> Result<Answer, SessionError> {
+async fn list_versions(context: &SessionContext) -> Result<Answer, SessionError> {
     let view = match &context.fleet {
         Some(fleet) => fleet.list_versions().await.ok_or(SessionError::RouterEnded)?,
         None => None,
@@ -84,55 +84,53 @@
         .map_or_else(no_list_replication, |versions| Answer::ListVersions { versions: Box::new(versions) }))
 }
 
-/// The answer of a router that shares lists and orders with no other.
+/// The answer of a router that does not replicate lists and orders.
 fn no_list_replication() -> Answer {
     let message = "this router follows no other: its settings have no <fleet confirm=\"...\">";
     Answer::Denied { code: DenyCode::Unknown, message: message.to_owned() }
 }
 
-/// Open requests, the oldest first, and then those that have ended, as far as there is room.
-async fn recent_requests(most: u32, context: &SessionContext) -> Result<Answer, SessionError> {
-    let most = most.clamp(1, MAX_REQUESTS);
+/// Open requests, the oldest first, followed by ended ones up to the maximum.
+async fn recent_requests(max: u32, context: &SessionContext) -> Result<Answer, SessionError> {
+    let max = max.clamp(1, MAX_REQUESTS);
     let (reply, wait) = oneshot::channel();
-    send_to_owner(Control::OpenRequests { most: most as usize, reply }, context).await?;
+    send_to_owner(Control::OpenRequests { max: max as usize, reply }, context).await?;
     let OpenRequests { mut views, mut total } = wait.await.map_err(|_| SessionError::RouterEnded)?;
-    let left = most.saturating_sub(views.len() as u32);
-    let ended = ask_broadcaster(Query::OpenRequests { max: left }, context).await?;
-    if let Answer::OpenRequests { requests: live, total: ended_total } = ended {
-        views.extend(live);
+    let remaining = max.saturating_sub(views.len() as u32);
+    let ended = ask_broadcaster(Query::OpenRequests { max: remaining }, context).await?;
+    if let Answer::OpenRequests { requests: ended_views, total: ended_total } = ended {
+        views.extend(ended_views);
         total += ended_total;
     }
     Ok(Answer::OpenRequests { requests: views, total })
 }
 
-async fn request_history(request: GlobalRequestId, context: &SessionContext) -> Result<Answer, SessionError> {
+async fn request_details(request: GlobalRequestId, context: &SessionContext) -> Result<Answer, SessionError> {
     let (reply, wait) = oneshot::channel();
     let id = RequestId(request.number);
     send_to_owner(Control::OpenRequest { id, reply }, context).await?;
     let open = wait.await.map_err(|_| SessionError::RouterEnded)?;
-    // Another run of the router has had the same number.
-    let live = open.filter(|view| view.request == request).map(Box::new);
+    // The number may belong to another run of the router.
+    let open = open.filter(|view| view.request == request).map(Box::new);
     match ask_broadcaster(Query::RequestDetails { request }, context).await? {
-        Answer::RequestDetails { outcome: ending, .. } => {
-            Ok(Answer::RequestDetails { outcome: ending, open: live })
-        }
+        Answer::RequestDetails { outcome, .. } => Ok(Answer::RequestDetails { outcome, open }),
         other => Ok(other),
     }
 }
 
 async fn carry_out(
     order: Order,
-    here: bool,
+    local_only: bool,
     identity: &Identity,
     context: &SessionContext,
 ) -> Result<Answer, SessionError> {
     if identity.role != SessionRole::ReadWrite {
-        let message = format!("{} may look, and change nothing", identity.who);
+        let message = format!("{} may look, and change nothing", identity.name);
         return Ok(Answer::Denied { code: DenyCode::ReadOnly, message });
     }
     let (reply, wait) = oneshot::channel();
-    let who = identity.who.clone();
-    send_to_owner(Control::Order { order, who, here, reply }, context).await?;
+    let operator = identity.name.clone();
+    send_to_owner(Control::Order { order, operator, local_only, reply }, context).await?;
     Ok(match wait.await.map_err(|_| SessionError::RouterEnded)? {
         Ok(done) => Answer::Done { revision: done.revision, effect: done.effect },
         Err(denied) => Answer::Denied { code: denied.code, message: denied.message },
--- a/crates/gaparch-router/src/shell/ops/subscribers.rs
+++ b/crates/gaparch-router/src/shell/ops/subscribers.rs
@@ -1,5 +1,5 @@
-//! The sessions that are subscribed to updates. Each has a bounded queue; one that is too slow for it misses
-//! updates and is sent a fresh snapshot.
+//! The sessions that are subscribed to updates. Each has a bounded queue; a session that reads too slowly
+//! misses updates and is then sent a new snapshot.
 
 use gaparch_ops::{Delivery, SubscriberFeed};
 use gaparch_protocol::ops::view::Snapshot;
@@ -23,7 +23,7 @@
         self.by_session.is_empty()
     }
 
-    /// Adds a session. Its queue is empty: the first update is a snapshot.
+    /// Adds a session and sends it a snapshot; its queue is still empty, so the snapshot fits.
     pub fn add(&mut self, session: u64, updates: mpsc::Sender<Update>, snapshot: Snapshot) {
         let _ = updates.try_send(Update::Resync { snapshot: Box::new(snapshot) });
         self.by_session.insert(session, Subscriber { updates, feed: SubscriberFeed::default() });
@@ -33,8 +33,8 @@
         self.by_session.remove(&session);
     }
 
-    /// Offers an update to every subscriber and forgets those that have gone. Returns the sessions that
-    /// missed updates and need a fresh snapshot.
+    /// Offers an update to every subscriber and removes those that have disconnected. Returns the sessions
+    /// that missed updates and need a new snapshot.
     pub fn offer(&mut self, update: impl Fn() -> Update) -> Vec<u64> {
         let mut need_snapshot = Vec::new();
         self.by_session.retain(|session, subscriber| {
@@ -53,7 +53,7 @@
         need_snapshot
     }
 
-    /// Sends a session a fresh snapshot, if it is still there.
+    /// Sends a session a new snapshot, if it is still subscribed.
     pub fn resync(&self, session: u64, snapshot: Snapshot) {
         if let Some(subscriber) = self.by_session.get(&session) {
             drop(subscriber.updates.try_send(Update::Resync { snapshot: Box::new(snapshot) }));
--- a/crates/gaparch-router/src/shell/owner/control.rs
+++ b/crates/gaparch-router/src/shell/owner/control.rs
@@ -1,4 +1,4 @@
-//! What the owner does for other tasks: answers questions, carries out orders and reports the router's state.
+//! Handles the messages of other tasks: answers queries, carries out orders and reports the router's state.
 
 use super::{Control, OpenRequests, Owner};
 use crate::core::{Input, Output, Proposal};
@@ -14,14 +14,16 @@
 impl Owner {
     pub(super) fn on_control(&mut self, control: Control, out: &mut Vec<Output>) {
         let now = self.clock.now();
-        // In each case the task that asked may have ended.
+        // Replies fail if the task that asked has ended, which is ignored.
         match control {
             Control::Counters(reply) => drop(reply.send(self.core.counters())),
             Control::OpenRequestCount(reply) => drop(reply.send(self.core.open_requests())),
-            Control::Order { order, who, here, reply } => self.on_order(&order, &who, here, reply, out),
+            Control::Order { order, operator, local_only, reply } => {
+                self.on_order(&order, &operator, local_only, reply, out)
+            }
             Control::FleetOrder { order, reply } => drop(reply.send(self.on_fleet_order(&order, out))),
-            Control::OpenRequests { most, reply } => {
-                let views = self.core.open_request_views(most);
+            Control::OpenRequests { max, reply } => {
+                let views = self.core.open_request_views(max);
                 drop(reply.send(OpenRequests { views, total: self.core.open_requests() as u64 }));
             }
             Control::OpenRequest { id, reply } => drop(reply.send(self.core.open_request_view(id))),
@@ -43,17 +45,24 @@
         }
     }
 
-    /// Carries out an order at once; it is acknowledged when it is stored.
-    fn on_order(&mut self, order: &Order, who: &str, here: bool, reply: OrderReply, out: &mut Vec<Output>) {
+    /// Carries out an order at once and acknowledges it once it is stored.
+    fn on_order(
+        &mut self,
+        order: &Order,
+        operator: &str,
+        local_only: bool,
+        reply: OrderReply,
+        out: &mut Vec<Output>,
+    ) {
         let now = self.clock.now();
         let Some(operations) = &mut self.operations else { return };
-        let proposal = match self.core.propose(now, order, who) {
+        let proposal = match self.core.propose(now, order, operator) {
             Ok(proposal) => proposal,
-            // Here and below: the operator may have disconnected.
+            // A reply fails, here and below, if the operator has disconnected.
             Err(denied) => return drop(reply.send(Err(denied))),
         };
         if proposal.accepted.change == (Change::Stop {}) {
-            operations.request_stop(now, who, &order.reason);
+            operations.request_stop(now, operator, &order.reason);
             let outcome = OrderOutcome { revision: proposal.accepted.revision - 1, effect: proposal.effect };
             return drop(reply.send(Ok(outcome)));
         }
@@ -61,8 +70,8 @@
             let message = "too many orders wait to be kept; nothing was changed";
             return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
         };
-        let fleet = self.versions.as_ref().filter(|_| !here);
-        if let Some(versions) = fleet {
+        let replicated = self.versions.as_ref().filter(|_| !local_only);
+        if let Some(versions) = replicated {
             let Some(permit) = versions.reserve_order() else {
                 let message = "too many orders are on their way to the other routers; nothing was changed";
                 return drop(reply.send(Err(OrderDenied::new(DenyCode::Busy, message))));
@@ -72,22 +81,22 @@
         }
         self.hand_over_sends();
         self.core.handle(now, Input::OperatorChange(proposal.accepted.clone()), out);
-        // Whoever asks after the acknowledgement sees what it did.
+        // Reports the new state first, so that a query after the acknowledgement shows the effect.
         self.report_status();
         if let Some(operations) = &mut self.operations {
             operations.store_order(permit, proposal, reply);
         }
     }
 
-    /// Puts an order of another router in force, and stores it as one given here; whether it is in force now.
+    /// Applies an order of another router and stores it like a local one. Returns whether it is in force.
     fn on_fleet_order(&mut self, order: &FleetOrder, out: &mut Vec<Output>) -> bool {
         let now = self.clock.now();
-        let who = format!("{} at {}", order.note.operator, order.id.router);
-        let note = ChangeNote { operator: who, ..order.note.clone() };
+        let operator = format!("{} at {}", order.note.operator, order.id.router);
+        let note = ChangeNote { operator, ..order.note.clone() };
         let Some(operations) = &mut self.operations else { return false };
-        let taken = match self.core.adopt_fleet_order(&order.change, &note) {
+        let accepted = match self.core.adopt_fleet_order(&order.change, &note) {
             Ok(None) => return true,
-            Ok(Some(taken)) => taken,
+            Ok(Some(accepted)) => accepted,
             Err(denied) => {
                 let text = format!("an order of the fleet can't be in force here: {denied}");
                 let event = Event { at: now, severity: Severity::Fault, engine: None, text };
@@ -97,12 +106,12 @@
         };
         let Some(permit) = operations.reserve() else { return false };
         self.hand_over_sends();
-        self.core.handle(now, Input::OperatorChange(taken.clone()), out);
+        self.core.handle(now, Input::OperatorChange(accepted.clone()), out);
         self.report_status();
         if let Some(operations) = &mut self.operations {
-            // Nobody waits for this copy: the fleet's own record of the order is what is acknowledged.
+            // Nobody waits for this copy: the acknowledgement depends on the fleet's order store.
             let (reply, _) = oneshot::channel();
-            operations.store_order(permit, Proposal { accepted: taken, effect: String::new() }, reply);
+            operations.store_order(permit, Proposal { accepted, effect: String::new() }, reply);
         }
         true
     }
--- a/crates/gaparch-router/src/shell/owner/inputs.rs
+++ b/crates/gaparch-router/src/shell/owner/inputs.rs
@@ -1,4 +1,4 @@
-//! What the owner hears of engines and of the list service.
+//! Handles the messages of engine connections and of the list service.
 
 use super::Owner;
 use crate::core::{Input, ListUpdate, Output};
@@ -17,7 +17,7 @@
             }
             EngineMessage::Disconnected { engine, conn, reason } => {
                 tracing::info!(engine = engine.0, conn = conn.0, %reason, "engine connection down");
-                // Another connection may be there already.
+                // A newer connection may have replaced it already.
                 if self.engines.get(&engine).is_some_and(|task| task.conn == conn) {
                     self.engines.remove(&engine);
                 }
@@ -53,7 +53,8 @@
         self.core.handle(now, input, out);
     }
 
-    /// Whether an update is to be acted on: where other routers may hand the list on, an older one is not.
+    /// Decides whether to apply an update. With list replication an update that is older than the list in use
+    /// is ignored.
     fn decide_on_update(&mut self, update: &ListUpdate, now: u64) -> UpdateAction {
         self.hand_over_sends();
         let Some(versions) = &mut self.versions else { return UpdateAction::Apply };
@@ -65,7 +66,7 @@
         decision.action
     }
 
-    /// Hands over what was sent, to be recorded.
+    /// Passes the send counts to the audit record.
     pub(super) fn hand_over_sends(&mut self) {
         let Some(versions) = &mut self.versions else { return };
         let core = &self.core;
--- a/crates/gaparch-router/src/shell/owner/messages.rs
+++ b/crates/gaparch-router/src/shell/owner/messages.rs
@@ -9,7 +9,7 @@
 use gaparch_scheduler::api::RequestId;
 use tokio::sync::{mpsc, oneshot};
 
-/// A request on its way to the owner, with where its response goes.
+/// A request for the owner, with the channel for its response.
 #[derive(Debug)]
 pub(in crate::shell) struct NewRequest {
     pub id: RequestId,
@@ -17,46 +17,46 @@
     pub response: mpsc::Sender<ResponseEvent>,
 }
 
-/// Some open requests, and how many there are.
+/// Some open requests, and the number of all.
 pub(in crate::shell) struct OpenRequests {
     pub views: Vec<RequestView>,
     pub total: u64,
 }
 
-/// A question or an instruction of another task.
+/// A query or a command of another task.
 pub(in crate::shell) enum Control {
-    /// What was counted so far.
+    /// The counters so far.
     Counters(oneshot::Sender<Counters>),
-    /// How many requests are open.
+    /// The number of open requests.
     OpenRequestCount(oneshot::Sender<usize>),
     /// An order of an operator.
     Order {
         order: Order,
-        who: String,
-        /// For this router alone, where others would be for all of the site.
-        here: bool,
+        operator: String,
+        /// The order applies to this router only and is not replicated to the fleet.
+        local_only: bool,
         reply: OrderReply,
     },
-    /// An order that another router has handed on; the reply says whether it is in force now.
+    /// An order received from another router; the reply says whether it is in force now.
     FleetOrder { order: FleetOrder, reply: oneshot::Sender<bool> },
-    /// The oldest open requests, at most so many.
-    OpenRequests { most: usize, reply: oneshot::Sender<OpenRequests> },
+    /// The oldest open requests, at most `max`.
+    OpenRequests { max: usize, reply: oneshot::Sender<OpenRequests> },
     /// One request, if it is open.
     OpenRequest { id: RequestId, reply: oneshot::Sender<Option<RequestView>> },
-    /// By how many routers limits are divided.
+    /// The number of routers that share the limits.
     RouterCount(u32),
-    /// A list that another router has handed on.
+    /// An endpoint list received from another router.
     AdoptList(AdoptedList),
-    /// No new requests are accepted from now on.
+    /// Accepts no new requests from now on.
     Stop,
-    /// Every request that is still open is ended at once.
+    /// Ends every open request at once.
     StopNow,
 }
 
-/// The queues that the owner reads.
+/// The receiving ends of the owner's queues.
 pub(in crate::shell) struct Ports {
     pub requests: mpsc::Receiver<NewRequest>,
-    /// Requests whose client has disconnected: at most one message a request, and those are bounded.
+    /// Requests whose client has disconnected. At most one message per open request, so the queue is bounded.
     pub disconnected: mpsc::UnboundedReceiver<RequestId>,
     pub control: mpsc::Receiver<Control>,
 }
--- a/crates/gaparch-router/src/shell/owner/mod.rs
+++ b/crates/gaparch-router/src/shell/owner/mod.rs
@@ -1,5 +1,5 @@
-//! The owner: the one task that has the core, and the scheduler in it. Everything that concerns requests
-//! passes through it, in order.
+//! The owner: the task that owns the core, with the scheduler in it. It handles everything that concerns
+//! requests, in order.
 
 mod control;
 mod inputs;
@@ -25,22 +25,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// Batches of frames that wait; past it engines' connections are not read from.
+/// Capacity of the queue of frame batches; while it is full engine connections are not read.
 const ENGINE_INBOX: usize = 1024;
-/// Commands to the list service's task, and messages of it, that wait.
+/// Capacity of the queues to and from the list service's task.
 const LIST_INBOX: usize = 64;
-/// Interval at which operators are shown the router's state.
+/// Interval at which the router's state is reported to operators.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
-/// Batches of engine frames taken in one round, so that no kind of input starves another or the timers. A
-/// batch may hold some hundred frames: ten thousand streams that step at once kept the owner busy for 83 ms
-/// with 64 of them.
+/// Batches of engine frames handled in one round, so that no kind of input starves another or the timers. A
+/// batch may hold some hundred frames: with 64 batches, ten thousand streams that advance at once kept the
+/// owner busy for 83 ms.
 const ENGINE_BATCH: usize = 4;
-/// Requests taken in one round.
+/// Requests handled in one round.
 const REQUEST_BATCH: usize = 32;
-/// Disconnected clients taken in one round.
+/// Disconnected clients handled in one round.
 const DISCONNECT_BATCH: usize = 64;
 
-/// The connection to an engine. Dropped, its task writes what is left, closes and ends by itself.
+/// The connection to an engine. When this is dropped, the connection's task writes the remaining frames and
+/// closes.
 struct EngineTask {
     conn: ConnectionNumber,
     frames: mpsc::Sender<EngineFrame>,
@@ -60,9 +61,9 @@
     list_task: Option<JoinHandle<()>>,
     list_messages: mpsc::Receiver<ListMessage>,
     operations: Option<OperationsHandle>,
-    /// The list's versions, where other routers may hand them on.
+    /// The owner's side of list replication, if it is enabled.
     versions: Option<ListVersions>,
-    /// The owner's lag since the router's state was last shown.
+    /// The longest lag since the router's state was last reported.
     status_lag: Duration,
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// The connection to the list service.
+/// The task that is connected to the list service, and its channels.
 struct ListService {
     commands: Option<mpsc::Sender<ListCommand>>,
     task: Option<JoinHandle<()>>,
@@ -80,16 +81,16 @@
 }
 
 impl ListService {
-    /// Connects, if the settings have a list service.
+    /// Starts the task, if the settings have a list service.
     fn start(config: &Config, is_replicated: bool) -> ListService {
         let (inbox, messages) = mpsc::channel(LIST_INBOX);
         let Some(settings) = &config.list else {
             return ListService { commands: None, task: None, messages };
         };
-        let (commands, commands_in) = mpsc::channel(LIST_INBOX);
+        let (commands, commands_rx) = mpsc::channel(LIST_INBOX);
         let fleet = config.fleet.as_ref().filter(|_| is_replicated);
         let confirm = fleet.and_then(|fleet| fleet.confirm).map(Duration::from_nanos);
-        let task = tokio::spawn(list::run(*settings, config.router.clone(), confirm, commands_in, inbox));
+        let task = tokio::spawn(list::run(*settings, config.router.clone(), confirm, commands_rx, inbox));
         ListService { commands: Some(commands), task: Some(task), messages }
     }
 }
@@ -128,22 +129,22 @@
         let mut engine_batch = Vec::with_capacity(ENGINE_BATCH);
         let mut request_batch = Vec::with_capacity(REQUEST_BATCH);
         let mut disconnect_batch = Vec::with_capacity(DISCONNECT_BATCH);
-        self.carry_out(&mut out);
-        let mut status = tokio::time::interval(STATUS_INTERVAL);
-        status.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        self.perform_outputs(&mut out);
+        let mut status_timer = tokio::time::interval(STATUS_INTERVAL);
+        status_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let due = self.core.next_timer_at().map(|at| Instant::from_std(self.clock.instant(at)));
-            let late = tokio::select! {
+            let delay = tokio::select! {
                 biased;
                 control = ports.control.recv() => match control {
                     Some(control) => { self.on_control(control, &mut out); Duration::ZERO }
-                    // Nobody is left who could stop it: the handle is gone.
+                    // All senders are gone, so the router's handle was dropped.
                     None => return,
                 },
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                     due.map_or(Duration::ZERO, |due| due.elapsed())
                 }
-                _ = status.tick(), if self.operations.is_some() => {
+                _ = status_timer.tick(), if self.operations.is_some() => {
                     self.report_status();
                     self.hand_over_sends();
                     Duration::ZERO
@@ -156,7 +157,7 @@
                 }
                 _ = ports.requests.recv_many(&mut request_batch, REQUEST_BATCH) => Duration::ZERO,
             };
-            let began = Instant::now();
+            let round_start = Instant::now();
             let now = self.clock.now();
             for id in disconnect_batch.drain(..) {
                 self.clients.remove(&id);
@@ -170,8 +171,8 @@
                 self.core.handle(now, Input::RequestArrived { id, request }, &mut out);
             }
             self.core.on_timers_due(self.clock.now(), &mut out);
-            self.carry_out(&mut out);
-            let lag = late + began.elapsed();
+            self.perform_outputs(&mut out);
+            let lag = delay + round_start.elapsed();
             self.status_lag = self.status_lag.max(lag);
             self.lag.record(lag);
         }
--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -1,4 +1,4 @@
-//! How the owner carries out what the core wants.
+//! Performs the core's outputs.
 
 use super::{EngineTask, Owner};
 use crate::core::{ConnectionNumber, Input, Output, ResponseEvent};
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Frames that wait for one engine; past it its connection is closed.
+/// Capacity of the queue of frames to one engine; the connection is closed when it is full.
 const ENGINE_OUTBOX: usize = 16_384;
-/// Stands for the attempt of a probe in the audit record.
+/// A probe has no attempt; the audit record has this key in its place.
 const NO_ATTEMPT: AttemptKey = AttemptKey { request: 0, attempt: 0 };
 
-/// What the audit record notes of a frame, if it notes it.
+/// The kind and the attempt of a frame that the audit record counts; `None` for other frames.
 fn recorded_send(frame: &EngineFrame) -> Option<(SendKind, AttemptKey)> {
     match frame {
         EngineFrame::Prefill(job) => Some((SendKind::Prefill, job.key)),
@@ -27,8 +27,8 @@
 }
 
 impl Owner {
-    /// Carries out what the core wants, and what follows from that, until nothing is left.
-    pub(super) fn carry_out(&mut self, out: &mut Vec<Output>) {
+    /// Performs all outputs, and those that result from failures to perform them.
+    pub(super) fn perform_outputs(&mut self, out: &mut Vec<Output>) {
         let mut failures = Vec::new();
         while !out.is_empty() {
             for output in std::mem::take(out) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Carries out one output; what could not be done is an input in `failures`.
+    /// Performs one output; a failure is added to `failures` as an input for the core.
     fn perform(&mut self, output: Output, failures: &mut Vec<Input>) {
         match output {
             Output::Client { id, event } => self.send_to_client(id, event, failures),
@@ -60,7 +60,8 @@
                     operations.send(BroadcasterMessage::RequestEnded(ending));
                 }
             }
-            // Its settings permit no messages between routers, and the one connection to an engine stays.
+            // Not used here: the scheduler's settings allow no gossip, and the one connection to an engine
+            // stays open.
             Output::SendGossip { .. } | Output::CloseIdleConnections(_) => {}
             Output::Log(text) => tracing::info!(%text, "scheduler"),
         }
