--- a/crates/gaparch-router/src/shell/ops/disks.rs
+++ b/crates/gaparch-router/src/shell/ops/disks.rs
@@ -3,42 +3,42 @@
 use gaparch_config::Operations;
 use gaparch_store::{Disk, StateDirectory, StoreError};
 
-/// Where the state is kept. Tests give disks that fail.
+/// The disks of a router. Tests use disks that fail.
 pub struct Disks {
     /// Orders of operators.
     pub intents: Box<dyn Disk>,
     /// The history of events.
     pub events: Box<dyn Disk>,
-    /// The history of requests that were not served.
+    /// The history of request outcomes other than served.
     pub outcomes: Box<dyn Disk>,
-    /// What concerns the other routers.
+    /// The state that concerns the other routers.
     pub fleet: FleetDisks,
 }
 
-/// Where what concerns the other routers is kept.
+/// The disks for the state that concerns the other routers.
 pub struct FleetDisks {
-    /// How often the router was started.
+    /// The router's incarnation, which grows with each start.
     pub incarnation: Box<dyn Disk>,
-    /// Orders that all routers of the fleet keep.
+    /// Orders that are replicated to all routers of the fleet.
     pub orders: Box<dyn Disk>,
-    /// The audit record: what was sent under which version of the list.
+    /// The audit record: what was sent to engines under which version of the endpoint list.
     pub audit: Box<dyn Disk>,
-    /// The number of the last piece of the audit record.
+    /// The number of the last segment of the audit record.
     pub audit_mark: Box<dyn Disk>,
 }
 
 impl FleetDisks {
-    /// One disk for each, as `share` makes them.
+    /// Creates each disk with `share`.
     pub fn of(mut share: impl FnMut() -> Box<dyn Disk>) -> FleetDisks {
         FleetDisks { incarnation: share(), orders: share(), audit: share(), audit_mark: share() }
     }
 }
 
 impl Disks {
-    /// Opens and locks the folder of the settings.
+    /// Opens and locks the configured state folder.
     ///
     /// # Errors
-    /// When it can't be created or read, or another router has it.
+    /// If it can't be created or read, or another router has locked it.
     pub fn open(settings: &Operations) -> Result<Disks, StoreError> {
         let folder = StateDirectory::open(&settings.state)?;
         let (events, outcomes) = (Box::new(folder.share()), Box::new(folder.share()));
--- a/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
+++ b/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
@@ -1,6 +1,5 @@
-//! The event broadcaster: keeps in memory what operators may ask for, and passes changes on to subscribers.
-//! It owns the event log, the ledger of endings and the last status report; [`queries`](super::queries)
-//! answers from them.
+//! The event broadcaster: keeps in memory what operators may query, and sends changes to subscribers. It owns
+//! the event log, the outcome log and the last status report; [`queries`](super::queries) answers from them.
 
 use super::history_writer::Batch;
 use super::pending_history::PendingHistory;
@@ -17,42 +16,42 @@
 use tokio::sync::mpsc;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Between two batches to the history writer.
+/// Interval between two batches to the history writer.
 const HAND_OVER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a router is, for its snapshots.
-pub(super) struct Identity {
+/// The fixed properties of the router in its snapshots.
+pub(super) struct RouterIdentity {
     pub router: String,
     pub run: u64,
-    /// When it started, in nanoseconds since the Unix epoch.
-    pub began_at: u64,
+    /// When the router started, in nanoseconds since the Unix epoch.
+    pub started_at: u64,
     pub settings: Vec<Setting>,
 }
 
 /// The state of the event broadcaster's task.
 pub(super) struct EventBroadcaster {
-    pub(super) identity: Identity,
+    pub(super) identity: RouterIdentity,
     pub(super) orders: OrderRegistry,
     /// Orders up to this revision are on disk.
     stored_revision: u64,
     pub(super) event_log: EventLog,
-    pub(super) ledger: OutcomeLog,
-    watch: Monitor,
+    pub(super) outcome_log: OutcomeLog,
+    monitor: Monitor,
     pub(super) status: Option<Box<StatusReport>>,
     subscribers: Subscribers,
-    /// What is not being stored, and why.
+    /// The stores that can't be written, and why.
     pub(super) storage_failures: BTreeMap<&'static str, String>,
     history: PendingHistory,
-    /// Messages and records known as dropped when that was last an event.
+    /// The number of dropped messages and records at the last event about them.
     reported_dropped: u64,
 }
 
 impl EventBroadcaster {
     pub fn new(
-        identity: Identity,
+        identity: RouterIdentity,
         orders: OrderRegistry,
         event_log: EventLog,
-        ledger: OutcomeLog,
+        outcome_log: OutcomeLog,
         history: mpsc::Sender<Batch>,
     ) -> EventBroadcaster {
         EventBroadcaster {
@@ -60,8 +59,8 @@
             identity,
             orders,
             event_log,
-            ledger,
-            watch: Monitor::default(),
+            outcome_log,
+            monitor: Monitor::default(),
             status: None,
             subscribers: Subscribers::default(),
             storage_failures: BTreeMap::new(),
@@ -70,7 +69,8 @@
         }
     }
 
-    /// Takes messages until nobody sends any more. `locked_out`: operators that can't authenticate, and why.
+    /// Handles messages until all senders are gone. `locked_out` has event texts on operators that can't
+    /// authenticate.
     pub async fn run(
         mut self,
         mut messages: mpsc::Receiver<BroadcasterMessage>,
@@ -83,15 +83,15 @@
         for text in locked_out {
             self.record_event(Event { at: clock.now(), severity: Severity::Fault, engine: None, text });
         }
-        let mut hand_over = interval(HAND_OVER_INTERVAL);
-        hand_over.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut hand_over_timer = interval(HAND_OVER_INTERVAL);
+        hand_over_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 message = messages.recv() => match message {
                     Some(message) => self.handle(message, clock.now()),
                     None => return,
                 },
-                _ = hand_over.tick() => self.history.hand_over(),
+                _ = hand_over_timer.tick() => self.history.hand_over(),
             }
         }
     }
@@ -99,15 +99,15 @@
     fn handle(&mut self, message: BroadcasterMessage, now: u64) {
         match message {
             BroadcasterMessage::Status(status) => self.on_status(status),
-            BroadcasterMessage::RequestEnded(ending) => self.on_request_ended(ending),
-            BroadcasterMessage::OrderInForce(taken) => self.on_order(taken),
+            BroadcasterMessage::RequestEnded(outcome) => self.on_request_ended(outcome),
+            BroadcasterMessage::OrderInForce(accepted) => self.on_order(accepted),
             BroadcasterMessage::Event(event) => self.record_event(event),
             BroadcasterMessage::OrdersStored(revision) => self.on_orders_stored(revision),
             BroadcasterMessage::StorageStatus { store, failure } => {
                 self.on_storage_status(store, failure, now)
             }
             BroadcasterMessage::Query { query, reply } => {
-                // The operator may have disconnected.
+                // Fails only if the session has ended.
                 let _ = reply.send(self.answer(query));
             }
             BroadcasterMessage::Subscribe { session, updates } => {
@@ -121,13 +121,13 @@
 
     fn on_status(&mut self, status: Box<StatusReport>) {
         let orders = &self.orders;
-        for event in self.watch.observe(&status.metrics, &status.engines, |engine| orders.drain(engine)) {
+        for event in self.monitor.observe(&status.metrics, &status.engines, |engine| orders.drain(engine)) {
             self.record_event(event);
         }
         self.report_dropped(status.dropped_messages, status.metrics.at);
-        let before = self.status.replace(status);
+        let previous = self.status.replace(status);
         let Some(status) = &self.status else { return };
-        let known = before.as_ref().map_or(&[][..], |before| &before.engines);
+        let known = previous.as_ref().map_or(&[][..], |previous| &previous.engines);
         let changed: Vec<_> =
             status.engines.iter().filter(|engine| !known.contains(engine)).cloned().collect();
         let metrics = status.metrics;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Makes an event of what was dropped since the last one.
+    /// Records an event if messages or records were dropped since the last one.
     fn report_dropped(&mut self, dropped_messages: u64, at: u64) {
         let dropped = dropped_messages + self.history.dropped();
         if dropped > self.reported_dropped {
@@ -148,27 +148,31 @@
         }
     }
 
-    fn on_request_ended(&mut self, ending: Box<RequestOutcome>) {
-        if ending.kind != OutcomeKind::Served {
-            self.publish(|| Update::RequestEnded { outcome: ending.clone() });
-            self.history.add_outcome(to_bytes(&StoredOutcome::Outcome { outcome: ending.clone() }));
+    fn on_request_ended(&mut self, outcome: Box<RequestOutcome>) {
+        if outcome.kind != OutcomeKind::Served {
+            self.publish(|| Update::RequestEnded { outcome: outcome.clone() });
+            self.history.add_outcome(to_bytes(&StoredOutcome::Outcome { outcome: outcome.clone() }));
         }
-        for followed in self.ledger.add(*ending) {
+        for observed in self.outcome_log.add(*outcome) {
             let follow_up =
-                StoredOutcome::FollowUp { request: followed.request, follow_up: followed.follow_up };
+                StoredOutcome::FollowUp { request: observed.request, follow_up: observed.follow_up };
             self.history.add_outcome(to_bytes(&follow_up));
         }
     }
 
-    fn on_order(&mut self, taken: AcceptedChange) {
-        let engine = match &taken.change {
+    fn on_order(&mut self, accepted: AcceptedChange) {
+        let engine = match &accepted.change {
             Change::Drain { engine, .. } | Change::Undrain { engine } => Some(engine.clone()),
             _ => None,
         };
-        let text =
-            format!("{} by {}: {}", change_text(&taken.change), taken.note.operator, taken.note.reason);
-        self.record_event(Event { at: taken.note.at, severity: Severity::Info, engine, text });
-        self.orders.apply(taken);
+        let text = format!(
+            "{} by {}: {}",
+            change_text(&accepted.change),
+            accepted.note.operator,
+            accepted.note.reason
+        );
+        self.record_event(Event { at: accepted.note.at, severity: Severity::Info, engine, text });
+        self.orders.apply(accepted);
         self.publish_intents();
     }
 
@@ -180,19 +184,19 @@
     }
 
     fn on_storage_status(&mut self, store: &'static str, failure: Option<String>, now: u64) {
-        let before = match &failure {
-            Some(why) => self.storage_failures.insert(store, why.clone()),
+        let previous = match &failure {
+            Some(reason) => self.storage_failures.insert(store, reason.clone()),
             None => self.storage_failures.remove(store),
         };
-        let (severity, text) = match (before.is_some(), failure) {
-            (false, Some(why)) => (Severity::Fault, format!("{store} can't be kept on disk: {why}")),
+        let (severity, text) = match (previous.is_some(), failure) {
+            (false, Some(reason)) => (Severity::Fault, format!("{store} can't be kept on disk: {reason}")),
             (true, None) => (Severity::Info, format!("{store} are kept on disk again")),
             _ => return,
         };
         self.record_event(Event { at: now, severity, engine: None, text });
     }
 
-    /// Logs an event, stores it and passes it on.
+    /// Logs an event, stores it and sends it to subscribers.
     fn record_event(&mut self, event: Event) {
         match event.severity {
             Severity::Info => tracing::info!(engine = event.engine, "{}", event.text),
@@ -214,7 +218,7 @@
         self.publish(|| Update::Intents { revision, intents: intents.clone() });
     }
 
-    /// Offers an update to every subscriber, and a snapshot to those that missed some.
+    /// Offers an update to every subscriber, and sends a snapshot to those that missed updates.
     fn publish(&mut self, update: impl Fn() -> Update) {
         if self.subscribers.is_empty() {
             return;
--- a/crates/gaparch-router/src/shell/ops/handle.rs
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -1,4 +1,4 @@
-//! The owner's and the client connections' side of the operations tasks. Nothing here waits.
+//! The interface of the owner and the client connections to the operations tasks. Nothing here blocks.
 
 use super::order_store::StoreOrder;
 use super::{BroadcasterMessage, OrderReply, StatusReport};
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, Notify};
 
-/// Counts and reports requests that are rejected before the owner sees them, since too many are open.
+/// Counts and reports requests that are rejected before they reach the owner, because too many are open.
 #[derive(Debug)]
 pub(in crate::shell) struct RejectionReporter {
     messages: mpsc::Sender<BroadcasterMessage>,
@@ -31,20 +31,20 @@
         RejectionReporter { messages, run, clock, rejected: AtomicU64::new(0) }
     }
 
-    /// Counts a rejected request and reports it; past the broadcaster's bound it is only counted.
+    /// Counts a rejected request and reports it; if the broadcaster's queue is full, it is only counted.
     pub fn report(&self, id: RequestId, class: &str, tenant: &str, retry_after: Nanos, fingerprint: u64) {
         self.rejected.fetch_add(1, Ordering::Relaxed);
         let now = self.clock.now();
         let request = GlobalRequestId { run: self.run.0, number: id.0 };
-        let ending = RequestOutcome {
+        let outcome = RequestOutcome {
             class: class.to_owned(),
             tenant: tenant.to_owned(),
             retry_after_ms: retry_after_millis(retry_after),
             fingerprint,
             ..RequestOutcome::bare(request, now, now, OutcomeKind::Rejected, OutcomeCause::TooManyOpen)
         };
-        // The count is what must not be lost.
-        let _ = self.messages.try_send(BroadcasterMessage::RequestEnded(Box::new(ending)));
+        // The outcome may be dropped; the count may not.
+        let _ = self.messages.try_send(BroadcasterMessage::RequestEnded(Box::new(outcome)));
     }
 
     fn rejected(&self) -> u64 {
@@ -52,14 +52,14 @@
     }
 }
 
-/// What the owner reports to the operations tasks by.
+/// The owner's interface to the operations tasks.
 pub(in crate::shell) struct OperationsHandle {
     pub(super) messages: mpsc::Sender<BroadcasterMessage>,
     pub(super) rejections: Arc<RejectionReporter>,
     pub(super) order_store: mpsc::Sender<StoreOrder>,
     /// Notified when an operator stops the router.
     pub(super) stop: Arc<Notify>,
-    /// Messages that found no room.
+    /// Messages dropped because the broadcaster's queue was full.
     pub(super) dropped: u64,
 }
 
@@ -68,14 +68,14 @@
         Arc::clone(&self.rejections)
     }
 
-    /// Sends a message to the event broadcaster; past its bound the message is dropped and counted.
+    /// Sends a message to the event broadcaster; if its queue is full, the message is dropped and counted.
     pub fn send(&mut self, message: BroadcasterMessage) {
         if self.messages.try_send(message).is_err() {
             self.dropped += 1;
         }
     }
 
-    /// Reports the router's state.
+    /// Reports the router's state to the event broadcaster.
     pub fn report_status(
         &mut self,
         metrics: RouterMetrics,
@@ -92,12 +92,12 @@
         self.send(BroadcasterMessage::Status(Box::new(status)));
     }
 
-    /// Reserves room for one more order to be stored, if there is any.
+    /// Reserves a place in the order store's queue, if there is one.
     pub fn reserve(&self) -> Option<mpsc::OwnedPermit<StoreOrder>> {
         self.order_store.clone().try_reserve_owned().ok()
     }
 
-    /// Has an order stored that is in force; the reply is given once it is.
+    /// Stores an order that is in force; the reply is sent once it is stored.
     pub fn store_order(
         &mut self,
         permit: mpsc::OwnedPermit<StoreOrder>,
@@ -105,12 +105,12 @@
         reply: OrderReply,
     ) {
         self.send(BroadcasterMessage::OrderInForce(proposal.accepted.clone()));
-        permit.send(StoreOrder { taken: proposal.accepted, effect: proposal.effect, reply });
+        permit.send(StoreOrder { accepted: proposal.accepted, effect: proposal.effect, reply });
     }
 
-    /// Passes an operator's order to stop on to whoever runs the router.
-    pub fn request_stop(&mut self, at: u64, who: &str, why: &str) {
-        let text = format!("{who} stops the router: {why}");
+    /// Records an operator's order to stop and notifies the owner of the router's handle.
+    pub fn request_stop(&mut self, at: u64, operator: &str, reason: &str) {
+        let text = format!("{operator} stops the router: {reason}");
         self.send(BroadcasterMessage::Event(Event { at, severity: Severity::Warning, engine: None, text }));
         self.stop.notify_one();
     }
--- a/crates/gaparch-router/src/shell/ops/history_writer.rs
+++ b/crates/gaparch-router/src/shell/ops/history_writer.rs
@@ -1,4 +1,4 @@
-//! The history writer: puts events and endings of requests on disk, as far as there is time and room. It owns
+//! The history writer: writes events and request outcomes to disk, within bounds on space and memory. It owns
 //! both histories.
 
 use super::BroadcasterMessage;
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Batches that wait; past them the event broadcaster collects on.
+/// Capacity of the queue of batches; while it is full, the event broadcaster buffers records.
 pub(super) const INBOX: usize = 4;
-/// Files of one history.
+/// Segment files of one history.
 const SEGMENTS: usize = 16;
-/// Version of the meaning of an event's record.
+/// Schema version of an event's record.
 const EVENT_SCHEMA: u16 = 1;
 
 /// Records to be stored.
@@ -23,33 +23,33 @@
 pub(super) struct Batch {
     /// Encoded events.
     pub events: Vec<Vec<u8>>,
-    /// Encoded endings and follow-ups.
-    pub endings: Vec<Vec<u8>>,
-    /// Notified once the batch is written, or can't be.
+    /// Encoded request outcomes and follow-ups.
+    pub outcomes: Vec<Vec<u8>>,
+    /// Notified once the batch was written or the write failed.
     pub written: Option<oneshot::Sender<()>>,
 }
 
 /// The histories on disk.
 struct Histories {
     events: History<Box<dyn Disk>>,
-    endings: History<Box<dyn Disk>>,
+    outcomes: History<Box<dyn Disk>>,
 }
 
 impl Histories {
     fn write(&mut self, batch: &Batch) -> Result<(), StorageFailure> {
         self.push_and_flush(batch).map_err(|error| StorageFailure::History {
             error: Arc::new(error),
-            dropped: self.events.dropped_records() + self.endings.dropped_records(),
+            dropped: self.events.dropped_records() + self.outcomes.dropped_records(),
         })
     }
 
     fn push_and_flush(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let events = batch.events.iter().try_for_each(|record| self.events.push(record));
-        let endings = batch.endings.iter().try_for_each(|record| self.endings.push(record));
-        // One disk may be full and the other not.
+        let outcomes = batch.outcomes.iter().try_for_each(|record| self.outcomes.push(record));
+        // One disk may be full while the other is not, so both are flushed before an error is returned.
         let flushed = self.events.flush();
-        self.endings.flush()?;
-        flushed.and(events.and(endings))
+        self.outcomes.flush()?;
+        flushed.and(events.and(outcomes))
     }
 }
 
@@ -59,13 +59,13 @@
 }
 
 impl HistoryWriter {
-    /// Reads what is stored: a quarter of the room is for events, the rest for endings.
+    /// Reads the stored histories. A quarter of `bytes` is for events, the rest for request outcomes.
     pub fn open(
         events: Box<dyn Disk>,
-        endings: Box<dyn Disk>,
+        outcomes: Box<dyn Disk>,
         bytes: u64,
         event_log: &mut EventLog,
-        ledger: &mut OutcomeLog,
+        outcome_log: &mut OutcomeLog,
     ) -> Result<HistoryWriter, StoreError> {
         let limits =
             |bytes: u64| HistoryLimits { segment_bytes: bytes / SEGMENTS as u64, max_segments: SEGMENTS };
@@ -75,19 +75,19 @@
             }
         };
         let events = History::open(events, "events", EVENT_SCHEMA, limits(bytes / 4), restore_event)?;
-        let restore_ending = |_, bytes: &[u8]| match from_bytes::<StoredOutcome>(bytes) {
-            Some(StoredOutcome::Outcome { outcome }) => ledger.restore(*outcome),
+        let restore_outcome = |_, bytes: &[u8]| match from_bytes::<StoredOutcome>(bytes) {
+            Some(StoredOutcome::Outcome { outcome }) => outcome_log.restore(*outcome),
             Some(StoredOutcome::FollowUp { request, follow_up }) => {
-                ledger.restore_follow_up(ObservedFollowUp { request, follow_up });
+                outcome_log.restore_follow_up(ObservedFollowUp { request, follow_up });
             }
             None => {}
         };
-        let endings =
-            History::open(endings, "endings", OUTCOME_SCHEMA, limits(bytes / 4 * 3), restore_ending)?;
-        Ok(HistoryWriter { histories: Histories { events, endings } })
+        let outcomes =
+            History::open(outcomes, "endings", OUTCOME_SCHEMA, limits(bytes / 4 * 3), restore_outcome)?;
+        Ok(HistoryWriter { histories: Histories { events, outcomes } })
     }
 
-    /// Writes batches until nobody sends any more.
+    /// Writes batches until the event broadcaster has ended.
     pub async fn run(self, mut batches: mpsc::Receiver<Batch>, messages: mpsc::Sender<BroadcasterMessage>) {
         let mut reporter = StorageReporter::new("history", messages);
         let mut histories = self.histories;
@@ -96,7 +96,7 @@
             let done = run_blocking(histories, move |histories| histories.write(&batch)).await;
             let Ok((back, result)) = done else { return };
             histories = back;
-            // Whoever waits for it may have given up.
+            // Fails only if the receiver has stopped waiting.
             if let Some(written) = written {
                 let _ = written.send(());
             }
--- a/crates/gaparch-router/src/shell/ops/listener.rs
+++ b/crates/gaparch-router/src/shell/ops/listener.rs
@@ -9,10 +9,10 @@
 use tokio::net::{TcpListener, UnixListener};
 use tokio::time::sleep;
 
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Accepts operators over TCP until it is aborted.
+/// Accepts operators over TCP until the task is aborted.
 pub(super) async fn accept_tcp(listener: TcpListener, context: Arc<SessionContext>) {
     loop {
         match listener.accept().await {
@@ -21,12 +21,12 @@
                 let (reader, writer) = socket.into_split();
                 spawn_session(reader, writer, false, &context);
             }
-            Err(error) => pause_after(&error).await,
+            Err(error) => on_accept_error(&error).await,
         }
     }
 }
 
-/// Accepts operators on the local socket until it is aborted.
+/// Accepts operators on the local socket until the task is aborted.
 pub(super) async fn accept_unix(listener: UnixListener, context: Arc<SessionContext>) {
     loop {
         match listener.accept().await {
@@ -34,12 +34,12 @@
                 let (reader, writer) = socket.into_split();
                 spawn_session(reader, writer, true, &context);
             }
-            Err(error) => pause_after(&error).await,
+            Err(error) => on_accept_error(&error).await,
         }
     }
 }
 
-async fn pause_after(error: &std::io::Error) {
+async fn on_accept_error(error: &std::io::Error) {
     tracing::warn!(%error, "accepting an operator's connection failed");
     sleep(ACCEPT_RETRY_DELAY).await;
 }
--- a/crates/gaparch-router/src/shell/ops/messages.rs
+++ b/crates/gaparch-router/src/shell/ops/messages.rs
@@ -7,26 +7,26 @@
 use gaparch_protocol::ops::{Answer, Query, Update};
 use tokio::sync::{mpsc, oneshot};
 
-/// The state of the router, as the owner reports it four times a second.
+/// The state of the router, which the owner reports four times a second.
 #[derive(Clone, Debug)]
 pub(in crate::shell) struct StatusReport {
     pub metrics: RouterMetrics,
     pub engines: Vec<EngineView>,
     pub limits: Vec<LimitView>,
-    /// Messages to the event broadcaster that found no room, since the start.
+    /// Messages to the event broadcaster that were dropped since the start because its queue was full.
     pub dropped_messages: u64,
 }
 
 /// An order that was carried out and stored.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::shell) struct OrderOutcome {
-    /// The revision of all orders with this one.
+    /// The revision of the orders after this one.
     pub revision: u64,
-    /// What it does to requests in flight, in words.
+    /// The text on its effect on requests in flight.
     pub effect: String,
 }
 
-/// Where the outcome of an order goes.
+/// The channel for the outcome of an order.
 pub(in crate::shell) type OrderReply = oneshot::Sender<Result<OrderOutcome, OrderDenied>>;
 
 /// A message to the event broadcaster.
@@ -37,23 +37,23 @@
     RequestEnded(Box<RequestOutcome>),
     /// An order by an operator is in force now; it may not be on disk yet.
     OrderInForce(AcceptedChange),
-    /// Something that operators should know of.
+    /// An event for operators.
     Event(Event),
     /// All orders up to that revision are on disk.
     OrdersStored(u64),
     /// Whether a store can be written.
     StorageStatus {
-        /// What is stored there, as operators know it.
+        /// Describes the stored data to operators.
         store: &'static str,
-        /// Why it can't be written; `None`: it can.
+        /// Why it can't be written; `None` if it can.
         failure: Option<String>,
     },
-    /// A question of a session.
+    /// A query of a session.
     Query { query: Query, reply: oneshot::Sender<Answer> },
-    /// A session wants updates from now on.
+    /// A session subscribes to updates.
     Subscribe { session: u64, updates: mpsc::Sender<Update> },
-    /// A session wants no more updates, or has ended.
+    /// A session unsubscribes or has ended.
     Unsubscribe { session: u64 },
-    /// The router shuts down: pending history is written now, and the sender notified then.
+    /// The router shuts down: pending history is to be written now, after which the receiver is notified.
     Flush(oneshot::Sender<()>),
 }
--- a/crates/gaparch-router/src/shell/ops/mod.rs
+++ b/crates/gaparch-router/src/shell/ops/mod.rs
@@ -1,17 +1,18 @@
 //! The operations side of a running router.
 //!
-//! The owner of the core carries out orders and reports the router's state, four times a second; everything
-//! else is done beside it. The [`order_store`] puts orders on disk and the [`history_writer`] what happened,
-//! the [`event_broadcaster`] keeps both in memory and updates subscribers, and each [`session`] serves one
-//! console or script. None of them can hold up the owner:
+//! The owner of the core carries out orders and reports the router's state four times a second; other tasks
+//! do the rest. The [`order_store`] writes orders to disk and the [`history_writer`] events and request
+//! outcomes, the [`event_broadcaster`] keeps both in memory and updates subscribers, and each [`session`]
+//! serves one console or script. None of them can block the owner:
 //!
-//! | queue | bound | full |
+//! | queue | bound | when full |
 //! | --- | --- | --- |
-//! | orders to the order store | 256 | the order is denied, and not carried out |
-//! | messages to the event broadcaster | 16,384 | dropped, and counted |
-//! | updates to one subscriber | 64 | dropped; it is told so, and sent a fresh snapshot |
-//! | batches to the history writer | 4 | the broadcaster collects on, up to 1 MiB; then the newest are dropped, and counted |
-//! | sessions | `operations/sessions` | rejected |
+//! | orders to the order store | 256 | the order is denied and not carried out |
+//! | messages to the event broadcaster | 16,384 | dropped and counted |
+//! | updates to one subscriber | 64 | dropped; the subscriber is told and sent a new snapshot |
+//! | batches to the history writer | 4 | the broadcaster buffers up to 1 MiB |
+//! | records in that buffer | 1 MiB | new records are dropped and counted |
+//! | sessions | `operations/sessions` | the connection is closed with a reason |
 
 mod disks;
 mod event_broadcaster;
@@ -33,7 +34,7 @@
 
 use super::fleet;
 use super::owner::Control;
-use event_broadcaster::{EventBroadcaster, Identity};
+use event_broadcaster::{EventBroadcaster, RouterIdentity};
 use gaparch_config::{Config, Operations};
 use gaparch_net::Clock;
 use gaparch_ops::{EventLog, OrderRegistry, OutcomeLog, OutcomeLogLimits};
@@ -54,42 +55,42 @@
 use tokio::sync::{mpsc, oneshot, Notify, Semaphore};
 use tokio::task::JoinHandle;
 
-/// Messages that wait for the event broadcaster.
+/// Capacity of the queue of messages to the event broadcaster.
 const BROADCASTER_INBOX: usize = 16_384;
-/// Orders that wait for the order store.
+/// Capacity of the queue of orders to the order store.
 const ORDER_STORE_INBOX: usize = 256;
-/// Time for the last events to be written when the router ends.
+/// Time limit for writing the last events when the router shuts down.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why the operations side can't start.
 #[derive(Debug, Error)]
 pub enum OperationsError {
-    /// The state folder can't be opened, or its content can't be read.
+    /// The state folder can't be opened or its content can't be read.
     #[error("the state folder: {0}")]
     Store(#[from] StoreError),
-    /// A listener can't be opened, or the state folder can't be read.
+    /// A listener can't be opened, or the task that reads the state folder panicked.
     #[error("{what}: {source}")]
     Io {
-        /// What was tried.
+        /// The failed operation.
         what: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// The restored state, before anything runs.
+/// The restored state, before any task is started.
 pub(super) struct Prepared {
     pub orders: OrderRegistry,
     order_store: OrderStore,
     history_writer: HistoryWriter,
     event_log: EventLog,
-    ledger: OutcomeLog,
+    outcome_log: OutcomeLog,
     operators: Operators,
     settings: Operations,
     pub fleet: Option<FleetDisks>,
 }
 
-/// Reads the state folder. What operators have ordered is known before the first request comes.
+/// Reads the state folder, so that operators' orders are known before the first request arrives.
 pub(super) async fn prepare(settings: Operations, disks: Option<Disks>) -> Result<Prepared, OperationsError> {
     let panicked = |error: tokio::task::JoinError| OperationsError::Io {
         what: "reading the state folder".to_owned(),
@@ -105,20 +106,20 @@
         None => Disks::open(&settings)?,
     };
     let (order_store, orders) = OrderStore::open(disks.intents)?;
-    let mut ledger = OutcomeLog::new(OutcomeLogLimits { max_bytes: settings.refusals });
+    let mut outcome_log = OutcomeLog::new(OutcomeLogLimits { max_bytes: settings.refusals });
     let mut event_log = EventLog::default();
     let history_writer = HistoryWriter::open(
         disks.events,
         disks.outcomes,
         settings.history as u64,
         &mut event_log,
-        &mut ledger,
+        &mut outcome_log,
     )?;
     let fleet = Some(disks.fleet);
-    Ok(Prepared { orders, order_store, history_writer, event_log, ledger, operators, settings, fleet })
+    Ok(Prepared { orders, order_store, history_writer, event_log, outcome_log, operators, settings, fleet })
 }
 
-/// Everything that runs beside the owner.
+/// The running tasks of the operations side.
 #[derive(Debug)]
 pub(super) struct Running {
     pub address: Option<SocketAddr>,
@@ -130,12 +131,12 @@
 }
 
 impl Running {
-    /// Puts the last events on disk, as far as that can be done in time.
+    /// Writes the last events to disk, within a time limit.
     pub async fn flush(&self) {
         let (written, wait) = oneshot::channel();
         let flushed = async {
             if self.messages.send(BroadcasterMessage::Flush(written)).await.is_ok() {
-                // Dropped unsent, the broadcaster or the history writer has ended.
+                // An error means that the broadcaster or the history writer has ended.
                 let _ = wait.await;
             }
         };
@@ -149,13 +150,13 @@
     fn drop(&mut self) {
         self.tasks.iter().for_each(JoinHandle::abort);
         if let Some(socket) = &self.socket {
-            // One that stays is replaced by the next start.
+            // If this fails, the next start replaces the socket.
             let _ = std::fs::remove_file(socket);
         }
     }
 }
 
-/// How the tasks reach one another.
+/// The channels between the tasks.
 pub(super) struct Channels {
     pub control: mpsc::Sender<Control>,
     pub messages: mpsc::Sender<BroadcasterMessage>,
@@ -163,7 +164,7 @@
     pub fleet: Option<fleet::FleetHandle>,
 }
 
-/// The queue of the event broadcaster.
+/// Creates the queue of the event broadcaster.
 pub(super) fn broadcaster_channel() -> (mpsc::Sender<BroadcasterMessage>, mpsc::Receiver<BroadcasterMessage>)
 {
     mpsc::channel(BROADCASTER_INBOX)
@@ -179,8 +180,8 @@
     channels: Channels,
 ) -> Result<(OperationsHandle, Running), OperationsError> {
     let Channels { control, messages, inbox, fleet } = channels;
-    let (order_store, orders_in) = mpsc::channel(ORDER_STORE_INBOX);
-    let (history, history_in) = mpsc::channel(history_writer::INBOX);
+    let (order_store, orders_rx) = mpsc::channel(ORDER_STORE_INBOX);
+    let (history, history_rx) = mpsc::channel(history_writer::INBOX);
     let context = Arc::new(SessionContext {
         router: config.router.clone(),
         run,
@@ -191,10 +192,10 @@
         fleet,
     });
     let mut listeners = Vec::new();
-    let mut bound = None;
+    let mut tcp_address = None;
     if let Some(address) = prepared.settings.address {
         let (listener, local_address) = listen_tcp(address).await?;
-        bound = Some(local_address);
+        tcp_address = Some(local_address);
         listeners.push(tokio::spawn(listener::accept_tcp(listener, Arc::clone(&context))));
     }
     if let Some(path) = &prepared.settings.socket {
@@ -202,21 +203,21 @@
         listeners.push(tokio::spawn(listener::accept_unix(listener, Arc::clone(&context))));
     }
     let broadcaster = EventBroadcaster::new(
-        Identity { router: config.router.clone(), run: run.0, began_at: clock.now(), settings },
+        RouterIdentity { router: config.router.clone(), run: run.0, started_at: clock.now(), settings },
         prepared.orders,
         prepared.event_log,
-        prepared.ledger,
+        prepared.outcome_log,
         history,
     );
     let mut tasks = vec![
-        tokio::spawn(prepared.order_store.run(orders_in, messages.clone())),
-        tokio::spawn(prepared.history_writer.run(history_in, messages.clone())),
+        tokio::spawn(prepared.order_store.run(orders_rx, messages.clone())),
+        tokio::spawn(prepared.history_writer.run(history_rx, messages.clone())),
         tokio::spawn(broadcaster.run(inbox, clock, prepared.operators.locked_out)),
     ];
     tasks.append(&mut listeners);
     let stop = Arc::new(Notify::new());
     let running = Running {
-        address: bound,
+        address: tcp_address,
         socket: prepared.settings.socket,
         stop: Arc::clone(&stop),
         messages: messages.clone(),
@@ -227,20 +228,21 @@
 }
 
 async fn listen_tcp(address: SocketAddr) -> Result<(TcpListener, SocketAddr), OperationsError> {
-    let failed = |source| OperationsError::Io { what: format!("can't listen at {address}"), source };
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
-    let local_address = listener.local_addr().map_err(failed)?;
+    let listen_error = |source| OperationsError::Io { what: format!("can't listen at {address}"), source };
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let local_address = listener.local_addr().map_err(listen_error)?;
     Ok((listener, local_address))
 }
 
 fn listen_unix(path: &Path) -> Result<UnixListener, OperationsError> {
-    let failed = |source| OperationsError::Io { what: format!("can't listen at {}", path.display()), source };
-    // The folder's lock says that no router lives that would listen there.
+    let listen_error =
+        |source| OperationsError::Io { what: format!("can't listen at {}", path.display()), source };
+    // The lock on the state folder ensures that no running router listens on this socket.
     match std::fs::remove_file(path) {
-        Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(failed(error)),
+        Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(listen_error(error)),
         _ => {}
     }
-    let listener = UnixListener::bind(path).map_err(failed)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(failed)?;
+    let listener = UnixListener::bind(path).map_err(listen_error)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(listen_error)?;
     Ok(listener)
 }
--- a/crates/gaparch-router/src/shell/ops/order_store.rs
+++ b/crates/gaparch-router/src/shell/ops/order_store.rs
@@ -1,5 +1,5 @@
-//! The order store task: puts operators' orders on disk before they are acknowledged. It owns the journal of
-//! orders.
+//! The order store task: writes operators' orders to disk before they are acknowledged. It owns the journal
+//! of orders.
 
 use super::{BroadcasterMessage, OrderOutcome, OrderReply};
 use crate::shell::storage::{
@@ -13,34 +13,34 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// Orders stored with one sync.
-const BATCH: usize = 64;
-/// Records of a generation past those that matter, before the journal is rewritten.
+/// The most orders stored with one sync.
+const MAX_BATCH: usize = 64;
+/// The journal is rewritten when it has more records than this plus four for each current change.
 const MAX_SURPLUS_RECORDS: u64 = 1024;
 
 /// An order that is in force and is to be stored.
 pub struct StoreOrder {
     /// The order, as it is stored.
-    pub taken: AcceptedChange,
-    /// What it does, for the operator.
+    pub accepted: AcceptedChange,
+    /// The text on its effect, for the operator.
     pub effect: String,
-    /// Answered once the order is stored, or could not be.
+    /// Answered once the order was stored or the write failed.
     pub reply: OrderReply,
 }
 
 type OrderJournal = Journal<Box<dyn Disk>>;
 
-/// The journal of orders, and the orders that it holds or should hold.
+/// The journal of orders, and a copy in memory of the orders that it should hold.
 pub(super) struct OrderStore {
-    /// `None` while a blocking thread has it.
+    /// `None` while a blocking task has it, and after that task has panicked.
     journal: Option<OrderJournal>,
     orders: OrderRegistry,
-    /// Why the journal lacks orders: it is rewritten as soon as that succeeds.
+    /// Why the journal lacks orders; a rewrite is retried until it succeeds.
     failure: Option<StorageFailure>,
 }
 
 impl OrderStore {
-    /// Reads the stored orders. A disk that can't be written does not keep a router from starting.
+    /// Reads the stored orders. A disk that can't be written does not prevent the router from starting.
     pub fn open(disk: Box<dyn Disk>) -> Result<(OrderStore, OrderRegistry), StoreError> {
         let (mut journal, found) = Journal::open(disk, "intents", CHANGE_SCHEMA)?;
         let schema = found.schema.unwrap_or(CHANGE_SCHEMA);
@@ -48,7 +48,7 @@
         let mut unreadable = found.damaged;
         for record in &found.records {
             match read_change(schema, record, orders.revision() + 1) {
-                Some(taken) => orders.apply(taken),
+                Some(accepted) => orders.apply(accepted),
                 None => unreadable += 1,
             }
         }
@@ -63,13 +63,13 @@
         Ok((OrderStore { journal: Some(journal), orders: orders.clone(), failure }, orders))
     }
 
-    /// Stores orders until nobody sends any more.
+    /// Stores orders until the owner has ended.
     pub async fn run(
         mut self,
         mut inbox: mpsc::Receiver<StoreOrder>,
         messages: mpsc::Sender<BroadcasterMessage>,
     ) {
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         let mut reporter = StorageReporter::new("orders", messages.clone());
         loop {
             if self.report(&mut reporter, &messages).await.is_err() {
@@ -77,7 +77,7 @@
             }
             let retry_at = Instant::now() + RETRY_INTERVAL;
             tokio::select! {
-                count = inbox.recv_many(&mut batch, BATCH) => {
+                count = inbox.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reports whether orders are being stored, if that has changed.
+    /// Reports whether orders can be stored, if that has changed.
     async fn report(
         &mut self,
         reporter: &mut StorageReporter,
@@ -106,9 +106,9 @@
         batch: &mut Vec<StoreOrder>,
         messages: &mpsc::Sender<BroadcasterMessage>,
     ) {
-        let records: Vec<Vec<u8>> = batch.iter().map(|order| to_bytes(&order.taken)).collect();
+        let records: Vec<Vec<u8>> = batch.iter().map(|order| to_bytes(&order.accepted)).collect();
         for order in batch.iter() {
-            self.orders.apply(order.taken.clone());
+            self.orders.apply(order.accepted.clone());
         }
         if self.failure.is_some() {
             self.rewrite().await;
@@ -116,13 +116,13 @@
             self.append(records).await;
         }
         if self.failure.is_none() {
-            // The broadcaster learns it before the operator, so that whoever looks then sees the order as
-            // stored.
+            // The broadcaster is told before the operator, so that a query after the acknowledgement shows
+            // the order as stored.
             let _ = messages.send(BroadcasterMessage::OrdersStored(self.orders.revision())).await;
         }
         for order in batch.drain(..) {
-            // The operator may have disconnected meanwhile.
-            let _ = order.reply.send(self.outcome(order.taken.revision, order.effect));
+            // Fails only if the operator has disconnected.
+            let _ = order.reply.send(self.outcome(order.accepted.revision, order.effect));
         }
     }
 
@@ -138,8 +138,8 @@
     fn outcome(&self, revision: u64, effect: String) -> Result<OrderOutcome, OrderDenied> {
         match &self.failure {
             None => Ok(OrderOutcome { revision, effect }),
-            Some(why) => {
-                let message = format!("in force, but not kept ({why}): a restart would forget it");
+            Some(failure) => {
+                let message = format!("in force, but not kept ({failure}): a restart would forget it");
                 Err(OrderDenied::new(DenyCode::NotPersisted, message))
             }
         }
--- a/crates/gaparch-router/src/shell/ops/pending_history.rs
+++ b/crates/gaparch-router/src/shell/ops/pending_history.rs
@@ -1,12 +1,12 @@
-//! Records on their way to the history writer, collected in memory up to a bound.
+//! Buffers records for the history writer in memory, up to a bound.
 
 use super::history_writer::Batch;
 use tokio::sync::{mpsc, oneshot};
 
-/// Bytes of records that wait for the history writer; past it the newest are dropped.
+/// The most bytes of buffered records; beyond this new records are dropped.
 const MAX_PENDING_BYTES: usize = 1 << 20;
 
-/// Records that the history writer has not taken yet.
+/// Records that were not passed to the history writer yet.
 pub(super) struct PendingHistory {
     writer: mpsc::Sender<Batch>,
     batch: Batch,
@@ -27,7 +27,7 @@
 
     pub fn add_outcome(&mut self, record: Vec<u8>) {
         if self.reserve(record.len()) {
-            self.batch.endings.push(record);
+            self.batch.outcomes.push(record);
         }
     }
 
@@ -36,8 +36,8 @@
         self.dropped
     }
 
-    /// Hands all pending records to the writer, if its queue has room. An empty batch is handed over too: the
-    /// writer retries then what it could not write.
+    /// Passes all pending records to the writer, if its queue has room. An empty batch is sent too, since it
+    /// makes the writer retry records that it could not write.
     pub fn hand_over(&mut self) {
         if let Ok(permit) = self.writer.try_reserve() {
             permit.send(std::mem::take(&mut self.batch));
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The same, with a notification once the records are written.
+    /// Like [`hand_over`](PendingHistory::hand_over), with a notification once the records are written.
     pub fn flush(&mut self, written: oneshot::Sender<()>) {
         self.batch.written = Some(written);
         self.hand_over();
--- a/crates/gaparch-router/src/shell/ops/queries.rs
+++ b/crates/gaparch-router/src/shell/ops/queries.rs
@@ -5,31 +5,31 @@
 use gaparch_protocol::ops::view::{Phase, RequestView, Snapshot};
 use gaparch_protocol::ops::{Answer, DenyCode, Query};
 
-/// Events of a snapshot.
+/// The most events in a snapshot.
 const SNAPSHOT_EVENTS: usize = 60;
-/// Endings of one answer.
+/// The most request outcomes in one answer.
 const MAX_OUTCOMES: usize = 2000;
-/// Events of one answer.
+/// The most events in one answer.
 const MAX_EVENTS: usize = 2000;
 
 impl EventBroadcaster {
-    /// Everything as it stands.
+    /// A snapshot of the current state.
     pub(super) fn snapshot(&self) -> Snapshot {
         let status = self.status.as_deref();
         let limits = status.map(|status| status.limits.clone()).unwrap_or_default();
-        let mut tenants = self.ledger.tenants();
+        let mut tenants = self.outcome_log.tenants();
         for tenant in &mut tenants {
             let name = gaparch_ops::limits::tenant_limit(&tenant.name);
             tenant.quota_per_second =
                 limits.iter().find(|limit| limit.name == name).map_or(0.0, |limit| limit.value);
         }
-        let not_kept: Vec<String> =
-            self.storage_failures.iter().map(|(what, why)| format!("{what}: {why}")).collect();
+        let storage_errors: Vec<String> =
+            self.storage_failures.iter().map(|(store, reason)| format!("{store}: {reason}")).collect();
         Snapshot {
             router: self.identity.router.clone(),
             run: self.identity.run,
             revision: self.orders.revision(),
-            started_at: self.identity.began_at,
+            started_at: self.identity.started_at,
             metrics: status.map(|status| status.metrics).unwrap_or_default(),
             engines: status.map(|status| status.engines.clone()).unwrap_or_default(),
             tenants,
@@ -37,35 +37,35 @@
             limits,
             events: self.event_log.latest(None, 0, SNAPSHOT_EVENTS),
             settings: self.identity.settings.clone(),
-            storage_error: not_kept.join("; "),
+            storage_error: storage_errors.join("; "),
         }
     }
 
-    /// The answer to a query; those that concern the owner or the fleet are answered by the session.
+    /// Answers a query. Those that concern the owner or the fleet are answered by the session.
     pub(super) fn answer(&self, query: Query) -> Answer {
         match query {
             Query::Snapshot {} => Answer::Snapshot { snapshot: Box::new(self.snapshot()) },
             Query::OutcomeGroups { filter } => {
-                let (groups, total) = self.ledger.groups(&filter);
+                let (groups, total) = self.outcome_log.groups(&filter);
                 Answer::OutcomeGroups { groups, total }
             }
             Query::Outcomes { filter } => {
-                let (endings, total) = self.ledger.outcomes(&filter, MAX_OUTCOMES);
-                Answer::Outcomes { outcomes: endings, total }
+                let (outcomes, total) = self.outcome_log.outcomes(&filter, MAX_OUTCOMES);
+                Answer::Outcomes { outcomes, total }
             }
             Query::RequestDetails { request } => {
-                Answer::RequestDetails { outcome: self.ledger.find(request).map(Box::new), open: None }
+                Answer::RequestDetails { outcome: self.outcome_log.find(request).map(Box::new), open: None }
             }
-            // The session puts the open ones before these.
-            Query::OpenRequests { max: most } => {
-                let recent: Vec<RequestView> =
-                    self.ledger.served().rev().take(most as usize).map(ended_request_view).collect();
-                let total = recent.len() as u64;
-                Answer::OpenRequests { requests: recent, total }
+            // The session adds the open requests in front.
+            Query::OpenRequests { max } => {
+                let requests: Vec<RequestView> =
+                    self.outcome_log.served().rev().take(max as usize).map(ended_request_view).collect();
+                let total = requests.len() as u64;
+                Answer::OpenRequests { requests, total }
             }
-            Query::Events { engine, since, max: most } => {
-                let most = if most == 0 { MAX_EVENTS } else { MAX_EVENTS.min(most as usize) };
-                Answer::Events { events: self.event_log.latest(engine.as_deref(), since, most) }
+            Query::Events { engine, since, max } => {
+                let max = if max == 0 { MAX_EVENTS } else { MAX_EVENTS.min(max as usize) };
+                Answer::Events { events: self.event_log.latest(engine.as_deref(), since, max) }
             }
             Query::Limits {} => Answer::Limits {
                 limits: self.status.as_ref().map(|status| status.limits.clone()).unwrap_or_default(),
@@ -86,18 +86,18 @@
     }
 }
 
-/// A request that has ended, among those that are open.
-fn ended_request_view(ending: &RequestOutcome) -> RequestView {
+/// The view of a request that has ended, for a list together with open ones.
+fn ended_request_view(outcome: &RequestOutcome) -> RequestView {
     RequestView {
-        request: ending.request,
-        received_at: ending.received_at,
-        class: ending.class.clone(),
-        tenant: ending.tenant.clone(),
+        request: outcome.request,
+        received_at: outcome.received_at,
+        class: outcome.class.clone(),
+        tenant: outcome.tenant.clone(),
         phase: Phase::Ended,
-        kind: Some(ending.kind),
-        engine: ending.attempts.last().map(|s| s.engine.clone()).unwrap_or_default(),
-        tokens: ending.tokens,
-        elapsed_us: ending.ended_at.saturating_sub(ending.received_at) / 1000,
-        attempts: ending.attempts.clone(),
+        kind: Some(outcome.kind),
+        engine: outcome.attempts.last().map(|attempt| attempt.engine.clone()).unwrap_or_default(),
+        tokens: outcome.tokens,
+        elapsed_us: outcome.ended_at.saturating_sub(outcome.received_at) / 1000,
+        attempts: outcome.attempts.clone(),
     }
 }
