--- a/crates/gaparch-router/src/shell/fleet/audit_queries.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_queries.rs
@@ -1,4 +1,4 @@
-//! Questions to the audit records of all routers, and answers to those of others.
+//! Queries to the audit records of all routers, and answers to the queries of other routers.
 
 use super::audit_record;
 use super::task::FleetTask;
@@ -11,17 +11,17 @@
 use gaparch_protocol::versions::{AuditFilter, ReplicationMessage};
 use tokio::sync::oneshot;
 
-/// Questions of operators that are asked at once; one past it is denied.
+/// The most concurrent queries of operators; further ones are denied.
 const MAX_PENDING_QUERIES: usize = 16;
 
-/// A question to all records whose answers are being gathered.
+/// A query to all routers whose answers are being collected.
 pub(super) struct PendingQuery {
     pub query: AuditQuery,
     reply: oneshot::Sender<Option<AuditView>>,
 }
 
 impl FleetTask {
-    /// Asks all routers that may be alive what their records say.
+    /// Sends an operator's query to all routers that may be alive.
     pub(super) fn start_audit_query(
         &mut self,
         filter: AuditFilter,
@@ -40,7 +40,7 @@
         self.advance_audit_queries(out);
     }
 
-    /// Asks on, and answers the questions for which everything is there or the time is over.
+    /// Sends due requests, and finishes the queries that are complete or have timed out.
     pub(super) fn advance_audit_queries(&mut self, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let mut requests = Vec::new();
@@ -52,14 +52,14 @@
         let (finished_queries, pending) = queries.into_iter().partition(|pending| pending.query.is_over(now));
         self.audit_queries = pending;
         for finished in finished_queries {
-            let answer = self.audit_answer(finished.query);
-            // The session that asked may have ended.
-            let _ = finished.reply.send(Some(answer));
+            let view = self.collected_view(finished.query);
+            // Fails only if the session that asked has ended.
+            let _ = finished.reply.send(Some(view));
         }
     }
 
-    /// The answers of all routers, this one among them.
-    fn audit_answer(&self, query: AuditQuery) -> AuditView {
+    /// The answers of all routers, including this one.
+    fn collected_view(&self, query: AuditQuery) -> AuditView {
         let filter = query.filter().clone();
         let mut answers = query.into_answers();
         let record = audit_record::lock(&self.audit_record);
@@ -72,7 +72,7 @@
         audit_view(answers)
     }
 
-    /// Answers another router's question, or takes its answer to one asked here.
+    /// Answers another router's query, or processes its answer to a query of this router.
     pub(super) fn on_audit_message(
         &mut self,
         from: &str,
--- a/crates/gaparch-router/src/shell/fleet/audit_record.rs
+++ b/crates/gaparch-router/src/shell/fleet/audit_record.rs
@@ -1,5 +1,5 @@
-//! The audit record: what was sent under which version of the list. It is written beside everything else, and
-//! never waited for.
+//! The audit record: what was sent to engines under which version of the endpoint list. It is written by a
+//! task of its own, for which sends never wait.
 
 use super::incarnation_store::highest_number;
 use crate::shell::storage::{run_blocking, StorageFailure, StorageReporter};
@@ -13,17 +13,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Hand-overs that wait; past it the owner keeps counting.
+/// Capacity of the queue of send batches; while it is full, the owner keeps counting.
 pub(in crate::shell) const AUDIT_INBOX: usize = 64;
 /// Interval at which an open segment is closed.
 const CLOSE_INTERVAL: Duration = Duration::from_secs(5);
-/// Version of the meaning of a record: one segment. Of the mark: the number of the last segment written.
+/// Schema version of both files. A history record is one segment; a mark is the number of the last segment
+/// written.
 const SCHEMA: u16 = 1;
 const LIMITS: HistoryLimits = HistoryLimits { segment_bytes: 1 << 20, max_segments: 16 };
-/// Marks before their journal is rewritten.
+/// The most marks in their journal before it is rewritten.
 const MAX_MARKS: u64 = 1024;
 
-/// The record, for whoever asks about it.
+/// The audit record, shared with the tasks that query it.
 pub(super) type SharedAuditRecord = Arc<Mutex<AuditLog>>;
 
 pub(super) fn lock(record: &SharedAuditRecord) -> MutexGuard<'_, AuditLog> {
@@ -32,21 +33,21 @@
 
 /// A message of the owner.
 pub(in crate::shell) enum AuditMessage {
-    /// What was sent under one version.
+    /// Sends under one version of the list.
     Sent(SendBatch),
-    /// The router shuts down; notified once all is on disk.
+    /// The router shuts down; the receiver is notified once everything is on disk.
     Finish(oneshot::Sender<()>),
 }
 
-/// The files of the record. `None`: one that can't be read.
+/// The files of the record; `None` for a file that can't be read.
 pub(super) struct AuditStore {
     history: Option<History<Box<dyn Disk>>>,
     mark: Option<Journal<Box<dyn Disk>>>,
 }
 
 impl AuditStore {
-    /// Reads the stored record. A disk that can't be read keeps no router from starting; the record says what
-    /// it lacks.
+    /// Reads the stored record. A disk that can't be read does not prevent the router from starting; the
+    /// record shows the gaps.
     pub fn open(disk: Box<dyn Disk>, mark: Box<dyn Disk>, run: u64) -> (AuditStore, AuditLog) {
         let mut segments: Vec<AuditSegment> = Vec::new();
         let history =
@@ -73,10 +74,10 @@
     }
 }
 
-/// Verifies the record in the state folder of a router that does not run.
+/// Verifies the record in the state folder of a router that is not running.
 ///
 /// # Errors
-/// When the folder can't be opened, or a router that runs has it.
+/// If the folder can't be opened or is locked by a running router.
 pub fn verify(folder: &Path) -> Result<ChainVerifier, StoreError> {
     let folder = StateDirectory::open(folder)?;
     let mut chain = ChainVerifier::default();
@@ -88,12 +89,12 @@
     Ok(chain)
 }
 
-/// What is to be done next.
+/// The next action of the task.
 #[derive(Default)]
 struct Step {
-    /// A segment that is complete.
+    /// A completed segment to write.
     segment: Option<AuditSegment>,
-    /// The router shuts down: this is notified once the segment is written.
+    /// Set when the router shuts down; notified once the segment is written.
     finished: Option<oneshot::Sender<()>>,
 }
 
@@ -103,7 +104,7 @@
     }
 }
 
-/// Records what the owner has counted, and writes segments as they are complete.
+/// Records the owner's send counts and writes completed segments.
 pub(super) async fn run(
     mut store: AuditStore,
     record: SharedAuditRecord,
@@ -111,8 +112,8 @@
     clock: Clock,
     mut reporter: StorageReporter,
 ) {
-    let mut close = tokio::time::interval(CLOSE_INTERVAL);
-    close.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut close_timer = tokio::time::interval(CLOSE_INTERVAL);
+    close_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for gap in lock(&record).gaps() {
         tracing::warn!(%gap, "the audit record has a gap");
     }
@@ -139,7 +140,7 @@
                 }
                 None => return,
             },
-            _ = close.tick() => Step::write(lock(&record).close_segment(false)),
+            _ = close_timer.tick() => Step::write(lock(&record).close_segment(false)),
         };
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/handle.rs
+++ b/crates/gaparch-router/src/shell/fleet/handle.rs
@@ -1,24 +1,24 @@
-//! Questions of operators' sessions to the fleet's task.
+//! Requests of operators' sessions to the fleet's task.
 
 use gaparch_protocol::ops::view::{AuditView, FleetView, ListVersionsView, OrderReplicationView};
 use gaparch_protocol::versions::AuditFilter;
 use tokio::sync::{mpsc, oneshot};
 
-/// A question to the fleet's task. Where lists are not replicated, the answers on them are `None`.
+/// A request to the fleet's task. Without list replication the answers that depend on it are `None`.
 pub(super) enum FleetRequest {
-    /// What the audit records of all routers say.
+    /// Query the audit records of all routers.
     Audit { filter: AuditFilter, reply: oneshot::Sender<Option<AuditView>> },
     /// Which routers have stored the orders of the fleet.
     OrderReplication(oneshot::Sender<Option<OrderReplicationView>>),
-    /// Which routers there are.
+    /// The routers of the fleet.
     Members(oneshot::Sender<FleetView>),
-    /// Which router holds which version of the endpoint list.
+    /// The version of the endpoint list that each router holds.
     ListVersions(oneshot::Sender<Option<ListVersionsView>>),
-    /// This router leaves the fleet.
+    /// Leave the fleet.
     Leave(oneshot::Sender<()>),
 }
 
-/// Asks the fleet's task.
+/// Sends requests to the fleet's task.
 #[derive(Clone)]
 pub(in crate::shell) struct FleetHandle(pub(super) mpsc::Sender<FleetRequest>);
 
@@ -28,7 +28,7 @@
         self.ask(FleetRequest::Members).await
     }
 
-    /// What the audit records of all routers say; `None` once the router has ended.
+    /// The entries of the audit records of all routers; `None` once the router has ended.
     pub async fn audit(&self, filter: AuditFilter) -> Option<Option<AuditView>> {
         self.ask(|reply| FleetRequest::Audit { filter, reply }).await
     }
@@ -38,7 +38,7 @@
         self.ask(FleetRequest::OrderReplication).await
     }
 
-    /// Which router holds which version of the endpoint list; `None` once the router has ended.
+    /// The version of the endpoint list that each router holds; `None` once the router has ended.
     pub async fn list_versions(&self) -> Option<Option<ListVersionsView>> {
         self.ask(FleetRequest::ListVersions).await
     }
--- a/crates/gaparch-router/src/shell/fleet/incarnation_store.rs
+++ b/crates/gaparch-router/src/shell/fleet/incarnation_store.rs
@@ -4,9 +4,9 @@
 use crate::shell::storage::StorageFailure;
 use gaparch_store::Disk;
 
-/// Version of the meaning of a record: one number.
+/// Schema version of a record, which is one number.
 const SCHEMA: u16 = 1;
-/// Records past the one that matters, before the journal is rewritten.
+/// The most records before the journal is rewritten; only the highest number counts.
 const MAX_SURPLUS_RECORDS: u64 = 256;
 
 /// The journal of incarnations.
@@ -40,7 +40,7 @@
     }
 }
 
-/// The highest of records that are a big-endian number each; 0 if there is none.
+/// The highest number of records that each hold a big-endian `u64`; 0 if there is none.
 pub(super) fn highest_number(records: &[Vec<u8>]) -> u64 {
     let number = |record: &Vec<u8>| Some(u64::from_be_bytes(record.as_slice().try_into().ok()?));
     records.iter().filter_map(number).max().unwrap_or(0)
--- a/crates/gaparch-router/src/shell/fleet/list_versions.rs
+++ b/crates/gaparch-router/src/shell/fleet/list_versions.rs
@@ -1,5 +1,6 @@
-//! The owner's side of the replicated endpoint list: which version it holds, and the cells between it and the
-//! fleet's task. Neither waits for the other; each cell holds the latest value only.
+//! The owner's side of list replication: the version of the endpoint list that it uses, and the watch
+//! channels between it and the fleet's task. Neither waits for the other, as a watch channel holds only the
+//! latest value.
 
 use super::audit_record::AuditMessage;
 use super::owner_updates::LocalOrder;
@@ -11,36 +12,36 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// The endpoint list as the owner has it.
+/// The endpoint list that the owner uses.
 #[derive(Clone, Debug, Default)]
 pub(in crate::shell) struct LocalListState {
-    /// `None`: the engines of the settings alone.
+    /// `None` if only the engines of the settings are used.
     pub list: Option<Arc<ListSnapshot>>,
-    /// When the list service itself confirmed the list last; `None`: another router has handed it on.
+    /// When the list service last confirmed the list; `None` if the list was received from another router.
     pub confirmed_at: Option<Nanos>,
 }
 
 /// A list of another router, for the owner.
 #[derive(Clone, Debug, Default)]
 pub(in crate::shell) struct AdoptedList {
-    /// To be acted on, unless a later one is held by then.
+    /// The list to use, unless the owner has a later one by then.
     pub list: Option<Arc<ListSnapshot>>,
-    /// A version that more than one other router has from the list service itself.
+    /// A version that more than one other router has received from the list service.
     pub corroborated: Option<ListVersion>,
 }
 
 /// What to do with an update of the list service.
 #[derive(Debug, PartialEq)]
 pub(in crate::shell) enum UpdateAction {
-    /// Act on it.
+    /// Apply it.
     Apply,
-    /// It says what is known, or must not be acted on.
+    /// It is already known or must not be applied.
     Ignore,
     /// A change was missed: the full list is needed.
     FetchFullList,
 }
 
-/// What to do with an update of the list service, and an event for operators, if it is one.
+/// What to do with an update of the list service, and the text of an event for operators, if there is one.
 #[derive(Debug, PartialEq)]
 pub(in crate::shell) struct UpdateDecision {
     pub action: UpdateAction,
@@ -53,30 +54,30 @@
     }
 }
 
-/// The channels of the owner's side.
+/// The owner's ends of the channels to the fleet's tasks.
 pub(in crate::shell) struct OwnerPorts {
     pub local_list: watch::Sender<LocalListState>,
-    /// Orders given here, on their way to the others.
+    /// Orders given at this router, to be replicated.
     pub local_orders: mpsc::Sender<LocalOrder>,
     pub audit: mpsc::Sender<AuditMessage>,
 }
 
-/// The version of the list that the owner acts by.
+/// The list replication state of the owner.
 pub(in crate::shell) struct ListVersions {
     active: ActiveList,
-    /// Which run of the list service is connected.
+    /// The epoch of the connected list service, which identifies its run.
     epoch: u64,
-    /// No update has come on this connection yet.
+    /// Whether no update was received on this connection yet.
     first_update: bool,
-    /// The scheduler polls the list itself, and waits for each answer.
+    /// Whether the scheduler polls the list, so that it waits for each answer.
     polled: bool,
     local_list: watch::Sender<LocalListState>,
     local_orders: mpsc::Sender<LocalOrder>,
-    /// The refusal that was an event last, so that it is reported once.
-    reported_refusal: Option<String>,
-    /// For how long a confirmation counts.
+    /// The text of the last rejection event, so that each one is reported once.
+    reported_rejection: Option<String>,
+    /// How long a confirmation is valid.
     confirm: Nanos,
-    /// What is sent under this version, for the audit record.
+    /// Counts the sends under this version for the audit record.
     pub recorder: SendRecorder,
 }
 
@@ -89,14 +90,14 @@
             polled,
             local_list: ports.local_list,
             local_orders: ports.local_orders,
-            reported_refusal: None,
+            reported_rejection: None,
             confirm,
             recorder: SendRecorder::new(ports.audit),
         }
     }
 
-    /// Hands over what was sent under the versions that hold now: before each change of them, and now and
-    /// then.
+    /// Passes the sends under the current versions to the audit record. Called before each change of a
+    /// version, and periodically.
     pub fn hand_over_sends(&mut self, order_revision: u64, now: Nanos, engine_name: impl Fn(u32) -> String) {
         let confirmed_at = self.local_list.borrow().confirmed_at;
         let context = SendContext {
@@ -108,12 +109,12 @@
         self.recorder.hand_over(context, now, engine_name);
     }
 
-    /// Reserves room for one more order that is to reach all routers, if there is any.
+    /// Reserves a place in the queue of orders to replicate, if there is one.
     pub fn reserve_order(&self) -> Option<mpsc::OwnedPermit<LocalOrder>> {
         self.local_orders.clone().try_reserve_owned().ok()
     }
 
-    /// The list service was connected to; `epoch` is its run.
+    /// The list service was connected; `epoch` identifies its run.
     pub fn on_connected(&mut self, epoch: u64) {
         self.epoch = epoch;
         self.first_update = true;
@@ -130,7 +131,7 @@
             &update.entries,
         ) {
             ListOutcome::Adopted { new_epoch } => {
-                self.reported_refusal = None;
+                self.reported_rejection = None;
                 let state = LocalListState { list: Some(self.active.snapshot()), confirmed_at: Some(now) };
                 self.local_list.send_replace(state);
                 let text = "the list service counts anew: it was started from nothing, or went back";
@@ -142,23 +143,24 @@
                 UpdateDecision::of(action)
             }
             ListOutcome::Incomplete => UpdateDecision::of(UpdateAction::FetchFullList),
-            ListOutcome::Rejected(why) => {
-                let text = format!("what the list service says is not acted on: {why}");
-                let is_new = self.reported_refusal.as_ref() != Some(&text);
-                self.reported_refusal = Some(text.clone());
+            ListOutcome::Rejected(reason) => {
+                let text = format!("what the list service says is not acted on: {reason}");
+                let is_new = self.reported_rejection.as_ref() != Some(&text);
+                self.reported_rejection = Some(text.clone());
                 UpdateDecision { action: UpdateAction::Ignore, event: is_new.then_some(text) }
             }
         }
     }
 
-    /// Takes a list that another router has handed on; the update to act on, if it is later than the one
-    /// held.
+    /// Handles a list received from another router. Returns the update to apply, if the list is later than
+    /// the one in use.
     pub fn on_adopted(&mut self, adopted: AdoptedList) -> Option<ListUpdate> {
         if let Some(version) = adopted.corroborated {
-            let before = self.active.version();
+            let previous_version = self.active.version();
             self.active.corroborate(version);
-            if self.active.version() != before {
-                // The same list under the count that the others have: it stays as confirmed as it was.
+            if self.active.version() != previous_version {
+                // The same list, under the version that the other routers use: `confirmed_at` does not
+                // change.
                 let list = self.active.snapshot();
                 self.local_list.send_modify(|state| state.list = Some(list));
             }
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -1,9 +1,8 @@
-//! The other routers of the site: membership, replication of the endpoint list and of orders, and the audit
-//! record.
+//! The connection to the other routers of the site: membership, replication of the endpoint list and of
+//! orders, and the audit record.
 //!
-//! The [`task`] owns all of it and waits neither for the owner nor for the disk: what the owner is to know,
-//! and what is to be stored, stands in a cell that holds the latest value only, and is taken from there by
-//! tasks that may wait.
+//! The [`task`] owns the state and waits neither for the owner nor for a disk. It passes values for the owner
+//! and for the disks through watch channels, which hold only the latest value, to tasks that may wait.
 
 mod audit_queries;
 mod audit_record;
@@ -48,28 +47,28 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
 
-/// Questions that wait for the fleet's task.
+/// Capacity of the queue of requests to the fleet's task.
 const REQUEST_QUEUE: usize = 16;
-/// Time for the last messages of a router that leaves.
+/// Time limit for sending the last messages when the router leaves the fleet.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a router can't join a fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The address can't be bound.
+    /// The listen address can't be bound.
     #[error("can't listen at {address}: {source}")]
     Listen {
-        /// The address of the settings.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The state folder can't be read.
+    /// The task that reads the state folder panicked.
     #[error("reading the state folder: {0}")]
     State(#[from] tokio::task::JoinError),
 }
 
-/// Why the key of the fleet can't be used.
+/// Why the fleet's key can't be used.
 #[derive(Debug, Error)]
 enum FleetKeyError {
     #[error(transparent)]
@@ -82,15 +81,15 @@
 pub(super) struct Ports {
     pub control: mpsc::Sender<Control>,
     pub messages: mpsc::Sender<BroadcasterMessage>,
-    /// The list as the owner has it.
+    /// The endpoint list that the owner uses.
     pub local_list: watch::Receiver<LocalListState>,
-    /// Orders given here that all routers are to keep.
+    /// Orders given at this router, to be replicated.
     pub local_orders: mpsc::Receiver<LocalOrder>,
     /// Send counts for the audit record.
     pub audit: mpsc::Receiver<AuditMessage>,
 }
 
-/// The fleet's tasks. They end when this is dropped.
+/// The fleet's running tasks. They are aborted when this is dropped.
 #[derive(Debug)]
 pub(super) struct Running {
     pub address: SocketAddr,
@@ -103,12 +102,12 @@
         FleetHandle(self.requests.clone())
     }
 
-    /// Tells the others that this router leaves.
+    /// Tells the other routers that this router leaves the fleet.
     pub async fn leave(&self) {
         let (reply, wait) = oneshot::channel();
         let left = async {
             if self.requests.send(FleetRequest::Leave(reply)).await.is_ok() {
-                // Dropped unsent, the task has ended.
+                // An error means that the task has ended.
                 let _ = wait.await;
             }
         };
@@ -122,7 +121,7 @@
     }
 }
 
-/// What the fleet's disks hold.
+/// The state restored from the fleet's disks.
 struct Restored {
     incarnation_store: IncarnationStore,
     /// The incarnation of the last start; 0 if there was none.
@@ -165,13 +164,14 @@
     }
 }
 
-/// Reads what is stored, binds the socket and starts the tasks; `None` without a key: then there is no fleet,
-/// and an event says so.
+/// Reads the stored state, binds the socket and starts the tasks. Without a usable key there is no fleet: the
+/// result is `None` and an event reports the reason.
 ///
-/// A disk that can't be read does not keep a router from starting: what the others witnessed puts it right.
+/// A disk that can't be read does not prevent the router from starting: the other routers know its
+/// incarnation and the orders.
 ///
 /// # Errors
-/// When the address can't be bound.
+/// If the address can't be bound, or reading the state panicked.
 pub(super) async fn start(
     fleet: &Fleet,
     config: &Config,
@@ -182,18 +182,18 @@
 ) -> Result<Option<Running>, FleetError> {
     let key = match read_site_key(fleet) {
         Ok(key) => key,
-        Err(why) => {
-            // A missing key must not keep a router from routing.
+        Err(error) => {
+            // A missing key must not prevent the router from starting.
             let file = fleet.key_file.display();
-            let text = format!("this router knows of no other: the fleet's key file {file}: {why}");
+            let text = format!("this router knows of no other: the fleet's key file {file}: {error}");
             let event = Event { at: clock.now(), severity: Severity::Fault, engine: None, text };
-            // The broadcaster is not there yet, and its queue is empty.
+            // The broadcaster has not started yet; its queue is empty, so this succeeds.
             let _ = ports.messages.try_send(BroadcasterMessage::Event(event));
             return Ok(None);
         }
     };
-    let failed = |source| FleetError::Listen { address: fleet.listen, source };
-    let socket = UdpSocket::bind(fleet.listen).await.map_err(failed)?;
+    let listen_error = |source| FleetError::Listen { address: fleet.listen, source };
+    let socket = UdpSocket::bind(fleet.listen).await.map_err(listen_error)?;
     let restored = tokio::task::spawn_blocking(move || Restored::read(disks, run)).await?;
     let incarnation = restored.last_incarnation.saturating_add(1);
     let audit_record: SharedAuditRecord = Arc::new(Mutex::new(restored.audit_record));
@@ -209,14 +209,14 @@
     let order_replication = fleet
         .confirm
         .map(|_| audit::FleetOrders::new(&config.router, incarnation, seed, restored.orders, clock.now()));
-    let (requests, requests_in) = mpsc::channel(REQUEST_QUEUE);
-    let (router_count, router_count_in) = watch::channel(config.module.router_count);
-    let (incarnation_out, incarnation_in) = watch::channel(0);
-    let (adopted_list, adopted_list_in) = watch::channel(AdoptedList::default());
-    let (remote_orders, remote_orders_in) = mpsc::channel(REMOTE_ORDER_QUEUE);
-    let (applied, applied_in) = mpsc::channel(REMOTE_ORDER_QUEUE);
-    let (orders_to_store, orders_to_store_in) = watch::channel(FleetOrders::default());
-    let (stored_orders, stored_orders_in) = watch::channel(FleetOrders::default());
+    let (requests, requests_rx) = mpsc::channel(REQUEST_QUEUE);
+    let (router_count, router_count_rx) = watch::channel(config.module.router_count);
+    let (incarnation_tx, incarnation_rx) = watch::channel(0);
+    let (adopted_list, adopted_list_rx) = watch::channel(AdoptedList::default());
+    let (remote_orders, remote_orders_rx) = mpsc::channel(REMOTE_ORDER_QUEUE);
+    let (applied, applied_rx) = mpsc::channel(REMOTE_ORDER_QUEUE);
+    let (orders_to_store, orders_to_store_rx) = watch::channel(FleetOrders::default());
+    let (stored_orders, stored_orders_rx) = watch::channel(FleetOrders::default());
     let task = FleetTask {
         membership,
         socket,
@@ -225,18 +225,18 @@
         dropped: views::DroppedDatagrams::default(),
         messages: ports.messages.clone(),
         router_count,
-        incarnation: incarnation_out,
-        requests: requests_in,
-        newer_version_reported: false,
+        incarnation: incarnation_tx,
+        requests: requests_rx,
+        unsupported_version_reported: false,
         list_replication,
         local_list: ports.local_list,
         adopted_list,
         order_replication,
         local_orders: ports.local_orders,
         remote_orders,
-        applied_orders: applied_in,
+        applied_orders: applied_rx,
         orders_to_store,
-        stored_orders: stored_orders_in,
+        stored_orders: stored_orders_rx,
         audit_record: Arc::clone(&audit_record),
         audit_queries: Vec::new(),
         next_nonce: 0,
@@ -244,20 +244,20 @@
     let reporter = |store| StorageReporter::new(store, ports.messages.clone());
     let mut tasks = vec![
         tokio::spawn(task.run(out)),
-        tokio::spawn(forward_latest(router_count_in, ports.control.clone(), Control::RouterCount)),
+        tokio::spawn(forward_latest(router_count_rx, ports.control.clone(), Control::RouterCount)),
         tokio::spawn(store_latest(
             restored.incarnation_store,
-            incarnation_in,
+            incarnation_rx,
             reporter("incarnations"),
             drop,
         )),
     ];
-    // Where no list is replicated nothing is stored for it either.
+    // The remaining tasks are only needed with list replication.
     if fleet.confirm.is_some() {
         let on_stored = move |orders| drop(stored_orders.send_replace(orders));
         tasks.extend([
-            tokio::spawn(forward_latest(adopted_list_in, ports.control.clone(), Control::AdoptList)),
-            tokio::spawn(apply_remote_orders(remote_orders_in, ports.control, applied)),
+            tokio::spawn(forward_latest(adopted_list_rx, ports.control.clone(), Control::AdoptList)),
+            tokio::spawn(apply_remote_orders(remote_orders_rx, ports.control, applied)),
             tokio::spawn(audit_record::run(
                 restored.audit_store,
                 audit_record,
@@ -267,7 +267,7 @@
             )),
             tokio::spawn(store_latest(
                 restored.order_store,
-                orders_to_store_in,
+                orders_to_store_rx,
                 reporter("orders of the fleet"),
                 on_stored,
             )),
--- a/crates/gaparch-router/src/shell/fleet/owner_updates.rs
+++ b/crates/gaparch-router/src/shell/fleet/owner_updates.rs
@@ -1,4 +1,4 @@
-//! Passes what the fleet's task has found on to the owner, which may be busy for a while.
+//! Passes updates of the fleet's task to the owner, which may be busy.
 
 use crate::shell::owner::Control;
 use gaparch_audit::FleetOrder;
@@ -6,32 +6,32 @@
 use gaparch_protocol::versions::OrderId;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Orders given here that the fleet's task has not taken yet; past it an operator is asked to try again.
+/// Capacity of the queue of orders given at this router; while it is full, further ones are denied.
 pub(in crate::shell) const LOCAL_ORDER_QUEUE: usize = 256;
-/// Orders of others that the owner has not taken yet; what finds no room is handed over again later.
+/// Capacity of the queue of other routers' orders; an order that does not fit is passed again later.
 pub(super) const REMOTE_ORDER_QUEUE: usize = 1024;
 
-/// An order given at this router, in force already, that all routers are to keep.
+/// An order given at this router and in force here, to be replicated to all routers.
 pub(in crate::shell) struct LocalOrder {
     pub change: Change,
     pub note: ChangeNote,
 }
 
-/// Tells the owner the latest value of a cell once it has time.
+/// Sends the latest value of a watch channel to the owner each time it changes.
 pub(super) async fn forward_latest<T: Clone>(
-    mut cell: watch::Receiver<T>,
+    mut values: watch::Receiver<T>,
     control: mpsc::Sender<Control>,
     message: impl Fn(T) -> Control,
 ) {
-    while cell.changed().await.is_ok() {
-        let latest = cell.borrow_and_update().clone();
+    while values.changed().await.is_ok() {
+        let latest = values.borrow_and_update().clone();
         if control.send(message(latest)).await.is_err() {
             return;
         }
     }
 }
 
-/// Hands orders of other routers to the owner, and tells which of them are in force.
+/// Passes orders of other routers to the owner, and reports the ids of those that are in force.
 pub(super) async fn apply_remote_orders(
     mut orders: mpsc::Receiver<FleetOrder>,
     control: mpsc::Sender<Control>,
--- a/crates/gaparch-router/src/shell/fleet/replication.rs
+++ b/crates/gaparch-router/src/shell/fleet/replication.rs
@@ -1,4 +1,4 @@
-//! Runs the replication of the endpoint list and of orders, and carries out what they want.
+//! Drives the replication of the endpoint list and of orders, and performs their outputs.
 
 use super::order_store::FleetOrders;
 use super::task::FleetTask;
@@ -13,8 +13,8 @@
 use std::collections::BTreeMap;
 
 impl FleetTask {
-    /// Lets the replication of orders do something, and does what it wants. `act` gets the time, the peers
-    /// that are present and where its outputs go.
+    /// Calls `act` on the order replication, if it is enabled, and performs its outputs. `act` gets the
+    /// current time, the names of the present peers and the buffer for its outputs.
     pub(super) fn with_orders(
         &mut self,
         out: &mut Vec<Output>,
@@ -22,14 +22,14 @@
     ) {
         let now = self.clock.now();
         let Some(orders) = &mut self.order_replication else { return };
-        let mut wanted = Vec::new();
-        act(orders, now, self.membership.present_peers(), &mut wanted);
-        for output in wanted {
+        let mut outputs = Vec::new();
+        act(orders, now, self.membership.present_peers(), &mut outputs);
+        for output in outputs {
             match output {
                 OrderOutput::Send { to, message } => {
                     self.membership.send_payload(now, &to, to_bytes(&message), out);
                 }
-                // One that finds no room is handed over again.
+                // An order that does not fit in the queue is passed again later.
                 OrderOutput::Apply(order) => drop(self.remote_orders.try_send(order)),
                 OrderOutput::Persist(all) => drop(self.orders_to_store.send_replace(FleetOrders::new(all))),
                 OrderOutput::Event(event) => self.report(Severity::Warning, event.to_string()),
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Lets the replication of the endpoint list do something, and does what it wants, as
-    /// [`with_orders`](FleetTask::with_orders) does.
+    /// Calls `act` on the list replication, as [`with_orders`](FleetTask::with_orders) does on that of
+    /// orders.
     pub(super) fn with_list(
         &mut self,
         out: &mut Vec<Output>,
         act: impl FnOnce(&mut ListFollower, u64, Vec<String>, &mut Vec<FollowerOutput>),
     ) {
         let now = self.clock.now();
-        let Some(lists) = &mut self.list_replication else { return };
-        let mut wanted = Vec::new();
-        act(lists, now, self.membership.present_peers(), &mut wanted);
-        for output in wanted {
+        let Some(follower) = &mut self.list_replication else { return };
+        let mut outputs = Vec::new();
+        act(follower, now, self.membership.present_peers(), &mut outputs);
+        for output in outputs {
             match output {
                 FollowerOutput::Send { to, message } => {
                     self.membership.send_payload(now, &to, to_bytes(&message), out);
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Which routers have stored the orders of the fleet. Every router that did not say that it leaves may be
-    /// alive: one that counts as dead may only be unreachable.
+    /// Which routers have stored the orders of the fleet. All routers that did not leave are included, since
+    /// one that is considered dead may only be unreachable.
     pub(super) fn order_replication_view(&mut self) -> Option<OrderReplicationView> {
         let orders = self.order_replication.as_mut()?;
         let members = self.membership.view().members;
@@ -80,11 +80,11 @@
             reported_at: ack.reported_at,
         };
         let rows: Vec<ReplicationRow> = orders.acknowledgements(&names).into_iter().map(row).collect();
-        let overtaken = orders
+        let superseded = orders
             .superseded()
-            .map(|one| SupersededOrder { order: one.order.clone(), by: one.by.clone() })
+            .map(|entry| SupersededOrder { order: entry.order.clone(), by: entry.by.clone() })
             .collect();
         let complete = rows.iter().all(|row| row.has_all);
-        Some(OrderReplicationView { complete, orders: orders.all(), superseded: overtaken, rows })
+        Some(OrderReplicationView { complete, orders: orders.all(), superseded, rows })
     }
 }
--- a/crates/gaparch-router/src/shell/fleet/send_recorder.rs
+++ b/crates/gaparch-router/src/shell/fleet/send_recorder.rs
@@ -1,5 +1,5 @@
-//! Counts what is sent to engines, on the hot path, and hands the counts to the audit record's task without
-//! waiting for it.
+//! Counts sends to engines on the hot path, and passes the counts to the audit record's task without waiting
+//! for it.
 
 use super::audit_record::AuditMessage;
 use gaparch_audit::{Nanos, SendBatch, SendTally};
@@ -7,23 +7,24 @@
 use std::collections::VecDeque;
 use tokio::sync::mpsc;
 
-/// Hand-overs that wait for the audit record's task. Past it new counts are merged into the last one.
-const MAX_WAITING: usize = 64;
+/// The most batches buffered here for the audit record's task; beyond this new counts are merged into the
+/// last batch.
+const MAX_PENDING_BATCHES: usize = 64;
 
-/// Counts of sends that the audit record does not have yet.
+/// Counts of sends that are not in the audit record yet.
 pub(in crate::shell) struct SendRecorder {
-    /// What was sent since the last hand-over.
+    /// The sends since the last batch.
     pub tally: SendTally,
-    waiting: VecDeque<SendBatch>,
+    pending: VecDeque<SendBatch>,
     audit: mpsc::Sender<AuditMessage>,
 }
 
 impl SendRecorder {
     pub(super) fn new(audit: mpsc::Sender<AuditMessage>) -> SendRecorder {
-        SendRecorder { tally: SendTally::default(), waiting: VecDeque::new(), audit }
+        SendRecorder { tally: SendTally::default(), pending: VecDeque::new(), audit }
     }
 
-    /// Hands over what was sent; `context` is what the router acted by.
+    /// Passes the counts to the audit record; `context` has the versions that were in use.
     pub(super) fn hand_over(
         &mut self,
         context: SendContext,
@@ -32,20 +33,20 @@
     ) {
         if !self.tally.is_empty() {
             let sent = self.tally.take(context, now, engine_name);
-            if self.waiting.len() < MAX_WAITING {
-                self.waiting.push_back(sent);
-            } else if let Some(last) = self.waiting.back_mut() {
+            if self.pending.len() < MAX_PENDING_BATCHES {
+                self.pending.push_back(sent);
+            } else if let Some(last) = self.pending.back_mut() {
                 merge(last, sent);
             }
         }
-        self.send_waiting();
+        self.send_pending();
     }
 
-    fn send_waiting(&mut self) {
-        while let Some(sent) = self.waiting.pop_front() {
+    fn send_pending(&mut self) {
+        while let Some(sent) = self.pending.pop_front() {
             if let Err(error) = self.audit.try_send(AuditMessage::Sent(sent)) {
                 if let mpsc::error::TrySendError::Full(AuditMessage::Sent(sent)) = error {
-                    self.waiting.push_front(sent);
+                    self.pending.push_front(sent);
                 }
                 return;
             }
@@ -53,8 +54,9 @@
     }
 }
 
-/// Adds counts to those that wait already: the record's disk has been stuck for long. One count an engine is
-/// kept, and where the contexts differ no context, for a clean record of the wrong one would be false.
+/// Merges counts into a pending batch, which happens if the record's disk is blocked for long. One count per
+/// engine is kept. If the contexts differ the context is cleared, as either one would be wrong for part of
+/// the sends.
 fn merge(last: &mut SendBatch, sent: SendBatch) {
     last.omitted_records += sent.omitted_records + sent.records.len() as u64;
     last.at = sent.at;
@@ -62,12 +64,12 @@
         last.context = SendContext::default();
     }
     for counts in sent.counts {
-        match last.counts.iter_mut().find(|known| known.engine == counts.engine) {
-            Some(known) => {
-                known.prefills += counts.prefills;
-                known.decodes += counts.decodes;
-                known.probes += counts.probes;
-                known.last_at = counts.last_at;
+        match last.counts.iter_mut().find(|existing| existing.engine == counts.engine) {
+            Some(existing) => {
+                existing.prefills += counts.prefills;
+                existing.decodes += counts.decodes;
+                existing.probes += counts.probes;
+                existing.last_at = counts.last_at;
             }
             None => last.counts.push(counts),
         }
--- a/crates/gaparch-router/src/shell/fleet/views.rs
+++ b/crates/gaparch-router/src/shell/fleet/views.rs
@@ -1,4 +1,4 @@
-//! Views of the fleet for operators, and how severe its events are.
+//! Views of the fleet for operators, and the severity of its events.
 
 use gaparch_audit as audit;
 use gaparch_membership::{Connectivity, LinkFailure, MemberView, MembershipEvent, View};
@@ -6,15 +6,15 @@
     self, AuditView, FleetView, LinkFault, ListVersionRow, ListVersionsView, RouterAuditRow, Severity,
 };
 
-/// Datagrams that were dropped before the membership saw them, counted from the start.
+/// Counts of datagrams that were dropped before they reached the membership.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DroppedDatagrams {
-    /// Their authentication code is wrong.
+    /// The authentication tag is wrong.
     pub forged: u64,
-    /// They are too long or can't be parsed.
+    /// The datagram is too long or can't be parsed.
     pub malformed: u64,
-    /// They are of a version of the protocol that is not known here.
-    pub newer: u64,
+    /// The version of the protocol is not supported.
+    pub unsupported_version: u64,
 }
 
 /// The routers of the fleet, as this one sees them.
@@ -36,7 +36,7 @@
         received: view.counters.received,
         forged: dropped.forged,
         malformed: dropped.malformed,
-        newer: dropped.newer,
+        newer: dropped.unsupported_version,
         replayed: view.counters.replayed,
         misdirected: view.counters.misdirected,
         throttled: view.counters.throttled,
@@ -64,7 +64,8 @@
     LinkFault { from: link.from, to: link.to, since: link.since }
 }
 
-/// The answers of all routers together: those that did not answer, or whose record has gaps, are unknown.
+/// Merges the answers of all routers. Those that did not answer, or whose record has gaps, are listed as
+/// unknown.
 pub(super) fn audit_view(mut answers: Vec<audit::AuditAnswer>) -> AuditView {
     answers.sort_by(|a, b| a.router.cmp(&b.router));
     let mut rows = Vec::new();
@@ -85,7 +86,7 @@
     AuditView { complete: unknown.is_empty(), unknown, rows }
 }
 
-/// Which router holds which version of the list.
+/// The version of the endpoint list that each router holds.
 pub(super) fn versions_view(view: audit::ListView) -> ListVersionsView {
     let row = |peer: audit::PeerListStatus| ListVersionRow {
         router: peer.router,
@@ -108,8 +109,8 @@
 }
 
 /// The severity of an event of list replication.
-pub(super) fn replication_severity(what: &audit::ListEvent) -> Severity {
-    match what {
+pub(super) fn replication_severity(event: &audit::ListEvent) -> Severity {
+    match event {
         audit::ListEvent::Confirmed
         | audit::ListEvent::CaughtUp { .. }
         | audit::ListEvent::FetchedFromPeer { .. } => Severity::Info,
@@ -122,10 +123,10 @@
     }
 }
 
-/// The severity of a membership event; `None`: for the log alone, since a suspicion that ends by itself is no
-/// news to an operator.
-pub(super) fn membership_severity(what: &MembershipEvent) -> Option<Severity> {
-    Some(match what {
+/// The severity of a membership event. `None` for events that are only logged: a suspicion that is refuted is
+/// of no interest to operators.
+pub(super) fn membership_severity(event: &MembershipEvent) -> Option<Severity> {
+    Some(match event {
         MembershipEvent::Suspected { .. } | MembershipEvent::Refuted { .. } => return None,
         MembershipEvent::Died { .. }
         | MembershipEvent::DuplicateName { .. }
