--- a/crates/gaparch-router/src/shell/fleet/handle.rs
+++ b/crates/gaparch-router/src/shell/fleet/handle.rs
@@ -25,25 +25,25 @@
 impl FleetHandle {
     /// The routers of the fleet as this one sees them; `None` once the router has ended.
     pub async fn members(&self) -> Option<FleetView> {
-        self.ask(FleetRequest::Members).await
+        self.request(FleetRequest::Members).await
     }
 
     /// The entries of the audit records of all routers; `None` once the router has ended.
     pub async fn audit(&self, filter: AuditFilter) -> Option<Option<AuditView>> {
-        self.ask(|reply| FleetRequest::Audit { filter, reply }).await
+        self.request(|reply| FleetRequest::Audit { filter, reply }).await
     }
 
     /// Which routers have stored the orders of the fleet; `None` once the router has ended.
     pub async fn order_replication(&self) -> Option<Option<OrderReplicationView>> {
-        self.ask(FleetRequest::OrderReplication).await
+        self.request(FleetRequest::OrderReplication).await
     }
 
     /// The version of the endpoint list that each router holds; `None` once the router has ended.
     pub async fn list_versions(&self) -> Option<Option<ListVersionsView>> {
-        self.ask(FleetRequest::ListVersions).await
+        self.request(FleetRequest::ListVersions).await
     }
 
-    async fn ask<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> FleetRequest) -> Option<T> {
+    async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> FleetRequest) -> Option<T> {
         let (reply, wait) = oneshot::channel();
         self.0.send(request(reply)).await.ok()?;
         wait.await.ok()
--- a/crates/gaparch-router/src/shell/fleet/list_versions.rs
+++ b/crates/gaparch-router/src/shell/fleet/list_versions.rs
@@ -98,7 +98,7 @@
 
     /// Passes the sends under the current versions to the audit record. Called before each change of a
     /// version, and periodically.
-    pub fn hand_over_sends(&mut self, order_revision: u64, now: Nanos, engine_name: impl Fn(u32) -> String) {
+    pub fn submit_sends(&mut self, order_revision: u64, now: Nanos, engine_name: impl Fn(u32) -> String) {
         let confirmed_at = self.local_list.borrow().confirmed_at;
         let context = SendContext {
             list: self.active.version().unwrap_or_default(),
@@ -106,7 +106,7 @@
             order_revision,
             build: env!("CARGO_PKG_VERSION").to_owned(),
         };
-        self.recorder.hand_over(context, now, engine_name);
+        self.recorder.submit(context, now, engine_name);
     }
 
     /// Reserves a place in the queue of orders to replicate, if there is one.
--- a/crates/gaparch-router/src/shell/fleet/mod.rs
+++ b/crates/gaparch-router/src/shell/fleet/mod.rs
@@ -105,13 +105,13 @@
     /// Tells the other routers that this router leaves the fleet.
     pub async fn leave(&self) {
         let (reply, wait) = oneshot::channel();
-        let left = async {
+        let leave = async {
             if self.requests.send(FleetRequest::Leave(reply)).await.is_ok() {
                 // An error means that the task has ended.
                 let _ = wait.await;
             }
         };
-        let _ = tokio::time::timeout(LEAVE_TIMEOUT, left).await;
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT, leave).await;
     }
 }
 
--- a/crates/gaparch-router/src/shell/fleet/send_recorder.rs
+++ b/crates/gaparch-router/src/shell/fleet/send_recorder.rs
@@ -25,12 +25,7 @@
     }
 
     /// Passes the counts to the audit record; `context` has the versions that were in use.
-    pub(super) fn hand_over(
-        &mut self,
-        context: SendContext,
-        now: Nanos,
-        engine_name: impl Fn(u32) -> String,
-    ) {
+    pub(super) fn submit(&mut self, context: SendContext, now: Nanos, engine_name: impl Fn(u32) -> String) {
         if !self.tally.is_empty() {
             let sent = self.tally.take(context, now, engine_name);
             if self.pending.len() < MAX_PENDING_BATCHES {
--- a/crates/gaparch-router/src/shell/fleet/task.rs
+++ b/crates/gaparch-router/src/shell/fleet/task.rs
@@ -78,7 +78,9 @@
                     });
                 }
                 Some(id) = self.applied_orders.recv(), if replicates_orders => {
-                    self.with_orders(&mut out, |orders, now, _, outputs| orders.on_applied(now, &id, outputs));
+                    self.with_orders(&mut out, |orders, now, _, outputs| {
+                        orders.on_applied(now, &id, outputs);
+                    });
                 }
                 Ok(()) = self.stored_orders.changed(), if replicates_orders => {
                     let stored = FleetOrders::clone(&self.stored_orders.borrow_and_update());
--- a/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
+++ b/crates/gaparch-router/src/shell/ops/event_broadcaster.rs
@@ -17,7 +17,7 @@
 use tokio::time::{interval, MissedTickBehavior};
 
 /// Interval between two batches to the history writer.
-const HAND_OVER_INTERVAL: Duration = Duration::from_secs(1);
+const HISTORY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The fixed properties of the router in its snapshots.
 pub(super) struct RouterIdentity {
@@ -69,29 +69,29 @@
         }
     }
 
-    /// Handles messages until all senders are gone. `locked_out` has event texts on operators that can't
+    /// Handles messages until all senders are gone. `key_errors` has event texts on operators that can't
     /// authenticate.
     pub async fn run(
         mut self,
         mut messages: mpsc::Receiver<BroadcasterMessage>,
         clock: Clock,
-        locked_out: Vec<String>,
+        key_errors: Vec<String>,
     ) {
         let in_force = self.orders.intents(|_| true).len();
         let text = format!("the router has begun; {in_force} orders of operators are in force");
         self.record_event(Event { at: clock.now(), severity: Severity::Info, engine: None, text });
-        for text in locked_out {
+        for text in key_errors {
             self.record_event(Event { at: clock.now(), severity: Severity::Fault, engine: None, text });
         }
-        let mut hand_over_timer = interval(HAND_OVER_INTERVAL);
-        hand_over_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut history_timer = interval(HISTORY_INTERVAL);
+        history_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 message = messages.recv() => match message {
                     Some(message) => self.handle(message, clock.now()),
                     None => return,
                 },
-                _ = hand_over_timer.tick() => self.history.hand_over(),
+                _ = history_timer.tick() => self.history.submit(),
             }
         }
     }
--- a/crates/gaparch-router/src/shell/ops/mod.rs
+++ b/crates/gaparch-router/src/shell/ops/mod.rs
@@ -212,7 +212,7 @@
     let mut tasks = vec![
         tokio::spawn(prepared.order_store.run(orders_rx, messages.clone())),
         tokio::spawn(prepared.history_writer.run(history_rx, messages.clone())),
-        tokio::spawn(broadcaster.run(inbox, clock, prepared.operators.locked_out)),
+        tokio::spawn(broadcaster.run(inbox, clock, prepared.operators.key_errors)),
     ];
     tasks.append(&mut listeners);
     let stop = Arc::new(Notify::new());
--- a/crates/gaparch-router/src/shell/ops/operators.rs
+++ b/crates/gaparch-router/src/shell/ops/operators.rs
@@ -25,20 +25,20 @@
 pub(super) struct Operators {
     pub known: Vec<KnownOperator>,
     /// Event texts on operators that can't authenticate since their key can't be read.
-    pub locked_out: Vec<String>,
+    pub key_errors: Vec<String>,
 }
 
 impl Operators {
     /// Reads the keys. A key that can't be read does not prevent the router from starting.
     pub fn read(settings: &Operations) -> Operators {
-        let mut operators = Operators { known: Vec::new(), locked_out: Vec::new() };
+        let mut operators = Operators { known: Vec::new(), key_errors: Vec::new() };
         for operator in &settings.operators {
             let role = if operator.may_change { SessionRole::ReadWrite } else { SessionRole::ReadOnly };
             let name = operator.name.clone();
             match load_key(&operator.key) {
                 Ok(key) => operators.known.push(KnownOperator { name, role, key: key.into_bytes() }),
-                Err(why) => {
-                    operators.locked_out.push(format!("operator {name} can't come in by a key: {why}"));
+                Err(error) => {
+                    operators.key_errors.push(format!("operator {name} can't come in by a key: {error}"));
                 }
             }
         }
--- a/crates/gaparch-router/src/shell/ops/pending_history.rs
+++ b/crates/gaparch-router/src/shell/ops/pending_history.rs
@@ -38,17 +38,17 @@
 
     /// Passes all pending records to the writer, if its queue has room. An empty batch is sent too, since it
     /// makes the writer retry records that it could not write.
-    pub fn hand_over(&mut self) {
+    pub fn submit(&mut self) {
         if let Ok(permit) = self.writer.try_reserve() {
             permit.send(std::mem::take(&mut self.batch));
             self.bytes = 0;
         }
     }
 
-    /// Like [`hand_over`](PendingHistory::hand_over), with a notification once the records are written.
+    /// Like [`submit`](PendingHistory::submit), with a notification once the records are written.
     pub fn flush(&mut self, written: oneshot::Sender<()>) {
         self.batch.written = Some(written);
-        self.hand_over();
+        self.submit();
     }
 
     fn reserve(&mut self, bytes: usize) -> bool {
--- a/crates/gaparch-router/src/shell/owner/control.rs
+++ b/crates/gaparch-router/src/shell/owner/control.rs
@@ -32,13 +32,13 @@
             Control::Stop => self.core.handle(now, Input::StopAt(now), out),
             Control::StopNow => {
                 self.core.handle(now, Input::StopNow, out);
-                self.hand_over_sends();
+                self.submit_sends();
             }
         }
     }
 
     fn on_adopted_list(&mut self, adopted: AdoptedList, now: u64, out: &mut Vec<Output>) {
-        self.hand_over_sends();
+        self.submit_sends();
         let update = self.versions.as_mut().and_then(|versions| versions.on_adopted(adopted));
         if let Some(update) = update {
             self.core.handle(now, Input::ListUpdated(update), out);
@@ -79,7 +79,7 @@
             let (change, note) = (proposal.accepted.change.clone(), proposal.accepted.note.clone());
             permit.send(LocalOrder { change, note });
         }
-        self.hand_over_sends();
+        self.submit_sends();
         self.core.handle(now, Input::OperatorChange(proposal.accepted.clone()), out);
         // Reports the new state first, so that a query after the acknowledgement shows the effect.
         self.report_status();
@@ -105,7 +105,7 @@
             }
         };
         let Some(permit) = operations.reserve() else { return false };
-        self.hand_over_sends();
+        self.submit_sends();
         self.core.handle(now, Input::OperatorChange(accepted.clone()), out);
         self.report_status();
         if let Some(operations) = &mut self.operations {
--- a/crates/gaparch-router/src/shell/owner/inputs.rs
+++ b/crates/gaparch-router/src/shell/owner/inputs.rs
@@ -56,7 +56,7 @@
     /// Decides whether to apply an update. With list replication an update that is older than the list in use
     /// is ignored.
     fn decide_on_update(&mut self, update: &ListUpdate, now: u64) -> UpdateAction {
-        self.hand_over_sends();
+        self.submit_sends();
         let Some(versions) = &mut self.versions else { return UpdateAction::Apply };
         let decision = versions.on_update(update, now);
         if let (Some(operations), Some(text)) = (&mut self.operations, decision.event) {
@@ -67,10 +67,10 @@
     }
 
     /// Passes the send counts to the audit record.
-    pub(super) fn hand_over_sends(&mut self) {
+    pub(super) fn submit_sends(&mut self) {
         let Some(versions) = &mut self.versions else { return };
         let core = &self.core;
         let engine_name = |engine| core.engine_name(ServerId(engine)).to_owned();
-        versions.hand_over_sends(core.orders_revision(), self.clock.now(), engine_name);
+        versions.submit_sends(core.orders_revision(), self.clock.now(), engine_name);
     }
 }
--- a/crates/gaparch-router/src/shell/owner/mod.rs
+++ b/crates/gaparch-router/src/shell/owner/mod.rs
@@ -146,7 +146,7 @@
                 }
                 _ = status_timer.tick(), if self.operations.is_some() => {
                     self.report_status();
-                    self.hand_over_sends();
+                    self.submit_sends();
                     Duration::ZERO
                 }
                 _ = ports.disconnected.recv_many(&mut disconnect_batch, DISCONNECT_BATCH) => Duration::ZERO,
--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -55,9 +55,9 @@
             }
             Output::WatchEndpoints(on) => self.send_to_list_service(ListCommand::Watch(on), failures),
             Output::FetchEndpoints => self.send_to_list_service(ListCommand::Fetch, failures),
-            Output::RequestEnded(ending) => {
+            Output::RequestEnded(outcome) => {
                 if let Some(operations) = &mut self.operations {
-                    operations.send(BroadcasterMessage::RequestEnded(ending));
+                    operations.send(BroadcasterMessage::RequestEnded(outcome));
                 }
             }
             // Not used here: the scheduler's settings allow no gossip, and the one connection to an engine
@@ -68,7 +68,7 @@
     }
 
     fn connect(&mut self, engine: ServerId, conn: ConnectionNumber, name: String, address: String) {
-        let (frames, frames_in) = mpsc::channel(ENGINE_OUTBOX);
+        let (frames, frames_rx) = mpsc::channel(ENGINE_OUTBOX);
         let params = engine::ConnectionParams {
             engine,
             conn,
@@ -80,7 +80,7 @@
             write_timeout: engine::write_timeout(self.config.module.drain_grace),
             max_frame: self.config.limits.frame,
         };
-        tokio::spawn(engine::run(params, frames_in, self.engine_inbox.clone()));
+        tokio::spawn(engine::run(params, frames_rx, self.engine_inbox.clone()));
         self.engines.insert(engine, EngineTask { conn, frames });
     }
 
