--- a/crates/gaparch-router/src/shell/owner/outputs.rs
+++ b/crates/gaparch-router/src/shell/owner/outputs.rs
@@ -1,4 +1,4 @@
-//! How the owner carries out what the core wants.
+//! Performs the core's outputs.
 
 use super::{EngineTask, Owner};
 use crate::core::{ConnectionNumber, Input, Output, ResponseEvent};
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Frames that wait for one engine; past it its connection is closed.
+/// Capacity of the queue of frames to one engine; the connection is closed when it is full.
 const ENGINE_OUTBOX: usize = 16_384;
-/// Stands for the attempt of a probe in the audit record.
+/// A probe has no attempt; the audit record has this key in its place.
 const NO_ATTEMPT: AttemptKey = AttemptKey { request: 0, attempt: 0 };
 
-/// What the audit record notes of a frame, if it notes it.
+/// The kind and the attempt of a frame that the audit record counts; `None` for other frames.
 fn recorded_send(frame: &EngineFrame) -> Option<(SendKind, AttemptKey)> {
     match frame {
         EngineFrame::Prefill(job) => Some((SendKind::Prefill, job.key)),
@@ -27,8 +27,8 @@
 }
 
 impl Owner {
-    /// Carries out what the core wants, and what follows from that, until nothing is left.
-    pub(super) fn carry_out(&mut self, out: &mut Vec<Output>) {
+    /// Performs all outputs, and those that result from failures to perform them.
+    pub(super) fn perform_outputs(&mut self, out: &mut Vec<Output>) {
         let mut failures = Vec::new();
         while !out.is_empty() {
             for output in std::mem::take(out) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Carries out one output; what could not be done is an input in `failures`.
+    /// Performs one output; a failure is added to `failures` as an input for the core.
     fn perform(&mut self, output: Output, failures: &mut Vec<Input>) {
         match output {
             Output::Client { id, event } => self.send_to_client(id, event, failures),
@@ -55,31 +55,32 @@
             }
             Output::WatchEndpoints(on) => self.send_to_list_service(ListCommand::Watch(on), failures),
             Output::FetchEndpoints => self.send_to_list_service(ListCommand::Fetch, failures),
-            Output::RequestEnded(ending) => {
+            Output::RequestEnded(outcome) => {
                 if let Some(operations) = &mut self.operations {
-                    operations.send(BroadcasterMessage::RequestEnded(ending));
+                    operations.send(BroadcasterMessage::RequestEnded(outcome));
                 }
             }
-            // Its settings permit no messages between routers, and the one connection to an engine stays.
+            // Not used here: the scheduler's settings allow no gossip, and the one connection to an engine
+            // stays open.
             Output::SendGossip { .. } | Output::CloseIdleConnections(_) => {}
             Output::Log(text) => tracing::info!(%text, "scheduler"),
         }
     }
 
     fn connect(&mut self, engine: ServerId, conn: ConnectionNumber, name: String, address: String) {
-        let (frames, frames_in) = mpsc::channel(ENGINE_OUTBOX);
-        let plan = engine::Plan {
+        let (frames, frames_rx) = mpsc::channel(ENGINE_OUTBOX);
+        let params = engine::ConnectionParams {
             engine,
             conn,
             name,
             address,
             run: self.core.run(),
             router: self.config.router.clone(),
-            connect_within: Duration::from_nanos(self.config.scheduler.connect_timeout),
-            write_within: engine::write_within(self.config.scheduler.drain_grace),
+            connect_timeout: Duration::from_nanos(self.config.scheduler.connect_timeout),
+            write_timeout: engine::write_timeout(self.config.scheduler.drain_grace),
             max_frame: self.config.limits.frame,
         };
-        tokio::spawn(engine::run(plan, frames_in, self.engine_inbox.clone()));
+        tokio::spawn(engine::run(params, frames_rx, self.engine_inbox.clone()));
         self.engines.insert(engine, EngineTask { conn, frames });
     }
 
