--- a/crates/gaparch-config/src/check/fleet.rs
+++ b/crates/gaparch-config/src/check/fleet.rs
@@ -6,7 +6,8 @@
 use crate::units::Span;
 
 /// Maximum number of bytes per second that a router may send to the others. In each probe period it sends
-/// about four datagrams of at most 1,200 bytes: those of its own probe, and as many for routers that probe it.
+/// about four datagrams of at most 1,200 bytes: those of its own probe, and as many for routers that probe
+/// it.
 const FLEET_BYTES_PER_S: u64 = 65_536;
 /// Number of probe periods in which a router learns which version of the endpoint list some others have.
 const CONFIRM_PERIODS: u64 = 5;
