--- a/crates/gaparch-cli/src/commands/audit.rs
+++ b/crates/gaparch-cli/src/commands/audit.rs
@@ -1,6 +1,6 @@
-//! `gaparch audit`: the record of a router that is down.
+//! `gaparch audit`: inspects the audit log of a router that is not running.
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::{Args, Subcommand};
 use gaparch_router::shell::verify_record;
 use std::path::PathBuf;
@@ -14,23 +14,23 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Say whether a record is whole; what is missing or altered is named, and the exit code is 1 then
+    /// Verify an audit log; each missing or altered part is reported, and the exit code is then 1
     Verify {
-        /// The state folder of a router that is not running
+        /// State directory of a router that is not running
         folder: PathBuf,
     },
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     let Command::Verify { folder } = options.command;
     if !folder.is_dir() {
-        return Err(format!("{}: there is no such folder", folder.display()).into());
+        return Err(format!("{}: no such directory", folder.display()).into());
     }
     let chain = verify_record(&folder)?;
     for gap in chain.gaps() {
         println!("gap: {gap}");
     }
     let segments = chain.segments();
-    println!("{segments} segments, {}", if chain.gaps().is_empty() { "no gap" } else { "NOT whole" });
+    println!("{segments} segments, {}", if chain.gaps().is_empty() { "no gaps" } else { "INCOMPLETE" });
     Ok(if chain.gaps().is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/gaparch-cli/src/commands/badday.rs
+++ b/crates/gaparch-cli/src/commands/badday.rs
@@ -1,6 +1,6 @@
 //! `gaparch badday`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use gaparch_testbed::badday::{play, Day};
 use std::process::ExitCode;
@@ -8,32 +8,32 @@
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// First seed; it says which engines the troubles hit and what clients do
+    /// First seed; it determines which engines have faults and what clients do
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Days, each with the next seed
+    /// Number of days, each with the next seed
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     days: u64,
     /// Length of a day in seconds
     #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u64).range(5..=600))]
     seconds: u64,
-    /// Write what went over the sockets there, a line each; with several days the last one's
+    /// Write the recorded traffic to this file, one entry per line; with several days that of the last one
     #[arg(long)]
     record: Option<std::path::PathBuf>,
-    /// Requests a second, all routers together
+    /// Requests per second, over all routers
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     if !(1.0..=1000.0).contains(&options.rate) {
-        return Err("--rate: from 1 to 1000 requests a second".into());
+        return Err("--rate: must be from 1 to 1000 requests per second".into());
     }
     let mut code = ExitCode::SUCCESS;
     for seed in options.seed..options.seed + options.days {
         let length = Duration::from_secs(options.seconds);
         let report = play(Day { seed, length, rate: options.rate }).await?;
-        println!("day of seed {seed}, {} s, {} requests a second", options.seconds, options.rate);
+        println!("day with seed {seed}, {} s, {} requests per second", options.seconds, options.rate);
         println!("{report}");
         if let Some(file) = &options.record {
             let lines: String = report.entries.iter().map(|e| format!("{} {:?}\n", e.at, e.what)).collect();
--- a/crates/gaparch-cli/src/commands/check.rs
+++ b/crates/gaparch-cli/src/commands/check.rs
@@ -1,6 +1,6 @@
 //! `gaparch check FILE`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,12 +12,12 @@
     files: Vec<PathBuf>,
 }
 
-pub fn run(options: &Options) -> Outcome {
+pub fn run(options: &Options) -> CommandResult {
     let mut code = ExitCode::SUCCESS;
     for file in &options.files {
-        match super::settings(file) {
+        match super::read_settings(file) {
             Ok(config) => println!(
-                "{}: sound: router {}, {} engines, {} classes, {} tenants",
+                "{}: valid: router {}, {} engines, {} classes, {} tenants",
                 file.display(),
                 config.router,
                 config.engines.len(),
--- a/crates/gaparch-cli/src/commands/console.rs
+++ b/crates/gaparch-cli/src/commands/console.rs
@@ -1,7 +1,7 @@
 //! `gaparch console`
 
 use super::ctl::Target;
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use std::io::IsTerminal;
 use std::process::ExitCode;
@@ -12,11 +12,11 @@
     target: Target,
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     if !std::io::stdout().is_terminal() {
-        return Err("console: there is no terminal here; scripts use `gaparch ctl`".into());
+        return Err("console: standard output is not a terminal; use `gaparch ctl` in scripts".into());
     }
-    let (place, credentials) = options.target.resolve()?;
-    gaparch_console::shell::run(place, credentials).await?;
+    let (address, credentials) = options.target.resolve()?;
+    gaparch_console::shell::run(address, credentials).await?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/gaparch-cli/src/commands/ctl/mod.rs
+++ b/crates/gaparch-cli/src/commands/ctl/mod.rs
@@ -1,9 +1,9 @@
-//! `gaparch ctl`: all that the console does, for scripts.
+//! `gaparch ctl`: the operations of the console for scripts.
 
 mod show;
 mod table;
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::{Args, Subcommand, ValueEnum};
 use gaparch_config::KeySource;
 use gaparch_net::{read_key, Credentials, Incoming, OperationsAddress, OpsClient, OpsError};
@@ -19,74 +19,77 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The order was denied, and nothing was changed.
+/// Exit code: the order was denied and changed nothing.
 const DENIED: u8 = 3;
-/// It is in force, but a restart would forget it.
-const NOT_KEPT: u8 = 4;
-/// There is nothing of that name.
-const NOTHING: u8 = 5;
-/// Some router that may be alive did not say in time that it keeps the order.
-const NOT_COMPLETE: u8 = 6;
-/// Between two questions whether all keep an order.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+/// Exit code: the order is in force but not persisted, so that a restart would revert it.
+const NOT_PERSISTED: u8 = 4;
+/// Exit code: the request is unknown.
+const NOT_FOUND: u8 = 5;
+/// Exit code: a router that may be alive did not confirm in time that it has persisted the order.
+const REPLICATION_INCOMPLETE: u8 = 6;
+/// Interval between queries for the replication of an order.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where the router is, and who asks.
+/// Operations endpoint of a router, and the credentials of the operator.
 #[derive(Clone, Debug, Args)]
 pub struct Target {
-    /// The router's settings file, which says where its operators come in
+    /// Settings file of the router, which has the socket and address for operators
     #[arg(long, default_value = "gaparch.xml", env = "GAPARCH_SETTINGS")]
     settings: PathBuf,
-    /// The router's local socket, instead of the settings'
+    /// Local socket of the router, instead of that in the settings
     #[arg(long, env = "GAPARCH_SOCKET", conflicts_with = "address")]
     socket: Option<PathBuf>,
-    /// The router's operations address, instead of the settings'
+    /// Operations address of the router, instead of that in the settings
     #[arg(long)]
     address: Option<SocketAddr>,
-    /// A file whose first line is the key
+    /// File whose first line is the key
     #[arg(long)]
     key_file: Option<PathBuf>,
-    /// Who asks, where no key says it
+    /// Name of the operator, unless a key identifies them
     #[arg(long, env = "USER", default_value = "someone")]
     who: String,
-    /// Look only
+    /// Use a read-only session
     #[arg(long)]
     watch_only: bool,
 }
 
 impl Target {
-    /// The place and the credentials.
+    /// Determines the operations endpoint and the credentials.
     pub fn resolve(&self) -> Result<(OperationsAddress, Credentials), String> {
-        let key_in = |file: &PathBuf| read_key(file).map_err(|e| format!("key file {}: {e}", file.display()));
-        let mut key = self.key_file.as_ref().map(key_in).transpose()?;
-        let place = match (&self.socket, self.address) {
+        let key_from =
+            |file: &PathBuf| read_key(file).map_err(|e| format!("key file {}: {e}", file.display()));
+        let mut key = self.key_file.as_ref().map(key_from).transpose()?;
+        let endpoint = match (&self.socket, self.address) {
             (Some(socket), _) => OperationsAddress::Socket(socket.clone()),
             (None, Some(address)) => OperationsAddress::Tcp(address),
             (None, None) => {
-                let config = super::settings(&self.settings)?;
+                let config = super::read_settings(&self.settings)?;
                 let file = self.settings.display();
-                let operations = config.operations.ok_or(format!("{file}: has no <operations>"))?;
+                let operations = config.operations.ok_or(format!("{file}: no <operations>"))?;
                 match (operations.socket, operations.address) {
                     (Some(socket), _) => OperationsAddress::Socket(socket),
                     (None, Some(address)) => {
-                        if let Some(first) = operations.operators.first().filter(|_| key.is_none()) {
-                            key = Some(match &first.key {
+                        if let Some(operator) = operations.operators.first().filter(|_| key.is_none()) {
+                            key = Some(match &operator.key {
                                 KeySource::Text(key) => key.clone(),
-                                KeySource::File(file) => key_in(file)?,
+                                KeySource::File(file) => key_from(file)?,
                             });
                         }
                         OperationsAddress::Tcp(address)
                     }
-                    (None, None) => return Err(format!("{file}: <operations> has no socket and no address")),
+                    (None, None) => {
+                        return Err(format!("{file}: <operations> has neither a socket nor an address"))
+                    }
                 }
             }
         };
         let role = if self.watch_only { SessionRole::ReadOnly } else { SessionRole::ReadWrite };
-        Ok((place, Credentials { key, role, operator: self.who.clone() }))
+        Ok((endpoint, Credentials { key, role, operator: self.who.clone() }))
     }
 
     pub async fn connect(&self) -> Result<OpsClient, String> {
-        let (place, credentials) = self.resolve()?;
-        OpsClient::connect(&place, &credentials).await.map_err(|e| e.to_string())
+        let (endpoint, credentials) = self.resolve()?;
+        OpsClient::connect(&endpoint, &credentials).await.map_err(|e| e.to_string())
     }
 }
 
@@ -94,54 +97,54 @@
 pub struct Options {
     #[command(flatten)]
     target: Target,
-    /// JSON instead of tables
+    /// Print JSON instead of tables
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
     command: Command,
 }
 
-/// Why, for whoever reads it in the morning.
+/// Options of an order.
 #[derive(Clone, Debug, Args)]
-struct Reason {
-    /// Why, for whoever reads it in the morning
+struct OrderOptions {
+    /// Reason for the order, shown to other operators and in the event log
     #[arg(long)]
     why: String,
-    /// Only if nobody has changed it since this revision
+    /// Only if nothing was changed since this revision
     #[arg(long)]
     if_revision: Option<u64>,
-    /// At this router alone, where routers follow one another
+    /// Only at this router, not in the whole fleet
     #[arg(long)]
     here: bool,
-    /// Wait until every router that may be alive keeps it, and show which do
+    /// Wait until every router that may be alive has persisted the order, and show which have
     #[arg(long, conflicts_with = "here")]
     wait: bool,
-    /// For so long at most
+    /// Longest time to wait
     #[arg(long, default_value = "30s", requires = "wait")]
     within: String,
 }
 
 #[derive(Debug, Subcommand)]
-enum FleetWhat {
-    /// What routers sent to which engine under which version, by the records of all of them
+enum FleetCommand {
+    /// Sends to each engine under each version of the endpoint list, from the audit logs of all routers
     Audit(Audit),
 }
 
 #[derive(Debug, Args)]
 struct Audit {
-    /// To one engine
+    /// Only sends to this engine
     #[arg(long)]
     engine: Option<String>,
-    /// From so long ago, as 90s, 30m or 12h
+    /// Start of the period as an age, such as 90s, 30m or 12h
     #[arg(long)]
     since: Option<String>,
-    /// Until so long ago
+    /// End of the period as an age
     #[arg(long)]
     until: Option<String>,
-    /// Under a lower version of the list than that
+    /// Only sends under a lower version of the endpoint list than this
     #[arg(long)]
     version: Option<u64>,
-    /// Of one request, by its number at its router, where single sends are still kept
+    /// Only sends of this request, by its number at its router, where single sends are still recorded
     #[arg(long)]
     request: Option<u64>,
 }
@@ -150,8 +153,8 @@
     fn filter(&self) -> Result<AuditFilter, String> {
         Ok(AuditFilter {
             engine: self.engine.clone(),
-            since: self.since.as_deref().map(since).transpose()?.unwrap_or(0),
-            until: self.until.as_deref().map(since).transpose()?,
+            since: self.since.as_deref().map(parse_age).transpose()?.unwrap_or(0),
+            until: self.until.as_deref().map(parse_age).transpose()?,
             below_version: self.version,
             request: self.request,
         })
@@ -160,93 +163,93 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// How all stands
+    /// Show the state of the router
     Status,
-    /// The engines, and why one is avoided
+    /// Show the engines, and why an engine is avoided
     Engines,
-    /// Give an engine nothing new
+    /// Send no new requests to an engine
     Drain {
         engine: String,
         #[command(flatten)]
-        reason: Reason,
-        /// Even if it is the last of its role
+        order: OrderOptions,
+        /// Even if the engine is the last one with its role
         #[arg(long)]
         force: bool,
     },
-    /// Treat an engine as if it were not listed
+    /// Treat an engine as if it were not in the endpoint list
     Aside {
         engine: String,
         #[command(flatten)]
-        reason: Reason,
-        /// Even if it is the last of its role
+        order: OrderOptions,
+        /// Even if the engine is the last one with its role
         #[arg(long)]
         force: bool,
     },
-    /// Make an engine what the list says again
+    /// Restore the listed state of an engine
     Undrain {
         engine: String,
         #[command(flatten)]
-        reason: Reason,
+        order: OrderOptions,
     },
-    /// Refuse all new requests
+    /// Reject all new requests
     Pause {
         #[command(flatten)]
-        reason: Reason,
+        order: OrderOptions,
     },
-    /// Take new requests again
+    /// Accept new requests again
     Resume {
         #[command(flatten)]
-        reason: Reason,
+        order: OrderOptions,
     },
-    /// The limits that can be changed
+    /// Show the limits that can be changed
     Limits,
-    /// Change a limit, or set it to what the settings say
+    /// Change a limit, or reset it to its value in the settings
     Limit {
         name: String,
         /// A number, or `default`
         value: String,
         #[command(flatten)]
-        reason: Reason,
+        order: OrderOptions,
     },
-    /// What operators have ordered and is in force
+    /// Show the orders of operators that are in force
     Intents,
-    /// The routers of the site, as this one sees them
+    /// Show the routers of the site, as seen by this router
     Members,
-    /// Orders of the fleet, those that gave way, and which routers keep them
+    /// Show the orders of the fleet, those that were superseded, and which routers have them
     Orders,
-    /// Which router of the site holds which version of the list, and how far behind it is
+    /// Show which version of the endpoint list each router of the site has, and how far behind it is
     Fleet {
         #[command(subcommand)]
-        what: Option<FleetWhat>,
+        what: Option<FleetCommand>,
     },
-    /// Requests that were not served, grouped by why
+    /// Show the requests that were not served, grouped by cause
     Refusals(Filter),
-    /// The story of one request
+    /// Show the history of a request
     Why {
-        /// As in the answer's x-gaparch-request-id header
+        /// Request id, as in the x-gaparch-request-id header of the response
         request: GlobalRequestId,
     },
-    /// Open requests, and those that ended last
+    /// Show open requests and those that ended last
     Live {
         #[arg(long, default_value_t = 50)]
         most: u32,
     },
-    /// What happened
+    /// Show the event log
     Events {
-        /// Of one engine
+        /// Only events of this engine
         #[arg(long)]
         engine: Option<String>,
-        /// From so long ago, as 90s, 30m or 12h
+        /// Start of the period as an age, such as 90s, 30m or 12h
         #[arg(long, default_value = "24h")]
         since: String,
         #[arg(long, default_value_t = 200)]
         most: u32,
     },
-    /// One engine: how it stands and what happened to it
+    /// Show the state and the events of an engine
     History { engine: String },
-    /// Follow what happens, a line each, until interrupted
+    /// Print events and request outcomes as they happen, one per line, until interrupted
     Follow,
-    /// Stop the router in good order
+    /// Shut the router down gracefully
     Stop {
         #[arg(long, default_value = "")]
         why: String,
@@ -262,25 +265,26 @@
 
 #[derive(Clone, Debug, Args)]
 struct Filter {
+    /// Only outcomes of this kind
     #[arg(long)]
     kind: Option<Kind>,
-    /// A reason, as in the tables
+    /// Only this cause, as in the tables
     #[arg(long)]
     cause: Option<String>,
-    /// What it waited for, as in the tables
+    /// Only requests that waited for this, as in the tables
     #[arg(long)]
     waited_for: Option<String>,
     #[arg(long)]
     class: Option<String>,
     #[arg(long)]
     tenant: Option<String>,
-    /// It was sent there, or that engine was avoided then
+    /// Only requests that were sent to this engine, or during which it was avoided
     #[arg(long)]
     engine: Option<String>,
-    /// From so long ago, as 90s, 30m or 12h
+    /// Start of the period as an age, such as 90s, 30m or 12h
     #[arg(long)]
     since: Option<String>,
-    /// One by one instead of grouped
+    /// List requests one by one instead of grouped
     #[arg(long)]
     list: bool,
     #[arg(long, default_value_t = 100)]
@@ -292,46 +296,48 @@
     gaparch_net::Clock::default().now()
 }
 
-fn span_of(text: &str) -> Result<Duration, String> {
+fn parse_within(text: &str) -> Result<Duration, String> {
     let span: gaparch_config::Span =
-        text.parse().map_err(|_| format!("--within: '{text}' is no span of time: try 30s"))?;
+        text.parse().map_err(|_| format!("--within: '{text}' is not a duration, such as 30s"))?;
     Ok(span.duration())
 }
 
-fn since(text: &str) -> Result<u64, String> {
+/// The time, in nanoseconds since the Unix epoch, that was so long ago.
+fn parse_age(text: &str) -> Result<u64, String> {
     let span: gaparch_config::Span =
-        text.parse().map_err(|_| format!("--since: '{text}' is no span of time: try 30m"))?;
+        text.parse().map_err(|_| format!("--since: '{text}' is not a duration, such as 30m"))?;
     Ok(now().saturating_sub(span.0))
 }
 
-fn known<T: Copy>(
-    what: &str,
-    word: &Option<String>,
+/// Parses the optional value of a flag; the error lists all valid values.
+fn parse_choice<T: Copy>(
+    flag: &str,
+    value: &Option<String>,
     parse: fn(&str) -> Option<T>,
     all: &[T],
     name: fn(T) -> &'static str,
 ) -> Result<Option<T>, String> {
-    let Some(word) = word else { return Ok(None) };
-    let words = || all.iter().map(|one| name(*one)).collect::<Vec<_>>().join(", ");
-    parse(word).map(Some).ok_or_else(|| format!("--{what}: '{word}' is none of {}", words()))
+    let Some(value) = value else { return Ok(None) };
+    let valid = || all.iter().map(|one| name(*one)).collect::<Vec<_>>().join(", ");
+    parse(value).map(Some).ok_or_else(|| format!("--{flag}: '{value}' is not one of {}", valid()))
 }
 
 impl Filter {
-    fn wanted(&self) -> Result<OutcomeFilter, String> {
+    fn outcome_filter(&self) -> Result<OutcomeFilter, String> {
         Ok(OutcomeFilter {
             kind: self.kind.map(|kind| match kind {
                 Kind::Refused => OutcomeKind::Rejected,
                 Kind::Failed => OutcomeKind::Failed,
                 Kind::Left => OutcomeKind::ClientDisconnected,
             }),
-            cause: known(
+            cause: parse_choice(
                 "cause",
                 &self.cause,
                 OutcomeCause::from_name,
                 OutcomeCause::ALL,
                 OutcomeCause::name,
             )?,
-            queueing_reason: known(
+            queueing_reason: parse_choice(
                 "waited-for",
                 &self.waited_for,
                 QueueingReason::from_name,
@@ -341,64 +347,72 @@
             class: self.class.clone(),
             tenant: self.tenant.clone(),
             engine: self.engine.clone(),
-            since: self.since.as_deref().map(since).transpose()?,
+            since: self.since.as_deref().map(parse_age).transpose()?,
             until: None,
             max: self.most,
         })
     }
 }
 
-fn order(change: Change, reason: &Reason, force: bool) -> Query {
-    let order = Order { change, reason: reason.why.clone(), force, revision: reason.if_revision };
-    match reason.here {
+fn order(change: Change, options: &OrderOptions, force: bool) -> Query {
+    let order = Order { change, reason: options.why.clone(), force, revision: options.if_revision };
+    match options.here {
         true => Query::LocalOrder { order },
         false => Query::Order { order },
     }
 }
 
 fn query(command: &Command) -> Result<Query, String> {
-    let hold = |engine: &String, hold| Change::Drain { engine: engine.clone(), mode: hold };
+    let drain = |engine: &String, mode| Change::Drain { engine: engine.clone(), mode };
     Ok(match command {
         Command::Status | Command::Engines | Command::Follow => Query::Snapshot {},
-        Command::Drain { engine, reason, force } => order(hold(engine, DrainMode::Drain), reason, *force),
-        Command::Aside { engine, reason, force } => order(hold(engine, DrainMode::Detach), reason, *force),
-        Command::Undrain { engine, reason } => {
-            order(Change::Undrain { engine: engine.clone() }, reason, false)
+        Command::Drain { engine, order: options, force } => {
+            order(drain(engine, DrainMode::Drain), options, *force)
+        }
+        Command::Aside { engine, order: options, force } => {
+            order(drain(engine, DrainMode::Detach), options, *force)
+        }
+        Command::Undrain { engine, order: options } => {
+            order(Change::Undrain { engine: engine.clone() }, options, false)
         }
-        Command::Pause { reason } => order(Change::Pause {}, reason, false),
-        Command::Resume { reason } => order(Change::Resume {}, reason, false),
+        Command::Pause { order: options } => order(Change::Pause {}, options, false),
+        Command::Resume { order: options } => order(Change::Resume {}, options, false),
         Command::Limits => Query::Limits {},
-        Command::Limit { name, value, reason } => {
+        Command::Limit { name, value, order: options } => {
             let value = match value.as_str() {
                 "default" => None,
                 number => Some(number.parse().map_err(|_| {
-                    format!("'{number}' is neither a number nor `default`; limits are {OPEN_REQUESTS} and others: see `gaparch ctl limits`")
+                    format!(
+                        "'{number}' is neither a number nor `default`; `gaparch ctl limits` shows the \
+                         limits, such as {OPEN_REQUESTS}"
+                    )
                 })?),
             };
-            order(Change::SetLimit { name: name.clone(), value }, reason, false)
+            order(Change::SetLimit { name: name.clone(), value }, options, false)
         }
         Command::Intents => Query::Intents {},
         Command::Members => Query::Members {},
         Command::Fleet { what: None } => Query::ListVersions {},
-        Command::Fleet { what: Some(FleetWhat::Audit(asked)) } => Query::Audit { filter: asked.filter()? },
+        Command::Fleet { what: Some(FleetCommand::Audit(audit)) } => Query::Audit { filter: audit.filter()? },
         Command::Orders => Query::OrderReplication {},
-        Command::Refusals(filter) if filter.list => Query::Outcomes { filter: filter.wanted()? },
-        Command::Refusals(filter) => Query::OutcomeGroups { filter: filter.wanted()? },
+        Command::Refusals(filter) if filter.list => Query::Outcomes { filter: filter.outcome_filter()? },
+        Command::Refusals(filter) => Query::OutcomeGroups { filter: filter.outcome_filter()? },
         Command::Why { request } => Query::RequestDetails { request: *request },
         Command::Live { most } => Query::OpenRequests { max: *most },
-        Command::Events { engine, since: from, most } => {
-            Query::Events { engine: engine.clone(), since: since(from)?, max: *most }
+        Command::Events { engine, since, most } => {
+            Query::Events { engine: engine.clone(), since: parse_age(since)?, max: *most }
         }
         Command::History { engine } => Query::Events { engine: Some(engine.clone()), since: 0, max: 200 },
         Command::Stop { why } => {
             let within = String::new();
-            let reason = Reason { why: why.clone(), if_revision: None, here: true, wait: false, within };
-            order(Change::Stop {}, &reason, false)
+            let options =
+                OrderOptions { why: why.clone(), if_revision: None, here: true, wait: false, within };
+            order(Change::Stop {}, &options, false)
         }
     })
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     let query = query(&options.command)?;
     let mut client = options.target.connect().await?;
     if let Command::Follow = options.command {
@@ -416,14 +430,14 @@
             answer = Answer::Denied { code: DenyCode::Unknown, message };
         }
     }
-    let wait = options.command.reason().filter(|reason| reason.wait);
-    if let (Some(reason), Answer::Done { effect, .. }) = (wait, &answer) {
+    let wait = options.command.order_options().filter(|order| order.wait);
+    if let (Some(order), Answer::Done { effect, .. }) = (wait, &answer) {
         if !options.json {
             println!("{effect}");
         }
-        return wait_for_all(&mut client, span_of(&reason.within)?, options.json).await;
+        return wait_for_replication(&mut client, parse_within(&order.within)?, options.json).await;
     }
-    let code = code(&answer);
+    let code = exit_code(&answer);
     if options.json {
         println!("{}", serde_json::to_string_pretty(&answer)?);
     } else if let Answer::Denied { message, .. } = &answer {
@@ -435,78 +449,78 @@
     Ok(code)
 }
 
-fn code(answer: &Answer) -> ExitCode {
+fn exit_code(answer: &Answer) -> ExitCode {
     match answer {
-        Answer::Denied { code: DenyCode::NotPersisted, .. } => ExitCode::from(NOT_KEPT),
+        Answer::Denied { code: DenyCode::NotPersisted, .. } => ExitCode::from(NOT_PERSISTED),
         Answer::Denied { .. } => ExitCode::from(DENIED),
-        Answer::RequestDetails { outcome: None, open: None } => ExitCode::from(NOTHING),
+        Answer::RequestDetails { outcome: None, open: None } => ExitCode::from(NOT_FOUND),
         _ => ExitCode::SUCCESS,
     }
 }
 
 impl Command {
-    /// That of an order.
-    fn reason(&self) -> Option<&Reason> {
+    /// The options of an order; `None` for other commands.
+    fn order_options(&self) -> Option<&OrderOptions> {
         match self {
-            Command::Drain { reason, .. }
-            | Command::Aside { reason, .. }
-            | Command::Undrain { reason, .. }
-            | Command::Pause { reason }
-            | Command::Resume { reason }
-            | Command::Limit { reason, .. } => Some(reason),
+            Command::Drain { order, .. }
+            | Command::Aside { order, .. }
+            | Command::Undrain { order, .. }
+            | Command::Pause { order }
+            | Command::Resume { order }
+            | Command::Limit { order, .. } => Some(order),
             _ => None,
         }
     }
 }
 
-/// Asks until all routers that may be alive keep what is in force, and shows a router as soon as it does.
-async fn wait_for_all(client: &mut OpsClient, within: Duration, json: bool) -> Outcome {
-    let until = tokio::time::Instant::now() + within;
-    let mut shown = std::collections::BTreeSet::new();
+/// Polls until all routers that may be alive have persisted the orders in force; prints each router that has.
+async fn wait_for_replication(client: &mut OpsClient, within: Duration, json: bool) -> CommandResult {
+    let deadline = tokio::time::Instant::now() + within;
+    let mut printed = std::collections::BTreeSet::new();
     loop {
         let answer = client.query(Query::OrderReplication {}).await?;
-        let Answer::OrderReplication { replication: spread } = &answer else {
+        let Answer::OrderReplication { replication } = &answer else {
             let Answer::Denied { message, .. } = &answer else { return Err(OpsError::Protocol.into()) };
             return Err(message.clone().into());
         };
-        let late = tokio::time::Instant::now() >= until;
-        if json && (spread.complete || late) {
+        let timed_out = tokio::time::Instant::now() >= deadline;
+        if json && (replication.complete || timed_out) {
             println!("{}", serde_json::to_string_pretty(&answer)?);
         } else if !json {
-            for row in spread.rows.iter().filter(|r| r.has_all) {
-                if shown.insert(row.router.clone()) {
-                    println!("{}: in force and kept", row.router);
+            for row in replication.rows.iter().filter(|r| r.has_all) {
+                if printed.insert(row.router.clone()) {
+                    println!("{}: in force and persisted", row.router);
                 }
             }
         }
-        if spread.complete {
+        if replication.complete {
             if !json {
                 println!("complete");
             }
             return Ok(ExitCode::SUCCESS);
         }
-        if late {
+        if timed_out {
             if !json {
-                for row in spread.rows.iter().filter(|r| !r.has_all) {
-                    println!("{}: unknown, it counts as {}", row.router, row.state);
+                for row in replication.rows.iter().filter(|r| !r.has_all) {
+                    println!("{}: unknown (member state: {})", row.router, row.state);
                 }
                 println!("NOT complete");
             }
-            return Ok(ExitCode::from(NOT_COMPLETE));
+            return Ok(ExitCode::from(REPLICATION_INCOMPLETE));
         }
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn follow(client: &mut OpsClient, json: bool) -> Outcome {
+async fn follow(client: &mut OpsClient, json: bool) -> CommandResult {
     client.send(Query::Subscribe {}).await?;
-    let stop = super::asked_to_stop();
+    let stop = super::shutdown_signal();
     tokio::pin!(stop);
     loop {
         tokio::select! {
             _ = &mut stop => return Ok(ExitCode::SUCCESS),
-            came = client.next() => {
-                if let Incoming::Update(update) = came? {
+            received = client.next() => {
+                if let Incoming::Update(update) = received? {
                     match json {
                         true => println!("{}", serde_json::to_string(&update)?),
                         false => print!("{}", show::update(&update, now())),
--- a/crates/gaparch-cli/src/commands/ctl/show.rs
+++ b/crates/gaparch-cli/src/commands/ctl/show.rs
@@ -1,4 +1,4 @@
-//! Answers as text.
+//! Formats answers and updates as text.
 
 use super::table::Table;
 use gaparch_console::words;
@@ -11,12 +11,12 @@
 use gaparch_protocol::ops::{Answer, Update};
 use gaparch_protocol::versions::{FleetOrder, ListVersion};
 
-/// An answer as tables; of a snapshot the engines alone if that is what was asked for.
+/// Formats an answer; with `engines_only`, a snapshot is reduced to its table of engines.
 pub fn answer(answer: &Answer, now: u64, engines_only: bool) -> String {
     match answer {
         Answer::Snapshot { snapshot } if engines_only => engines(snapshot),
         Answer::Snapshot { snapshot } => status(snapshot, now),
-        Answer::Done { revision, effect } => format!("{effect} (kept as change {revision})\n"),
+        Answer::Done { revision, effect } => format!("{effect} (persisted as revision {revision})\n"),
         Answer::Denied { message, .. } => format!("{message}\n"),
         Answer::OutcomeGroups { groups, total } => {
             let mut table = Table::new(&[
@@ -27,8 +27,8 @@
                 "class",
                 "tenant",
                 "last",
-                "came back",
-                "served then",
+                "retried",
+                "served on retry",
                 "example",
             ]);
             for g in groups {
@@ -45,41 +45,43 @@
                     g.example.to_string(),
                 ]);
             }
-            format!("{total} requests were not served, as far as they are kept\n{table}")
+            format!("{total} requests in the history were not served\n{table}")
         }
-        Answer::Outcomes { outcomes: endings, total } => {
+        Answer::Outcomes { outcomes, total } => {
             let mut table = Table::new(&["request", "at", "kind", "class", "tenant", "why"]);
-            endings.iter().for_each(|e| table.row(ending_row(e, now)));
-            format!("{table}{} of {total}\n", endings.len())
+            outcomes.iter().for_each(|o| table.row(outcome_row(o, now)));
+            format!("{table}{} of {total}\n", outcomes.len())
+        }
+        Answer::RequestDetails { outcome: Some(outcome), .. } => words::story(outcome, now).join("\n") + "\n",
+        Answer::RequestDetails { open: Some(request), .. } => {
+            request_table(std::slice::from_ref(request), now)
         }
-        Answer::RequestDetails { outcome: Some(ending), .. } => words::story(ending, now).join("\n") + "\n",
-        Answer::RequestDetails { open: Some(live), .. } => live_table(std::slice::from_ref(live), now),
         Answer::RequestDetails { .. } => {
-            "nothing is known of that request: it is not open, and either was served some time ago, \
-             or is too old to be kept\n"
+            "unknown request: it is not open, and either was served some time ago or is no longer \
+             in the history\n"
                 .to_owned()
         }
-        Answer::OpenRequests { requests: live, total } => {
-            format!("{}{} of {total}\n", live_table(live, now), live.len())
+        Answer::OpenRequests { requests, total } => {
+            format!("{}{} of {total}\n", request_table(requests, now), requests.len())
         }
         Answer::Events { events } => events.iter().map(|e| event(e, now)).collect(),
         Answer::Limits { limits } => {
-            let mut table = Table::new(&["limit", "now", "by settings", "from", "to", "unit"]);
+            let mut table = Table::new(&["limit", "value", "configured", "min", "max", "unit"]);
             for l in limits {
-                let figures = [l.value, l.configured_value, l.min, l.max].map(|f| f.to_string());
+                let values = [l.value, l.configured_value, l.min, l.max].map(|f| f.to_string());
                 let mut row = vec![l.name.clone()];
-                row.extend(figures);
+                row.extend(values);
                 row.push(l.unit.clone());
                 table.row(row);
             }
             table.to_string()
         }
         Answer::Members { fleet } => members(fleet, now),
-        Answer::ListVersions { versions } => fleet(versions, now),
-        Answer::OrderReplication { replication: spread } => orders(spread, now),
-        Answer::Audit { audit } => audited(audit, now),
+        Answer::ListVersions { versions } => list_versions(versions, now),
+        Answer::OrderReplication { replication } => orders(replication, now),
+        Answer::Audit { audit } => audit_rows(audit, now),
         Answer::Intents { intents } => {
-            let mut table = Table::new(&["change", "what", "by", "at", "kept", "why"]);
+            let mut table = Table::new(&["revision", "what", "by", "at", "persisted", "why"]);
             for i in intents {
                 table.row(vec![
                     i.revision.to_string(),
@@ -91,7 +93,7 @@
                 ]);
             }
             if intents.is_empty() {
-                "no operator has ordered anything\n".to_owned()
+                "no orders are in force\n".to_owned()
             } else {
                 table.to_string()
             }
@@ -108,14 +110,14 @@
     }
 }
 
-fn ending_row(e: &RequestOutcome, now: u64) -> Vec<String> {
+fn outcome_row(o: &RequestOutcome, now: u64) -> Vec<String> {
     vec![
-        e.request.to_string(),
-        words::time(e.ended_at, now),
-        e.kind.to_string(),
-        e.class.clone(),
-        or_dash(&e.tenant),
-        words::cause(e.cause, e.queueing_reason),
+        o.request.to_string(),
+        words::time(o.ended_at, now),
+        o.kind.to_string(),
+        o.class.clone(),
+        or_dash(&o.tenant),
+        words::cause(o.cause, o.queueing_reason),
     ]
 }
 
@@ -140,7 +142,7 @@
         f.client_disconnected
     );
     if !s.storage_error.is_empty() {
-        text.push_str(&format!("NOT KEPT ON DISK: {}\n", s.storage_error));
+        text.push_str(&format!("STATE NOT PERSISTED: {}\n", s.storage_error));
     }
     text + &engines(s)
 }
@@ -177,10 +179,10 @@
     table.to_string()
 }
 
-/// One engine at length.
+/// The details of an engine.
 pub fn engine(e: &EngineView, s: &Snapshot) -> String {
     format!(
-        "{} ({}, {}, {}): {}, by the list {}; {}\n{} attempts, {} failed, {} called off; last heard {} ago\n",
+        "{} ({}, {}, {}): {}, listed as {}; {}\n{} attempts, {} failed, {} cancelled; last response {} ago\n",
         e.name,
         e.role,
         words::place(e),
@@ -195,18 +197,19 @@
     )
 }
 
-fn live_table(live: &[RequestView], now: u64) -> String {
-    let mut table = Table::new(&["request", "asked", "class", "tenant", "phase", "engine", "tokens", "took"]);
-    for l in live {
+fn request_table(requests: &[RequestView], now: u64) -> String {
+    let mut table =
+        Table::new(&["request", "received", "class", "tenant", "phase", "engine", "tokens", "elapsed"]);
+    for r in requests {
         table.row(vec![
-            l.request.to_string(),
-            words::time(l.received_at, now),
-            l.class.clone(),
-            or_dash(&l.tenant),
-            l.kind.map_or(l.phase.name(), |k| k.name()).to_owned(),
-            or_dash(&l.engine),
-            l.tokens.to_string(),
-            words::micros(l.elapsed_us),
+            r.request.to_string(),
+            words::time(r.received_at, now),
+            r.class.clone(),
+            or_dash(&r.tenant),
+            r.kind.map_or(r.phase.name(), |k| k.name()).to_owned(),
+            or_dash(&r.engine),
+            r.tokens.to_string(),
+            words::micros(r.elapsed_us),
         ]);
     }
     table.to_string()
@@ -217,23 +220,23 @@
     format!("{}  {:<7}  {engine:<12}  {}\n", words::time(e.at, now), words::severity(e.severity), e.text)
 }
 
-/// An update as lines; figures alone are not worth one.
+/// Formats an update as lines; updates of metrics, engines and intents have none.
 pub fn update(update: &Update, now: u64) -> String {
     match update {
         Update::Metrics { .. } | Update::Engines { .. } | Update::Intents { .. } => String::new(),
         Update::Event { event: e } => event(e, now),
-        Update::RequestEnded { outcome } => ending_row(outcome, now).join("  ") + "\n",
+        Update::RequestEnded { outcome } => outcome_row(outcome, now).join("  ") + "\n",
         Update::Missed { updates } => format!("{updates} updates were missed\n"),
         Update::Resync { snapshot } => status(snapshot, now),
     }
 }
 
-/// What was sent under which version, the earliest first.
-fn audited(audit: &AuditView, now: u64) -> String {
+/// Sends under each version of the endpoint list, the earliest version first.
+fn audit_rows(audit: &AuditView, now: u64) -> String {
     let mut rows: Vec<_> = audit.rows.iter().collect();
     rows.sort_by_key(|row| (row.list.rank, row.list.version, row.sends.first_at));
     let mut table =
-        Table::new(&["list", "router", "engine", "reads", "writes", "probes", "first", "last", ""]);
+        Table::new(&["list", "router", "engine", "reads", "writes", "probes", "first", "last", "remark"]);
     for row in rows {
         let sends = &row.sends;
         table.row(vec![
@@ -256,30 +259,29 @@
     text
 }
 
-/// Orders of the fleet, those that gave way, and who keeps them.
-fn orders(spread: &OrderReplicationView, now: u64) -> String {
-    let mut table = Table::new(&["number", "what", "by", "at", "why", ""]);
+/// Orders of the fleet, those that were superseded, and which routers have them.
+fn orders(replication: &OrderReplicationView, now: u64) -> String {
+    let mut table = Table::new(&["number", "what", "by", "at", "why", "remark"]);
     let row = |order: &FleetOrder, remark: String| {
         let number = order.id.number.to_string();
         let by = format!("{} at {}", order.note.operator, order.id.router);
         let why = order.note.reason.clone();
         vec![number, change_text(&order.change), by, words::time(order.note.at, now), why, remark]
     };
-    for order in &spread.orders {
+    for order in &replication.orders {
         table.row(row(order, String::new()));
     }
-    for gone in &spread.superseded {
-        let by = &gone.by;
-        let remark =
-            format!("gave way to number {} of {}, neither knew of the other", by.id.number, by.id.router);
-        table.row(row(&gone.order, remark));
+    for superseded in &replication.superseded {
+        let by = &superseded.by.id;
+        let remark = format!("superseded by the concurrent order {} of {}", by.number, by.router);
+        table.row(row(&superseded.order, remark));
     }
-    let mut text = match spread.orders.is_empty() {
-        true => "there are no orders of the fleet\n".to_owned(),
+    let mut text = match replication.orders.is_empty() {
+        true => "no fleet orders are in force\n".to_owned(),
         false => table.to_string(),
     };
-    let mut routers = Table::new(&["router", "state", "keeps all", "said"]);
-    for row in &spread.rows {
+    let mut routers = Table::new(&["router", "state", "has all", "last report"]);
+    for row in &replication.rows {
         routers.row(vec![
             row.router.clone(),
             row.state.to_string(),
@@ -289,50 +291,54 @@
         ]);
     }
     text += &routers.to_string();
-    text += if spread.complete { "complete\n" } else { "NOT complete\n" };
+    text += if replication.complete { "complete\n" } else { "NOT complete\n" };
     text
 }
 
-/// Which router holds which list: this one, and a line for each that was heard of.
-fn fleet(view: &ListVersionsView, now: u64) -> String {
+/// The endpoint list version of this router, and a row for each router that reported its own.
+fn list_versions(view: &ListVersionsView, now: u64) -> String {
     let name = |v: &ListVersion| format!("{}.{}", v.rank, v.version);
-    let sure = |sure: Option<u64>| {
-        sure.map_or("no: handed on, or unconfirmed".to_owned(), |for_| format!("{} ago", duration_text(for_)))
+    let confirmed = |ago: Option<u64>| {
+        ago.map_or("no: from a peer, or unconfirmed".to_owned(), |ago| format!("{} ago", duration_text(ago)))
     };
     let mut text = format!(
-        "this router holds list {} with {} engines; confirmed by the list service: {}\n",
+        "this router has list {} with {} engines; confirmed by the list service: {}\n",
         name(&view.version),
         view.entries,
-        sure(view.confirmed_ago)
+        confirmed(view.confirmed_ago)
     );
     text += &match (&view.latest_known, view.corroborated) {
-        (None, _) => "no other router has the list from the service itself\n".to_owned(),
-        (Some(believed), true) => format!("others have {} from the service itself\n", name(believed)),
-        (Some(believed), false) => format!("one other has {} from the service itself\n", name(believed)),
+        (None, _) => "no other router reports a list fetched from the list service\n".to_owned(),
+        (Some(latest), true) => {
+            format!("other routers fetched list {} from the list service\n", name(latest))
+        }
+        (Some(latest), false) => {
+            format!("one other router fetched list {} from the list service\n", name(latest))
+        }
     };
     if let Some(since) = view.behind_since {
         text += &format!("BEHIND for {}\n", duration_text(now.saturating_sub(since)));
     }
     if view.lists_from_peers + view.rejected_claims > 0 {
         text += &format!(
-            "{} lists handed on by others, {} words not believed\n",
+            "{} lists received from peers, {} claims rejected\n",
             view.lists_from_peers, view.rejected_claims
         );
     }
-    let mut table = Table::new(&["router", "list", "confirmed", "said", "remark"]);
+    let mut table = Table::new(&["router", "list", "confirmed", "last report", "remark"]);
     for row in &view.rows {
         let remark = match &view.latest_known {
-            Some(believed) if row.version.epoch != believed.epoch => "another epoch".to_owned(),
-            Some(believed) if row.version < *believed => {
-                format!("{} behind", believed.version.saturating_sub(row.version.version))
+            Some(latest) if row.version.epoch != latest.epoch => "another epoch".to_owned(),
+            Some(latest) if row.version < *latest => {
+                format!("{} behind", latest.version.saturating_sub(row.version.version))
             }
-            Some(believed) if row.version == *believed => String::new(),
-            _ => "ahead, by its own word alone".to_owned(),
+            Some(latest) if row.version == *latest => String::new(),
+            _ => "ahead, uncorroborated".to_owned(),
         };
         table.row(vec![
             row.router.clone(),
             name(&row.version),
-            sure(row.confirmed_ago),
+            confirmed(row.confirmed_ago),
             format!("{} ago", duration_text(now.saturating_sub(row.reported_at))),
             remark,
         ]);
@@ -340,7 +346,7 @@
     text + &table.to_string()
 }
 
-/// The fleet: where this router stands, a line for each member, and the links that fail.
+/// The fleet as seen by this router: its own state, a row for each member, and the faulty links.
 fn members(fleet: &FleetView, now: u64) -> String {
     let ago = |at: u64| duration_text(now.saturating_sub(at));
     let mut table = Table::new(&[
@@ -348,8 +354,8 @@
         "zone",
         "state",
         "for",
-        "alive",
-        "heard here",
+        "last alive",
+        "last received",
         "incarnation",
         "address",
         "remark",
@@ -357,11 +363,11 @@
     for m in &fleet.members {
         let mut remarks = Vec::new();
         if !m.suspected_by.is_empty() {
-            remarks.push(format!("by {}", m.suspected_by.join(", ")));
+            remarks.push(format!("suspected by {}", m.suspected_by.join(", ")));
         }
-        remarks.extend(m.duplicate_at.as_ref().map(|at| format!("a second process at {at}")));
+        remarks.extend(m.duplicate_at.as_ref().map(|at| format!("duplicate process at {at}")));
         if m.receives_nothing {
-            remarks.push("hears nobody".to_owned());
+            remarks.push("receives nothing".to_owned());
         }
         table.row(vec![
             m.name.clone(),
@@ -375,24 +381,24 @@
             remarks.join("; "),
         ]);
     }
-    let stands = if fleet.majority { "with a majority" } else { "WITHOUT a majority" };
+    let quorum = if fleet.majority { "has a quorum" } else { "has NO quorum" };
     let mut text = format!(
-        "{} (incarnation {}) stands {stands}: {} present, {} counted; shared limits are divided by {}\n",
+        "{} (incarnation {}) {quorum}: {} present, {} counted; shared limits are divided by {}\n",
         fleet.router, fleet.incarnation, fleet.present, fleet.counted, fleet.divisor
     );
     if fleet.receives_nothing {
-        text += "it hears no other router: look at its own links\n";
+        text += "it receives nothing from other routers: check its network links\n";
     }
     if fleet.is_unanswered {
-        text += "it hears others, but none answers it: its messages don't get out\n";
+        text += "it receives messages but no answers: check whether its own messages are lost\n";
     }
     text += &table.to_string();
-    for edge in &fleet.link_faults {
-        text += &format!("{} does not hear {} (for {})\n", edge.to, edge.from, ago(edge.since));
+    for fault in &fleet.link_faults {
+        text += &format!("{} receives nothing from {} (for {})\n", fault.to, fault.from, ago(fault.since));
     }
     text += &format!(
-        "datagrams: {} sent ({} bytes), {} taken; dropped: {} forged, {} malformed, {} of a newer version, {} seen \
-         before, {} for others; {} kept back\n",
+        "datagrams: {} sent ({} bytes), {} received; dropped: {} forged, {} malformed, {} of a newer \
+         version, {} replayed, {} misdirected; {} throttled\n",
         fleet.sent,
         fleet.sent_bytes,
         fleet.received,
--- a/crates/gaparch-cli/src/commands/doctor.rs
+++ b/crates/gaparch-cli/src/commands/doctor.rs
@@ -1,6 +1,6 @@
 //! `gaparch doctor`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use gaparch_config::{Config, KeySource};
 use gaparch_net::{read_key, Clock, FrameReader, KeyError};
@@ -21,39 +21,41 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Engines that are asked at once, and the time that each has.
-const AT_ONCE: usize = 32;
-const WITHIN: Duration = Duration::from_secs(3);
-/// No clock may be before this: the first of 2026.
+/// Engines that are checked concurrently.
+const CONCURRENT_CHECKS: usize = 32;
+/// Timeout for connecting to an endpoint, and for the whole check of an engine.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(3);
+/// 2026-01-01 in nanoseconds since the Unix epoch; a clock before this is wrong.
 const BUILT_AFTER: u64 = 1_767_225_600_000_000_000;
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The settings file
+    /// Settings file
     #[arg(default_value = "gaparch.xml")]
     file: PathBuf,
-    /// Only what is not as it should be
+    /// Show only warnings and problems
     #[arg(long)]
     quiet: bool,
 }
 
-pub async fn run(options: Options) -> Outcome {
-    let config = super::settings(&options.file)?;
-    let seen = look(&config, &options.file).await;
+pub async fn run(options: Options) -> CommandResult {
+    let config = super::read_settings(&options.file)?;
+    let seen = inspect(&config, &options.file).await;
     let findings = judge(&config, &seen);
-    let wrong = findings.iter().filter(|f| f.level == Level::Trouble).count();
+    let problems = findings.iter().filter(|f| f.level == Level::Trouble).count();
     for finding in findings.iter().filter(|f| !options.quiet || f.level != Level::Fine) {
         println!("{finding}");
     }
-    match wrong {
-        0 => println!("nothing is wrong"),
-        1 => println!("one thing is wrong"),
-        n => println!("{n} things are wrong"),
+    match problems {
+        0 => println!("no problems found"),
+        1 => println!("1 problem found"),
+        n => println!("{n} problems found"),
     }
-    Ok(if wrong == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if problems == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn look(config: &Config, file: &Path) -> Seen {
+/// Collects what the diagnosis is based on.
+async fn inspect(config: &Config, file: &Path) -> Seen {
     let mode = |file: &Path| std::fs::metadata(file).map(|m| m.permissions().mode() & 0o777);
     let key = |file: &PathBuf| {
         let seen = match read_key(file) {
@@ -71,17 +73,17 @@
         KeySource::Text(_) => None,
     });
     let listens = config.listeners.iter().map(|l| l.address).chain(operations.and_then(|o| o.address));
-    let state = operations.map(|o| state(&o.state));
+    let state = operations.map(|o| state_directory(&o.state));
     Seen {
         settings_mode: mode(file).ok(),
         keys: keys.collect(),
-        ports: listens.map(|address| (address.to_string(), port(address))).collect(),
-        engines: engines(config).await,
+        ports: listens.map(|address| (address.to_string(), check_port(address))).collect(),
+        engines: check_engines(config).await,
         list: match &config.list {
-            Some(list) => Some(reach(list.address).await.map(drop)),
+            Some(list) => Some(connect(list.address).await.map(drop)),
             None => None,
         },
-        room: operations.and_then(|o| room(&o.state)),
+        room: operations.and_then(|o| free_space(&o.state)),
         state,
         open_files: rustix::process::getrlimit(rustix::process::Resource::Nofile).current,
         now: Clock::default().now(),
@@ -89,7 +91,7 @@
     }
 }
 
-fn port(address: SocketAddr) -> PortSeen {
+fn check_port(address: SocketAddr) -> PortSeen {
     match TcpListener::bind(address) {
         Ok(_) => PortSeen::Free,
         Err(error) if error.kind() == std::io::ErrorKind::AddrInUse => PortSeen::Taken,
@@ -97,25 +99,25 @@
     }
 }
 
-/// Bytes free where a folder is or will be.
-fn room(folder: &Path) -> Option<u64> {
-    let there = folder.ancestors().find(|f| f.exists()).unwrap_or(Path::new("."));
-    let there = if there.as_os_str().is_empty() { Path::new(".") } else { there };
-    let seen = rustix::fs::statvfs(there).ok()?;
-    Some(seen.f_bavail.saturating_mul(seen.f_frsize))
+/// Free space, in bytes, on the file system of a directory that may not exist yet.
+fn free_space(folder: &Path) -> Option<u64> {
+    let existing = folder.ancestors().find(|f| f.exists()).unwrap_or(Path::new("."));
+    let existing = if existing.as_os_str().is_empty() { Path::new(".") } else { existing };
+    let stats = rustix::fs::statvfs(existing).ok()?;
+    Some(stats.f_bavail.saturating_mul(stats.f_frsize))
 }
 
-/// Looks at what is kept, if no router has it.
-fn state(folder: &Path) -> StateSeen {
+/// Checks the state directory, unless a router has it open.
+fn state_directory(folder: &Path) -> StateSeen {
     let read = || -> Result<StateSeen, StoreError> {
         let folder = StateDirectory::open(folder)?;
         let (_, found) = Journal::open(folder.share(), "intents", CHANGE_SCHEMA)?;
         let mut last_event_at = 0;
-        let take = |_, bytes: &[u8]| {
+        let on_record = |_, bytes: &[u8]| {
             let at = from_bytes::<Event>(bytes).map_or(0, |event| event.at);
             last_event_at = last_event_at.max(at);
         };
-        History::open(folder, "events", 1, HistoryLimits::default(), take)?;
+        History::open(folder, "events", 1, HistoryLimits::default(), on_record)?;
         Ok(StateSeen::Sound { orders: found.records.len(), damaged: found.damaged, last_event_at })
     };
     match read() {
@@ -127,22 +129,22 @@
     }
 }
 
-async fn reach(address: SocketAddr) -> Result<TcpStream, String> {
-    match timeout(WITHIN, TcpStream::connect(address)).await {
+async fn connect(address: SocketAddr) -> Result<TcpStream, String> {
+    match timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(socket)) => Ok(socket),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err("no connection in time".to_owned()),
+        Err(_) => Err("the connection timed out".to_owned()),
     }
 }
 
-async fn engines(config: &Config) -> Vec<(String, EngineSeen)> {
+async fn check_engines(config: &Config) -> Vec<(String, EngineSeen)> {
     let mut seen = Vec::new();
-    for some in config.engines.chunks(AT_ONCE) {
-        let tasks: Vec<_> = some
+    for batch in config.engines.chunks(CONCURRENT_CHECKS) {
+        let tasks: Vec<_> = batch
             .iter()
             .map(|engine| {
                 let (name, address) = (engine.name.clone(), engine.address);
-                tokio::spawn(async move { (name, engine_at(address).await) })
+                tokio::spawn(async move { (name, check_engine(address).await) })
             })
             .collect();
         for task in tasks {
@@ -152,10 +154,10 @@
     seen
 }
 
-/// Says hello as a router does, and hears who answers.
-async fn engine_at(address: SocketAddr) -> EngineSeen {
-    let greet = async {
-        let mut socket = reach(address).await?;
+/// Performs the handshake of a router with an engine.
+async fn check_engine(address: SocketAddr) -> EngineSeen {
+    let handshake = async {
+        let mut socket = connect(address).await?;
         let peer = Peer::Router { run: RouterRun(u64::from(std::process::id())), name: "doctor".to_owned() };
         let mut bytes = Default::default();
         encode(&EngineFrame::Hello { version: VERSION, peer }, &mut bytes);
@@ -165,14 +167,16 @@
             EngineFrame::Hello { version: VERSION, peer: Peer::Engine(facts) } => {
                 Ok(EngineSeen::Answers { name: facts.name, role: facts.role, started_at: facts.started_at })
             }
-            EngineFrame::Hello { version, .. } => Err(format!("it speaks version {version}, not {VERSION}")),
-            EngineFrame::Bye { reason } => Err(format!("it says: {reason}")),
-            _ => Err("its first frame is no hello".to_owned()),
+            EngineFrame::Hello { version, .. } => {
+                Err(format!("it uses protocol version {version}, not {VERSION}"))
+            }
+            EngineFrame::Bye { reason } => Err(format!("it closed the connection: {reason}")),
+            _ => Err("its first frame is not a hello frame".to_owned()),
         }
     };
-    match timeout(WITHIN, greet).await {
+    match timeout(CHECK_TIMEOUT, handshake).await {
         Ok(Ok(seen)) => seen,
         Ok(Err(why)) => EngineSeen::Silent(why),
-        Err(_) => EngineSeen::Silent("it says no hello".to_owned()),
+        Err(_) => EngineSeen::Silent("the handshake timed out".to_owned()),
     }
 }
--- a/crates/gaparch-cli/src/commands/engine.rs
+++ b/crates/gaparch-cli/src/commands/engine.rs
@@ -1,6 +1,6 @@
 //! `gaparch engine`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::{Args, ValueEnum};
 use gaparch_engine::observe::Unobserved;
 use gaparch_engine::server::{start, EngineOptions};
@@ -20,45 +20,45 @@
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// Its name in the list
+    /// Name of the engine in the endpoint list
     #[arg(long)]
     name: String,
-    /// Where it listens; port 0 takes a free one
+    /// Address to listen on; port 0 selects a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     address: SocketAddr,
-    /// What it does
+    /// Role of the engine
     #[arg(long, value_enum)]
     role: Role,
     #[arg(long, default_value = "")]
     zone: String,
     #[arg(long, default_value = "")]
     rack: String,
-    /// Tokens of memory
+    /// Capacity of the KV cache in tokens
     #[arg(long)]
     memory: Option<u64>,
-    /// Prompt tokens read a second
+    /// Prompt tokens processed per second
     #[arg(long)]
     read_rate: Option<f64>,
-    /// Requests in work at once
+    /// Requests processed at the same time
     #[arg(long)]
     slots: Option<usize>,
-    /// Milliseconds of a step of work, in which each answer grows by a token
+    /// Duration of a step in milliseconds; each step adds a token to every answer
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=60_000))]
     step_ms: Option<u64>,
-    /// Begin warm, as if it had been running for long
+    /// Start warmed up, as if the engine had been running for a long time
     #[arg(long)]
     warm: bool,
-    /// Faults to switch, one a line, such as `2.5s slow 4`
+    /// File of timed faults, one per line, such as `2.5s slow 4`
     #[arg(long)]
     script: Option<PathBuf>,
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     let script = match &options.script {
         Some(file) => {
-            let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
-            let text = std::fs::read_to_string(file).map_err(|e| wrong(&e))?;
-            text.parse::<Script>().map_err(|e| wrong(&e))?
+            let with_file = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+            let text = std::fs::read_to_string(file).map_err(|e| with_file(&e))?;
+            text.parse::<Script>().map_err(|e| with_file(&e))?
         }
         None => Script::default(),
     };
@@ -77,15 +77,15 @@
         ..spec
     };
     let clock = Clock::default();
-    let began = clock.now();
+    let started_at = clock.now();
     let observer = Arc::new(Unobserved);
     let engine =
         start(EngineOptions { spec, address: options.address, clock, observer, warm: options.warm }).await?;
     println!("gaparch: engine {} listens at {}", options.name, engine.address());
     let faults = async {
         for (at, fault) in script.0 {
-            tokio::time::sleep_until(clock.instant(began + at).into()).await;
-            tracing::warn!(?fault, "switched");
+            tokio::time::sleep_until(clock.instant(started_at + at).into()).await;
+            tracing::warn!(?fault, "fault command applied");
             if !engine.fault(fault).await {
                 return;
             }
@@ -93,7 +93,7 @@
         std::future::pending::<()>().await;
     };
     tokio::select! {
-        why = super::asked_to_stop() => tracing::info!(why = why?, "ending"),
+        why = super::shutdown_signal() => tracing::info!(why = why?, "shutting down"),
         () = faults => {}
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -1,6 +1,6 @@
-//! `gaparch lab`: plays what can happen to a site, on processes of this program.
+//! `gaparch lab`: fault injection, load and scale tests with processes of this program.
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::{Args, Subcommand};
 use gaparch_net::Clock;
 use gaparch_router::shell::{Disks, FleetDisks};
@@ -18,8 +18,8 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Their processes are idle most of the time.
-const SMALL_AT_ONCE: usize = 6;
+/// Scenarios run concurrently with `--small`; their processes are idle most of the time.
+const SMALL_CONCURRENCY: usize = 6;
 
 #[derive(Debug, Args)]
 pub struct Options {
@@ -28,116 +28,116 @@
 }
 
 impl Options {
-    /// Whether it is a measurement, which may be left where it stands.
+    /// Whether the command is a measurement, which may be abandoned at any point.
     pub fn is_measurement(&self) -> bool {
         matches!(self.command, Command::Scale(_))
     }
 
-    /// Whether it is one router in service, which runs on one thread.
-    pub fn is_node(&self) -> bool {
+    /// Whether the command runs a platform router, which has one thread.
+    pub fn is_platform_router(&self) -> bool {
         matches!(self.command, Command::Node { .. })
     }
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Break a fleet of routers and judge what they do: a group, a day by name, or a file
+    /// Run fault scenarios on a fleet of routers and check their behaviour: a scenario, a group or a file
     Fleet(Fleet),
-    /// Measure what a fleet of many routers before many workers costs, and where its budgets break
+    /// Measure the cost of a fleet of many routers and workers, and the size at which it exceeds its budgets
     Scale(Scale),
-    /// Run a router as `gaparch node` does, until this command's parent ends
+    /// Run a platform router like `gaparch node`, until the parent process exits
     #[command(hide = true)]
     Node {
-        /// The configuration file
+        /// Configuration file
         file: PathBuf,
     },
-    /// Break routers in service and their workers, dozens of processes, two or three troubles at a time, and judge them
+    /// Inject overlapping faults into dozens of platform routers and workers, and check their behaviour
     Soak(Soak),
-    /// Run a worker of the soak test until this command's parent ends
+    /// Run a worker of the soak test, until the parent process exits
     #[command(hide = true)]
     SoakWorker {
         #[arg(long)]
         listen: SocketAddr,
-        /// It reads prompts; else it writes answers
+        /// Act as a prefill worker instead of a decode worker
         #[arg(long)]
         reads: bool,
-        /// The file of what it sees
+        /// File that the worker records requests in
         #[arg(long)]
         record: PathBuf,
     },
-    /// Run a router as `gaparch serve` does, on a disk that lies or by a clock that is off, until this command's parent ends
+    /// Run a router like `gaparch serve`, with a faulty disk or a wrong clock, until the parent process exits
     Serve(Serve),
 }
 
 #[derive(Debug, Args)]
 struct Serve {
-    /// How its disk lies: forget, torn, flip, swapped, stale, full, broken, read-only, slow
+    /// Fault of the disk: forget, torn, flip, swapped, stale, full, broken, read-only, slow
     #[arg(long)]
     disk: Option<DiskFault>,
-    /// Seconds that its wall clock is ahead, or behind if negative
+    /// Offset of the wall clock in seconds; negative if it is behind
     #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
     ahead: i32,
-    /// The settings file
+    /// Settings file
     file: PathBuf,
 }
 
 #[derive(Debug, Args)]
 struct Scale {
-    /// Routers that watch the catalogue, at most; 1,300 if not told
+    /// Maximum number of routers that watch the discovery service; 1,300 by default
     #[arg(long)]
     routers: Option<usize>,
-    /// Workers, at most: 10,000 in lists, 800 in hollow fleets (200 with --quick) if not told
+    /// Maximum number of workers; by default 10,000 in lists and 800 in simulated fleets (200 with --quick)
     #[arg(long)]
     workers: Option<usize>,
-    /// Zones; 15 if not told
+    /// Number of zones; 15 by default
     #[arg(long)]
     zones: Option<usize>,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Rows to measure: decision, router, list, messages, connections, knowledge; all if not told
+    /// Rows to measure: decision, router, list, messages, connections, knowledge; all by default
     #[arg(long, value_delimiter = ',')]
     rows: Vec<Row>,
-    /// Ends within a minute: shorter days, smaller hollow fleets, one seed
+    /// Finish within a minute, with shorter simulations, smaller fleets and one seed
     #[arg(long)]
     quick: bool,
-    /// JSON instead of a table
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Debug, Args)]
 struct Soak {
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs, each with the next seed
+    /// Number of runs, each with the next seed
     #[arg(long, default_value_t = 1)]
     runs: u64,
-    /// Seconds of load in each run
+    /// Duration of the load in each run, in seconds
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(5..=600))]
     seconds: u64,
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u8).range(1..=60))]
     routers: u8,
-    /// Workers, each other one a reader
+    /// Number of workers; every other one is a prefill worker
     #[arg(long, default_value_t = 14, value_parser = clap::value_parser!(u8).range(2..=100))]
     workers: u8,
-    /// Requests a second to each router
+    /// Requests per second to each router
     #[arg(long, default_value_t = 6.0)]
     rate: f64,
-    /// Another build of the program, whose routers are tried instead of this one's
+    /// Another build of the program, to test its routers instead of those of this build
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Milliseconds that a busy machine adds to every limit of the rules
+    /// Tolerance in milliseconds added to every time limit of the rules, for a busy machine
     #[arg(long, default_value_t = 150)]
     slack_ms: u64,
-    /// Copy logs and records of the last run into this folder
+    /// Copy logs and records of the last run into this directory
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-async fn soak(command: Soak) -> Outcome {
+async fn soak(command: Soak) -> CommandResult {
     let mut failed = Vec::new();
-    let stop = super::asked_to_stop();
+    let stop = super::shutdown_signal();
     tokio::pin!(stop);
     for seed in command.seed..command.seed + command.runs {
         let options = soak::Options {
@@ -153,7 +153,7 @@
         };
         let report = tokio::select! {
             report = soak::play(&options) => report?,
-            // What was started ends with this process.
+            // The child processes exit with this process.
             why = &mut stop => return Err(why?.into()),
         };
         println!("{report}");
@@ -161,11 +161,11 @@
             failed.push(seed);
         }
     }
-    println!("soak: {} of {} runs hold", command.runs - failed.len() as u64, command.runs);
+    println!("soak: {} of {} runs passed", command.runs - failed.len() as u64, command.runs);
     Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn measure_scale(command: Scale) -> Outcome {
+async fn measure_scale(command: Scale) -> CommandResult {
     let rows = if command.rows.is_empty() { Row::ALL.to_vec() } else { command.rows };
     let options = scale::Options {
         routers: command.routers,
@@ -178,16 +178,16 @@
     };
     let bar = ProgressBar::new(0);
     bar.set_style(ProgressStyle::with_template("{bar:30} {pos}/{len} {msg} {elapsed}")?);
-    let of_steps = bar.clone();
-    let progress = Arc::new(move |row: Row, all: u64| {
-        of_steps.set_length(all);
-        of_steps.set_message(row.to_string());
-        of_steps.inc(1);
+    let step_bar = bar.clone();
+    let progress = Arc::new(move |row: Row, steps: u64| {
+        step_bar.set_length(steps);
+        step_bar.set_message(row.to_string());
+        step_bar.inc(1);
     });
-    let stop = super::asked_to_stop();
+    let stop = super::shutdown_signal();
     let report = tokio::select! {
         report = scale::run(&options, progress) => report?,
-        // What was started ends as its handles are dropped.
+        // The child processes are killed when their handles are dropped.
         why = stop => return Err(why?.into()),
     };
     bar.finish_and_clear();
@@ -198,22 +198,22 @@
     Ok(if report.short.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// A router in service that ends with the one who started it.
-async fn node(file: PathBuf) -> Outcome {
+/// Runs a platform router that exits with its parent process.
+async fn run_platform_router(file: PathBuf) -> CommandResult {
     process::end_with_parent()?;
     gaparch_platform_router::run(file).await?;
     Ok(ExitCode::SUCCESS)
 }
 
-async fn serve(options: &Serve) -> Outcome {
+async fn serve(options: &Serve) -> CommandResult {
     process::end_with_parent()?;
-    let config = super::settings(&options.file)?;
+    let config = super::read_settings(&options.file)?;
     let disks = match options.disk {
         None => None,
         Some(fault) => {
             let operations = config.operations.as_ref();
-            let operations =
-                operations.ok_or("its settings have no <operations>: it keeps nothing on disk")?;
+            let operations = operations
+                .ok_or("--disk: the settings have no <operations>, so the router has no state directory")?;
             let disk = FaultyDirectory::new(StateDirectory::open(&operations.state)?, fault)?;
             let share = || Box::new(disk.clone());
             let fleet = FleetDisks::of(|| share());
@@ -225,56 +225,57 @@
 
 #[derive(Debug, Args)]
 struct Fleet {
-    /// `membership`, the name of a day, or a file with a day (schema/fleet-day.xsd)
+    /// Name of a scenario or of a group such as `membership`, or a scenario file (schema/fleet-day.xsd)
     what: String,
-    /// Routers, instead of the day's own number; those the day names must be among them
+    /// Number of routers, instead of that of the scenario; must cover the routers that the scenario names
     #[arg(long, value_parser = clap::value_parser!(u16).range(2..=200))]
     routers: Option<u16>,
-    /// The seed, instead of the day's own
+    /// Seed, instead of that of the scenario
     #[arg(long)]
     seed: Option<u64>,
-    /// Days at once; more on a small machine make all late
+    /// Number of scenarios run concurrently; too many for the machine delay all of them
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=16))]
     at_once: u8,
-    /// The form for continuous integration: six days at once
+    /// Run six scenarios concurrently, for continuous integration
     #[arg(long)]
     small: bool,
-    /// Routers run plain SWIM, without the refinements: to see what those are for
+    /// Run the routers with plain SWIM and without peer lists, to show the effect of these refinements
     #[arg(long)]
     plain: bool,
-    /// JSON instead of lines
+    /// Print JSON instead of text
     #[arg(long)]
     json: bool,
-    /// Copy the routers' state folders into this folder at the day's end; for one day
+    /// Copy the state directories of the routers into this directory at the end; for a single scenario
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// Draw who thought what of whom, an SVG a day, into this folder
+    /// Write an SVG per scenario, with the member states as each router saw them, into this directory
     #[arg(long)]
     pictures: Option<PathBuf>,
 }
 
-fn texts(what: &str) -> Result<Vec<String>, String> {
+/// Scenario texts of a group, a built-in scenario or a file.
+fn scenario_texts(what: &str) -> Result<Vec<String>, String> {
     if let Some(group) = days::group(what) {
         return Ok(group.into_iter().map(str::to_owned).collect());
     }
-    if let Some(day) = days::one(what) {
-        return Ok(vec![day.to_owned()]);
+    if let Some(scenario) = days::one(what) {
+        return Ok(vec![scenario.to_owned()]);
     }
     let file = std::path::Path::new(what);
     match std::fs::read_to_string(file) {
         Ok(text) => Ok(vec![text]),
         Err(error) => {
-            Err(format!("{what}: {error}; it is no day either: there are {}", days::names().join(", ")))
+            Err(format!("{what}: {error}; built-in scenarios and groups: {}", days::names().join(", ")))
         }
     }
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     match options.command {
         Command::Fleet(options) => fleet(options).await,
         Command::Serve(options) => serve(&options).await,
         Command::Scale(options) => measure_scale(options).await,
-        Command::Node { file } => node(file).await,
+        Command::Node { file } => run_platform_router(file).await,
         Command::Soak(options) => soak(options).await,
         Command::SoakWorker { listen, reads, record } => {
             process::end_with_parent()?;
@@ -284,43 +285,45 @@
     }
 }
 
-async fn fleet(options: Fleet) -> Outcome {
-    let mut waiting = Vec::new();
-    for text in texts(&options.what)? {
-        let mut day = Day::parse(&text).map_err(|wrong| format!("{}: {}", options.what, wrong.join("\n")))?;
+async fn fleet(options: Fleet) -> CommandResult {
+    let mut scenarios = Vec::new();
+    for text in scenario_texts(&options.what)? {
+        let mut scenario =
+            Day::parse(&text).map_err(|problems| format!("{}: {}", options.what, problems.join("\n")))?;
         if let Some(routers) = options.routers {
-            let named = day.most_named();
-            if usize::from(routers) <= named {
+            let highest_named = scenario.most_named();
+            if usize::from(routers) <= highest_named {
+                let name = &scenario.name;
                 return Err(
-                    format!("--routers {routers}: the day '{}' names router {named}", day.name).into()
+                    format!("--routers {routers}: scenario '{name}' names router {highest_named}").into()
                 );
             }
-            day.routers = usize::from(routers);
+            scenario.routers = usize::from(routers);
         }
-        day.seed = options.seed.unwrap_or(day.seed);
-        day.plain = options.plain;
-        day.keep.clone_from(&options.keep);
-        waiting.push(day);
+        scenario.seed = options.seed.unwrap_or(scenario.seed);
+        scenario.plain = options.plain;
+        scenario.keep.clone_from(&options.keep);
+        scenarios.push(scenario);
     }
-    let at_once = if options.small { SMALL_AT_ONCE } else { usize::from(options.at_once) };
+    let concurrency = if options.small { SMALL_CONCURRENCY } else { usize::from(options.at_once) };
     let program: PathBuf = std::env::current_exe()?;
-    let (mut short, count) = (Vec::new(), waiting.len());
-    let mut waiting = waiting.into_iter();
-    let mut playing = JoinSet::new();
-    let stop = super::asked_to_stop();
+    let (mut failed, count) = (Vec::new(), scenarios.len());
+    let mut scenarios = scenarios.into_iter();
+    let mut running = JoinSet::new();
+    let stop = super::shutdown_signal();
     tokio::pin!(stop);
     loop {
-        while playing.len() < at_once {
-            let Some(day) = waiting.next() else { break };
+        while running.len() < concurrency {
+            let Some(scenario) = scenarios.next() else { break };
             let program = program.clone();
-            playing.spawn(async move {
-                let name = day.name.clone();
-                rig::play(day, &program).await.map_err(|e| format!("{name}: {e}"))
+            running.spawn(async move {
+                let name = scenario.name.clone();
+                rig::play(scenario, &program).await.map_err(|e| format!("{name}: {e}"))
             });
         }
         let done = tokio::select! {
-            done = playing.join_next() => done,
-            // What was started is killed as the days are dropped.
+            done = running.join_next() => done,
+            // The child processes are killed when the tasks are dropped.
             why = &mut stop => return Err(why?.into()),
         };
         let Some(done) = done else { break };
@@ -334,13 +337,15 @@
             std::fs::write(folder.join(format!("{}.svg", report.name)), picture::draw(&report)?)?;
         }
         if !report.holds() {
-            short.push(report.name);
+            failed.push(report.name);
         }
     }
-    match (short.is_empty(), options.json) {
-        (true, false) => println!("fleet: {count} days hold"),
-        (false, false) => println!("fleet: {} of {count} days fall short: {}", short.len(), short.join(", ")),
+    match (failed.is_empty(), options.json) {
+        (true, false) => println!("fleet: {count} scenarios passed"),
+        (false, false) => {
+            println!("fleet: {} of {count} scenarios failed: {}", failed.len(), failed.join(", "))
+        }
         (_, true) => {}
     }
-    Ok(if short.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/gaparch-cli/src/commands/list.rs
+++ b/crates/gaparch-cli/src/commands/list.rs
@@ -1,6 +1,6 @@
 //! `gaparch list`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use gaparch_net::Clock;
 use gaparch_protocol::list::ListEntry;
@@ -14,15 +14,15 @@
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The settings file whose engines it lists
+    /// Settings file whose engines are listed
     file: PathBuf,
-    /// Where it listens; port 0 takes a free one
+    /// Address to listen on; port 0 selects a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     address: SocketAddr,
 }
 
-pub async fn run(options: Options) -> Outcome {
-    let config = super::settings(&options.file)?;
+pub async fn run(options: Options) -> CommandResult {
+    let config = super::read_settings(&options.file)?;
     let entry = |e: &gaparch_config::EngineConfig| ListEntry {
         engine: e.name.clone(),
         address: e.address.to_string(),
@@ -35,28 +35,28 @@
     };
     let entries = config.engines.iter().map(entry).collect();
     let list = ListService::start(options.address, entries, Clock::default(), Record::default()).await?;
-    println!("gaparch: list service listens at {}", list.address());
+    println!("gaparch: list service listens on {}", list.address());
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
-    let mut open = true;
+    let mut stdin_open = true;
     loop {
         tokio::select! {
-            why = super::asked_to_stop() => {
-                tracing::info!(why = why?, "ending");
+            why = super::shutdown_signal() => {
+                tracing::info!(why = why?, "shutting down");
                 return Ok(ExitCode::SUCCESS);
             }
-            line = lines.next_line(), if open => match line? {
-                Some(line) => command(&list, &line),
-                None => open = false,
+            line = lines.next_line(), if stdin_open => match line? {
+                Some(line) => apply_command(&list, &line),
+                None => stdin_open = false,
             },
         }
     }
 }
 
-fn command(list: &ListService, line: &str) {
+fn apply_command(list: &ListService, line: &str) {
     let words: Vec<&str> = line.split_whitespace().collect();
     let set = |engine: &str, state| {
         if !list.set_state(engine, state) {
-            eprintln!("gaparch: there is no engine '{engine}'");
+            eprintln!("gaparch: unknown engine '{engine}'");
         }
     };
     match words[..] {
@@ -66,6 +66,6 @@
         ["gone", engine] => set(engine, ServerState::Removed),
         ["silent", on] => list.silent(on == "on"),
         ["failing", on] => list.failing(on == "on"),
-        _ => eprintln!("gaparch: ready|drain|gone ENGINE, or silent|failing on|off"),
+        _ => eprintln!("gaparch: unknown command; use ready|drain|gone ENGINE or silent|failing on|off"),
     }
 }
--- a/crates/gaparch-cli/src/commands/mod.rs
+++ b/crates/gaparch-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The sub-commands, each with its own options.
+//! The subcommands, each with its own options.
 
 pub mod audit;
 pub mod badday;
@@ -20,8 +20,8 @@
 use gaparch_net::{Signal, Signals};
 use std::path::Path;
 
-/// Reads a settings file; every mistake is one line with file, line and element.
-pub fn settings(file: &Path) -> Result<Config, String> {
+/// Reads a settings file. The error has a line with file, line and element for each problem.
+pub fn read_settings(file: &Path) -> Result<Config, String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     let mut config = Config::parse(&text).map_err(|problems| {
@@ -35,7 +35,7 @@
 }
 
 /// Waits for Ctrl-C or SIGTERM.
-pub async fn asked_to_stop() -> std::io::Result<&'static str> {
+pub async fn shutdown_signal() -> std::io::Result<&'static str> {
     let signals = Signals::install(&[Signal::Terminate, Signal::Interrupt])?;
     match signals.next().await {
         Signal::Interrupt => Ok("interrupted"),
--- a/crates/gaparch-cli/src/commands/node.rs
+++ b/crates/gaparch-cli/src/commands/node.rs
@@ -1,27 +1,27 @@
 //! `gaparch node`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use gaparch_platform_router::RouterError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The configuration can't be used.
-const UNUSABLE: u8 = 2;
+/// Exit code for a configuration that cannot be read or used.
+const INVALID_CONFIG: u8 = 2;
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The platform's configuration
+    /// Configuration file of the platform
     #[arg(env = "ROUTER_CONFIG")]
     config: PathBuf,
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     match gaparch_platform_router::run(options.config).await {
         Ok(()) => Ok(ExitCode::SUCCESS),
         Err(error @ (RouterError::Read { .. } | RouterError::Config { .. })) => {
-            crate::complain(format_args!("{error}"));
-            Ok(ExitCode::from(UNUSABLE))
+            crate::print_error(format_args!("{error}"));
+            Ok(ExitCode::from(INVALID_CONFIG))
         }
         Err(error) => Err(error.into()),
     }
--- a/crates/gaparch-cli/src/commands/serve.rs
+++ b/crates/gaparch-cli/src/commands/serve.rs
@@ -1,6 +1,6 @@
 //! `gaparch serve FILE`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use gaparch_config::Config;
 use gaparch_net::Clock;
@@ -10,60 +10,61 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Between two looks at the owner's lag.
-const LOOK_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the lag of the task that owns the scheduler is logged.
+const LAG_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The settings file
+    /// Settings file
     file: PathBuf,
 }
 
-/// A line on standard output; whoever started the router may have closed it since, which is no reason to end badly.
-fn say(line: &str) {
+/// Prints a line on standard output. The parent process may have closed it, which must not fail the router.
+fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-pub async fn run(options: Options) -> Outcome {
-    serve(super::settings(&options.file)?, None, Clock::default()).await
+pub async fn run(options: Options) -> CommandResult {
+    serve(super::read_settings(&options.file)?, None, Clock::default()).await
 }
 
-/// Runs a router until it is told to end, on its own disks or on others.
-pub async fn serve(config: Config, disks: Option<Disks>, clock: Clock) -> Outcome {
+/// Runs a router until it is told to stop, on its own state directory or on the given disks.
+pub async fn serve(config: Config, disks: Option<Disks>, clock: Clock) -> CommandResult {
     let name = config.router.clone();
     let router = serve_on(config, disks, clock).await?;
     for address in router.addresses() {
-        say(&format!("gaparch: {name} listens at http://{address}"));
+        print_line(&format!("gaparch: {name} listens on http://{address}"));
     }
     if let Some(socket) = router.operations_socket() {
-        say(&format!("gaparch: {name} is operated at {}", socket.display()));
+        print_line(&format!("gaparch: {name} accepts operators at {}", socket.display()));
     }
     if let Some(address) = router.operations_address() {
-        say(&format!("gaparch: {name} is operated at {address}"));
+        print_line(&format!("gaparch: {name} accepts operators at {address}"));
     }
     if let Some(address) = router.fleet_address() {
-        say(&format!("gaparch: {name} is one of a fleet, at {address}"));
+        print_line(&format!("gaparch: {name} takes part in the fleet at {address}"));
     }
-    let mut looks = tokio::time::interval(LOOK_EVERY);
-    let stop = super::asked_to_stop();
+    let mut lag_log = tokio::time::interval(LAG_LOG_INTERVAL);
+    let stop = super::shutdown_signal();
     tokio::pin!(stop);
     let why = loop {
         tokio::select! {
             why = &mut stop => break why?,
             () = router.asked_to_stop() => break "stopped by an operator",
-            _ = looks.tick() => {
+            _ = lag_log.tick() => {
                 let lag = router.lag();
+                let most_us = lag.most.as_micros() as u64;
                 if lag.late > 0 {
-                    tracing::warn!(most_us = lag.most.as_micros() as u64, late = lag.late, rounds = lag.rounds, "owner late");
+                    tracing::warn!(most_us, late = lag.late, rounds = lag.rounds, "scheduler task lagged");
                 } else {
-                    tracing::info!(most_us = lag.most.as_micros() as u64, rounds = lag.rounds, "owner lag");
+                    tracing::info!(most_us, rounds = lag.rounds, "scheduler task lag");
                 }
             }
         }
     };
-    tracing::info!(why, "ending: nothing new is taken");
+    tracing::info!(why, "shutting down; no new requests are accepted");
     if let Some(counts) = router.stop().await {
-        say(&format!(
+        print_line(&format!(
             "gaparch: {why}; {} requests: {} served, {} refused, {} failed, {} left",
             counts.requests, counts.served, counts.rejected, counts.failed, counts.client_disconnected
         ));
--- a/crates/gaparch-cli/src/commands/try_out.rs
+++ b/crates/gaparch-cli/src/commands/try_out.rs
@@ -1,6 +1,6 @@
 //! `gaparch try`
 
-use crate::Outcome;
+use crate::CommandResult;
 use clap::Args;
 use gaparch_testbed::load::{stream_events, Patience, Question};
 use gaparch_testbed::record::Ask;
@@ -9,20 +9,20 @@
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// Names of the events: own or messages
+    /// Dialect of the events: own or messages
     #[arg(long, default_value = "own", value_parser = ["own", "messages"])]
     dialect: String,
-    /// Tokens of the answer
+    /// Number of tokens of the answer
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u32).range(1..=400))]
     tokens: u32,
 }
 
-pub async fn run(options: Options) -> Outcome {
+pub async fn run(options: Options) -> CommandResult {
     let dialect = if options.dialect == "own" { "own" } else { "messages" };
     let site = Site::start(Plan { dialect, ..Plan::small(2, 2) }).await?;
     site.settle().await;
     let address = site.address(0);
-    println!("gaparch: a router at http://{address}, two readers and two writers in two racks");
+    println!("gaparch: router at http://{address} with two read engines and two write engines in two racks");
     let question = Question {
         ask: Ask(1),
         router: Site::router_name(0),
@@ -49,12 +49,12 @@
     })
     .await?;
     let path = path_of(&site);
-    println!("gaparch: status {status}; it was {path}");
-    let whole = matches!(last.as_str(), "closed" | "message_stop");
-    Ok(if whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("gaparch: status {status}; the request was {path}");
+    let complete = matches!(last.as_str(), "closed" | "message_stop");
+    Ok(if complete { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// The engines that did it, by what they saw on their sockets.
+/// Describes which engines processed the request, from the traffic that they recorded.
 fn path_of(site: &Site) -> String {
     use gaparch_testbed::record::{Seen, What};
     let step = |what: &What| match what {
@@ -66,7 +66,7 @@
     };
     let steps: Vec<String> = site.record.entries().iter().filter_map(|e| step(&e.what)).collect();
     if steps.is_empty() {
-        "not done".to_owned()
+        "not processed".to_owned()
     } else {
         steps.join(" and ")
     }
--- a/crates/gaparch-cli/src/logging.rs
+++ b/crates/gaparch-cli/src/logging.rs
@@ -1,5 +1,5 @@
-//! Structured logs on standard error, written by a thread of their own: a reader that stalls or has gone, or a full disk
-//! behind it, costs lines and nothing else.
+//! Structured logs on standard error, written by a separate thread: if standard error blocks, is closed or is
+//! redirected to a full disk, only log lines are lost.
 
 use clap::{Args, ValueEnum};
 use std::io::IsTerminal;
@@ -10,10 +10,10 @@
 #[path = "logging_tests.rs"]
 mod tests;
 
-/// Most lines that wait to be written; more are dropped.
-const WAITING_LINES: usize = 4096;
+/// Lines buffered for the writer thread; further lines are dropped.
+const BUFFERED_LINES: usize = 4096;
 
-/// Crates that were renamed, with their name now: filters that name the old target still work.
+/// Old and current names of renamed crates, so that filters with the old target still work.
 const RENAMED_TARGETS: [(&str, &str); 4] = [
     ("gaparch_node", "gaparch_platform_router"),
     ("gaparch_platform", "gaparch_platform_protocol"),
@@ -23,10 +23,10 @@
 
 #[derive(Debug, Args)]
 pub struct Options {
-    /// What to log: a level, or `target=level` pairs with commas between them
+    /// Log filter: a level, or comma-separated `target=level` pairs
     #[arg(long, global = true, env = "GAPARCH_LOG", default_value = "warn")]
     log: String,
-    /// How to write it
+    /// Log format
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     log_format: Format,
 }
@@ -37,7 +37,7 @@
     Json,
 }
 
-/// A filter with the targets of renamed crates in place of their old ones.
+/// Replaces the old names of renamed crates in a filter.
 fn with_current_targets(filter: &str) -> String {
     let directives: Vec<String> = filter.split(',').map(with_current_target).collect();
     directives.join(",")
@@ -51,20 +51,20 @@
     format!("{current}{rest}")
 }
 
-/// Starts the log. What waits when the guard is dropped is still written, unless nobody takes it.
+/// Initializes logging. Dropping the guard writes the buffered lines, unless standard error accepts none.
 pub fn start(options: &Options) -> WorkerGuard {
     let filter = EnvFilter::try_new(with_current_targets(&options.log)).unwrap_or_else(|error| {
-        super::complain(format_args!("--log: {error}; logging warnings"));
+        super::print_error(format_args!("--log: {error}; using the level `warn`"));
         EnvFilter::new("warn")
     });
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(BUFFERED_LINES)
         .lossy(true)
         .thread_name("log")
         .finish(std::io::stderr());
     let colours = std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none();
     let logs = tracing_subscriber::fmt().with_env_filter(filter).with_ansi(colours).with_writer(writer);
-    // Its own failures would go to the same place, and panic where that fails.
+    // Errors of the log writer would be printed on standard error as well, which panics if that has failed.
     let logs = logs.log_internal_errors(false);
     match options.log_format {
         Format::Text => logs.init(),
--- a/crates/gaparch-cli/src/logging_tests.rs
+++ b/crates/gaparch-cli/src/logging_tests.rs
@@ -1,9 +1,9 @@
-//! Filters that name the targets of renamed crates.
+//! Tests for log filters with the targets of renamed crates.
 
 use super::with_current_targets;
 
 #[test]
-fn a_filter_that_names_a_renamed_crate_names_its_current_target() {
+fn old_targets_in_a_filter_are_replaced_by_current_ones() {
     for (given, current) in [
         ("info", "info"),
         ("gaparch_node=info", "gaparch_platform_router=info"),
--- a/crates/gaparch-cli/src/main.rs
+++ b/crates/gaparch-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The gaparch program: one binary, a sub-command for each thing to do.
+//! The `gaparch` command-line program: one binary with a subcommand for each task.
 
 mod commands;
 mod logging;
@@ -7,7 +7,7 @@
 use std::io::Write;
 use std::process::ExitCode;
 
-/// Routes language-model requests over engines that read prompts and engines that write answers.
+/// Routes language-model requests to engines that read prompts and engines that write answers
 #[derive(Debug, Parser)]
 #[command(name = "gaparch", version, propagate_version = true)]
 struct Cli {
@@ -19,84 +19,86 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a router by a settings file, until Ctrl-C or SIGTERM
+    /// Run a router with a settings file, until Ctrl-C or SIGTERM
     Serve(commands::serve::Options),
-    /// Run a router in service on the platform, by the configuration in ROUTER_CONFIG, until SIGTERM
+    /// Run a platform router with the configuration file named by ROUTER_CONFIG, until SIGTERM
     Node(commands::node::Options),
-    /// Write the files of a new router: checked settings, keys, a service unit
+    /// Write the files of a new router: validated settings, keys and a service unit
     Init(commands::init::Options),
-    /// Say in plain words what is wrong around a router, and what to do
+    /// Diagnose the environment of a router and suggest remedies
     Doctor(commands::doctor::Options),
     /// Run a stand-in engine
     Engine(commands::engine::Options),
-    /// Run a stand-in list service; it takes commands on standard input
+    /// Run a stand-in list service that takes commands on standard input
     List(commands::list::Options),
-    /// Check a settings file and name every mistake in it
+    /// Validate settings files and report every error in them
     Check(commands::check::Options),
-    /// Look at a running router and run it, from a terminal
+    /// Observe and operate a running router in the terminal
     Console(commands::console::Options),
-    /// Look at a running router and change what it does, for scripts
+    /// Query and operate a running router from scripts
     Ctl(commands::ctl::Options),
-    /// Start a small site on loopback, ask it one question and show the events as they come
+    /// Start a small site on loopback, send it one request and print the events as they arrive
     Try(commands::try_out::Options),
-    /// Play a session at the console on a site of stand-ins, and show or record it
+    /// Play a scripted console session on a site of stand-in engines, and show or record it
     Demo(commands::demo::Options),
-    /// Put load on a router and print what came of it
+    /// Generate load on a router and print a summary of the results
     Load(commands::load::Options),
-    /// Play a bad day on loopback and judge the five rules by what went over the sockets
+    /// Run a simulated day with faults on loopback and check the five rules against the recorded traffic
     Badday(commands::badday::Options),
-    /// Look at what a router that is down has recorded
+    /// Inspect the audit log of a router that is not running
     Audit(commands::audit::Options),
-    /// Break a fleet of routers, as processes of this program, and judge what they do
+    /// Inject faults into a fleet of router processes and check their behaviour
     Lab(commands::lab::Options),
 }
 
 impl Command {
-    /// Whether it is one router in service.
-    fn is_node(&self) -> bool {
+    /// Whether the command runs a platform router.
+    fn is_platform_router(&self) -> bool {
         match self {
             Command::Node(_) => true,
-            Command::Lab(options) => options.is_node(),
+            Command::Lab(options) => options.is_platform_router(),
             _ => false,
         }
     }
 }
 
-/// What goes wrong ends up here: one line on standard error, exit code 1.
-type Outcome = Result<ExitCode, Box<dyn std::error::Error + Send + Sync>>;
+/// Result of a command. An error is printed as one line on standard error, and the exit code is then 1.
+type CommandResult = Result<ExitCode, Box<dyn std::error::Error + Send + Sync>>;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let _log = logging::start(&cli.logging);
     let runtime = match &cli.command {
-        // In service it has a part of one core.
-        command if command.is_node() => tokio::runtime::Builder::new_current_thread().enable_all().build(),
+        // A platform router is allotted less than one core.
+        command if command.is_platform_router() => {
+            tokio::runtime::Builder::new_current_thread().enable_all().build()
+        }
         _ => tokio::runtime::Builder::new_multi_thread().enable_all().build(),
     };
-    let measures = matches!(&cli.command, Command::Lab(options) if options.is_measurement());
-    let outcome = match runtime {
+    let is_measurement = matches!(&cli.command, Command::Lab(options) if options.is_measurement());
+    let result = match runtime {
         Ok(runtime) => {
-            let outcome = runtime.block_on(run(cli.command));
-            if measures {
-                // A measurement that was stopped is not waited for.
+            let result = runtime.block_on(run(cli.command));
+            if is_measurement {
+                // Does not wait for the tasks of a measurement that was stopped.
                 runtime.shutdown_background();
             }
-            outcome
+            result
         }
         Err(error) => Err(error.into()),
     };
-    outcome.unwrap_or_else(|error| {
-        complain(format_args!("{error}"));
+    result.unwrap_or_else(|error| {
+        print_error(format_args!("{error}"));
         ExitCode::FAILURE
     })
 }
 
-/// A line on standard error, if anybody is there to read it.
-fn complain(what: std::fmt::Arguments<'_>) {
-    let _ = writeln!(std::io::stderr(), "gaparch: {what}");
+/// Prints a line on standard error; a closed standard error is ignored.
+fn print_error(message: std::fmt::Arguments<'_>) {
+    let _ = writeln!(std::io::stderr(), "gaparch: {message}");
 }
 
-async fn run(command: Command) -> Outcome {
+async fn run(command: Command) -> CommandResult {
     match command {
         Command::Serve(options) => commands::serve::run(options).await,
         Command::Node(options) => commands::node::run(options).await,
