--- a/crates/gaparch-cli/tests/common/mod.rs
+++ b/crates/gaparch-cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router in service as a process of its own, on its platform. Each test file uses a part of it.
+//! A platform router process on a stand-in platform. Each test file uses only part of this module.
 #![allow(dead_code)]
 
 use gaparch_testbed::platform::{until, Platform, LONG};
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Variables of a process beside those that this one has.
+/// Additional environment variables of a process.
 pub type Environment = Vec<(String, String)>;
 
 pub struct Site {
@@ -32,12 +32,12 @@
     }
 }
 
-/// Starts a router by a configuration file.
+/// Starts a router with a configuration file.
 pub fn start(file: &Path, environment: Environment) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_gaparch"));
     command.args(["--log", "info", "node"]).env("ROUTER_CONFIG", file).envs(environment);
     command.stdout(Stdio::null()).stderr(Stdio::piped());
-    command.spawn().expect("it starts")
+    command.spawn().expect("the program starts")
 }
 
 impl Site {
@@ -49,7 +49,7 @@
         Site::on(Platform::new(change), Environment::new())
     }
 
-    /// A router on a platform that is there, once it is ready.
+    /// Starts a router on an existing platform and waits until it is ready.
     pub fn on(platform: Platform, environment: Environment) -> Site {
         let router = start(&platform.file, environment);
         let site = Site { platform, router };
@@ -58,21 +58,21 @@
     }
 
     pub fn pid(&self) -> Pid {
-        Pid::from_raw(self.router.id() as i32).expect("it was started")
+        Pid::from_raw(self.router.id() as i32).expect("a process id")
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(self.pid(), signal).expect("it runs");
+        kill_process(self.pid(), signal).expect("the router runs");
     }
 
-    /// How it has ended, once it has.
-    pub fn ended(&mut self) -> ExitStatus {
-        let from = Instant::now();
+    /// Waits until the router exits.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let started_at = Instant::now();
         loop {
-            if let Some(status) = self.router.try_wait().expect("it was started") {
+            if let Some(status) = self.router.try_wait().expect("the router was started") {
                 return status;
             }
-            assert!(from.elapsed() < LONG, "it does not end");
+            assert!(started_at.elapsed() < LONG, "the router does not exit");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
--- a/crates/gaparch-cli/tests/node.rs
+++ b/crates/gaparch-cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! The router in service, a process of its own between stand-ins of the platform.
+//! Tests of a platform router process with stand-ins for the clients, workers and discovery service.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_request_is_read_then_written_and_its_events_pass_unchanged() {
+fn a_request_is_sent_for_prefill_then_for_decode_and_its_events_are_forwarded_unchanged() {
     let site = Site::new();
     let body = "{\"stream\":true,\"messages\":[\"\u{e1}\"]}";
     let mut request = head_and_body("txn-1", body);
@@ -40,46 +40,46 @@
     };
     assert!(read.starts_with("r-") && written.starts_with("w-"), "{asked:?}");
     for seen in &asked {
-        let Seen::Asked { txn, target, body: passed, .. } = seen else { continue };
+        let Seen::Asked { txn, target, body: forwarded, .. } = seen else { continue };
         assert_eq!((txn.as_str(), target.as_str()), ("txn-1", "/v1/chat/completions"));
-        assert_eq!(passed, body.as_bytes());
+        assert_eq!(forwarded, body.as_bytes());
     }
-    // The same in two chunks, with a query and under another id.
+    // The same with a chunked body, a query string and another id.
     request =
         b"POST /v1/chat/completions?a=b HTTP/1.1\r\nX-Txn: txn-2\r\nX-Lane: chat\r\nX-Remaining-Ms: 5000\r\n\
          Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n1\r\n \r\n0\r\n\r\n"
             .to_vec();
     assert_eq!(raw(site.listen, &request, LONG).status, 200);
-    let passed = |s: &Seen| {
+    let forwarded = |s: &Seen| {
         matches!(s, Seen::Asked { txn, target, body, .. }
         if txn == "txn-2" && target == "/v1/chat/completions?a=b" && body == b"{} ")
     };
-    assert_eq!(site.floor.seen().iter().filter(|s| passed(s)).count(), 2);
+    assert_eq!(site.floor.seen().iter().filter(|s| forwarded(s)).count(), 2);
     site.no_second_copies();
 }
 
 #[test]
-fn whatever_a_writer_answers_before_its_first_event_another_attempt_serves() {
+fn an_invalid_response_of_a_decode_worker_before_its_first_event_is_retried() {
     let long_head = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(20_000));
-    let spoilt_at_once = format!("{}zz\r\n", first_event());
+    let garbage_after_event = format!("{}zz\r\n", first_event());
     let bad: Vec<(&str, Vec<Step>)> = vec![
         ("an error", vec![put("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")]),
-        ("turned away", vec![put("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")]),
-        ("no state", vec![put("HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")]),
-        ("a word of its own", vec![put("HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n")]),
+        ("rejected", vec![put("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")]),
+        ("no KV cache", vec![put("HTTP/1.1 410 Gone\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")]),
+        ("an unusual status", vec![put("HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n")]),
         ("a broken connection", vec![Step::Close]),
         ("half a head", vec![put("HTTP/1.1 200 O"), Step::Close]),
-        ("noise", vec![put("\u{1}\u{2}\u{3} noise\r\n\r\n"), Step::Hang]),
-        ("a head without end", vec![put(&long_head), Step::Hang]),
+        ("garbage", vec![put("\u{1}\u{2}\u{3} noise\r\n\r\n"), Step::Hang]),
+        ("an endless head", vec![put(&long_head), Step::Hang]),
         (
             "two framings",
             vec![put("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")],
         ),
-        ("a chunk size that is none", vec![put(&format!("{OPENING}zz\r\n")), Step::Hang]),
+        ("an invalid chunk size", vec![put(&format!("{OPENING}zz\r\n")), Step::Hang]),
         ("a giant chunk", vec![put(&format!("{OPENING}c0000000\r\ndata: ")), Step::Hang]),
         ("no events", vec![put(&format!("{OPENING}5\r\nnoise\r\n")), Step::Hang]),
-        ("an event and rubbish at once", vec![put(&spoilt_at_once), Step::Hang]),
-        ("only interim answers", vec![put(&"HTTP/1.1 100 Continue\r\n\r\n".repeat(50)), Step::Hang]),
+        ("an event and garbage at once", vec![put(&garbage_after_event), Step::Hang]),
+        ("only interim responses", vec![put(&"HTTP/1.1 100 Continue\r\n\r\n".repeat(50)), Step::Hang]),
     ];
     let site = Site::new();
     for (number, (what, steps)) in bad.into_iter().enumerate() {
@@ -93,16 +93,16 @@
 }
 
 #[test]
-fn a_stream_spoilt_after_its_first_event_ends_its_client_without_the_last_chunk() {
+fn a_stream_that_fails_after_its_first_event_is_cut_off_without_the_last_chunk() {
     let site = Site::new();
     let bad: Vec<(&str, Vec<Step>)> = vec![
-        ("it breaks", vec![put(&first_event()), Step::Wait(Duration::from_millis(50)), Step::Close]),
         (
-            "it ends too early",
-            vec![put(&first_event()), Step::Wait(Duration::from_millis(50)), put("0\r\n\r\n")],
+            "a closed connection",
+            vec![put(&first_event()), Step::Wait(Duration::from_millis(50)), Step::Close],
         ),
+        ("an early end", vec![put(&first_event()), Step::Wait(Duration::from_millis(50)), put("0\r\n\r\n")]),
         (
-            "a chunk size",
+            "an invalid chunk size",
             vec![put(&first_event()), Step::Wait(Duration::from_millis(50)), put("zz\r\n"), Step::Hang],
         ),
         ("silence", vec![put(&first_event()), Step::Hang]),
@@ -118,14 +118,14 @@
 }
 
 #[test]
-fn good_answers_with_more_than_belongs_to_them_stand() {
+fn responses_with_an_unreadable_load_report_interim_responses_or_extra_data_are_accepted() {
     let site = Site::new();
-    let mut answer = stream(&events());
-    // A load report that can't be read, in the head of a good answer.
-    let at = answer.windows(2).position(|w| w == b"\r\n").expect("a status line") + 2;
-    answer.splice(at..at, b"X-Pressure: \xff\x01{{=?\r\n".iter().copied());
-    let ahead = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n".to_vec();
-    let all = [ahead, answer, stream(&events())].concat();
+    let mut response = stream(&events());
+    // An unreadable load report in the head of a valid response.
+    let at = response.windows(2).position(|w| w == b"\r\n").expect("a status line") + 2;
+    response.splice(at..at, b"X-Pressure: \xff\x01{{=?\r\n".iter().copied());
+    let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n".to_vec();
+    let all = [interim, response, stream(&events())].concat();
     site.writers.iter().for_each(|w| w.always(vec![Step::Put(all.clone())]));
     for number in 0..4 {
         let got = ask(site.listen, &format!("txn-{number}"));
@@ -135,39 +135,39 @@
 }
 
 #[test]
-fn bad_clients_are_told_so_or_cut_off_and_nothing_of_theirs_reaches_a_worker() {
+fn invalid_requests_are_rejected_or_cut_off_and_are_not_sent_to_a_worker() {
     let site = Site::new();
     let head = "POST /v1/chat/completions HTTP/1.1\r\n";
-    let sound = "X-Txn: bad\r\nX-Lane: chat\r\nX-Remaining-Ms: 5000\r\n";
-    let hidden = "0\r\n\r\nPOST /v1/chat/completions HTTP/1.1\r\nX-Txn: hidden\r\nX-Lane: chat\r\n\
+    let valid = "X-Txn: bad\r\nX-Lane: chat\r\nX-Remaining-Ms: 5000\r\n";
+    let smuggled = "0\r\n\r\nPOST /v1/chat/completions HTTP/1.1\r\nX-Txn: hidden\r\nX-Lane: chat\r\n\
                   X-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\n{}";
     let cases: Vec<(&str, u16, String)> = vec![
-        ("noise", 400, "\u{1}\u{2}\u{3}\r\n\r\n".to_owned()),
-        ("a head without end", 431, format!("{head}X-A: {}", "y".repeat(20_000))),
+        ("garbage", 400, "\u{1}\u{2}\u{3}\r\n\r\n".to_owned()),
+        ("an endless head", 431, format!("{head}X-A: {}", "y".repeat(20_000))),
         ("many headers", 431, format!("{head}{}\r\n", "X-A: 1\r\n".repeat(100))),
-        ("another version", 400, format!("POST /v1/chat/completions HTTP/1.0\r\n{sound}\r\n")),
-        ("no length that is one", 400, format!("{head}{sound}Content-Length: x\r\n\r\n{{}}")),
-        ("a negative length", 400, format!("{head}{sound}Content-Length: -2\r\n\r\n{{}}")),
-        ("two lengths", 400, format!("{head}{sound}Content-Length: 2\r\nContent-Length: 2\r\n\r\n{{}}")),
-        ("a huge length", 413, format!("{head}{sound}Content-Length: 62914560\r\n\r\n{{}}")),
+        ("an unsupported version", 400, format!("POST /v1/chat/completions HTTP/1.0\r\n{valid}\r\n")),
+        ("an invalid length", 400, format!("{head}{valid}Content-Length: x\r\n\r\n{{}}")),
+        ("a negative length", 400, format!("{head}{valid}Content-Length: -2\r\n\r\n{{}}")),
+        ("two lengths", 400, format!("{head}{valid}Content-Length: 2\r\nContent-Length: 2\r\n\r\n{{}}")),
+        ("a huge length", 413, format!("{head}{valid}Content-Length: 62914560\r\n\r\n{{}}")),
         (
-            "a length beyond numbers",
+            "a length that overflows",
             400,
-            format!("{head}{sound}Content-Length: 99999999999999999999999\r\n\r\n"),
+            format!("{head}{valid}Content-Length: 99999999999999999999999\r\n\r\n"),
         ),
         (
             "both framings",
             400,
-            format!("{head}{sound}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n{hidden}"),
+            format!("{head}{valid}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n{smuggled}"),
         ),
-        ("an unknown coding", 400, format!("{head}{sound}Transfer-Encoding: gzip\r\n\r\n{{}}")),
-        ("a chunk size that is none", 400, format!("{head}{sound}Transfer-Encoding: chunked\r\n\r\nzz\r\n")),
-        ("a giant chunk", 400, format!("{head}{sound}Transfer-Encoding: chunked\r\n\r\nfffffffff\r\n")),
+        ("an unknown transfer coding", 400, format!("{head}{valid}Transfer-Encoding: gzip\r\n\r\n{{}}")),
+        ("an invalid chunk size", 400, format!("{head}{valid}Transfer-Encoding: chunked\r\n\r\nzz\r\n")),
+        ("a giant chunk", 400, format!("{head}{valid}Transfer-Encoding: chunked\r\n\r\nfffffffff\r\n")),
         (
-            "chunks beyond the bound",
+            "chunks beyond the body limit",
             413,
             format!(
-                "{head}{sound}Transfer-Encoding: chunked\r\n\r\n{}",
+                "{head}{valid}Transfer-Encoding: chunked\r\n\r\n{}",
                 format!("8000\r\n{}\r\n", "z".repeat(0x8000)).repeat(9)
             ),
         ),
@@ -178,7 +178,7 @@
         ),
         ("no deadline", 400, format!("{head}X-Txn: bad\r\nX-Lane: chat\r\nContent-Length: 2\r\n\r\n{{}}")),
         (
-            "a deadline that is none",
+            "an invalid deadline",
             400,
             format!(
                 "{head}X-Txn: bad\r\nX-Lane: chat\r\nX-Remaining-Ms: soon\r\nContent-Length: 2\r\n\r\n{{}}"
@@ -196,7 +196,7 @@
             400,
             format!("{head}X-Lane: chat\r\nX-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\n{{}}"),
         ),
-        ("two ids", 400, format!("{head}{sound}X-Txn: other\r\nContent-Length: 2\r\n\r\n{{}}")),
+        ("two ids", 400, format!("{head}{valid}X-Txn: other\r\nContent-Length: 2\r\n\r\n{{}}")),
         (
             "an id with spaces",
             400,
@@ -204,20 +204,20 @@
                 "{head}X-Txn: a b\r\nX-Lane: chat\r\nX-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\n{{}}"
             ),
         ),
-        ("no body", 400, format!("{head}{sound}\r\n")),
-        ("elsewhere", 404, format!("POST /v1/other HTTP/1.1\r\n{sound}Content-Length: 2\r\n\r\n{{}}")),
-        ("another method", 405, format!("GET /v1/chat/completions HTTP/1.1\r\n{sound}\r\n")),
+        ("no body", 400, format!("{head}{valid}\r\n")),
+        ("an unknown path", 404, format!("POST /v1/other HTTP/1.1\r\n{valid}Content-Length: 2\r\n\r\n{{}}")),
+        ("another method", 405, format!("GET /v1/chat/completions HTTP/1.1\r\n{valid}\r\n")),
         ("half a head", 408, format!("{head}X-Txn: ba")),
-        ("half a body", 408, format!("{head}{sound}Content-Length: 200\r\n\r\n{{")),
+        ("half a body", 408, format!("{head}{valid}Content-Length: 200\r\n\r\n{{")),
         ("nothing", 0, String::new()),
     ];
     for (what, status, bytes) in cases {
-        let from = Instant::now();
+        let started_at = Instant::now();
         let got = raw(site.listen, bytes.as_bytes(), LONG);
         assert!(got.status == status || got.status == 0 && bytes.len() > 100_000, "{what}: {got:?}");
-        assert!(from.elapsed() < LONG, "{what}");
+        assert!(started_at.elapsed() < LONG, "{what}");
     }
-    // Half a request and a close leaves nothing behind, and its id is free again.
+    // The id of a request whose connection was closed halfway can be used again.
     drop(TcpStream::connect(site.listen).map(|mut s| s.write_all(format!("{head}X-Txn: half").as_bytes())));
     assert_eq!(site.floor.asked(), vec![]);
     assert_eq!(ask(site.listen, "half").status, 200);
@@ -225,22 +225,22 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_taken_and_free_again_after_it() {
+fn the_id_of_an_open_request_is_rejected_until_the_request_has_ended() {
     let site = Site::new();
     site.next_write(&[put(&first_event()), Step::Wait(Duration::from_millis(600)), Step::Close]);
     let listen = site.listen;
     let first = std::thread::spawn(move || ask(listen, "same"));
-    until("it is written", || site.writes("same") == 1);
+    until("decode has started", || site.writes("same") == 1);
     assert_eq!(ask(site.listen, "same").status, 409);
-    assert_eq!(first.join().expect("it ends").status, 200);
-    until("it is served", || ask(site.listen, "same").whole);
+    assert_eq!(first.join().expect("the client thread ends").status, 200);
+    until("the id can be used again", || ask(site.listen, "same").whole);
     site.no_second_copies();
 }
 
 #[test]
-fn silent_connections_by_the_hundreds_cost_the_usual_clients_nothing() {
+fn hundreds_of_silent_connections_do_not_affect_other_clients() {
     let site = Site::new();
-    // More than the whole budget of descriptors.
+    // More connections than the router may have descriptors.
     let silent: Vec<TcpStream> = (0..400).filter_map(|_| TcpStream::connect(site.listen).ok()).collect();
     assert!(silent.len() > 256);
     for number in 0..20 {
@@ -251,137 +251,137 @@
 }
 
 #[test]
-fn what_a_broken_read_may_have_left_is_let_go_of_at_a_worker_that_runs() {
+fn the_kv_cache_of_a_failed_prefill_attempt_is_released() {
     let site = Site::new();
     site.readers[0].then(vec![Step::Close]);
     let got = ask(site.listen, "broken");
     assert_eq!((got.status, got.whole), (200, true));
     let released =
         || site.floor.seen().iter().any(|s| matches!(s, Seen::Released { txn, .. } if txn == "broken"));
-    until("it is let go of", released);
+    until("the KV cache is released", released);
     site.no_second_copies();
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_with_it_and_what_was_read_is_let_go_of() {
+fn the_kv_cache_is_released_when_the_client_disconnects() {
     let site = Site::new();
     site.writers.iter().for_each(|w| w.always(vec![Step::Hang]));
-    let mut client = TcpStream::connect(site.listen).expect("it listens");
+    let mut client = TcpStream::connect(site.listen).expect("the router listens");
     client.write_all(&head_and_body("left", "{}")).expect("written");
-    until("it is written", || site.writes("left") == 1);
+    until("decode has started", || site.writes("left") == 1);
     drop(client);
     let released =
         || site.floor.seen().iter().any(|s| matches!(s, Seen::Released { txn, .. } if txn == "left"));
-    until("it is let go of", released);
+    until("the KV cache is released", released);
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_rejection_is_sent_immediately_with_retry_after() {
     let site = Site::with(|config| config["settings"]["caps"]["maxAttempts"] = json!(2));
     site.writers.iter().for_each(|w| w.always(vec![put("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")]));
-    let from = Instant::now();
+    let started_at = Instant::now();
     let got = ask(site.listen, "refused");
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.head.contains("Retry-After: 1.5"), "{}", got.head);
-    assert!(from.elapsed() < Duration::from_secs(2), "it was held back");
+    assert!(started_at.elapsed() < Duration::from_secs(2), "the rejection was delayed");
 }
 
 #[test]
-fn nothing_goes_to_a_drained_worker_and_nonsense_never_empties_the_list() {
+fn a_draining_worker_gets_no_requests_and_invalid_lists_never_empty_the_endpoint_list() {
     let site = Site::new();
     let mut list = Platform::list(&site.readers, &site.writers);
     list[0]["lifecycle"] = json!("draining");
     list[2]["lifecycle"] = json!("draining");
     let calls = site.catalogue.calls();
     site.catalogue.set(list);
-    until("the change is told", || site.catalogue.calls() > calls + 1);
+    until("the change is received", || site.catalogue.calls() > calls + 1);
     let before = site.floor.asked().len();
-    for nonsense in
+    for invalid in
         ["", "{", "[]", "{\"generation\":9}", "{\"generation\":99,\"reset\":true,\"instances\":[]}"]
     {
-        site.catalogue.nonsense(Some(nonsense));
+        site.catalogue.nonsense(Some(invalid));
         let calls = site.catalogue.calls();
-        until("it was told nonsense", || site.catalogue.calls() > calls + 1);
+        until("the invalid list is received", || site.catalogue.calls() > calls + 1);
         for number in 0..5 {
             let txn = format!("txn-{number}-{}", site.floor.seen().len());
-            assert_eq!(ask(site.listen, &txn).status, 200, "{nonsense}");
+            assert_eq!(ask(site.listen, &txn).status, 200, "{invalid}");
         }
     }
     let asked = &site.floor.asked()[before..];
     assert!(asked.iter().all(|(worker, _)| worker == "r-2" || worker == "w-2"), "{asked:?}");
-    // A whole list brings them back.
+    // A valid list makes the drained workers available again.
     site.catalogue.nonsense(None);
     site.catalogue.set(Platform::list(&site.readers, &site.writers));
-    until("both readers are used", || {
+    until("the drained workers get requests again", || {
         ask(site.listen, &format!("txn-{}", site.floor.seen().len()));
         site.floor.asked()[before..].iter().any(|(worker, _)| worker == "w-1" || worker == "r-1")
     });
 }
 
-/// Found by reading: a connection got the settings' time even where that is longer than the grace of a drain that is told
-/// meanwhile, and the request went out after it.
+/// Guards against a fault found in review: a pending connection used to have the full connect timeout even if
+/// its worker started draining meanwhile, and the request was then sent after the grace period of the drain.
 #[test]
-fn what_waits_for_a_connection_does_not_go_out_after_a_drains_grace() {
+fn a_request_that_waits_for_a_connection_is_not_sent_after_the_grace_period_of_a_drain() {
     let site = Site::with(|config| {
         let caps = &mut config["settings"]["caps"];
         (caps["connectTimeoutNs"], caps["maxAttempts"]) = (json!(3_500_000_000u64), json!(2));
     });
-    let late = Stuck::start();
-    let stuck = |state: &str| {
+    let stuck_worker = Stuck::start();
+    let stuck_entry = |state: &str| {
         let mut entry = instance(&site.writers[0], "decode", state);
         entry["instanceId"] = json!("w-stuck");
-        entry["hostPort"] = json!(late.address.to_string());
+        entry["hostPort"] = json!(stuck_worker.address.to_string());
         entry
     };
     let list = Platform::list(&site.readers, &site.writers);
-    site.tell([Platform::without_writers(&list), vec![stuck("ready")]].concat());
+    site.tell([Platform::without_writers(&list), vec![stuck_entry("ready")]].concat());
     let listen = site.listen;
     let client = std::thread::spawn(move || {
-        let from = Instant::now();
-        (ask(listen, "late"), from.elapsed())
+        let started_at = Instant::now();
+        (ask(listen, "late"), started_at.elapsed())
     });
-    until("it is read", || site.floor.asked().iter().any(|(_, txn)| txn == "late"));
-    site.catalogue.set([&list[..], &[stuck("draining")]].concat());
-    // Past the grace there is room again: what still waits comes now.
+    until("prefill has started", || site.floor.asked().iter().any(|(_, txn)| txn == "late"));
+    site.catalogue.set([&list[..], &[stuck_entry("draining")]].concat());
+    // The worker accepts connections again after the grace period; a request still waiting would arrive now.
     std::thread::sleep(Duration::from_millis(700));
-    let heard = late.heard_within(Duration::from_millis(2500));
-    assert_eq!(heard, "", "a drained worker got something");
-    // It was answered as soon as the connection had had its time, not when the client was about to leave.
-    let (got, took) = client.join().expect("it ends");
+    let received = stuck_worker.heard_within(Duration::from_millis(2500));
+    assert_eq!(received, "", "a draining worker got a request");
+    // The response was sent as soon as the connection timed out, not only at the deadline of the client.
+    let (got, took) = client.join().expect("the client thread ends");
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.head.contains("Retry-After: 1.5"), "{}", got.head);
     assert!(took < Duration::from_millis(2500), "{took:?}");
 }
 
-/// What each stage is given up for is told at once, with the time after which to come back.
+/// A request given up at any stage is rejected immediately, with the time after which to retry.
 #[test]
-fn each_kind_of_refusal_comes_at_once_and_says_when_to_come_back() {
+fn each_kind_of_rejection_is_sent_immediately_with_retry_after() {
     let site = Site::with(|config| {
         config["settings"]["services"][0]["aimNs"] = json!(600_000_000);
         config["settings"]["caps"]["maxAttempts"] = json!(2);
     });
     let list = Platform::list(&site.readers, &site.writers);
-    let refused = |txn: &str| {
-        let from = Instant::now();
+    let assert_rejected = |txn: &str| {
+        let started_at = Instant::now();
         let got = ask(site.listen, txn);
         assert_eq!(got.status, 503, "{txn}: {got:?}");
         assert!(got.head.contains("Retry-After: 1.5"), "{txn}: {}", got.head);
-        // The client would wait for 5 s.
-        assert!(from.elapsed() < Duration::from_millis(3000), "{txn}: {:?}", from.elapsed());
+        // The deadline of the client is 5 s.
+        assert!(started_at.elapsed() < Duration::from_millis(3000), "{txn}: {:?}", started_at.elapsed());
     };
     site.readers.iter().for_each(|r| r.always(vec![put("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")]));
-    refused("no-read");
+    assert_rejected("no-read");
     site.readers.iter().for_each(|r| r.always(vec![Step::Close]));
-    refused("broken-read");
-    // No writer is left to wait for: its aim ends the wait.
+    assert_rejected("broken-read");
+    // There is no decode worker to wait for: the wait ends at the latency objective.
     let calls = site.catalogue.calls();
     site.catalogue.set(Platform::without_writers(&list));
-    until("the list is told", || site.catalogue.calls() > calls + 1);
-    refused("no-writer");
+    until("the list is received", || site.catalogue.calls() > calls + 1);
+    assert_rejected("no-writer");
 }
 
 #[test]
-fn sigterm_finishes_what_is_open_and_ends_with_code_zero() {
+fn sigterm_finishes_open_requests_and_exits_with_code_zero() {
     let mut site = Site::new();
     let whole = stream(&events());
     let cut = whole.len() - 40;
@@ -393,39 +393,39 @@
     site.writers.iter().for_each(|w| w.always(steps.clone()));
     let listen = site.listen;
     let open = std::thread::spawn(move || ask(listen, "open"));
-    until("it is written", || site.writes("open") == 1);
+    until("decode has started", || site.writes("open") == 1);
     site.signal(Signal::TERM);
-    until("it is on its way out", || site.health() != 200);
-    // New connections still arrive for a while, and are served.
+    until("the router is shutting down", || site.health() != 200);
+    // New connections that arrive during the shutdown are still served.
     let late = ask(site.listen, "late");
     assert_eq!((late.status, late.whole), (200, true));
     assert!(late.head.contains("Connection: close"), "{}", late.head);
-    let got = open.join().expect("it ends");
+    let got = open.join().expect("the client thread ends");
     assert_eq!((got.status, got.whole), (200, true));
-    assert!(site.ended().success());
+    assert!(site.wait_for_exit().success());
 }
 
 #[test]
-fn sighup_takes_another_catalogue_and_a_broken_file_changes_nothing() {
+fn sighup_switches_the_discovery_service_and_an_invalid_file_changes_nothing() {
     let site = Site::new();
     let other = Catalogue::start(Platform::list(&site.readers, &site.writers));
-    // A broken file first, and another twice in a row.
+    // First an invalid file, then a valid one with two signals in a row.
     std::fs::write(&site.file, "{\"name\":").expect("written");
     site.signal(Signal::HUP);
     let calls = site.catalogue.calls();
-    until("the old catalogue goes on", || site.catalogue.calls() > calls + 1);
+    until("the old discovery service is still polled", || site.catalogue.calls() > calls + 1);
     assert_eq!(ask(site.listen, "txn-1").status, 200);
     let mut config = site.config.clone();
     config["discovery"] = json!(other.address.to_string());
     std::fs::write(&site.file, config.to_string()).expect("written");
     site.signal(Signal::HUP);
     site.signal(Signal::HUP);
-    until("the new catalogue is followed", || other.calls() > 1);
+    until("the new discovery service is polled", || other.calls() > 1);
     let mut list = Platform::list(&site.readers, &site.writers);
     list[2]["lifecycle"] = json!("draining");
     let calls = other.calls();
     other.set(list);
-    until("a change is told", || other.calls() > calls + 1);
+    until("the change is received", || other.calls() > calls + 1);
     let before = site.floor.asked().len();
     for number in 0..6 {
         assert_eq!(ask(site.listen, &format!("txn-b-{number}")).status, 200);
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn a_router_starts_from_its_known_list_when_the_catalogue_is_silent() {
+fn a_router_starts_with_its_known_list_when_the_discovery_service_is_silent() {
     let floor = Floor::default();
     let (reader, writer) = (Worker::reader("r-1", &floor), Worker::writer("w-1", &floor));
     let known = json!({"generation": 7, "reset": true,
@@ -450,7 +450,7 @@
     assert_eq!(floor.asked().len(), 2);
 }
 
-/// A router that has a list as last held, and finds this catalogue.
+/// Starts a router with a known endpoint list and the given discovery service.
 fn with_known_list(discovery: SocketAddr) -> Site {
     let floor = Floor::default();
     let (reader, writer) = (Worker::reader("r-1", &floor), Worker::writer("w-1", &floor));
@@ -461,43 +461,44 @@
     })
 }
 
-/// Ten processes are killed under load and start again at once, while the catalogue is silent, refuses or talks nonsense.
+/// Ten processes are killed under load and restarted immediately, while the discovery service is silent,
+/// refuses connections or sends invalid lists.
 #[test]
-fn nine_of_ten_processes_that_restart_together_are_ready_in_time_whatever_the_catalogue_does() {
+fn nine_of_ten_processes_restarted_together_are_ready_in_time_without_a_working_discovery_service() {
     const READY_WITHIN: Duration = Duration::from_secs(10);
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let closed = TcpListener::bind("127.0.0.1:0").expect("a free port").local_addr().expect("its address");
-    let nonsense = Catalogue::start(Vec::new());
-    nonsense.nonsense(Some("{\"generation\": \"many\"}"));
-    for discovery in [silent.local_addr().expect("its address"), closed, nonsense.address] {
+    let invalid = Catalogue::start(Vec::new());
+    invalid.nonsense(Some("{\"generation\": \"many\"}"));
+    for discovery in [silent.local_addr().expect("its address"), closed, invalid.address] {
         let starting: Vec<_> =
             (0..10).map(|_| std::thread::spawn(move || with_known_list(discovery))).collect();
         let mut sites: Vec<Site> =
-            starting.into_iter().map(|site| site.join().expect("it is ready")).collect();
+            starting.into_iter().map(|site| site.join().expect("the router is ready")).collect();
         for site in &mut sites {
-            let mut client = TcpStream::connect(site.listen).expect("it listens");
+            let mut client = TcpStream::connect(site.listen).expect("the router listens");
             client.write_all(&head_and_body("in-flight", "{}")).expect("written");
-            site.router.kill().expect("it runs");
-            site.router.wait().expect("it was started");
+            site.router.kill().expect("the router runs");
+            site.router.wait().expect("exit status");
         }
-        let from = Instant::now();
+        let started_at = Instant::now();
         sites.iter_mut().for_each(|site| site.router = start(&site.platform.file, Environment::new()));
         let late = sites.iter().filter(|site| {
-            while site.health() != 200 && from.elapsed() < READY_WITHIN {
+            while site.health() != 200 && started_at.elapsed() < READY_WITHIN {
                 std::thread::sleep(Duration::from_millis(10));
             }
-            from.elapsed() >= READY_WITHIN
+            started_at.elapsed() >= READY_WITHIN
         });
         assert!(late.count() <= 1, "{discovery}");
-        println!("{discovery}: all but one ready after {:?}", from.elapsed());
-        // A request of the same id is another process's now.
+        println!("{discovery}: all but one ready after {:?}", started_at.elapsed());
+        // The new process accepts a request with the id of one that the old process had open.
         assert_eq!(ask(sites[0].listen, "in-flight").status, 200);
     }
 }
 
 #[test]
-fn a_configuration_that_cant_be_used_is_one_line_with_file_and_field_and_code_two() {
-    let sound =
+fn an_invalid_configuration_exits_with_code_two_and_one_line_with_file_and_field() {
+    let valid =
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
     type Change = Box<dyn Fn(&mut Value)>;
     let cases: Vec<(&str, Change)> = vec![
@@ -517,16 +518,20 @@
         ),
     ];
     for (field, change) in cases {
-        let mut config = sound.clone();
+        let mut config = valid.clone();
         change(&mut config);
         let file = folder().join("config.json");
         std::fs::write(&file, config.to_string()).expect("written");
-        let output = start(&file, Environment::new()).wait_with_output().expect("it ends");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{field}: {said}");
-        assert!(said.contains(field) && said.contains("config.json") && said.lines().count() == 1, "{said}");
+        let output = start(&file, Environment::new()).wait_with_output().expect("the router exits");
+        let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{field}: {printed}");
+        assert!(
+            printed.contains(field) && printed.contains("config.json") && printed.lines().count() == 1,
+            "{printed}"
+        );
     }
-    let output =
-        start(&PathBuf::from("/nowhere.json"), Environment::new()).wait_with_output().expect("it ends");
+    let output = start(&PathBuf::from("/nowhere.json"), Environment::new())
+        .wait_with_output()
+        .expect("the router exits");
     assert_eq!(output.status.code(), Some(2));
 }
--- a/crates/gaparch-cli/tests/pinned_ctl.rs
+++ b/crates/gaparch-cli/tests/pinned_ctl.rs
@@ -1,7 +1,8 @@
-//! `gaparch ctl --json` against a router of fixed answers: what scripts read must not change when names in the code do.
+//! `gaparch ctl --json` against a router with fixed answers: its output must not change when names in the
+//! code do.
 //!
-//! For each kind of answer `pinned_ctl/NAME.hex` holds the body of the frame that a router sends and `NAME.json` what
-//! `ctl --json` prints of it. Both were written by the build of commit bdb4937.
+//! For each kind of answer, `pinned_ctl/NAME.hex` has the body of the frame that a router sends, and
+//! `NAME.json` the output of `ctl --json` for it. Both were written by the build of commit bdb4937.
 
 use bytes::BytesMut;
 use gaparch_protocol::frame::encode;
@@ -15,10 +16,10 @@
 use std::process::{Command, Output};
 use std::thread::JoinHandle;
 
-/// What one kind of answer looks like on the wire and as JSON.
+/// A kind of answer on the wire and as JSON.
 struct Pinned {
     name: &'static str,
-    /// Arguments of `gaparch ctl` that ask for it.
+    /// Arguments of `gaparch ctl` that request the answer.
     arguments: &'static [&'static str],
     exit_code: i32,
     hex: &'static str,
@@ -56,8 +57,8 @@
     pinned!("spread", 0, ["orders"]),
 ];
 
-/// Not asked for through the program: `ctl fleet audit` panics in a debug build, since its own `--version` has the name of
-/// the flag that clap adds to each command.
+/// Not requested through the program: `ctl fleet audit` panics in a debug build, since its own `--version`
+/// has the name of the flag that clap adds to each command.
 const AUDIT: Pinned = pinned!("audit", 0, ["fleet", "audit"]);
 
 const UPDATES: Pinned = pinned!("updates", 1, ["follow"]);
@@ -68,12 +69,12 @@
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-/// The bodies of a file with one in each paragraph.
+/// Decodes a file of hexadecimal frame bodies separated by empty lines.
 fn bodies(hex: &str) -> Vec<Vec<u8>> {
     hex.split("\n\n").filter(|body| !body.trim().is_empty()).map(bytes).collect()
 }
 
-/// A router that welcomes one operator and answers the first question by fixed frames.
+/// A router that accepts one operator and answers the first query with fixed frames.
 struct FixedRouter {
     socket: PathBuf,
     thread: JoinHandle<()>,
@@ -94,34 +95,35 @@
                 &OpsFrame::Welcome { version: VERSION, router, run: 42, role: SessionRole::ReadWrite },
             );
             let OpsFrame::Query { seq, query } = next_frame(&mut stream, &mut decoder) else {
-                panic!("an operator asks");
+                panic!("the first frame is not a query");
             };
             replies(seq, &query).iter().for_each(|frame| send(&mut stream, frame));
         });
         FixedRouter { socket, thread }
     }
 
-    /// Runs `gaparch ctl --json` against it.
+    /// Runs `gaparch ctl --json` against this router.
     fn ctl(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gaparch"));
         command.args(["ctl", "--json", "--socket"]).arg(&self.socket).args(arguments);
-        command.output().expect("it runs")
+        command.output().expect("the program runs")
     }
 
-    /// Waits for its end; only once `ctl` has ended well, for a router that nobody asked waits on.
+    /// Waits for the thread. Only call this after `ctl` has succeeded: without a query, the thread never
+    /// ends.
     fn join(self) {
-        self.thread.join().expect("the router took the question");
+        self.thread.join().expect("the router answered the query");
     }
 }
 
 fn next_frame(stream: &mut UnixStream, decoder: &mut FrameDecoder) -> OpsFrame {
     loop {
-        if let Some(frame) = decoder.next_frame().expect("a sound frame") {
+        if let Some(frame) = decoder.next_frame().expect("a valid frame") {
             return frame;
         }
         let mut chunk = [0; 4096];
         let length = stream.read(&mut chunk).expect("readable");
-        assert!(length > 0, "the operator left");
+        assert!(length > 0, "the operator disconnected");
         decoder.buffer().extend_from_slice(&chunk[..length]);
     }
 }
--- a/crates/gaparch-cli/tests/system_calls.rs
+++ b/crates/gaparch-cli/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! A router in service as a process whose system calls fail for a while.
+//! Tests of a platform router process whose system calls fail for a while.
 
 mod common;
 
@@ -10,19 +10,19 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Descriptors that a router has open.
-fn descriptors(site: &Site) -> u64 {
+/// Number of open file descriptors of a router.
+fn open_descriptors(site: &Site) -> u64 {
     let folder = format!("/proc/{}/fd", site.router.id());
-    std::fs::read_dir(folder).expect("it runs").count() as u64
+    std::fs::read_dir(folder).expect("the router runs").count() as u64
 }
 
-fn limit_descriptors(site: &Site, most: Option<u64>) {
+fn limit_descriptors(site: &Site, max: Option<u64>) {
     let maximum = getrlimit(Resource::Nofile).maximum;
-    let limit = Rlimit { current: most.or(maximum), maximum };
-    prlimit(Some(site.pid()), Resource::Nofile, limit).expect("its limit is set");
+    let limit = Rlimit { current: max.or(maximum), maximum };
+    prlimit(Some(site.pid()), Resource::Nofile, limit).expect("the limit is set");
 }
 
-/// A router whose system calls can be made to fail.
+/// Starts a router whose system calls can be made to fail.
 fn with_faults() -> (Site, Steering) {
     let platform = Platform::new(|_| {});
     let folder = platform.file.parent().expect("a folder").to_owned();
@@ -32,73 +32,74 @@
     (Site::on(platform, environment), steering)
 }
 
-/// No socket is to be had for a moment. That says nothing of the workers, and the request is served once there are some.
+/// If no descriptor is free for a moment, connecting to a worker fails without the worker being unhealthy.
+/// The request must be served once there are descriptors again.
 #[test]
-fn a_moment_without_descriptors_costs_no_request_and_makes_no_worker_look_dead() {
+fn running_out_of_descriptors_briefly_fails_no_request_and_marks_no_worker_unhealthy() {
     let site = Site::new();
-    let mut client = TcpStream::connect(site.platform.listen).expect("it listens");
-    client.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
+    let mut client = TcpStream::connect(site.platform.listen).expect("the router listens");
+    client.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").expect("the request is written");
     assert_eq!(read(&mut client, LONG).status, 200);
-    limit_descriptors(&site, Some(descriptors(&site)));
-    client.write_all(&head_and_body("txn-1", "{\"stream\":true}")).expect("written");
+    limit_descriptors(&site, Some(open_descriptors(&site)));
+    client.write_all(&head_and_body("txn-1", "{\"stream\":true}")).expect("the request is written");
     std::thread::sleep(Duration::from_millis(100));
     limit_descriptors(&site, None);
     assert_eq!(read(&mut client, LONG).status, 200);
-    // Nobody was probed: nobody looked dead.
+    // Unhealthy workers would be probed.
     let seen = site.platform.floor.seen();
     let probes = seen.iter().filter(|s| matches!(s, gaparch_testbed::platform::Seen::Probed { .. })).count();
     assert!(probes <= 4, "{seen:?}");
 }
 
-/// The process before it still has the address for a moment.
+/// During a restart, the previous process may still hold the listen address for a moment.
 #[test]
-fn an_address_that_is_taken_as_a_router_starts_is_listened_at_once_it_is_free() {
+fn a_router_retries_a_listen_address_that_is_in_use() {
     let platform = Platform::new(|_| {});
-    let taken = TcpListener::bind(platform.listen).expect("it is free");
+    let previous = TcpListener::bind(platform.listen).expect("the address is free");
     let site = Site { router: start(&platform.file, Environment::new()), platform };
     std::thread::sleep(Duration::from_millis(400));
-    drop(taken);
+    drop(previous);
     until("the router is ready", || site.platform.health() == 200);
 }
 
-/// Whoever reads the log ends: the router goes on, and serves.
+/// The reader of the log exits; the router must go on serving.
 #[test]
-fn a_log_that_nobody_reads_any_more_ends_no_router() {
+fn a_closed_standard_error_does_not_end_the_router() {
     let mut site = Site::new();
     drop(site.router.stderr.take());
-    // The line on the drain that begins is the first that can't be written; the summary follows within 10 s.
+    // Within 10 s the router logs its summary, which can no longer be written.
     let request = head_and_body("txn-1", "{\"stream\":true}");
     std::thread::sleep(Duration::from_millis(10_500));
     assert_eq!(raw(site.platform.listen, &request, LONG).status, 200);
-    assert!(site.router.try_wait().expect("it was started").is_none(), "it has ended");
+    assert!(site.router.try_wait().expect("the router was started").is_none(), "the router has exited");
 }
 
-/// Signals come in series while the calls by which a process hears of them fail: none ends the router, none is lost.
+/// Signals arrive repeatedly while the system calls that deliver them to the process fail.
 #[test]
-fn signals_that_come_while_calls_fail_end_no_router_and_are_heard() {
+fn signals_during_failing_system_calls_are_handled_and_do_not_crash_the_router() {
     let (mut site, steering) = with_faults();
-    steering.set(true).expect("set");
+    steering.set(true).expect("the faults are set");
     for _ in 0..40 {
         site.signal(Signal::HUP);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(site.router.try_wait().expect("it was started").is_none(), "it has ended");
+    assert!(site.router.try_wait().expect("the router was started").is_none(), "the router has exited");
     site.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(500));
-    steering.set(false).expect("set");
-    let status = site.ended();
+    steering.set(false).expect("the faults are set");
+    let status = site.wait_for_exit();
     assert!(status.success(), "{status}");
 }
 
-/// Reads and writes take less than there is, or are interrupted, each time: nothing is left lying, and requests are served.
+/// Most reads and writes are short or interrupted; no data may be left unsent or unread.
 #[test]
-fn reads_and_writes_that_take_a_byte_at_a_time_leave_nothing_lying() {
+fn requests_are_served_though_reads_and_writes_are_short_or_interrupted() {
     let (site, steering) = with_faults();
-    steering.set_rates([0, 0, 0, 160, 160]).expect("set");
+    steering.set_rates([0, 0, 0, 160, 160]).expect("the faults are set");
     for number in 0..5 {
         let request = head_and_body(&format!("txn-{number}"), "{\"stream\":true}");
         let answer = raw(site.platform.listen, &request, LONG);
         assert_eq!((answer.status, answer.whole), (200, true), "{number}: {}", answer.head);
     }
-    steering.set(false).expect("set");
+    steering.set(false).expect("the faults are set");
 }
