--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -5,9 +5,9 @@
 use gaparch_net::Clock;
 use gaparch_router::shell::{Disks, FleetDisks};
 use gaparch_store::StateDirectory;
-use gaparch_testbed::fleet::day::Day;
 use gaparch_testbed::fleet::faulty_directory::{DiskFault, FaultyDirectory};
-use gaparch_testbed::fleet::{days, picture, process, rig};
+use gaparch_testbed::fleet::scenario::Scenario;
+use gaparch_testbed::fleet::{picture, process, runner, scenarios};
 use gaparch_testbed::scale::{self, Row};
 use gaparch_testbed::soak;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -254,17 +254,17 @@
 }
 
 fn texts(what: &str) -> Result<Vec<String>, String> {
-    if let Some(group) = days::group(what) {
+    if let Some(group) = scenarios::group(what) {
         return Ok(group.into_iter().map(str::to_owned).collect());
     }
-    if let Some(day) = days::one(what) {
+    if let Some(day) = scenarios::one(what) {
         return Ok(vec![day.to_owned()]);
     }
     let file = std::path::Path::new(what);
     match std::fs::read_to_string(file) {
         Ok(text) => Ok(vec![text]),
         Err(error) => {
-            Err(format!("{what}: {error}; it is no day either: there are {}", days::names().join(", ")))
+            Err(format!("{what}: {error}; it is no day either: there are {}", scenarios::names().join(", ")))
         }
     }
 }
@@ -287,9 +287,10 @@
 async fn fleet(options: Fleet) -> Outcome {
     let mut waiting = Vec::new();
     for text in texts(&options.what)? {
-        let mut day = Day::parse(&text).map_err(|wrong| format!("{}: {}", options.what, wrong.join("\n")))?;
+        let mut day =
+            Scenario::parse(&text).map_err(|wrong| format!("{}: {}", options.what, wrong.join("\n")))?;
         if let Some(routers) = options.routers {
-            let named = day.most_named();
+            let named = day.highest_router();
             if usize::from(routers) <= named {
                 return Err(
                     format!("--routers {routers}: the day '{}' names router {named}", day.name).into()
@@ -315,7 +316,7 @@
             let program = program.clone();
             playing.spawn(async move {
                 let name = day.name.clone();
-                rig::play(day, &program).await.map_err(|e| format!("{name}: {e}"))
+                runner::run(day, &program).await.map_err(|e| format!("{name}: {e}"))
             });
         }
         let done = tokio::select! {
@@ -333,7 +334,7 @@
             std::fs::create_dir_all(folder)?;
             std::fs::write(folder.join(format!("{}.svg", report.name)), picture::draw(&report)?)?;
         }
-        if !report.holds() {
+        if !report.passed() {
             short.push(report.name);
         }
     }
--- a/crates/gaparch-testbed/src/fleet/faults.rs
+++ b/crates/gaparch-testbed/src/fleet/faults.rs
@@ -8,7 +8,7 @@
 
 /// One end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum LinkEnd {
     Router(usize),
     Engine(String),
     /// The list service.
@@ -16,99 +16,99 @@
     Clients,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for LinkEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Router(router) => write!(f, "router-{router}"),
-            End::Engine(engine) => f.write_str(engine),
-            End::List => f.write_str("list"),
-            End::Clients => f.write_str("clients"),
+            LinkEnd::Router(router) => write!(f, "router-{router}"),
+            LinkEnd::Engine(engine) => f.write_str(engine),
+            LinkEnd::List => f.write_str("list"),
+            LinkEnd::Clients => f.write_str("clients"),
         }
     }
 }
 
-/// A link in one direction.
-pub type Way = (End, End);
+/// One direction of a link: from the first end to the second.
+pub type DirectedLink = (LinkEnd, LinkEnd);
 
 /// How a link behaves in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// What is sent is lost, in silence. A stream that lost bytes is reset when the cut ends.
+    /// Everything sent is lost silently. A stream that lost bytes is reset when the cut ends.
     pub cut: bool,
-    /// What is sent is held, and delivered when that ends.
+    /// Everything sent is held back and delivered when the stall ends.
     pub stall: bool,
-    /// Of datagrams.
+    /// Probability that a datagram is lost.
     pub loss: f64,
     pub duplicates: f64,
     pub delay: Duration,
-    /// On top of it, by lot: with that datagrams overtake one another; a stream keeps its order.
+    /// Maximum random delay in addition to `delay`. It reorders datagrams; a stream keeps its order.
     pub jitter: Duration,
-    /// Bytes a second of a stream; 0: as many as there are.
+    /// Bytes per second of a stream; 0: unlimited.
     pub rate: u32,
 }
 
 impl Fault {
-    /// Nothing comes through now.
+    /// Whether nothing is delivered at present.
     pub fn is_silent(&self) -> bool {
         self.cut || self.stall
     }
 }
 
-/// All links with a fault, and how often each was reset.
+/// The faults, reset counts and redirects of all links.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    faults: BTreeMap<Way, Fault>,
-    resets: BTreeMap<Way, u64>,
-    detours: BTreeMap<Way, SocketAddr>,
+pub struct FaultTable {
+    faults: BTreeMap<DirectedLink, Fault>,
+    resets: BTreeMap<DirectedLink, u64>,
+    redirects: BTreeMap<DirectedLink, SocketAddr>,
 }
 
-impl Table {
-    pub fn fault(&self, way: &Way) -> Fault {
-        self.faults.get(way).copied().unwrap_or_default()
+impl FaultTable {
+    pub fn fault(&self, link: &DirectedLink) -> Fault {
+        self.faults.get(link).copied().unwrap_or_default()
     }
 
-    pub fn resets(&self, way: &Way) -> u64 {
-        self.resets.get(way).copied().unwrap_or_default()
+    pub fn resets(&self, link: &DirectedLink) -> u64 {
+        self.resets.get(link).copied().unwrap_or_default()
     }
 
-    /// Where a stream leads in place of where it should.
-    pub fn detour(&self, way: &Way) -> Option<SocketAddr> {
-        self.detours.get(way).copied()
+    /// The address that new streams are connected to instead of the real one.
+    pub fn redirect(&self, link: &DirectedLink) -> Option<SocketAddr> {
+        self.redirects.get(link).copied()
     }
 }
 
 /// The faults in force, shared by all relays of a fleet.
 #[derive(Debug, Default)]
 pub struct Faults {
-    table: watch::Sender<Table>,
+    table: watch::Sender<FaultTable>,
 }
 
 impl Faults {
-    pub fn set(&self, ways: &[Way], fault: Fault) {
-        self.table.send_modify(|t| t.faults.extend(ways.iter().map(|way| (way.clone(), fault))));
+    pub fn set(&self, links: &[DirectedLink], fault: Fault) {
+        self.table.send_modify(|t| t.faults.extend(links.iter().map(|link| (link.clone(), fault))));
     }
 
     pub fn heal(&self) {
         self.table.send_modify(|t| t.faults.clear());
     }
 
-    /// Ends the streams of these links with a reset.
-    pub fn reset(&self, ways: &[Way]) {
+    /// Resets the streams of these links.
+    pub fn reset(&self, links: &[DirectedLink]) {
         self.table
-            .send_modify(|t| ways.iter().for_each(|way| *t.resets.entry(way.clone()).or_default() += 1));
+            .send_modify(|t| links.iter().for_each(|link| *t.resets.entry(link.clone()).or_default() += 1));
     }
 
-    /// From now on new streams of these links lead elsewhere; those there are end.
-    pub fn detour(&self, ways: &[Way], to: SocketAddr) {
-        self.table.send_modify(|t| t.detours.extend(ways.iter().map(|way| (way.clone(), to))));
-        self.reset(ways);
+    /// Connects new streams of these links to another address, and resets the current ones.
+    pub fn redirect(&self, links: &[DirectedLink], to: SocketAddr) {
+        self.table.send_modify(|t| t.redirects.extend(links.iter().map(|link| (link.clone(), to))));
+        self.reset(links);
     }
 
-    pub fn fault(&self, way: &Way) -> Fault {
-        self.table.borrow().fault(way)
+    pub fn fault(&self, link: &DirectedLink) -> Fault {
+        self.table.borrow().fault(link)
     }
 
-    pub fn watch(&self) -> watch::Receiver<Table> {
+    pub fn watch(&self) -> watch::Receiver<FaultTable> {
         self.table.subscribe()
     }
 }
--- a/crates/gaparch-testbed/src/fleet/invariants.rs
+++ b/crates/gaparch-testbed/src/fleet/invariants.rs
@@ -1,9 +1,9 @@
-//! The invariants of a scenario, checked against what was observed and what was truly done.
+//! Checks the invariants of a scenario against what was observed and what was really done.
 
-use super::day::{Day, Want, WishKind};
-use super::observations::{Given, Life, Look, Seen};
-use super::report::{Found, Report, LATE_AFTER_DRAIN};
-use super::rig::Answered;
+use super::observations::{IssuedOrder, Observations, ProcessState, ViewSample};
+use super::report::{ExpectationResult, Report, LATE_AFTER_DRAIN};
+use super::runner::Answered;
+use super::scenario::{Expectation, ExpectationKind, Scenario};
 use crate::checker::Verdict;
 use crate::site::Site;
 use gaparch_engine::Fault;
@@ -11,106 +11,139 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A member that has lived for so long without a break must not count as dead anywhere: what was done to it before has
-/// been forgotten by then, as the wants say.
-const LIVED_FOR: Duration = Duration::from_secs(5);
-/// A look that is older says nothing of now.
-const LOOK_HOLDS: Duration = Duration::from_millis(600);
-/// For a deed to be done to all it names.
-const DEED_WITHIN: Duration = Duration::from_millis(150);
-/// Events bear the wall clock of a process that started later than the rig: what follows a deed at once may seem to come
-/// some milliseconds before it.
-const CLOCKS_APART: Duration = Duration::from_millis(100);
-fn state(look: &Look, of: usize) -> Option<MemberState> {
+/// A member that has run for this long without interruption must not count as dead anywhere: by then earlier
+/// faults no longer have an effect, as the expectations of the scenarios verify.
+const MIN_UPTIME: Duration = Duration::from_secs(5);
+/// An older sample no longer describes the current state.
+const SAMPLE_VALIDITY: Duration = Duration::from_millis(600);
+/// How long an action may take until it is done to all routers that it names.
+const ACTION_TOLERANCE: Duration = Duration::from_millis(150);
+/// Events have the wall clock of a process that started later than the runner, so an event that directly
+/// follows an action may seem to come some milliseconds before it.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(100);
+
+fn state(sample: &ViewSample, of: usize) -> Option<MemberState> {
     let name = Site::router_name(of);
-    look.view.members.iter().find(|m| m.name == name).map(|m| m.state)
+    sample.view.members.iter().find(|m| m.name == name).map(|m| m.state)
 }
 
-fn known(look: &Look, of: &[usize], wanted: MemberState) -> bool {
-    of.iter().all(|of| *of == look.router || state(look, *of) == Some(wanted))
+fn known(sample: &ViewSample, of: &[usize], wanted: MemberState) -> bool {
+    of.iter().all(|of| *of == sample.router || state(sample, *of) == Some(wanted))
 }
 
-fn holds(want: &Want, day: &Day, seen: &Seen, look: &Look) -> bool {
-    let routers = want.routers(day.routers);
-    match want.what {
-        WishKind::Whole => {
-            let living: Vec<usize> = (0..day.routers).filter(|r| seen.lives(*r, look.asked)).collect();
-            // A suspicion is a question, not a word: it ends by itself, and costs nobody anything.
+fn holds(
+    expectation: &Expectation,
+    scenario: &Scenario,
+    observations: &Observations,
+    sample: &ViewSample,
+) -> bool {
+    let routers = expectation.routers(scenario.routers);
+    match expectation.what {
+        ExpectationKind::Whole => {
+            let living: Vec<usize> =
+                (0..scenario.routers).filter(|r| observations.is_running(*r, sample.requested_at)).collect();
+            // A suspicion is not a verdict: it ends by itself and has no effect on the suspected member.
             let present = [Some(MemberState::Alive), Some(MemberState::Suspect)];
-            living.iter().all(|of| *of == look.router || present.contains(&state(look, *of)))
+            living.iter().all(|of| *of == sample.router || present.contains(&state(sample, *of)))
+        }
+        ExpectationKind::Dead => known(sample, &routers, MemberState::Dead),
+        ExpectationKind::Left => known(sample, &routers, MemberState::Left),
+        ExpectationKind::Majority => sample.view.majority,
+        ExpectationKind::NoMajority => !sample.view.majority,
+        ExpectationKind::Deaf => sample.view.receives_nothing && !sample.view.is_unanswered,
+        ExpectationKind::Mute => sample.view.is_unanswered && !sample.view.receives_nothing,
+        ExpectationKind::Forged => {
+            sample.view.forged > 0 && sample.view.replayed + sample.view.misdirected > 0
         }
-        WishKind::Dead => known(look, &routers, MemberState::Dead),
-        WishKind::Left => known(look, &routers, MemberState::Left),
-        WishKind::Majority => look.view.majority,
-        WishKind::NoMajority => !look.view.majority,
-        WishKind::Deaf => look.view.receives_nothing && !look.view.is_unanswered,
-        WishKind::Mute => look.view.is_unanswered && !look.view.receives_nothing,
-        WishKind::Forged => look.view.forged > 0 && look.view.replayed + look.view.misdirected > 0,
-        WishKind::Edges => {
+        ExpectationKind::Edges => {
             let name = Site::router_name;
-            let mut wanted: Vec<(String, String)> =
-                want.links(day.routers).into_iter().map(|(from, to)| (name(from), name(to))).collect();
+            let mut wanted: Vec<(String, String)> = expectation
+                .links(scenario.routers)
+                .into_iter()
+                .map(|(from, to)| (name(from), name(to)))
+                .collect();
             let mut edges: Vec<(String, String)> =
-                look.view.link_faults.iter().map(|e| (e.from.clone(), e.to.clone())).collect();
+                sample.view.link_faults.iter().map(|e| (e.from.clone(), e.to.clone())).collect();
             wanted.sort();
             edges.sort();
             edges == wanted
         }
-        WishKind::NoAccusation => {
+        ExpectationKind::NoAccusation => {
             let accusers: Vec<String> = routers.into_iter().map(Site::router_name).collect();
-            let living = (0..day.routers).filter(|r| seen.lives(*r, look.asked)).map(Site::router_name);
+            let living = (0..scenario.routers)
+                .filter(|r| observations.is_running(*r, sample.requested_at))
+                .map(Site::router_name);
             let living: Vec<String> = living.collect();
-            let accused = look.view.members.iter().filter(|m| living.contains(&m.name));
+            let accused = sample.view.members.iter().filter(|m| living.contains(&m.name));
             !accused.flat_map(|m| &m.suspected_by).any(|by| accusers.contains(by))
         }
-        WishKind::Latest => match (&look.versions, seen.list(look.asked)) {
+        ExpectationKind::Latest => match (&sample.versions, observations.list(sample.requested_at)) {
             (Some(view), Some(now)) => (view.version.epoch, view.version.version) >= (now.epoch, now.version),
             _ => false,
         },
-        WishKind::BroughtUp => look.versions.as_ref().is_some_and(|v| v.lists_from_peers > 0),
-        WishKind::NotBroughtUp => look.versions.as_ref().is_some_and(|v| v.lists_from_peers == 0),
-        WishKind::Held => want.text.as_ref().is_some_and(|engine| look.held.contains(engine)),
-        WishKind::Free => want.text.as_ref().is_some_and(|engine| !look.held.contains(engine)),
-        WishKind::Event | WishKind::Complete | WishKind::NotComplete | WishKind::Audit => false,
+        ExpectationKind::BroughtUp => sample.versions.as_ref().is_some_and(|v| v.lists_from_peers > 0),
+        ExpectationKind::NotBroughtUp => sample.versions.as_ref().is_some_and(|v| v.lists_from_peers == 0),
+        ExpectationKind::Held => expectation.text.as_ref().is_some_and(|engine| sample.held.contains(engine)),
+        ExpectationKind::Free => {
+            expectation.text.as_ref().is_some_and(|engine| !sample.held.contains(engine))
+        }
+        ExpectationKind::Event
+        | ExpectationKind::Complete
+        | ExpectationKind::NotComplete
+        | ExpectationKind::Audit => false,
     }
 }
 
-/// Compares what the records say with what came to the engines.
-fn find_audit(want: &Want, day: &Day, what: String, seen: &Seen) -> Found {
-    let mut short = None;
-    let mut fail = |text: String| short = short.take().or(Some(text));
-    let Some(audit) = &seen.audit else {
-        return Found { what, took: Vec::new(), short: Some("no answer to the question came".to_owned()) };
+/// Compares the audit logs with what arrived at the engines.
+fn check_audit(
+    expectation: &Expectation,
+    scenario: &Scenario,
+    what: String,
+    observations: &Observations,
+) -> ExpectationResult {
+    let mut failure = None;
+    let mut fail = |text: String| failure = failure.take().or(Some(text));
+    let Some(audit) = &observations.audit else {
+        return ExpectationResult {
+            what,
+            took: Vec::new(),
+            failure: Some("the audit query was not answered".to_owned()),
+        };
     };
     let killed = |router: &String| {
-        let ends = [Life::Killed, Life::Left];
-        seen.lives.iter().any(|(_, r, life)| Site::router_name(*r) == *router && ends.contains(life))
+        let ends = [ProcessState::Killed, ProcessState::Left];
+        observations
+            .process_states
+            .iter()
+            .any(|(_, r, process_state)| Site::router_name(*r) == *router && ends.contains(process_state))
     };
     let mut said: BTreeMap<(String, String), (u64, u64)> = BTreeMap::new();
     for row in &audit.rows {
         let sent = said.entry((row.router.clone(), row.sends.engine.clone())).or_default();
         *sent = (sent.0 + row.sends.prefills, sent.1 + row.sends.decodes);
     }
-    let whole = (0..day.routers).map(Site::router_name).filter(|router| !killed(router));
+    let whole = (0..scenario.routers).map(Site::router_name).filter(|router| !killed(router));
     for router in whole {
         let of = |all: &BTreeMap<(String, String), (u64, u64)>| -> BTreeMap<String, (u64, u64)> {
             let own = all.iter().filter(|((r, _), count)| *r == router && **count != (0, 0));
             own.map(|((_, engine), count)| (engine.clone(), *count)).collect()
         };
-        let (said, arrived) = (of(&said), of(&seen.arrived));
+        let (said, arrived) = (of(&said), of(&observations.arrived));
         if said != arrived {
-            fail(format!("{router} says that it sent {said:?}, and {arrived:?} came"));
+            fail(format!("{router} reports that it sent {said:?}, but {arrived:?} arrived"));
         }
     }
-    if seen.arrived.is_empty() {
-        fail("nothing came to any engine".to_owned());
+    if observations.arrived.is_empty() {
+        fail("nothing arrived at any engine".to_owned());
     }
-    if !seen.lives.iter().any(|(_, _, life)| *life == Life::Killed) && !audit.complete {
-        fail(format!("it is not complete: {}", audit.unknown.join(", ")));
+    if !observations.process_states.iter().any(|(_, _, process_state)| *process_state == ProcessState::Killed)
+        && !audit.complete
+    {
+        fail(format!("the audit is not complete: {}", audit.unknown.join(", ")));
     }
-    if let Some(name) = &want.text {
-        let late = seen
-            .stale
+    if let Some(name) = &expectation.text {
+        let late = observations
+            .stale_requests
             .iter()
             .filter(|s| s.late > LATE_AFTER_DRAIN)
             .map(|s| (s.router.clone(), s.engine.clone()));
@@ -122,88 +155,112 @@
         };
         let named = late.iter().any(|(router, engine)| router == name && old(router, engine));
         if !named {
-            fail(format!("it does not name {name}: late were {late:?}"));
+            fail(format!("the audit does not name {name}; late requests: {late:?}"));
         }
     }
-    Found { what, took: Vec::new(), short }
+    ExpectationResult { what, took: Vec::new(), failure }
 }
 
-/// When the orders given at that time were said to be kept by all.
-fn find_complete(want: &Want, what: String, seen: &Seen) -> Found {
-    let (at, by) = (want.at.duration(), want.at.duration() + want.within.duration());
-    let given: Vec<&Given> =
-        seen.orders.iter().filter(|g| g.at + DEED_WITHIN >= at && g.at <= at + DEED_WITHIN).collect();
+/// When the orders issued at that time were reported as kept by all routers.
+fn check_replication(
+    expectation: &Expectation,
+    what: String,
+    observations: &Observations,
+) -> ExpectationResult {
+    let (at, by) = (expectation.at.duration(), expectation.at.duration() + expectation.within.duration());
+    let given: Vec<&IssuedOrder> = observations
+        .orders
+        .iter()
+        .filter(|g| g.at + ACTION_TOLERANCE >= at && g.at <= at + ACTION_TOLERANCE)
+        .collect();
     let mut took = Vec::new();
-    let mut short = given.is_empty().then(|| "no order was given then".to_owned());
+    let mut failure = given.is_empty().then(|| "no order was issued at that time".to_owned());
     for order in given {
         let in_time = order.complete.filter(|complete| *complete <= by);
-        match (want.what, in_time) {
-            (WishKind::Complete, Some(complete)) => took.push(complete.saturating_sub(at)),
-            (WishKind::Complete, None) => {
-                short = Some(format!("it was not said in time; answered {:?}", order.answer));
+        match (expectation.what, in_time) {
+            (ExpectationKind::Complete, Some(complete)) => took.push(complete.saturating_sub(at)),
+            (ExpectationKind::Complete, None) => {
+                failure = Some(format!(
+                    "not reported as complete in time; the order was answered with {:?}",
+                    order.answer
+                ));
             }
             (_, Some(complete)) => {
                 let after = complete.saturating_sub(order.at).as_secs_f64();
-                short = Some(format!("said after {after:.2} s, though not all can know"));
+                failure = Some(format!(
+                    "reported as complete after {after:.2} s, although not all routers can know the order"
+                ));
             }
             (_, None) => {}
         }
     }
-    Found { what, took, short }
+    ExpectationResult { what, took, failure }
 }
 
-/// By when each of those who have to see it did, and for good.
-fn find(want: &Want, day: &Day, seen: &Seen) -> Found {
-    let what = format!("{:?} {:?}", want.what, want.routers(day.routers)).replace(" []", "").to_lowercase();
-    let (at, by) = (want.at.duration(), want.at.duration() + want.within.duration());
-    let until = by + want.stays.duration();
-    if want.what == WishKind::Audit {
-        return find_audit(want, day, what, seen);
+/// Finds when each observer saw the expectation met, without a later violation in its time.
+fn find(expectation: &Expectation, scenario: &Scenario, observations: &Observations) -> ExpectationResult {
+    let what = format!("{:?} {:?}", expectation.what, expectation.routers(scenario.routers))
+        .replace(" []", "")
+        .to_lowercase();
+    let (at, by) = (expectation.at.duration(), expectation.at.duration() + expectation.within.duration());
+    let until = by + expectation.stays.duration();
+    if expectation.what == ExpectationKind::Audit {
+        return check_audit(expectation, scenario, what, observations);
     }
-    if matches!(want.what, WishKind::Complete | WishKind::NotComplete) {
-        return find_complete(want, what, seen);
+    if matches!(expectation.what, ExpectationKind::Complete | ExpectationKind::NotComplete) {
+        return check_replication(expectation, what, observations);
     }
-    if let Some(text) = want.text.as_ref().filter(|_| want.what == WishKind::Event) {
-        let observers = want.by(day.routers).unwrap_or_else(|| (0..day.routers).collect());
-        let heard = seen.events.iter().find(|e| {
-            let from = at.saturating_sub(CLOCKS_APART);
+    if let Some(text) = expectation.text.as_ref().filter(|_| expectation.what == ExpectationKind::Event) {
+        let observers = expectation.by(scenario.routers).unwrap_or_else(|| (0..scenario.routers).collect());
+        let event = observations.events.iter().find(|e| {
+            let from = at.saturating_sub(CLOCK_TOLERANCE);
             observers.contains(&e.router) && (from..=by).contains(&e.at) && e.text.contains(text.as_str())
         });
-        let short = heard.is_none().then(|| format!("no event says '{text}'"));
-        return Found { what, took: heard.iter().map(|e| e.at.saturating_sub(at)).collect(), short };
+        let failure = event.is_none().then(|| format!("no event contains '{text}'"));
+        return ExpectationResult {
+            what,
+            took: event.iter().map(|e| e.at.saturating_sub(at)).collect(),
+            failure,
+        };
     }
-    let own = matches!(want.what, WishKind::Deaf | WishKind::Mute);
-    // What is done at the same time is done a moment later.
-    let living = seen.living(day.routers, at + DEED_WITHIN, until);
-    let observers = match want.by(day.routers) {
+    let own = matches!(expectation.what, ExpectationKind::Deaf | ExpectationKind::Mute);
+    // An action at the same time takes effect a moment later.
+    let living = observations.living(scenario.routers, at + ACTION_TOLERANCE, until);
+    let observers = match expectation.by(scenario.routers) {
         Some(by) => by.into_iter().filter(|r| living.contains(r)).collect(),
-        None if own => want.routers(day.routers),
+        None if own => expectation.routers(scenario.routers),
         None => living,
     };
     let mut took = Vec::new();
-    let mut short = observers.is_empty().then(|| "nobody was there to see it".to_owned());
+    let mut failure = observers.is_empty().then(|| "no observer was running".to_owned());
     for router in observers {
-        let looks = seen.looks.iter().filter(|l| l.router == router && l.asked >= at && l.at <= until);
+        let samples = observations
+            .samples
+            .iter()
+            .filter(|l| l.router == router && l.requested_at >= at && l.at <= until);
         let (mut from, mut failed) = (None, None);
-        for look in looks {
-            if holds(want, day, seen, look) {
-                from = from.or(Some(look.at));
+        for sample in samples {
+            if holds(expectation, scenario, observations, sample) {
+                from = from.or(Some(sample.at));
             } else {
-                (from, failed) = (None, Some(look));
+                (from, failed) = (None, Some(sample));
             }
         }
-        // What must never be is not made good by ending.
-        if let Some(look) = failed.filter(|_| want.what == WishKind::NoAccusation) {
-            short = Some(format!(
-                "seen by router {router} after {:.1} s",
-                look.at.saturating_sub(at).as_secs_f64()
+        // A forbidden state counts as a failure even if it ends in time.
+        if let Some(sample) = failed.filter(|_| expectation.what == ExpectationKind::NoAccusation) {
+            failure = Some(format!(
+                "observed by router {router} after {:.1} s",
+                sample.at.saturating_sub(at).as_secs_f64()
             ));
             continue;
         }
         match from {
             Some(from) if from <= by => took.push(from.saturating_sub(at)),
             Some(from) => {
-                short = Some(format!("router {router} saw it after {:.1} s only", (from - at).as_secs_f64()));
+                failure = Some(format!(
+                    "router {router} observed it only after {:.1} s",
+                    (from - at).as_secs_f64()
+                ));
             }
             None => {
                 let view = failed.map(|l| {
@@ -213,23 +270,24 @@
                         l.view.link_faults.iter().map(|e| format!("{}->{}", e.from, e.to)).collect();
                     format!("majority {}, {}; cut {}", l.view.majority, states.join(", "), edges.join(", "))
                 });
-                short = Some(format!("router {router} never saw it; at last {}", view.unwrap_or_default()));
+                failure = Some(format!("router {router} never saw it; at last {}", view.unwrap_or_default()));
             }
         }
     }
-    Found { what, took, short }
+    ExpectationResult { what, took, failure }
 }
 
-/// The largest sum of the parts of a limit that all at work took at once, by what each showed last.
-fn most_parts(day: &Day, seen: &Seen) -> f64 {
-    let mut looks: Vec<&Look> = seen.looks.iter().collect();
-    looks.sort_by_key(|l| l.at);
-    let mut latest: Vec<Option<&Look>> = vec![None; day.routers];
+/// The largest sum of the limit shares that all running routers used at once, by the latest sample of each.
+fn max_limit_share(scenario: &Scenario, observations: &Observations) -> f64 {
+    let mut samples: Vec<&ViewSample> = observations.samples.iter().collect();
+    samples.sort_by_key(|l| l.at);
+    let mut latest: Vec<Option<&ViewSample>> = vec![None; scenario.routers];
     let mut most: f64 = 0.0;
-    for look in looks {
-        latest[look.router] = Some(look);
-        let now = look.at;
-        let counts = |l: &&Look| l.at + LOOK_HOLDS >= now && seen.lives(l.router, now);
+    for sample in samples {
+        latest[sample.router] = Some(sample);
+        let now = sample.at;
+        let counts =
+            |l: &&ViewSample| l.at + SAMPLE_VALIDITY >= now && observations.is_running(l.router, now);
         let parts =
             latest.iter().copied().flatten().filter(counts).map(|l| 1.0 / f64::from(l.view.divisor.max(1)));
         most = most.max(parts.sum());
@@ -237,42 +295,53 @@
     most
 }
 
-/// Judges a day.
-pub fn judge(day: &Day, seen: Seen, verdict: Verdict, answered: Answered) -> Report {
-    let may_die = day.may_die();
+/// Checks all invariants of a scenario and reports the result.
+pub fn judge(
+    scenario: &Scenario,
+    observations: Observations,
+    verdict: Verdict,
+    answered: Answered,
+) -> Report {
+    let may_die = scenario.may_die();
     let mut false_deaths = Vec::new();
-    for look in &seen.looks {
-        if !seen.lives(look.router, look.asked) || may_die.contains(&look.router) {
+    for sample in &observations.samples {
+        if !observations.is_running(sample.router, sample.requested_at) || may_die.contains(&sample.router) {
             continue;
         }
-        for of in (0..day.routers).filter(|of| !may_die.contains(of)) {
-            let lived = seen.life(of, look.asked).filter(|(_, life)| *life == Life::Running);
-            let long = lived.is_some_and(|(since, _)| look.asked >= since + LIVED_FOR);
-            if long && state(look, of) == Some(MemberState::Dead) {
-                let text = format!("router {} counts {of} as dead", look.router);
+        for of in (0..scenario.routers).filter(|of| !may_die.contains(of)) {
+            let lived = observations
+                .process_state(of, sample.requested_at)
+                .filter(|(_, process_state)| *process_state == ProcessState::Running);
+            let long = lived.is_some_and(|(since, _)| sample.requested_at >= since + MIN_UPTIME);
+            if long && state(sample, of) == Some(MemberState::Dead) {
+                let text = format!("router {} counts running router {of} as dead", sample.router);
                 if !false_deaths.contains(&text) {
                     false_deaths.push(text);
                 }
             }
         }
     }
-    let most_parts = most_parts(day, &seen);
-    let most = seen.bytes.iter().max().copied().unwrap_or(0) as f64;
+    let max_limit_share = max_limit_share(scenario, &observations);
+    let most = observations.bytes.iter().max().copied().unwrap_or(0) as f64;
     Report {
-        name: day.name.clone(),
-        says: day.says.clone(),
-        found: day.wants.iter().map(|want| find(want, day, &seen)).collect(),
+        name: scenario.name.clone(),
+        says: scenario.says.clone(),
+        results: scenario
+            .expectations
+            .iter()
+            .map(|expectation| find(expectation, scenario, &observations))
+            .collect(),
         false_deaths,
-        most_parts,
-        bytes_per_s: most / day.lasts.duration().as_secs_f64().max(0.1),
+        max_limit_share,
+        bytes_per_s: most / scenario.lasts.duration().as_secs_f64().max(0.1),
         verdict,
         answered,
-        crashes: seen.crashes.clone(),
-        looks: seen.looks.len(),
-        starts_cold: day.deeds.iter().any(|d| matches!(d.fault(), Ok(Some((_, Fault::Start))))),
-        may: (day.false_deaths, day.parts),
-        stale_after: day.stale_after.map(|s| s.duration()),
-        seen,
+        crashes: observations.crashes.clone(),
+        samples: observations.samples.len(),
+        starts_cold: scenario.actions.iter().any(|d| matches!(d.fault(), Ok(Some((_, Fault::Start))))),
+        allowed: (scenario.false_deaths, scenario.parts),
+        stale_after: scenario.stale_after.map(|s| s.duration()),
+        observations,
     }
 }
 
--- a/crates/gaparch-testbed/src/fleet/liar.rs
+++ b/crates/gaparch-testbed/src/fleet/liar.rs
@@ -1,7 +1,9 @@
-//! A router that lies by defect: the rig stands in for it, under its name and with the site's key.
+//! A defective router that sends false lists and orders. The runner impersonates it with its name and the
+//! site's key.
 //!
-//! It is a sound member, or nobody would listen to it; what it says of lists and orders is what no router may say: versions
-//! and numbers from the future, entries that nobody listed.
+//! It takes part in the membership protocol correctly, since otherwise the other routers would ignore it. The
+//! lists and orders that it states are invalid: versions and numbers far ahead of the real ones, and entries
+//! that were never listed.
 
 use gaparch_audit::{subject, FleetOrder};
 use gaparch_membership::{Membership, Output, Settings, SiteKey};
@@ -14,17 +16,17 @@
 use tokio::net::UdpSocket;
 use tokio::time::{interval, sleep_until, Instant};
 
-/// Between two lies.
-const EVERY: Duration = Duration::from_millis(200);
-/// By how far its versions and numbers are ahead.
-const FAR: u64 = 1 << 60;
-const MOST: usize = 2048;
+/// Interval between two false payloads.
+const LIE_INTERVAL: Duration = Duration::from_millis(200);
+/// How far its list versions and order numbers are ahead of the real ones.
+const VERSION_OFFSET: u64 = 1 << 60;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// One that lies.
+/// A router that sends false lists and orders.
 pub struct Liar {
     pub name: String,
     pub listen: SocketAddr,
-    /// Where the others are told to reach it.
+    /// The address that the other routers use for it.
     pub address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub routers: u32,
@@ -33,7 +35,7 @@
 }
 
 impl Liar {
-    /// Lies until it is aborted.
+    /// Sends false lists and orders until the task is aborted.
     pub async fn run(self) {
         let (Ok(socket), Some(key)) = (UdpSocket::bind(self.listen).await, SiteKey::new(self.key.as_bytes()))
         else {
@@ -55,11 +57,11 @@
         };
         let mut out = Vec::new();
         let mut core = Membership::new(settings, self.clock.now(), &mut out);
-        let mut lies = interval(EVERY);
-        let mut datagram = [0; MOST];
-        let mut heard = ListVersion::default();
+        let mut lie_timer = interval(LIE_INTERVAL);
+        let mut datagram = [0; MAX_DATAGRAM_BYTES];
+        let mut last_version = ListVersion::default();
         loop {
-            let mut talks = Vec::new();
+            let mut payloads = Vec::new();
             for output in out.drain(..) {
                 match output {
                     Output::Send { to, message } => {
@@ -67,14 +69,14 @@
                             let _ = socket.try_send_to(&bytes, to);
                         }
                     }
-                    Output::Payload { from, bytes } => talks.push((from, bytes)),
+                    Output::Payload { from, bytes } => payloads.push((from, bytes)),
                     _ => {}
                 }
             }
-            for (from, bytes) in talks {
+            for (from, bytes) in payloads {
                 match from_bytes::<ReplicationMessage>(&bytes) {
-                    Some(ReplicationMessage::ListStatus { version: held, .. }) => heard = held,
-                    // Whoever believes it gets what nobody listed.
+                    Some(ReplicationMessage::ListStatus { version, .. }) => last_version = version,
+                    // A router that believes the false version fetches a list that never existed.
                     Some(ReplicationMessage::ListRequest { version, first: at }) => {
                         let page = ReplicationMessage::ListPage {
                             version,
@@ -91,10 +93,10 @@
             let due = Instant::from_std(self.clock.instant(core.next_timer_at()));
             tokio::select! {
                 () = sleep_until(due) => core.on_timer(self.clock.now(), &mut out),
-                _ = lies.tick() => {
+                _ = lie_timer.tick() => {
                     for to in core.present_peers() {
-                        for talk in [self.stamp(heard), self.order()] {
-                            core.send_payload(self.clock.now(), &to, to_bytes(&talk), &mut out);
+                        for payload in [self.future_list(last_version), self.future_order()] {
+                            core.send_payload(self.clock.now(), &to, to_bytes(&payload), &mut out);
                         }
                     }
                 }
@@ -107,12 +109,13 @@
         }
     }
 
-    /// A list from the future, which it says to have from the service itself.
-    fn stamp(&self, heard: ListVersion) -> ReplicationMessage {
-        let held = ListVersion { version: heard.version.saturating_add(FAR), ..heard };
-        let claim = Claim { router: "router-77".to_owned(), version: held, digest: 1, age_ms: 0 };
+    /// States a list version far ahead of the real one, as if the list service had just confirmed it.
+    fn future_list(&self, last_version: ListVersion) -> ReplicationMessage {
+        let version =
+            ListVersion { version: last_version.version.saturating_add(VERSION_OFFSET), ..last_version };
+        let claim = Claim { router: "router-77".to_owned(), version, digest: 1, age_ms: 0 };
         ReplicationMessage::ListStatus {
-            version: held,
+            version,
             digest: 1,
             entries: 0,
             confirmed_ms_ago: Some(0),
@@ -120,11 +123,16 @@
         }
     }
 
-    /// An order that would go before all others for ever.
-    fn order(&self) -> ReplicationMessage {
+    /// States an order with a number that would take precedence over all others permanently.
+    fn future_order(&self) -> ReplicationMessage {
         let change = Change::Undrain { engine: "read-0".to_owned() };
         debug_assert!(subject(&change).is_some());
-        let id = OrderId { number: FAR, restrictiveness: 0, router: self.name.clone(), incarnation: 1_000 };
+        let id = OrderId {
+            number: VERSION_OFFSET,
+            restrictiveness: 0,
+            router: self.name.clone(),
+            incarnation: 1_000,
+        };
         let note = ChangeNote { operator: "nobody".to_owned(), reason: "a defect".to_owned(), at: 0 };
         ReplicationMessage::Order { order: FleetOrder { id, replaces: None, change, note } }
     }
--- a/crates/gaparch-testbed/src/fleet/mod.rs
+++ b/crates/gaparch-testbed/src/fleet/mod.rs
@@ -1,13 +1,14 @@
-//! Fleets of routers that break.
+//! Fault injection tests of router fleets.
 //!
-//! [`world`] plays the membership core alone, in virtual time, at any size. The rest plays processes of the built
-//! program: [`day`] says what is done when and what has to be seen by when, [`relay`] stands between any two routers and
-//! [`streams`] between a router and all else, as [`faults`] says; [`process`] starts, stops and kills them, and [`rig`]
-//! plays a day. [`observations`] are what was seen of it, [`invariants`] judges them, and [`report`] says what came of
-//! it. [`faulty_directory`] is a disk with a fault, [`liar`] a router that does, [`picture`] draws who thought what of whom.
+//! [`world`] simulates the membership core alone, in virtual time, for any fleet size. The other modules run
+//! processes of the built program: [`scenario`] is the format of a scenario file (actions, and expectations
+//! with a deadline) and [`scenarios`] has the scenarios that are built in. [`relay`] forwards datagrams
+//! between routers and [`streams`] TCP connections between a router and everything else, with the faults of
+//! [`faults`]. [`process`] starts, stops and kills routers, and [`runner`] runs a scenario. [`observations`]
+//! holds what was observed, [`invariants`] checks it, and [`report`] formats the result. [`faulty_directory`]
+//! simulates a faulty disk, [`liar`] a router that sends false lists and orders, and [`picture`] draws how
+//! each router saw the states of the others over time.
 
-pub mod day;
-pub mod days;
 pub mod faults;
 pub mod faulty_directory;
 pub mod invariants;
@@ -17,6 +18,8 @@
 pub mod process;
 pub mod relay;
 pub mod report;
-pub mod rig;
+pub mod runner;
+pub mod scenario;
+pub mod scenarios;
 pub mod streams;
 pub mod world;
--- a/crates/gaparch-testbed/src/fleet/observations.rs
+++ b/crates/gaparch-testbed/src/fleet/observations.rs
@@ -1,111 +1,115 @@
-//! What was observed of a fleet, and what was truly done to it.
+//! What was observed of a fleet, and what was really done to it.
 
 use gaparch_protocol::ops::view::{AuditView, FleetView, ListVersionsView};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What became of a router, by the rig's own hand.
+/// The state of a router's process, as the runner set it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     Running,
     Stopped,
     Killed,
     Left,
 }
 
-/// One look at one router's view; times from the day's beginning.
+/// One sample of one router's view; times count from the start of the scenario.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Look {
+pub struct ViewSample {
     pub at: Duration,
-    /// When it was asked for.
-    pub asked: Duration,
+    /// When the sample was requested.
+    pub requested_at: Duration,
     pub router: usize,
     pub view: FleetView,
-    /// Where it follows lists.
+    /// Present if the router replicates lists.
     pub versions: Option<ListVersionsView>,
-    /// Engines that operators hold.
+    /// Engines held by operators' orders.
     pub held: BTreeSet<String>,
 }
 
 /// An operator's order for all routers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Given {
+pub struct IssuedOrder {
     pub at: Duration,
-    /// When all routers were said to keep it.
+    /// When the order was reported as kept by all routers.
     pub complete: Option<Duration>,
     pub answer: Option<String>,
 }
 
-/// What the list service has from a time on.
+/// The list of the list service from a time on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListedNow {
+pub struct ListSnapshot {
     pub at: Duration,
     pub epoch: u64,
     pub version: u64,
-    /// Engines that may be sent nothing new.
+    /// Engines that must receive no new work.
     pub drained: BTreeSet<String>,
 }
 
-/// Something that came to an engine after the list service had drained it.
+/// A request that arrived at an engine after the list service had drained it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stale {
+pub struct StaleRequest {
     pub router: String,
     pub engine: String,
     pub late: Duration,
 }
 
-/// Something that a router told of.
+/// An event that a router reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct ObservedEvent {
     pub at: Duration,
     pub router: usize,
     pub text: String,
 }
 
-/// All that was seen of a day.
+/// Everything observed in a scenario.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    pub looks: Vec<Look>,
-    pub events: Vec<Heard>,
-    pub lives: Vec<(Duration, usize, Life)>,
-    /// What the list service has had.
-    pub lists: Vec<ListedNow>,
-    pub stale: Vec<Stale>,
-    pub orders: Vec<Given>,
-    /// What all records said at the day's end, and what came to the engines: reads and writes by router and engine.
+pub struct Observations {
+    pub samples: Vec<ViewSample>,
+    pub events: Vec<ObservedEvent>,
+    pub process_states: Vec<(Duration, usize, ProcessState)>,
+    /// The lists that the list service has had, in order.
+    pub lists: Vec<ListSnapshot>,
+    pub stale_requests: Vec<StaleRequest>,
+    pub orders: Vec<IssuedOrder>,
+    /// What the audit logs of all routers said at the end.
     pub audit: Option<AuditView>,
+    /// What arrived at the engines: prefills and decodes by router and engine.
     pub arrived: BTreeMap<(String, String), (u64, u64)>,
-    /// Bytes that each router sent to others.
+    /// Bytes that each router sent to its peers.
     pub bytes: Vec<u64>,
     pub crashes: Vec<String>,
 }
-impl Seen {
-    /// What it is at that time, and since when.
-    pub(super) fn life(&self, router: usize, at: Duration) -> Option<(Duration, Life)> {
-        let of = self.lives.iter().filter(|(since, r, _)| *r == router && *since <= at);
-        of.max_by_key(|(since, ..)| *since).map(|(since, _, life)| (*since, *life))
+
+impl Observations {
+    /// The state of a router at that time, and since when it holds.
+    pub(super) fn process_state(&self, router: usize, at: Duration) -> Option<(Duration, ProcessState)> {
+        let of = self.process_states.iter().filter(|(since, r, _)| *r == router && *since <= at);
+        of.max_by_key(|(since, ..)| *since).map(|(since, _, process_state)| (*since, *process_state))
     }
 
-    pub(super) fn lives(&self, router: usize, at: Duration) -> bool {
-        self.life(router, at).is_some_and(|(_, life)| life == Life::Running)
+    pub(super) fn is_running(&self, router: usize, at: Duration) -> bool {
+        self.process_state(router, at)
+            .is_some_and(|(_, process_state)| process_state == ProcessState::Running)
     }
 
-    /// What the list service has at that time.
-    pub(super) fn list(&self, at: Duration) -> Option<&ListedNow> {
+    /// The list of the list service at that time.
+    pub(super) fn list(&self, at: Duration) -> Option<&ListSnapshot> {
         self.lists.iter().filter(|l| l.at <= at).max_by_key(|l| l.at)
     }
 
-    /// Since when that engine is drained, if it is at that time.
+    /// Since when the engine has been drained, if it is drained at that time.
     pub(super) fn drained_since(&self, engine: &str, at: Duration) -> Option<Duration> {
         let before = self.lists.iter().filter(|l| l.at <= at).rev();
         before.take_while(|l| l.drained.contains(engine)).last().map(|l| l.at)
     }
 
-    /// Those that live all the time between.
+    /// The routers that run without interruption in the interval.
     pub(super) fn living(&self, routers: usize, from: Duration, to: Duration) -> Vec<usize> {
         let whole = |r: &usize| {
-            let change = self.lives.iter().any(|(at, router, _)| router == r && *at > from && *at <= to);
-            self.lives(*r, from) && !change
+            let change =
+                self.process_states.iter().any(|(at, router, _)| router == r && *at > from && *at <= to);
+            self.is_running(*r, from) && !change
         };
         (0..routers).filter(whole).collect()
     }
--- a/crates/gaparch-testbed/src/fleet/process.rs
+++ b/crates/gaparch-testbed/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! Routers as processes of the built program.
+//! Starts, stops and kills routers as processes of the built program.
 
 use rustix::process::{kill_process, set_parent_process_death_signal, Pid, Signal};
 use std::fs::File;
@@ -7,27 +7,27 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// For a process that was killed to be gone.
-const GONE_WITHIN: Duration = Duration::from_secs(5);
+/// How long a process may take to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// From now on this process is killed when the one that started it ends, however that does.
+/// Makes the kernel kill this process when its parent ends, for whatever reason.
 ///
 /// # Errors
-/// When the system says so.
+/// When the system call fails.
 pub fn end_with_parent() -> io::Result<()> {
     Ok(set_parent_process_death_signal(Some(Signal::KILL))?)
 }
 
-/// What a router is run as.
+/// How a router is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// `gaparch serve`, by settings of its own.
+    /// `gaparch serve`, with its own settings file.
     Serve,
-    /// `gaparch node`, in service on the platform.
+    /// `gaparch node`, on the platform.
     Node,
 }
 
-/// A router of its own process. Dropped, it is killed: the rig leaves nothing behind.
+/// A router in its own process. It is killed on drop, so that a run leaves no processes behind.
 #[derive(Debug)]
 pub struct Process {
     kind: Kind,
@@ -36,14 +36,14 @@
     log: PathBuf,
     child: Option<Child>,
     stopped: bool,
-    /// How its disk lies.
+    /// The fault of its disk.
     disk: Option<String>,
-    /// Seconds that its wall clock is ahead.
+    /// Seconds by which its wall clock is ahead.
     ahead: i32,
 }
 
 impl Process {
-    /// Writes the settings; nothing is started yet. Its lines go to `log`.
+    /// Writes the settings file, without starting the process. Its output will go to `log`.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -51,7 +51,7 @@
         Process::of(Kind::Serve, program, settings, text, log)
     }
 
-    /// The same of a router in service, by the platform's configuration.
+    /// Like [`new`](Process::new), for a router on the platform with the platform's configuration.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Starts it, or starts it again.
+    /// Starts the process; one that is already running is killed first.
     ///
     /// # Errors
     /// When the program can't be started.
@@ -81,7 +81,8 @@
         self.kill()?;
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(&self.program);
-        // As `gaparch serve` or `node`, but it ends with this process even where that is killed and can end nothing.
+        // These run as `gaparch serve` or `node`, but also end when this process is killed and can't stop
+        // them.
         match self.kind {
             Kind::Serve => {
                 command.args(["lab", "serve", &format!("--ahead={}", self.ahead)]);
@@ -95,12 +96,12 @@
         Ok(())
     }
 
-    /// From its next start on its disk lies like that, or is honest.
+    /// Sets the fault of its disk from the next start on; `None`: no fault.
     pub fn set_disk(&mut self, lie: Option<String>) {
         self.disk = lie;
     }
 
-    /// From its next start on its wall clock is that many seconds ahead.
+    /// Sets how many seconds its wall clock is ahead from the next start on.
     pub fn set_clock(&mut self, ahead: i32) {
         self.ahead = ahead;
     }
@@ -113,10 +114,10 @@
         }
     }
 
-    /// `kill -9`, and waits until it is gone: another of its folder may start then.
+    /// Sends SIGKILL and waits for the exit, after which another process may use its folder.
     ///
     /// # Errors
-    /// When the system says so.
+    /// When a system call fails.
     pub fn kill(&mut self) -> io::Result<()> {
         self.stopped = false;
         let Some(mut child) = self.child.take() else { return Ok(()) };
@@ -125,14 +126,14 @@
         Ok(())
     }
 
-    /// SIGTERM; whether it has ended well in time.
+    /// Sends SIGTERM; returns whether the process exited successfully in time.
     ///
     /// # Errors
-    /// When the system says so.
+    /// When a system call fails.
     pub fn leave(&mut self) -> io::Result<bool> {
         self.signal(Signal::TERM)?;
         let Some(mut child) = self.child.take() else { return Ok(false) };
-        let until = Instant::now() + GONE_WITHIN;
+        let until = Instant::now() + EXIT_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = child.try_wait()? {
                 return Ok(status.success());
@@ -145,37 +146,37 @@
     }
 
     /// # Errors
-    /// When the system says so.
+    /// When a system call fails.
     pub fn stop(&mut self) -> io::Result<()> {
         self.stopped = true;
         self.signal(Signal::STOP)
     }
 
     /// # Errors
-    /// When the system says so.
-    pub fn go_on(&mut self) -> io::Result<()> {
+    /// When a system call fails.
+    pub fn resume(&mut self) -> io::Result<()> {
         self.stopped = false;
         self.signal(Signal::CONT)
     }
 
-    /// Its number with the system, while it is started.
+    /// Its process id, while it is started.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// It was started and neither killed nor stopped.
+    /// Whether it was started and is neither killed nor stopped.
     pub fn lives(&self) -> bool {
         self.child.is_some() && !self.stopped
     }
 
-    /// Its last lines, for whoever wants to know why it ended.
+    /// The last lines of its log, which tell why it ended.
     pub fn last_lines(&self) -> String {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(5).collect();
         lines.into_iter().rev().collect::<Vec<_>>().join("\n")
     }
 
-    /// It ended by itself.
+    /// Whether it exited without being killed.
     pub fn has_ended(&mut self) -> bool {
         self.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(Some(_))))
     }
@@ -183,7 +184,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Nothing more can be done where that fails.
+        // A failure here can't be handled any further.
         let _ = self.kill();
     }
 }
--- a/crates/gaparch-testbed/src/fleet/relay.rs
+++ b/crates/gaparch-testbed/src/fleet/relay.rs
@@ -1,10 +1,10 @@
-//! What stands between any two routers: datagrams are lost, doubled, late, held, overtaken or cut, for each direction
-//! by itself.
+//! Relays for the datagrams between routers. They lose, duplicate, delay, hold, reorder or cut datagrams,
+//! separately for each direction of a link.
 //!
-//! Each router is told the address of a relay as every other's, so that the relay knows by the sender's own address
-//! which link a datagram takes.
+//! Each router is reached by the others through a relay of its own, which recognises the link that a datagram
+//! takes by the sender's address.
 
-use super::faults::{End, Faults, Way};
+use super::faults::{DirectedLink, Faults, LinkEnd};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io;
@@ -15,22 +15,22 @@
 use tokio::net::UdpSocket;
 use tokio::task::JoinHandle;
 
-/// Datagrams under way at once through all links; more are lost.
-const UNDER_WAY: usize = 20_000;
-/// Bytes of a datagram that is passed on.
-const MOST: usize = 2048;
-/// Copies of datagrams that passed a link, for somebody to send them again.
-const COPIES: usize = 64;
+/// Maximum number of datagrams in flight through all links; more are dropped.
+const MAX_IN_FLIGHT: usize = 20_000;
+/// Maximum size of a datagram that is forwarded.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Maximum number of datagrams that are copied to be replayed later.
+const MAX_COPIES: usize = 64;
 
 #[derive(Debug, Default)]
 struct Links {
     bytes: Vec<u64>,
     datagrams: Vec<u64>,
-    /// The last ones, with whom they were for.
+    /// The latest datagrams, with their recipients.
     copies: Vec<(usize, Vec<u8>)>,
 }
 
-/// The relays of a fleet. They end when this is dropped.
+/// The datagram relays of a fleet. They end on drop.
 #[derive(Debug)]
 pub struct Relays {
     addresses: Vec<SocketAddr>,
@@ -47,16 +47,16 @@
 }
 
 impl Relays {
-    /// Relays for routers that listen at these addresses.
+    /// Starts relays for routers that listen at these addresses.
     ///
     /// # Errors
-    /// When a socket can't be had.
+    /// When a socket can't be opened.
     pub async fn start(listens: Vec<SocketAddr>, faults: Arc<Faults>, seed: u64) -> io::Result<Relays> {
         let count = listens.len();
         let links = Links { bytes: vec![0; count], datagrams: vec![0; count], ..Links::default() };
         let links = Arc::new(Mutex::new(links));
         let forger = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
-        let under_way = Arc::new(AtomicUsize::new(0));
+        let in_flight = Arc::new(AtomicUsize::new(0));
         let mut relays = Relays { addresses: Vec::new(), listens, links, forger, tasks: Vec::new() };
         for to in 0..count {
             let socket = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
@@ -66,7 +66,7 @@
                 listens: relays.listens.clone(),
                 links: Arc::clone(&relays.links),
                 faults: Arc::clone(&faults),
-                under_way: Arc::clone(&under_way),
+                in_flight: Arc::clone(&in_flight),
                 rng: ChaCha8Rng::seed_from_u64(seed ^ to as u64),
                 socket,
             };
@@ -75,7 +75,7 @@
         Ok(relays)
     }
 
-    /// Where others are told to reach a router.
+    /// The address that other routers use for a router.
     pub fn address(&self, router: usize) -> SocketAddr {
         self.addresses[router]
     }
@@ -84,17 +84,18 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Datagrams and bytes that a router has sent so far.
+    /// The datagrams and bytes that a router has sent so far.
     pub fn sent(&self, router: usize) -> (u64, u64) {
         let links = self.links();
         (links.datagrams[router], links.bytes[router])
     }
 
-    /// Sends a router what it must not take: datagrams seen before, harmed, cut short, too long, and noise. How many.
+    /// Sends a router datagrams that it must reject: replayed, corrupted, truncated, too long, and random
+    /// ones. Returns their number.
     pub async fn forge(&self, router: usize) -> usize {
         let copies: Vec<Vec<u8>> =
             self.links().copies.iter().filter(|(to, _)| *to == router).map(|(_, d)| d.clone()).collect();
-        let mut forged = vec![vec![0; MOST], b"gF\x01nonsense".to_vec(), Vec::new()];
+        let mut forged = vec![vec![0; MAX_DATAGRAM_BYTES], b"gF\x01nonsense".to_vec(), Vec::new()];
         for copy in copies {
             let mut harmed = copy.clone();
             let middle = harmed.len() / 2;
@@ -102,7 +103,7 @@
             forged.extend([harmed, copy[..copy.len() - 1].to_vec(), copy]);
         }
         for datagram in &forged {
-            // One that can't be sent now is lost, as any may be.
+            // A datagram that can't be sent is lost, like on any link.
             let _ = self.forger.send_to(datagram, self.listens[router]).await;
         }
         forged.len()
@@ -114,17 +115,18 @@
     listens: Vec<SocketAddr>,
     links: Arc<Mutex<Links>>,
     faults: Arc<Faults>,
-    under_way: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
     rng: ChaCha8Rng,
     socket: Arc<UdpSocket>,
 }
 
 impl Relay {
     async fn run(mut self) {
-        let mut datagram = [0; MOST];
+        let mut datagram = [0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut datagram).await else {
-                // A router that is not there: its port says so, and the next one may be.
+                // The port of a router that is not running is reported as an error; the next datagram may
+                // succeed.
                 tokio::task::yield_now().await;
                 continue;
             };
@@ -134,13 +136,13 @@
     }
 
     fn pass(&mut self, from: usize, datagram: &[u8]) {
-        let way = (End::Router(from), End::Router(self.to));
-        let fault = self.faults.fault(&way);
+        let link = (LinkEnd::Router(from), LinkEnd::Router(self.to));
+        let fault = self.faults.fault(&link);
         {
             let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
             links.datagrams[from] += 1;
             links.bytes[from] += datagram.len() as u64;
-            if links.copies.len() >= COPIES {
+            if links.copies.len() >= MAX_COPIES {
                 links.copies.remove(0);
             }
             links.copies.push((self.to, datagram.to_vec()));
@@ -156,24 +158,24 @@
             let late = fault.delay + fault.jitter.mul_f64(self.rng.random_range(0.0..1.0));
             if late.is_zero() && !fault.stall {
                 let _ = self.socket.try_send_to(datagram, self.listens[self.to]);
-            } else if self.under_way.fetch_add(1, Ordering::Relaxed) < UNDER_WAY {
-                self.send_later(&way, datagram.to_vec(), late);
+            } else if self.in_flight.fetch_add(1, Ordering::Relaxed) < MAX_IN_FLIGHT {
+                self.send_later(&link, datagram.to_vec(), late);
             } else {
-                self.under_way.fetch_sub(1, Ordering::Relaxed);
+                self.in_flight.fetch_sub(1, Ordering::Relaxed);
             }
         }
     }
 
-    fn send_later(&self, way: &Way, datagram: Vec<u8>, late: Duration) {
-        let (way, mut faults) = (way.clone(), self.faults.watch());
+    fn send_later(&self, link: &DirectedLink, datagram: Vec<u8>, late: Duration) {
+        let (link, mut faults) = (link.clone(), self.faults.watch());
         let (socket, to) = (Arc::clone(&self.socket), self.listens[self.to]);
-        let under_way = Arc::clone(&self.under_way);
+        let in_flight = Arc::clone(&self.in_flight);
         tokio::spawn(async move {
             tokio::time::sleep(late).await;
-            // The rig may have ended.
-            let _ = faults.wait_for(|t| !t.fault(&way).stall).await;
+            // The run may have ended, in which case sending fails.
+            let _ = faults.wait_for(|t| !t.fault(&link).stall).await;
             let _ = socket.try_send_to(&datagram, to);
-            under_way.fetch_sub(1, Ordering::Relaxed);
+            in_flight.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
--- a/crates/gaparch-testbed/src/fleet/runner.rs
+++ b/crates/gaparch-testbed/src/fleet/runner.rs
@@ -1,18 +1,20 @@
-//! Plays a day on processes of the built program.
+//! Runs a scenario on processes of the built program.
 //!
-//! Engines, the list service and the clients are the rig's own, on one clock, and what went over their sockets is what
-//! the five rules are judged by. What routers think of one another is asked of each of them, all the time; what is true
-//! of them the rig knows, since it did it.
+//! Engines, the list service and the clients run inside the runner, on one clock; what passed over their
+//! sockets is what the five rules are checked against. The view of each router is polled continuously. The
+//! real state of each router is known, since the runner sets it.
 
-use super::day::{Day, Deed, DeedKind, Listed, Wanted};
-use super::faults::{End, Faults, Way};
+use super::faults::{DirectedLink, Faults, LinkEnd};
 use super::invariants;
 use super::liar::Liar;
-use super::observations::{Given, Heard, Life, ListedNow, Look, Seen, Stale};
+use super::observations::{
+    IssuedOrder, ListSnapshot, Observations, ObservedEvent, ProcessState, StaleRequest, ViewSample,
+};
 use super::process::Process;
 use super::relay::Relays;
 use super::report::Report;
-use super::streams::{Streams, Witness};
+use super::scenario::{Action, ActionKind, ListedState, OrderKind, Scenario};
+use super::streams::{Recorder, Streams};
 use crate::badday;
 use crate::checker;
 use crate::list_service::{ListService, ListShare};
@@ -37,80 +39,81 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Between two looks at a router, and for its answer: a stopped one gives none.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-const LOOK_WITHIN: Duration = Duration::from_millis(400);
-/// For the records of all routers.
-const RECORDS_WITHIN: Duration = Duration::from_secs(4);
-/// Between two questions whether all keep an order.
-const SPREAD_EVERY: Duration = Duration::from_millis(20);
-/// Between two changes of a list that changes all the time.
-const CHURN: Duration = Duration::from_millis(100);
-/// Threads that are busy on each processor while the machine is starved.
-const BUSY: usize = 12;
-/// Events are asked for from so long ago on.
-const EVENTS_OF: Duration = Duration::from_secs(3);
-/// Events of one answer.
-const EVENTS: u32 = 200;
-/// For what is held at the day's end to be let go of.
-const SETTLE: Duration = Duration::from_millis(900);
+/// Polling interval per router, and the timeout of an answer: a stopped router gives none.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+const SAMPLE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of the audit query, which covers all routers.
+const AUDIT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Interval at which an operator polls whether all routers keep an order.
+const REPLICATION_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two list changes under churn.
+const CHURN_INTERVAL: Duration = Duration::from_millis(100);
+/// Busy threads per processor while the machine is starved.
+const BUSY_THREADS_PER_CORE: usize = 12;
+/// Each query asks for the events of this last period, so that late ones are not missed.
+const EVENT_OVERLAP: Duration = Duration::from_secs(3);
+/// Maximum number of events per answer.
+const MAX_EVENTS: u32 = 200;
+/// Time at the end of a run for requests and KV caches to be released.
+const SETTLE_TIME: Duration = Duration::from_millis(900);
 
-/// Routers that live and have answered since, so that clients are sent to none that does not.
-type Lives = Arc<Mutex<Vec<bool>>>;
+/// Whether each router runs and has answered since its start; clients use only such routers.
+type Reachable = Arc<Mutex<Vec<bool>>>;
 
-struct Rig {
-    day: Day,
+struct Runner {
+    scenario: Scenario,
     site: Site,
     processes: Vec<Process>,
-    /// Where routers take datagrams.
+    /// The addresses at which routers receive datagrams.
     listens: Vec<SocketAddr>,
     faults: Arc<Faults>,
     relays: Relays,
     streams: Streams,
-    /// A list service that counts for itself, once the day has led somebody to it.
+    /// A second list service or a replica, once the scenario has redirected a router to it.
     second: Option<ListService>,
     churn: Vec<JoinHandle<()>>,
-    /// Links of routers with engines and clients through which nothing comes now.
-    silent: BTreeSet<Way>,
+    /// Links through which nothing is delivered at present.
+    silent: BTreeSet<DirectedLink>,
     began: Instant,
-    lives: Lives,
-    seen: Arc<Mutex<Seen>>,
+    reachable: Reachable,
+    observations: Arc<Mutex<Observations>>,
     copies: PathBuf,
 }
 
-/// Plays a day with this program, in a folder that is removed afterwards.
+/// Runs a scenario with this program, in a folder that is removed afterwards.
 ///
 /// # Errors
-/// When something can't be started; what fell short is in the report.
-pub async fn play(day: Day, program: &Path) -> Result<Report, SiteError> {
-    let plan = Plan { routers: day.routers, operations: true, processes: true, ..Plan::small(3, 4) };
+/// When something can't be started; failed expectations are in the report.
+pub async fn run(scenario: Scenario, program: &Path) -> Result<Report, SiteError> {
+    let plan = Plan { routers: scenario.routers, operations: true, processes: true, ..Plan::small(3, 4) };
     let site = Site::start(plan).await?;
-    let listens = ports::free(day.routers)?;
+    let listens = ports::free(scenario.routers)?;
     let faults = Arc::new(Faults::default());
-    let relays = Relays::start(listens.clone(), Arc::clone(&faults), day.seed).await?;
-    let mut ends: Vec<(End, SocketAddr)> =
-        site.engines.iter().map(|(name, engine)| (End::Engine(name.clone()), engine.address())).collect();
-    ends.push((End::List, site.list.address()));
-    let fronts: Vec<SocketAddr> = (0..day.routers).map(|router| site.address(router)).collect();
-    let witness = Witness { clock: site.clock, record: site.record.clone() };
-    let streams = Streams::start(&fronts, &ends, &faults, &witness).await?;
+    let relays = Relays::start(listens.clone(), Arc::clone(&faults), scenario.seed).await?;
+    let mut ends: Vec<(LinkEnd, SocketAddr)> =
+        site.engines.iter().map(|(name, engine)| (LinkEnd::Engine(name.clone()), engine.address())).collect();
+    ends.push((LinkEnd::List, site.list.address()));
+    let fronts: Vec<SocketAddr> = (0..scenario.routers).map(|router| site.address(router)).collect();
+    let recorder = Recorder { clock: site.clock, record: site.record.clone() };
+    let streams = Streams::start(&fronts, &ends, &faults, &recorder).await?;
     let folder = site.state_folder(0).parent().map(Path::to_owned).unwrap_or_default();
     let mut key = std::fs::OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(0o600)
         .open(folder.join("fleet.key"))?;
-    writeln!(key, "{}", key_text(day.seed))?;
+    writeln!(key, "{}", key_text(scenario.seed))?;
     let mut processes = Vec::new();
     for (router, listen) in listens.iter().enumerate() {
-        let seeds: String = (0..day.routers.min(2))
+        let seeds: String = (0..scenario.routers.min(2))
             .map(|seed| format!(r#"<seed address="{}"/>"#, relays.address(seed)))
             .collect();
-        let confirm = day.confirm_of(router).map_or(String::new(), |span| format!(r#" confirm="{span}""#));
+        let confirm =
+            scenario.confirm_of(router).map_or(String::new(), |span| format!(r#" confirm="{span}""#));
         let fleet = format!(
             r#"<fleet listen="{listen}" address="{}" key-file="fleet.key" refined="{}"{confirm}>{seeds}</fleet></gaparch>"#,
             relays.address(router),
-            !day.plain
+            !scenario.plain
         );
         let mut text = site.settings(router).replace("</gaparch>", &fleet);
         for (end, at) in &ends {
@@ -120,11 +123,11 @@
         let file = |ending: &str| folder.join(format!("{}.{ending}", Site::router_name(router)));
         processes.push(Process::new(program, file("xml"), &text, file("log"))?);
     }
-    let lives = Arc::new(Mutex::new(vec![false; day.routers]));
-    let seen = Arc::new(Mutex::new(Seen::default()));
+    let reachable = Arc::new(Mutex::new(vec![false; scenario.routers]));
+    let observations = Arc::new(Mutex::new(Observations::default()));
     let copies = folder.join("copies");
-    let mut rig = Rig {
-        day,
+    let mut runner = Runner {
+        scenario,
         site,
         processes,
         listens,
@@ -135,56 +138,60 @@
         churn: Vec::new(),
         silent: BTreeSet::new(),
         began: Instant::now(),
-        lives,
-        seen,
+        reachable,
+        observations,
         copies,
     };
-    rig.note_list();
-    for router in 0..rig.day.routers {
-        rig.processes[router].start()?;
-        rig.note_at(Duration::ZERO, router, Life::Running);
+    runner.note_list();
+    for router in 0..runner.scenario.routers {
+        runner.processes[router].start()?;
+        runner.note_at(Duration::ZERO, router, ProcessState::Running);
     }
     let mut tasks = JoinSet::new();
-    let began_at = rig.site.clock.now();
-    for router in 0..rig.day.routers {
-        let place = OperationsAddress::Socket(rig.site.state_folder(router).with_extension("sock"));
-        let eye = Eye {
+    let began_at = runner.site.clock.now();
+    for router in 0..runner.scenario.routers {
+        let place = OperationsAddress::Socket(runner.site.state_folder(router).with_extension("sock"));
+        let observer = RouterObserver {
             router,
-            began: rig.began,
+            began: runner.began,
             began_at,
-            follows: rig.day.confirm_of(router).is_some(),
-            seen: Arc::clone(&rig.seen),
-            lives: Arc::clone(&rig.lives),
+            follows: runner.scenario.confirm_of(router).is_some(),
+            observations: Arc::clone(&runner.observations),
+            reachable: Arc::clone(&runner.reachable),
         };
-        tasks.spawn(eye.look(place));
+        tasks.spawn(observer.sample(place));
     }
-    let load = tokio::spawn(load(rig.questions()));
-    rig.run().await?;
+    let load = tokio::spawn(load(runner.questions()));
+    runner.run().await?;
     let answered = load.await.unwrap_or_default();
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     tasks.shutdown().await;
-    rig.ask_records().await;
-    rig.judge(answered)
+    runner.query_audit().await;
+    runner.judge(answered)
 }
 
-impl Rig {
-    fn note(&self, router: usize, life: Life) {
-        self.note_at(self.began.elapsed(), router, life);
+impl Runner {
+    fn note_state(&self, router: usize, process_state: ProcessState) {
+        self.note_at(self.began.elapsed(), router, process_state);
     }
 
-    fn note_at(&self, at: Duration, router: usize, life: Life) {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).lives.push((at, router, life));
-        // It is sent requests again once it has answered a look: a process that was started does not listen at once. One
-        // that is stopped answers those that it gets meanwhile when it wakes.
-        if life != Life::Stopped {
-            self.lives.lock().unwrap_or_else(PoisonError::into_inner)[router] = false;
+    fn note_at(&self, at: Duration, router: usize, process_state: ProcessState) {
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner).process_states.push((
+            at,
+            router,
+            process_state,
+        ));
+        // A router gets requests again once it has answered a query, since a started process does not listen
+        // at once. A stopped one still gets requests and answers them when it continues.
+        if process_state != ProcessState::Stopped {
+            self.reachable.lock().unwrap_or_else(PoisonError::into_inner)[router] = false;
         }
     }
 
-    /// What the list service has, from now on.
+    /// Notes the current list of the list service.
     fn note_list(&self) {
-        let listed = listed_now(self.began, &self.site.list.share());
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).lists.push(listed);
+        let listed = list_snapshot(self.began, &self.site.list.share());
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner).lists.push(listed);
     }
 
     fn record(&self, what: What) {
@@ -192,42 +199,42 @@
     }
 
     async fn run(&mut self) -> Result<(), SiteError> {
-        let mut deeds = self.day.deeds.clone();
-        deeds.sort_by_key(|d| d.at);
-        for deed in deeds {
-            sleep_until(self.began + deed.at.duration()).await;
-            tracing::info!(day = self.day.name, ?deed, "a deed");
-            self.carry_out(&deed).await?;
+        let mut actions = self.scenario.actions.clone();
+        actions.sort_by_key(|d| d.at);
+        for action in actions {
+            sleep_until(self.began + action.at.duration()).await;
+            tracing::info!(day = self.scenario.name, deed = ?action, "performing a scenario action");
+            self.perform(&action).await?;
         }
-        sleep_until(self.began + self.day.lasts.duration()).await;
-        for router in 0..self.day.routers {
+        sleep_until(self.began + self.scenario.lasts.duration()).await;
+        for router in 0..self.scenario.routers {
             if self.processes[router].has_ended() {
                 let lines = self.processes[router].last_lines();
-                let text = format!("router {router} ended by itself: {lines}");
-                self.seen.lock().unwrap_or_else(PoisonError::into_inner).crashes.push(text);
+                let text = format!("router {router} exited unexpectedly: {lines}");
+                self.observations.lock().unwrap_or_else(PoisonError::into_inner).crashes.push(text);
             }
         }
         Ok(())
     }
 
-    async fn carry_out(&mut self, deed: &Deed) -> Result<(), SiteError> {
-        let of = self.day.routers;
+    async fn perform(&mut self, action: &Action) -> Result<(), SiteError> {
+        let of = self.scenario.routers;
         let engines: Vec<String> = self.site.engines.keys().cloned().collect();
-        let ways = deed.ways(of, &engines);
-        for router in deed.routers(of) {
-            match deed.what {
-                DeedKind::Kill => {
-                    // What it was asked just now is lost with it: that is noted before.
-                    self.note(router, Life::Killed);
+        let links = action.links(of, &engines);
+        for router in action.routers(of) {
+            match action.what {
+                ActionKind::Kill => {
+                    // Requests that reach it in this moment are lost, so the kill is recorded first.
+                    self.note_state(router, ProcessState::Killed);
                     self.record(What::RouterKilled { router: Site::router_name(router) });
                     self.processes[router].kill()?;
                 }
-                DeedKind::Start => {
+                ActionKind::Start => {
                     self.processes[router].start()?;
-                    self.note(router, Life::Running);
+                    self.note_state(router, ProcessState::Running);
                 }
-                DeedKind::Lie => {
-                    self.note(router, Life::Killed);
+                ActionKind::Lie => {
+                    self.note_state(router, ProcessState::Killed);
                     self.record(What::RouterKilled { router: Site::router_name(router) });
                     self.processes[router].kill()?;
                     let liar = Liar {
@@ -236,86 +243,86 @@
                         address: self.relays.address(router),
                         seeds: (0..of.min(2)).map(|seed| self.relays.address(seed)).collect(),
                         routers: of as u32,
-                        key: key_text(self.day.seed),
+                        key: key_text(self.scenario.seed),
                         clock: self.site.clock,
                     };
                     self.churn.push(tokio::spawn(liar.run()));
                 }
-                DeedKind::Leave => {
-                    self.note(router, Life::Left);
-                    let unstarted = self.unstarted(router)?;
-                    let mut process = std::mem::replace(&mut self.processes[router], unstarted);
+                ActionKind::Leave => {
+                    self.note_state(router, ProcessState::Left);
+                    let stopped_process = self.stopped_process(router)?;
+                    let mut process = std::mem::replace(&mut self.processes[router], stopped_process);
                     let left =
                         tokio::task::spawn_blocking(move || process.leave().map(|well| (process, well)));
                     let (process, well) = left.await.map_err(io::Error::other)??;
                     self.processes[router] = process;
                     if !well {
-                        let text = format!("router {router} did not end well at SIGTERM");
-                        self.seen.lock().unwrap_or_else(PoisonError::into_inner).crashes.push(text);
+                        let text = format!("router {router} did not exit successfully after SIGTERM");
+                        self.observations.lock().unwrap_or_else(PoisonError::into_inner).crashes.push(text);
                     }
                 }
-                DeedKind::Stop => {
-                    self.note(router, Life::Stopped);
+                ActionKind::Stop => {
+                    self.note_state(router, ProcessState::Stopped);
                     self.record(What::RouterStopped { router: Site::router_name(router), stopped: true });
                     self.processes[router].stop()?;
                 }
-                DeedKind::Continue => {
-                    self.processes[router].go_on()?;
+                ActionKind::Continue => {
+                    self.processes[router].resume()?;
                     self.record(What::RouterStopped { router: Site::router_name(router), stopped: false });
-                    self.note(router, Life::Running);
+                    self.note_state(router, ProcessState::Running);
                 }
-                DeedKind::Disk => {
-                    let lie = deed.disk.clone().filter(|lie| lie != "honest");
+                ActionKind::Disk => {
+                    let lie = action.disk.clone().filter(|lie| lie != "honest");
                     self.processes[router].set_disk(lie);
                 }
-                DeedKind::Forge => drop(self.relays.forge(router).await),
-                DeedKind::CopyFolder => copy(&self.site.state_folder(router), &self.copy_of(router))?,
-                DeedKind::OldFolder => {
+                ActionKind::Forge => drop(self.relays.forge(router).await),
+                ActionKind::CopyFolder => copy(&self.site.state_folder(router), &self.folder_copy(router))?,
+                ActionKind::OldFolder => {
                     std::fs::remove_dir_all(self.site.state_folder(router))?;
-                    copy(&self.copy_of(router), &self.site.state_folder(router))?;
+                    copy(&self.folder_copy(router), &self.site.state_folder(router))?;
                 }
-                DeedKind::LoseFolder => std::fs::remove_dir_all(self.site.state_folder(router))?,
-                DeedKind::Clock => self.processes[router].set_clock(deed.ahead.unwrap_or(0)),
-                DeedKind::Order
-                | DeedKind::List
-                | DeedKind::ListRestart
-                | DeedKind::OldReplica
-                | DeedKind::ListChurn
-                | DeedKind::SecondList
-                | DeedKind::Cut
-                | DeedKind::Stall
-                | DeedKind::Reset
-                | DeedKind::Links
-                | DeedKind::Heal
-                | DeedKind::Fault
-                | DeedKind::Starve => {}
+                ActionKind::LoseFolder => std::fs::remove_dir_all(self.site.state_folder(router))?,
+                ActionKind::Clock => self.processes[router].set_clock(action.ahead.unwrap_or(0)),
+                ActionKind::Order
+                | ActionKind::List
+                | ActionKind::ListRestart
+                | ActionKind::OldReplica
+                | ActionKind::ListChurn
+                | ActionKind::SecondList
+                | ActionKind::Cut
+                | ActionKind::Stall
+                | ActionKind::Reset
+                | ActionKind::Links
+                | ActionKind::Heal
+                | ActionKind::Fault
+                | ActionKind::Starve => {}
             }
         }
-        if let Some(fault) = deed.link_fault() {
-            self.hush(&ways, fault.is_silent());
-            self.faults.set(&ways, fault);
+        if let Some(fault) = action.link_fault() {
+            self.set_silent(&links, fault.is_silent());
+            self.faults.set(&links, fault);
         }
-        match deed.what {
-            DeedKind::Reset => {
-                // What was under way there is lost with the stream.
-                self.hush(&ways, true);
-                self.faults.reset(&ways);
-                self.hush(&ways, false);
+        match action.what {
+            ActionKind::Reset => {
+                // Bytes in flight are lost with the stream.
+                self.set_silent(&links, true);
+                self.faults.reset(&links);
+                self.set_silent(&links, false);
             }
-            DeedKind::Heal => {
+            ActionKind::Heal => {
                 self.faults.heal();
-                let all: Vec<Way> = self.silent.iter().cloned().collect();
-                self.hush(&all, false);
+                let all: Vec<DirectedLink> = self.silent.iter().cloned().collect();
+                self.set_silent(&all, false);
             }
-            DeedKind::List => {
-                let state = match deed.state {
-                    Some(Listed::Draining) => ServerState::Draining,
-                    Some(Listed::Gone) => ServerState::Removed,
-                    Some(Listed::Ready) | None => ServerState::Ready,
+            ActionKind::List => {
+                let state = match action.state {
+                    Some(ListedState::Draining) => ServerState::Draining,
+                    Some(ListedState::Gone) => ServerState::Removed,
+                    Some(ListedState::Ready) | None => ServerState::Ready,
                 };
-                let engine = deed.engine.as_deref().unwrap_or_default();
+                let engine = action.engine.as_deref().unwrap_or_default();
                 if !self.site.list.set_state(engine, state) {
-                    // It was gone: it is listed anew.
+                    // The engine was removed; it is added again.
                     let spec = self.site.plan().engines.iter().find(|e| e.name == engine);
                     let handle = self.site.engines.get(engine);
                     if let (Some(spec), Some(handle)) = (spec, handle) {
@@ -324,66 +331,69 @@
                 }
                 self.note_list();
             }
-            DeedKind::Order => {
-                let change = match (deed.order, deed.engine.clone().unwrap_or_default()) {
-                    (Some(Wanted::Aside), engine) => Change::Drain { engine, mode: DrainMode::Detach },
-                    (Some(Wanted::Undrain), engine) => Change::Undrain { engine },
-                    (Some(Wanted::Drain) | None, engine) => Change::Drain { engine, mode: DrainMode::Drain },
+            ActionKind::Order => {
+                let change = match (action.order, action.engine.clone().unwrap_or_default()) {
+                    (Some(OrderKind::Aside), engine) => Change::Drain { engine, mode: DrainMode::Detach },
+                    (Some(OrderKind::Undrain), engine) => Change::Undrain { engine },
+                    (Some(OrderKind::Drain) | None, engine) => {
+                        Change::Drain { engine, mode: DrainMode::Drain }
+                    }
                 };
-                if let Some(router) = deed.routers(of).first().copied() {
+                if let Some(router) = action.routers(of).first().copied() {
                     let operator = Operator {
                         place: OperationsAddress::Socket(
                             self.site.state_folder(router).with_extension("sock"),
                         ),
                         router,
                         routers: of,
-                        witness: Witness { clock: self.site.clock, record: self.site.record.clone() },
+                        recorder: Recorder { clock: self.site.clock, record: self.site.record.clone() },
                         began: self.began,
-                        seen: Arc::clone(&self.seen),
+                        observations: Arc::clone(&self.observations),
                     };
                     self.churn.push(tokio::spawn(operator.order(change)));
                 }
             }
-            DeedKind::ListRestart => {
+            ActionKind::ListRestart => {
                 self.site.list.restart(self.site.clock);
                 self.note_list();
             }
-            DeedKind::ListChurn => {
-                let (list, seen, began) = (self.site.list.share(), Arc::clone(&self.seen), self.began);
-                let until = Instant::now() + deed.delay.duration();
+            ActionKind::ListChurn => {
+                let (list, observations, began) =
+                    (self.site.list.share(), Arc::clone(&self.observations), self.began);
+                let until = Instant::now() + action.delay.duration();
                 self.churn.push(tokio::spawn(async move {
                     let (_, _, entries) = list.state();
                     let Some(mut entry) = entries.into_iter().next() else { return };
                     let mut on = false;
                     while Instant::now() < until {
-                        // Something that changes nothing for anybody's requests.
+                        // A change that has no effect on any request.
                         on = !on;
                         entry.weight = on.then_some(1.0);
                         list.set(entry.clone());
-                        let listed = listed_now(began, &list);
-                        seen.lock().unwrap_or_else(PoisonError::into_inner).lists.push(listed);
-                        sleep(CHURN).await;
+                        let listed = list_snapshot(began, &list);
+                        observations.lock().unwrap_or_else(PoisonError::into_inner).lists.push(listed);
+                        sleep(CHURN_INTERVAL).await;
                     }
                 }));
             }
-            DeedKind::SecondList | DeedKind::OldReplica => {
+            ActionKind::SecondList | ActionKind::OldReplica => {
                 let address = (Ipv4Addr::LOCALHOST, 0).into();
-                let second = match deed.what {
-                    DeedKind::OldReplica => self.site.list.replica(address, self.site.clock).await?,
+                let second = match action.what {
+                    ActionKind::OldReplica => self.site.list.replica(address, self.site.clock).await?,
                     _ => {
                         let (_, _, entries) = self.site.list.state();
                         ListService::start(address, entries, self.site.clock, Record::default()).await?
                     }
                 };
-                let ways: Vec<Way> =
-                    deed.routers(of).into_iter().map(|r| (End::Router(r), End::List)).collect();
-                self.faults.detour(&ways, second.address());
+                let links: Vec<DirectedLink> =
+                    action.routers(of).into_iter().map(|r| (LinkEnd::Router(r), LinkEnd::List)).collect();
+                self.faults.redirect(&links, second.address());
                 self.second = Some(second);
             }
-            DeedKind::Starve => starve(deed.delay.duration()),
-            DeedKind::Fault => {
-                // The day was checked: there is one.
-                if let Ok(Some((engine, fault))) = deed.fault() {
+            ActionKind::Starve => starve(action.delay.duration()),
+            ActionKind::Fault => {
+                // The scenario was validated, so there is a fault.
+                if let Ok(Some((engine, fault))) = action.fault() {
                     self.site.fault(&engine, fault).await;
                 }
             }
@@ -392,67 +402,70 @@
         Ok(())
     }
 
-    /// Notes for the checker which links are silent, in either direction, from now on.
-    fn hush(&mut self, ways: &[Way], silent: bool) {
-        for way in ways {
-            let (router, other) = match way {
-                (End::Router(router), other) | (other, End::Router(router)) => (*router, other.clone()),
+    /// Records for the checker which links become silent or deliver again, in either direction.
+    fn set_silent(&mut self, links: &[DirectedLink], silent: bool) {
+        for link in links {
+            let (router, other) = match link {
+                (LinkEnd::Router(router), other) | (other, LinkEnd::Router(router)) => {
+                    (*router, other.clone())
+                }
                 _ => continue,
             };
-            let link = |silent: &BTreeSet<Way>| {
-                let there = (End::Router(router), other.clone());
+            let is_silent = |silent: &BTreeSet<DirectedLink>| {
+                let there = (LinkEnd::Router(router), other.clone());
                 silent.contains(&there) || silent.contains(&(there.1, there.0))
             };
-            let before = link(&self.silent);
+            let before = is_silent(&self.silent);
             match silent {
-                true => drop(self.silent.insert(way.clone())),
-                false => drop(self.silent.remove(way)),
+                true => drop(self.silent.insert(link.clone())),
+                false => drop(self.silent.remove(link)),
             }
-            let cut = link(&self.silent);
+            let cut = is_silent(&self.silent);
             let router = Site::router_name(router);
             match other {
-                End::Engine(engine) if cut != before => {
+                LinkEnd::Engine(engine) if cut != before => {
                     self.record(What::Cut { engine, router: Some(router), cut })
                 }
-                End::Clients if cut != before => self.record(What::ClientsCut { router, cut }),
+                LinkEnd::Clients if cut != before => self.record(What::ClientsCut { router, cut }),
                 _ => {}
             }
         }
     }
 
-    fn copy_of(&self, router: usize) -> PathBuf {
+    fn folder_copy(&self, router: usize) -> PathBuf {
         self.copies.join(Site::router_name(router))
     }
 
-    /// What the records of all routers say, by the first one that answers.
-    async fn ask_records(&self) {
-        for router in (0..self.day.routers).filter(|r| self.day.confirm_of(*r).is_some()) {
+    /// Queries the audit logs of all routers through the first router that answers.
+    async fn query_audit(&self) {
+        for router in (0..self.scenario.routers).filter(|r| self.scenario.confirm_of(*r).is_some()) {
             let place = OperationsAddress::Socket(self.site.state_folder(router).with_extension("sock"));
-            let office = Credentials {
+            let credentials = Credentials {
                 key: Some(OFFICE_KEY.to_owned()),
                 role: SessionRole::ReadOnly,
                 operator: "rig".to_owned(),
             };
             let ask = async {
-                let mut client = OpsClient::connect(&place, &office).await.ok()?;
+                let mut client = OpsClient::connect(&place, &credentials).await.ok()?;
                 match client.query(Query::Audit { filter: AuditFilter::default() }).await.ok()? {
                     Answer::Audit { audit } => Some(*audit),
                     _ => None,
                 }
             };
-            if let Ok(Some(audit)) = timeout(RECORDS_WITHIN, ask).await {
-                self.seen.lock().unwrap_or_else(PoisonError::into_inner).audit = Some(audit);
+            if let Ok(Some(audit)) = timeout(AUDIT_TIMEOUT, ask).await {
+                self.observations.lock().unwrap_or_else(PoisonError::into_inner).audit = Some(audit);
                 return;
             }
         }
     }
 
-    /// What came to engines that the list service had drained, from whichever router, and how long after.
-    fn find_stale(&self) {
+    /// Finds the requests that reached engines after the list service had drained them, and counts all that
+    /// arrived.
+    fn find_stale_requests(&self) {
         let began_at = self.site.clock.at(self.began.into_std());
         let mut names: BTreeMap<(String, ConnId), String> = BTreeMap::new();
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        let (mut stale, mut arrived) = (Vec::new(), BTreeMap::<(String, String), (u64, u64)>::new());
+        let mut observations = self.observations.lock().unwrap_or_else(PoisonError::into_inner);
+        let (mut stale_requests, mut arrived) = (Vec::new(), BTreeMap::<(String, String), (u64, u64)>::new());
         for entry in self.site.record.entries() {
             let What::Frame { engine, conn, way: gaparch_engine::observe::Way::In, seen: frame } = entry.what
             else {
@@ -470,27 +483,27 @@
                         crate::record::Seen::Read { .. } => count.0 += 1,
                         _ => count.1 += 1,
                     }
-                    if let Some(since) = seen.drained_since(&engine, at) {
-                        stale.push(Stale { router, engine, late: at - since });
+                    if let Some(since) = observations.drained_since(&engine, at) {
+                        stale_requests.push(StaleRequest { router, engine, late: at - since });
                     }
                 }
                 _ => {}
             }
         }
-        (seen.stale, seen.arrived) = (stale, arrived);
+        (observations.stale_requests, observations.arrived) = (stale_requests, arrived);
     }
 
-    /// Stands in for a process that is being ended elsewhere.
-    fn unstarted(&self, router: usize) -> io::Result<Process> {
+    /// A process that is not started, as a placeholder for one that is being ended in another thread.
+    fn stopped_process(&self, router: usize) -> io::Result<Process> {
         let file =
             |ending: &str| self.copies.with_file_name(format!("{}.{ending}", Site::router_name(router)));
         let text = std::fs::read_to_string(file("xml"))?;
         Process::new(Path::new(""), file("xml"), &text, file("log"))
     }
 
-    /// The questions of the day's clients, and when each is put.
+    /// The requests of the scenario's clients, and when each is sent.
     fn questions(&self) -> Load {
-        let targets = self.day.load_to();
+        let targets = self.scenario.load_to();
         let one = |n: usize| {
             let router = targets[n % targets.len()];
             let number = n as u64 + 1;
@@ -498,7 +511,7 @@
                 router: Site::router_name(router),
                 address: self
                     .streams
-                    .address(&End::Router(router))
+                    .address(&LinkEnd::Router(router))
                     .unwrap_or_else(|| self.site.address(router)),
                 patience: Patience::Stays,
                 ask: Ask(number),
@@ -506,37 +519,39 @@
             };
             (router, question)
         };
-        // All routers have to be there first, and the last answers have to come.
+        // Leaves time for all routers to start, and for the last answers to arrive.
         let from = Duration::from_secs(3);
-        let until = self.day.lasts.duration().saturating_sub(Duration::from_secs(2));
-        let count = (until.saturating_sub(from).as_secs_f64() * self.day.rate) as usize;
+        let until = self.scenario.lasts.duration().saturating_sub(Duration::from_secs(2));
+        let count = (until.saturating_sub(from).as_secs_f64() * self.scenario.rate) as usize;
         Load {
             client: self.site.client(),
-            lives: Arc::clone(&self.lives),
+            reachable: Arc::clone(&self.reachable),
             questions: (0..count).map(one).collect(),
             from: self.began + from,
-            gap: Duration::from_secs_f64(1.0 / self.day.rate.max(0.001)),
+            gap: Duration::from_secs_f64(1.0 / self.scenario.rate.max(0.001)),
         }
     }
 
     fn judge(mut self, answered: Answered) -> Result<Report, SiteError> {
-        for router in 0..self.day.routers {
+        for router in 0..self.scenario.routers {
             let (_, bytes) = self.relays.sent(router);
-            self.seen.lock().unwrap_or_else(PoisonError::into_inner).bytes.push(bytes);
+            self.observations.lock().unwrap_or_else(PoisonError::into_inner).bytes.push(bytes);
         }
-        // In the middle of whatever they do: what they hold is no longer their duty, but what they held before is.
+        // Routers are killed in the middle of their work: KV caches that they still hold are not counted
+        // against them, but those held too long before are.
         for process in &mut self.processes {
             process.kill()?;
         }
         self.churn.iter().for_each(JoinHandle::abort);
-        for router in self.day.keep.iter().flat_map(|_| 0..self.day.routers) {
-            let kept = self.day.keep.iter().map(|keep| keep.join(Site::router_name(router)));
+        for router in self.scenario.keep.iter().flat_map(|_| 0..self.scenario.routers) {
+            let kept = self.scenario.keep.iter().map(|keep| keep.join(Site::router_name(router)));
             kept.into_iter().try_for_each(|kept| copy(&self.site.state_folder(router), &kept))?;
         }
-        self.find_stale();
+        self.find_stale_requests();
         let verdict = checker::check_entries(&self.site.record.entries(), &badday::figures(self.site.plan()));
-        let seen = std::mem::take(&mut *self.seen.lock().unwrap_or_else(PoisonError::into_inner));
-        Ok(invariants::judge(&self.day, seen, verdict, answered))
+        let observations =
+            std::mem::take(&mut *self.observations.lock().unwrap_or_else(PoisonError::into_inner));
+        Ok(invariants::judge(&self.scenario, observations, verdict, answered))
     }
 }
 
@@ -555,17 +570,17 @@
     }
 }
 
-fn listed_now(began: Instant, list: &ListShare) -> ListedNow {
+fn list_snapshot(began: Instant, list: &ListShare) -> ListSnapshot {
     let (epoch, version, entries) = list.state();
     let drained = entries.into_iter().filter(|e| e.state != ServerState::Ready).map(|e| e.engine).collect();
-    ListedNow { at: began.elapsed(), epoch, version, drained }
+    ListSnapshot { at: began.elapsed(), epoch, version, drained }
 }
 
-/// Keeps all processors busy for that long, many times over.
+/// Keeps all processors busy for that long, with several threads each.
 fn starve(time: Duration) {
     let until = std::time::Instant::now() + time;
     let cores = std::thread::available_parallelism().map_or(4, usize::from);
-    for _ in 0..cores * BUSY {
+    for _ in 0..cores * BUSY_THREADS_PER_CORE {
         std::thread::spawn(move || {
             while std::time::Instant::now() < until {
                 std::hint::spin_loop();
@@ -583,24 +598,24 @@
     Ok(())
 }
 
-/// Somebody who gives an order at one router, and waits until all keep it.
+/// An operator who issues an order at one router and waits until all routers keep it.
 struct Operator {
     place: OperationsAddress,
     router: usize,
     routers: usize,
-    witness: Witness,
+    recorder: Recorder,
     began: Instant,
-    seen: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
 }
 
 impl Operator {
     async fn order(self, change: Change) {
         let number = {
-            let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-            seen.orders.push(Given { at: self.began.elapsed(), complete: None, answer: None });
-            seen.orders.len() - 1
+            let mut observations = self.observations.lock().unwrap_or_else(PoisonError::into_inner);
+            observations.orders.push(IssuedOrder { at: self.began.elapsed(), complete: None, answer: None });
+            observations.orders.len() - 1
         };
-        let note = |at: Option<u64>, routers: &mut dyn Iterator<Item = usize>| {
+        let record_order = |at: Option<u64>, routers: &mut dyn Iterator<Item = usize>| {
             let (engine, drained) = match &change {
                 Change::Drain { engine, .. } => (engine.clone(), true),
                 Change::Undrain { engine } => (engine.clone(), false),
@@ -608,20 +623,20 @@
             };
             for router in routers {
                 let (router, engine) = (Site::router_name(router), engine.clone());
-                let at = at.unwrap_or_else(|| self.witness.clock.now());
-                self.witness.record.add(at, What::Ordered { router, engine, drained });
+                let at = at.unwrap_or_else(|| self.recorder.clock.now());
+                self.recorder.record.add(at, What::Ordered { router, engine, drained });
             }
         };
-        // What may be sent again is so at whichever router knows first.
+        // An undrained engine may get requests from any router as soon as that router knows of it.
         if matches!(change, Change::Undrain { .. }) {
-            note(None, &mut (0..self.routers));
+            record_order(None, &mut (0..self.routers));
         }
-        let office = Credentials {
+        let credentials = Credentials {
             key: Some(OFFICE_KEY.to_owned()),
             role: SessionRole::ReadWrite,
             operator: "rig".to_owned(),
         };
-        let Ok(mut client) = OpsClient::connect(&self.place, &office).await else { return };
+        let Ok(mut client) = OpsClient::connect(&self.place, &credentials).await else { return };
         let order = Order {
             change: change.clone(),
             reason: "a day of the rig".to_owned(),
@@ -631,38 +646,38 @@
         let answer = client.query(Query::Order { order }).await;
         let done = matches!(answer, Ok(Answer::Done { .. }));
         {
-            let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-            seen.orders[number].answer = Some(format!("{answer:?}"));
+            let mut observations = self.observations.lock().unwrap_or_else(PoisonError::into_inner);
+            observations.orders[number].answer = Some(format!("{answer:?}"));
         }
         if !done {
             return;
         }
         let held = matches!(change, Change::Drain { .. });
         if held {
-            note(None, &mut std::iter::once(self.router));
+            record_order(None, &mut std::iter::once(self.router));
         }
         loop {
             match client.query(Query::OrderReplication {}).await {
                 Ok(Answer::OrderReplication { replication: spread }) if spread.complete => break,
-                Ok(_) => sleep(SPREAD_EVERY).await,
+                Ok(_) => sleep(REPLICATION_POLL_INTERVAL).await,
                 Err(_) => return,
             }
         }
-        // From now on all know, or it should not have been said.
+        // From now on all routers must know the order, since it was reported as complete.
         if held {
-            note(None, &mut (0..self.routers).filter(|r| *r != self.router));
+            record_order(None, &mut (0..self.routers).filter(|r| *r != self.router));
         }
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.orders[number].complete = Some(self.began.elapsed());
+        let mut observations = self.observations.lock().unwrap_or_else(PoisonError::into_inner);
+        observations.orders[number].complete = Some(self.began.elapsed());
     }
 }
 
-/// What came of the day's requests: put, and served.
+/// The numbers of client requests sent and served.
 pub type Answered = (usize, usize);
 
 struct Load {
     client: Option<crate::load::Client>,
-    lives: Lives,
+    reachable: Reachable,
     questions: Vec<(usize, Question)>,
     from: Instant,
     gap: Duration,
@@ -673,7 +688,7 @@
     let mut tasks = JoinSet::new();
     for (n, (router, question)) in load.questions.into_iter().enumerate() {
         sleep_until(load.from + load.gap * n as u32).await;
-        if load.lives.lock().unwrap_or_else(PoisonError::into_inner)[router] {
+        if load.reachable.lock().unwrap_or_else(PoisonError::into_inner)[router] {
             let client = client.clone();
             tasks.spawn(async move { client.put(question).await });
         }
@@ -684,36 +699,37 @@
     (put, all.iter().filter(|a| served(a)).count())
 }
 
-/// Looks at one router.
-struct Eye {
+/// Polls one router.
+struct RouterObserver {
     router: usize,
     began: Instant,
-    /// The same by the clock that events have.
+    /// The same time on the clock that event times use.
     began_at: u64,
-    /// It is asked for versions, too.
+    /// Whether the router is also asked for its list versions.
     follows: bool,
-    seen: Arc<Mutex<Seen>>,
-    lives: Lives,
+    observations: Arc<Mutex<Observations>>,
+    reachable: Reachable,
 }
 
-impl Eye {
-    /// Asks the router for its view, all the time, and what it told of.
-    async fn look(self, place: OperationsAddress) {
-        let Eye { router, began, began_at, follows, seen, lives } = self;
-        let office = Credentials {
+impl RouterObserver {
+    /// Polls the router continuously for its view and its events.
+    async fn sample(self, place: OperationsAddress) {
+        let RouterObserver { router, began, began_at, follows, observations, reachable } = self;
+        let credentials = Credentials {
             key: Some(OFFICE_KEY.to_owned()),
             role: SessionRole::ReadOnly,
             operator: "rig".to_owned(),
         };
         let mut client: Option<OpsClient> = None;
         loop {
-            sleep(LOOK_EVERY).await;
-            let asked = began.elapsed();
-            // Events of several tasks come to the hub a moment out of order: those of the last while are asked for again.
-            let since = began_at.saturating_add(nanos(asked.saturating_sub(EVENTS_OF)));
+            sleep(SAMPLE_INTERVAL).await;
+            let requested_at = began.elapsed();
+            // Events of different tasks reach the event log slightly out of order, so the latest ones are
+            // asked for again.
+            let since = began_at.saturating_add(nanos(requested_at.saturating_sub(EVENT_OVERLAP)));
             let mut once = async || {
                 if client.is_none() {
-                    client = OpsClient::connect(&place, &office).await.ok();
+                    client = OpsClient::connect(&place, &credentials).await.ok();
                 }
                 let client = client.as_mut()?;
                 let view: FleetView = match client.query(Query::Members {}).await.ok()? {
@@ -721,7 +737,7 @@
                     _ => return None,
                 };
                 let events: Vec<Event> =
-                    match client.query(Query::Events { engine: None, since, max: EVENTS }).await.ok()? {
+                    match client.query(Query::Events { engine: None, since, max: MAX_EVENTS }).await.ok()? {
                         Answer::Events { events } => events,
                         _ => return None,
                     };
@@ -738,23 +754,32 @@
                 };
                 Some((view, versions, held, events))
             };
-            match timeout(LOOK_WITHIN, once()).await {
+            match timeout(SAMPLE_TIMEOUT, once()).await {
                 Ok(Some((view, versions, held, events))) => {
-                    let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-                    // An answer from before it was killed says nothing of now.
-                    let life = seen.life(router, began.elapsed());
-                    let answers = life.is_some_and(|(since, life)| life == Life::Running && since <= asked);
-                    lives.lock().unwrap_or_else(PoisonError::into_inner)[router] = answers;
-                    seen.looks.push(Look { at: began.elapsed(), asked, router, view, versions, held });
+                    let mut observations = observations.lock().unwrap_or_else(PoisonError::into_inner);
+                    // An answer to a query from before a kill says nothing about the current process.
+                    let process_state = observations.process_state(router, began.elapsed());
+                    let answers = process_state.is_some_and(|(since, process_state)| {
+                        process_state == ProcessState::Running && since <= requested_at
+                    });
+                    reachable.lock().unwrap_or_else(PoisonError::into_inner)[router] = answers;
+                    observations.samples.push(ViewSample {
+                        at: began.elapsed(),
+                        requested_at,
+                        router,
+                        view,
+                        versions,
+                        held,
+                    });
                     for event in events {
                         let at = Duration::from_nanos(event.at.saturating_sub(began_at));
-                        let heard = Heard { at, router, text: event.text };
-                        if !seen.events.contains(&heard) {
-                            seen.events.push(heard);
+                        let heard = ObservedEvent { at, router, text: event.text };
+                        if !observations.events.contains(&heard) {
+                            observations.events.push(heard);
                         }
                     }
                 }
-                // It is stopped, dead, or not there yet.
+                // The router is stopped, dead, or not started yet.
                 _ => client = None,
             }
         }
--- a/crates/gaparch-testbed/src/fleet/scenario.rs
+++ b/crates/gaparch-testbed/src/fleet/scenario.rs
@@ -1,6 +1,6 @@
-//! Days of the rig as files: what is done when, and what has to be seen by when.
+//! The format of scenario files: timed actions, and expectations with a deadline.
 
-use super::faults::{End, Fault as LinkFault, Way};
+use super::faults::{DirectedLink, Fault as LinkFault, LinkEnd};
 use gaparch_config::schema::Schema;
 use gaparch_config::Span;
 use gaparch_engine::{Fault, Script};
@@ -21,13 +21,13 @@
     1.0
 }
 
-/// A day of the rig.
+/// A scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     #[serde(rename = "@name")]
     pub name: String,
-    /// The statement that it proves.
+    /// The property that the scenario verifies.
     #[serde(rename = "@says")]
     pub says: String,
     #[serde(rename = "@routers")]
@@ -36,95 +36,96 @@
     pub lasts: Span,
     #[serde(rename = "@seed", default = "one")]
     pub seed: u64,
-    /// Requests a second, all routers together.
+    /// Requests per second, over all routers.
     #[serde(rename = "@rate", default)]
     pub rate: f64,
     #[serde(rename = "@load-to")]
     load_to: Option<String>,
     #[serde(rename = "@may-die")]
     may_die: Option<String>,
-    /// False deaths that there may be.
+    /// The number of false deaths that are tolerated.
     #[serde(rename = "@false-deaths", default)]
     pub false_deaths: usize,
-    /// What all at work may take of a limit at once.
+    /// The largest permitted sum of the limit shares that all running routers use at the same time.
     #[serde(rename = "@parts", default = "whole")]
     pub parts: f64,
-    /// For how long routers leave the list unconfirmed before they ask one another; none: they never do.
+    /// How long routers go without a confirmation of the list before they ask their peers; `None`: they never
+    /// ask.
     #[serde(rename = "@confirm")]
     pub confirm: Option<Span>,
-    /// Routers whose settings lack that, as before an upgrade.
+    /// Routers whose settings lack `confirm`, as before an upgrade.
     #[serde(rename = "@without")]
     without: Option<String>,
-    /// So long after the list service drained an engine nothing new may come to it, from whichever router.
+    /// Once the list service has drained an engine for this long, no router may send it new work.
     #[serde(rename = "@stale-after")]
     pub stale_after: Option<Span>,
-    /// Routers run without the refinements.
+    /// Routers run plain SWIM, without the extensions.
     #[serde(skip)]
     pub plain: bool,
-    /// Where the routers' folders are copied to at its end.
+    /// Where the routers' state folders are copied to at the end.
     #[serde(skip)]
     pub keep: Option<std::path::PathBuf>,
     #[serde(rename = "do", default)]
-    pub deeds: Vec<Deed>,
+    pub actions: Vec<Action>,
     #[serde(rename = "want", default)]
-    pub wants: Vec<Want>,
+    pub expectations: Vec<Expectation>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DeedKind {
+pub enum ActionKind {
     Kill,
     Start,
     Leave,
     Stop,
     Continue,
     Cut,
-    /// What is sent is held until the links are healed.
+    /// Bytes and datagrams sent are held back until the links are healed.
     Stall,
-    /// Streams are ended by a reset, once.
+    /// Resets the current streams once.
     Reset,
     Links,
     Heal,
     Forge,
     Disk,
-    /// Of an engine.
+    /// Injects a fault into an engine.
     Fault,
-    /// The machine's processors are kept busy by others.
+    /// Other threads keep the machine's processors busy.
     Starve,
     CopyFolder,
     OldFolder,
     LoseFolder,
-    /// From its next start on its wall clock is off by so much.
+    /// Sets the offset of the router's wall clock, from its next start on.
     Clock,
     /// The list service changes the state of an engine.
     List,
-    /// It begins anew, from what it has.
+    /// Restarts the list service with its current entries.
     ListRestart,
-    /// It changes something ten times a second, for so long.
+    /// The list service changes an entry ten times a second, for the duration in `delay`.
     ListChurn,
-    /// These routers are led to another list service, which counts for itself.
+    /// Redirects these routers to another list service, which numbers its versions independently.
     SecondList,
-    /// These are led to a copy of it that learns of no change from now on.
+    /// Redirects these routers to a replica that receives no further changes.
     OldReplica,
-    /// These are ended, and the rig lies in their name.
+    /// Kills these routers; the runner sends false lists and orders under their names.
     Lie,
-    /// An operator at the first of these routers drains an engine, sets it aside, or frees it, for all routers.
+    /// An operator at the first of these routers drains, detaches or undrains an engine for all routers.
     Order,
 }
 
-/// What the list service may say of an engine.
+/// The state of an engine in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Listed {
+pub enum ListedState {
     Ready,
     Draining,
     Gone,
 }
 
-/// What an operator may want of an engine.
+/// An operator's order for an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wanted {
+pub enum OrderKind {
     Drain,
     Aside,
     Undrain,
@@ -132,11 +133,11 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Deed {
+pub struct Action {
     #[serde(rename = "@at")]
     pub at: Span,
     #[serde(rename = "@what")]
-    pub what: DeedKind,
+    pub what: ActionKind,
     #[serde(rename = "@routers")]
     routers: Option<String>,
     #[serde(rename = "@from")]
@@ -151,10 +152,10 @@
     pub delay: Span,
     #[serde(rename = "@jitter", default = "zero")]
     pub jitter: Span,
-    /// Bytes a second of a stream.
+    /// Bytes per second of a stream.
     #[serde(rename = "@rate", default)]
     pub rate: u32,
-    /// Seconds that a wall clock is ahead.
+    /// Seconds by which the wall clock is ahead.
     #[serde(rename = "@ahead")]
     pub ahead: Option<i32>,
     #[serde(rename = "@disk")]
@@ -164,51 +165,56 @@
     #[serde(rename = "@fault")]
     fault: Option<String>,
     #[serde(rename = "@state")]
-    pub state: Option<Listed>,
+    pub state: Option<ListedState>,
     #[serde(rename = "@order")]
-    pub order: Option<Wanted>,
+    pub order: Option<OrderKind>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum WishKind {
-    /// All living know all living as alive.
+pub enum ExpectationKind {
+    /// Each running router knows every running router as alive (or suspect).
     Whole,
-    /// These count as dead.
+    /// These routers count as dead.
     Dead,
     Left,
     Majority,
     NoMajority,
-    /// Exactly these links are told as cut.
+    /// Exactly these links are reported as cut.
     Edges,
-    /// They know that they hear nobody; that nobody hears them.
+    /// The routers know that they receive nothing.
     Deaf,
+    /// The routers know that they are unanswered.
     Mute,
-    /// Somebody has counted forged datagrams.
+    /// The router has counted forged datagrams.
     Forged,
-    /// An event that holds the text was told.
+    /// An event that contains the text was reported.
     Event,
-    /// These accuse nobody who lives.
+    /// These routers suspect no running router.
     NoAccusation,
-    /// They hold the list as the service has it.
+    /// The routers hold the current list of the list service.
     Latest,
-    /// Another router has handed them a list on; none has.
+    /// The routers have received a list from a peer.
     BroughtUp,
+    /// The routers have received no list from a peer.
     NotBroughtUp,
-    /// The orders given at that time are said to be kept by all; are not.
+    /// The orders issued at that time are reported as kept by all routers.
     Complete,
+    /// The orders issued at that time are not reported as kept by all routers.
     NotComplete,
-    /// That engine is held, or free, by an operator's order.
+    /// An operator's order holds the engine.
     Held,
+    /// No operator's order holds the engine.
     Free,
-    /// At the day's end the records of all say what came to the engines, entry by entry, of routers that were neither
-    /// killed nor had left; `text`: and name that router as one that sent to a drained engine under an old version.
+    /// At the end, the audit logs match what arrived at the engines, entry by entry, for each router that was
+    /// neither killed nor left. With `text`, they also name that router as one that sent to a drained engine
+    /// under an old list version.
     Audit,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Want {
+pub struct Expectation {
     #[serde(rename = "@at")]
     pub at: Span,
     #[serde(rename = "@within")]
@@ -216,7 +222,7 @@
     #[serde(rename = "@stays", default = "zero")]
     pub stays: Span,
     #[serde(rename = "@what")]
-    pub what: WishKind,
+    pub what: ExpectationKind,
     #[serde(rename = "@routers")]
     routers: Option<String>,
     #[serde(rename = "@by")]
@@ -229,8 +235,8 @@
     pub text: Option<String>,
 }
 
-/// Numbers of routers; the schema has judged the text.
-fn numbers(text: Option<&String>, routers: usize) -> Vec<usize> {
+/// Parses a list of router numbers; the schema has validated the text.
+fn router_numbers(text: Option<&String>, routers: usize) -> Vec<usize> {
     match text.map(String::as_str) {
         None => Vec::new(),
         Some("all") => (0..routers).collect(),
@@ -238,27 +244,27 @@
     }
 }
 
-/// Ends of links: routers by number or all of them, `engines` or one by its name, `list`, `clients`.
-fn ends(text: Option<&String>, routers: usize, engines: &[String]) -> Vec<End> {
-    let engine = |name: &String| End::Engine(name.clone());
+/// Parses link ends: routers by number or `all`, `engines` or one engine by name, `list`, `clients`.
+fn ends(text: Option<&String>, routers: usize, engines: &[String]) -> Vec<LinkEnd> {
+    let engine = |name: &String| LinkEnd::Engine(name.clone());
     let one = |word: &str| match word {
-        "all" => (0..routers).map(End::Router).collect(),
+        "all" => (0..routers).map(LinkEnd::Router).collect(),
         "engines" => engines.iter().map(engine).collect(),
-        "list" => vec![End::List],
-        "clients" => vec![End::Clients],
+        "list" => vec![LinkEnd::List],
+        "clients" => vec![LinkEnd::Clients],
         word => match word.parse() {
-            Ok(router) => vec![End::Router(router)],
-            Err(_) => vec![End::Engine(word.to_owned())],
+            Ok(router) => vec![LinkEnd::Router(router)],
+            Err(_) => vec![LinkEnd::Engine(word.to_owned())],
         },
     };
     text.into_iter().flat_map(|t| t.split(' ')).flat_map(one).collect()
 }
 
-impl Deed {
-    /// The engine's fault; an error names the word that is none.
+impl Action {
+    /// The engine and its fault, if the action has one.
     ///
     /// # Errors
-    /// When it is written wrongly.
+    /// When the fault does not parse; the error quotes it.
     pub fn fault(&self) -> Result<Option<(String, Fault)>, String> {
         let (Some(engine), Some(fault)) = (&self.engine, &self.fault) else { return Ok(None) };
         let script: Script =
@@ -267,24 +273,24 @@
     }
 
     pub fn routers(&self, of: usize) -> Vec<usize> {
-        numbers(self.routers.as_ref(), of)
+        router_numbers(self.routers.as_ref(), of)
     }
 
-    /// The links it is about, in their direction, among routers and these engines.
-    pub fn ways(&self, of: usize, engines: &[String]) -> Vec<Way> {
+    /// The directed links that the action affects, among the routers and these engines.
+    pub fn links(&self, of: usize, engines: &[String]) -> Vec<DirectedLink> {
         let (from, to) = (ends(self.from.as_ref(), of, engines), ends(self.to.as_ref(), of, engines));
-        let is_router = |end: &End| matches!(end, End::Router(_));
+        let is_router = |end: &LinkEnd| matches!(end, LinkEnd::Router(_));
         let all = from.iter().flat_map(|a| to.iter().map(move |b| (a.clone(), b.clone())));
         all.filter(|(a, b)| a != b && (is_router(a) || is_router(b))).collect()
     }
 
-    /// How those links behave from then on; `None`: it is no deed of links.
+    /// The fault that the action sets on its links; `None` if it sets none.
     pub fn link_fault(&self) -> Option<LinkFault> {
         let (delay, jitter) = (self.delay.duration(), self.jitter.duration());
         match self.what {
-            DeedKind::Cut => Some(LinkFault { cut: true, ..LinkFault::default() }),
-            DeedKind::Stall => Some(LinkFault { stall: true, ..LinkFault::default() }),
-            DeedKind::Links => Some(LinkFault {
+            ActionKind::Cut => Some(LinkFault { cut: true, ..LinkFault::default() }),
+            ActionKind::Stall => Some(LinkFault { stall: true, ..LinkFault::default() }),
+            ActionKind::Links => Some(LinkFault {
                 loss: self.loss,
                 duplicates: self.duplicates,
                 delay,
@@ -297,18 +303,18 @@
     }
 }
 
-impl Want {
+impl Expectation {
     pub fn routers(&self, of: usize) -> Vec<usize> {
-        numbers(self.routers.as_ref(), of)
+        router_numbers(self.routers.as_ref(), of)
     }
 
-    /// Who has to see it; none named: all living.
+    /// The routers that must observe it; `None` if not given, which means all running ones.
     pub fn by(&self, of: usize) -> Option<Vec<usize>> {
-        self.by.is_some().then(|| numbers(self.by.as_ref(), of))
+        self.by.is_some().then(|| router_numbers(self.by.as_ref(), of))
     }
 
     pub fn links(&self, of: usize) -> Vec<(usize, usize)> {
-        pairs(&numbers(self.from.as_ref(), of), &numbers(self.to.as_ref(), of))
+        pairs(&router_numbers(self.from.as_ref(), of), &router_numbers(self.to.as_ref(), of))
     }
 }
 
@@ -316,12 +322,12 @@
     from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b).collect()
 }
 
-impl Day {
-    /// Reads and checks a day.
+impl Scenario {
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// Every mistake in it, with its line.
-    pub fn parse(text: &str) -> Result<Day, Vec<String>> {
+    /// All mistakes; those that the schema finds come with their line.
+    pub fn parse(text: &str) -> Result<Scenario, Vec<String>> {
         static PARSED: OnceLock<Schema> = OnceLock::new();
         let schema = PARSED
             .get_or_init(|| Schema::parse(SCHEMA).unwrap_or_else(|e| panic!("schema/fleet-day.xsd: {e}")));
@@ -329,96 +335,108 @@
         if !problems.is_empty() {
             return Err(problems.iter().map(ToString::to_string).collect());
         }
-        let day: Day = quick_xml::de::from_str(text).map_err(|e| vec![e.to_string()])?;
+        let scenario: Scenario = quick_xml::de::from_str(text).map_err(|e| vec![e.to_string()])?;
         let mut wrong = Vec::new();
-        let named = day.most_named();
-        if named >= day.routers {
-            wrong.push(format!("<day routers>: router {named} is named, there are {}", day.routers));
+        let named = scenario.highest_router();
+        if named >= scenario.routers {
+            wrong.push(format!("<day routers>: router {named} is named, there are {}", scenario.routers));
         }
-        for deed in day.deeds.iter().filter(|d| d.at > day.lasts) {
-            wrong.push(format!("<do at>: {:?} comes after the day's end", deed.what));
+        for action in scenario.actions.iter().filter(|d| d.at > scenario.lasts) {
+            wrong.push(format!("<do at>: {:?} comes after the day's end", action.what));
         }
-        for deed in day.deeds.iter().filter(|d| (d.what == DeedKind::Disk) != d.disk.is_some()) {
-            wrong.push(format!("<do disk>: goes with what=\"disk\", here it is {:?}", deed.what));
+        for action in scenario.actions.iter().filter(|d| (d.what == ActionKind::Disk) != d.disk.is_some()) {
+            wrong.push(format!("<do disk>: goes with what=\"disk\", here it is {:?}", action.what));
         }
-        for deed in day.deeds.iter().filter(|d| (d.what == DeedKind::Clock) != d.ahead.is_some()) {
-            wrong.push(format!("<do ahead>: goes with what=\"clock\", here it is {:?}", deed.what));
+        for action in scenario.actions.iter().filter(|d| (d.what == ActionKind::Clock) != d.ahead.is_some()) {
+            wrong.push(format!("<do ahead>: goes with what=\"clock\", here it is {:?}", action.what));
         }
-        let about_links = |d: &&Deed| d.link_fault().is_some() || d.what == DeedKind::Reset;
-        for deed in day.deeds.iter().filter(about_links) {
-            if deed.ways(day.routers, &["any-engine".to_owned()]).is_empty() {
+        let about_links = |d: &&Action| d.link_fault().is_some() || d.what == ActionKind::Reset;
+        for action in scenario.actions.iter().filter(about_links) {
+            if action.links(scenario.routers, &["any-engine".to_owned()]).is_empty() {
                 wrong.push(format!(
                     "<do from>: {:?} has to name links, of which a router is an end",
-                    deed.what
+                    action.what
                 ));
             }
         }
-        for deed in day.deeds.iter().filter(|d| (d.what == DeedKind::List) != d.state.is_some()) {
-            wrong.push(format!("<do state>: goes with what=\"list\", here it is {:?}", deed.what));
+        for action in scenario.actions.iter().filter(|d| (d.what == ActionKind::List) != d.state.is_some()) {
+            wrong.push(format!("<do state>: goes with what=\"list\", here it is {:?}", action.what));
         }
-        for deed in day.deeds.iter().filter(|d| (d.what == DeedKind::Order) != d.order.is_some()) {
-            wrong.push(format!("<do order>: goes with what=\"order\", here it is {:?}", deed.what));
+        for action in scenario.actions.iter().filter(|d| (d.what == ActionKind::Order) != d.order.is_some()) {
+            wrong.push(format!("<do order>: goes with what=\"order\", here it is {:?}", action.what));
         }
-        let of_engine = |d: &&Deed| matches!(d.what, DeedKind::List | DeedKind::Order) && d.engine.is_none();
-        for deed in day.deeds.iter().filter(of_engine) {
-            wrong.push(format!("<do engine>: {:?} has to say of which engine", deed.what));
+        let of_engine =
+            |d: &&Action| matches!(d.what, ActionKind::List | ActionKind::Order) && d.engine.is_none();
+        for action in scenario.actions.iter().filter(of_engine) {
+            wrong.push(format!("<do engine>: {:?} must name an engine", action.what));
         }
-        for deed in &day.deeds {
-            match (deed.what == DeedKind::Fault, deed.fault()) {
+        for action in &scenario.actions {
+            match (action.what == ActionKind::Fault, action.fault()) {
                 (_, Err(error)) => wrong.push(error),
-                (true, Ok(None)) => wrong.push("<do fault>: has to say of which engine, and what".to_owned()),
+                (true, Ok(None)) => wrong.push("<do fault>: must name an engine and its fault".to_owned()),
                 _ => {}
             }
         }
-        for want in &day.wants {
-            if want.at.duration() + want.within.duration() + want.stays.duration() > day.lasts.duration() {
-                wrong.push(format!("<want within>: {:?} could be seen after the day's end only", want.what));
+        for expectation in &scenario.expectations {
+            if expectation.at.duration() + expectation.within.duration() + expectation.stays.duration()
+                > scenario.lasts.duration()
+            {
+                wrong.push(format!(
+                    "<want within>: {:?} could be seen after the day's end only",
+                    expectation.what
+                ));
             }
-            let lacks = match want.what {
-                WishKind::Dead
-                | WishKind::Left
-                | WishKind::Deaf
-                | WishKind::Mute
-                | WishKind::NoAccusation => want.routers.is_none(),
-                WishKind::Event | WishKind::Held | WishKind::Free => want.text.is_none(),
+            let lacks = match expectation.what {
+                ExpectationKind::Dead
+                | ExpectationKind::Left
+                | ExpectationKind::Deaf
+                | ExpectationKind::Mute
+                | ExpectationKind::NoAccusation => expectation.routers.is_none(),
+                ExpectationKind::Event | ExpectationKind::Held | ExpectationKind::Free => {
+                    expectation.text.is_none()
+                }
                 _ => false,
             };
             if lacks {
-                wrong.push(format!("<want>: {:?} has to say of whom, or what text", want.what));
+                wrong.push(format!("<want>: {:?} has to say of whom, or what text", expectation.what));
             }
         }
         if wrong.is_empty() {
-            Ok(day)
+            Ok(scenario)
         } else {
             Err(wrong)
         }
     }
 
-    /// The highest number of a router that it names.
-    pub fn most_named(&self) -> usize {
+    /// The highest router number that the scenario names.
+    pub fn highest_router(&self) -> usize {
         let texts = [&self.load_to, &self.may_die, &self.without]
             .into_iter()
-            .chain(self.deeds.iter().flat_map(|d| [&d.routers, &d.from, &d.to]))
-            .chain(self.wants.iter().flat_map(|w| [&w.routers, &w.by, &w.from, &w.to]));
-        // Named as "all" they are as many as there are.
-        texts.filter(|t| t.as_deref() != Some("all")).flat_map(|t| numbers(t.as_ref(), 0)).max().unwrap_or(0)
+            .chain(self.actions.iter().flat_map(|d| [&d.routers, &d.from, &d.to]))
+            .chain(self.expectations.iter().flat_map(|w| [&w.routers, &w.by, &w.from, &w.to]));
+        // "all" names no particular number.
+        texts
+            .filter(|t| t.as_deref() != Some("all"))
+            .flat_map(|t| router_numbers(t.as_ref(), 0))
+            .max()
+            .unwrap_or(0)
     }
 
-    /// Routers that get requests.
+    /// The routers that receive client requests.
     pub fn load_to(&self) -> Vec<usize> {
         match &self.load_to {
             None => (0..self.routers).collect(),
-            some => numbers(some.as_ref(), self.routers),
+            some => router_numbers(some.as_ref(), self.routers),
         }
     }
 
-    /// For how long that router leaves the list unconfirmed.
+    /// How long that router goes without a confirmation of the list before it asks its peers.
     pub fn confirm_of(&self, router: usize) -> Option<Span> {
         self.confirm
-            .filter(|_| !self.plain && !numbers(self.without.as_ref(), self.routers).contains(&router))
+            .filter(|_| !self.plain && !router_numbers(self.without.as_ref(), self.routers).contains(&router))
     }
 
     pub fn may_die(&self) -> Vec<usize> {
-        numbers(self.may_die.as_ref(), self.routers)
+        router_numbers(self.may_die.as_ref(), self.routers)
     }
 }
--- a/crates/gaparch-testbed/src/fleet/scenarios.rs
+++ b/crates/gaparch-testbed/src/fleet/scenarios.rs
@@ -1,17 +1,17 @@
-//! The days that come with the program, in groups.
+//! The built-in scenarios, in groups.
 
-use super::day::Day;
+use super::scenario::Scenario;
 
-/// A group's days, as files.
+/// A group of scenario files.
 pub struct Group {
     pub name: &'static str,
-    days: &'static [&'static str],
+    scenarios: &'static [&'static str],
 }
 
 const GROUPS: [Group; 6] = [
     Group {
         name: "membership",
-        days: &[
+        scenarios: &[
             include_str!("../../../../days/membership/killed.xml"),
             include_str!("../../../../days/membership/stopped.xml"),
             include_str!("../../../../days/membership/lost.xml"),
@@ -30,7 +30,7 @@
     },
     Group {
         name: "links",
-        days: &[
+        scenarios: &[
             include_str!("../../../../days/links/engine-links.xml"),
             include_str!("../../../../days/links/client-links.xml"),
             include_str!("../../../../days/links/list-links.xml"),
@@ -38,7 +38,7 @@
     },
     Group {
         name: "audit",
-        days: &[
+        scenarios: &[
             include_str!("../../../../days/audit/stalled-list.xml"),
             include_str!("../../../../days/audit/all-but-one.xml"),
             include_str!("../../../../days/audit/straggler.xml"),
@@ -48,17 +48,17 @@
         ],
     },
     Group {
-        // More of membership: by command.
+        // Further membership scenarios, run on request only.
         name: "membership-more",
-        days: &[
+        scenarios: &[
             include_str!("../../../../days/membership/disks-of-old.xml"),
             include_str!("../../../../days/membership/flapping.xml"),
         ],
     },
     Group {
-        // The same in more ways: by command.
+        // Variants of the audit scenarios, run on request only.
         name: "audit-more",
-        days: &[
+        scenarios: &[
             include_str!("../../../../days/audit/stopped-across.xml"),
             include_str!("../../../../days/audit/old-replica.xml"),
             include_str!("../../../../days/audit/cut-list.xml"),
@@ -72,9 +72,9 @@
         ],
     },
     Group {
-        // Minutes each: by command.
+        // These take up to ten minutes each and are run on request only.
         name: "membership-long",
-        days: &[
+        scenarios: &[
             include_str!("../../../../days/membership-long/split-long.xml"),
             include_str!("../../../../days/membership-long/minority-of-one.xml"),
             include_str!("../../../../days/membership-long/lost-long.xml"),
@@ -86,20 +86,20 @@
     },
 ];
 
-/// The days of a group, in their order; `None` if there is no such group.
+/// The scenarios of a group in order; `None` if there is no such group.
 pub fn group(name: &str) -> Option<Vec<&'static str>> {
-    GROUPS.iter().find(|g| g.name == name).map(|g| g.days.to_vec())
+    GROUPS.iter().find(|g| g.name == name).map(|g| g.scenarios.to_vec())
 }
 
-/// One day of any group by its name.
+/// The scenario with this name, from any group.
 pub fn one(name: &str) -> Option<&'static str> {
-    let named = |text: &&&str| Day::parse(text).is_ok_and(|day| day.name == name);
-    GROUPS.iter().flat_map(|g| g.days).find(named).copied()
+    let named = |text: &&&str| Scenario::parse(text).is_ok_and(|scenario| scenario.name == name);
+    GROUPS.iter().flat_map(|g| g.scenarios).find(named).copied()
 }
 
-/// All names, for whoever asked for another.
+/// All group and scenario names, for the message about an unknown one.
 pub fn names() -> Vec<String> {
-    let days = GROUPS.iter().flat_map(|g| g.days);
-    let names = days.filter_map(|text| Day::parse(text).ok()).map(|day| day.name);
+    let scenarios = GROUPS.iter().flat_map(|g| g.scenarios);
+    let names = scenarios.filter_map(|text| Scenario::parse(text).ok()).map(|scenario| scenario.name);
     GROUPS.iter().map(|g| g.name.to_owned()).chain(names).collect()
 }
--- a/crates/gaparch-testbed/src/fleet/streams_tests.rs
+++ b/crates/gaparch-testbed/src/fleet/streams_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `streams`.
+//! Tests of the stream relays.
 
 use super::super::faults::Fault;
 use super::*;
@@ -11,20 +11,21 @@
 
 struct Wire {
     faults: Arc<Faults>,
-    witness: Witness,
+    recorder: Recorder,
     near: TcpStream,
     far: TcpStream,
     _streams: Streams,
 }
 
-/// A stream of router 0 to one end, through its relay.
-async fn wire(end: End) -> Wire {
+/// Opens a stream from router 0 to an end, through its relay.
+async fn wire(end: LinkEnd) -> Wire {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
     let faults = Arc::new(Faults::default());
-    let witness = Witness { clock: Clock::default(), record: Record::default() };
+    let recorder = Recorder { clock: Clock::default(), record: Record::default() };
     let at = listener.local_addr().expect("an address");
-    let ends = [(end.clone(), at), (End::Engine("read-0".to_owned()), "10.0.0.1:1".parse().expect("one"))];
-    let streams = Streams::start(&[at], &ends, &faults, &witness).await.expect("started");
+    let ends =
+        [(end.clone(), at), (LinkEnd::Engine("read-0".to_owned()), "10.0.0.1:1".parse().expect("one"))];
+    let streams = Streams::start(&[at], &ends, &faults, &recorder).await.expect("started");
     let relay = streams.address(&end).expect("a relay");
     let mut near = TcpStream::connect(relay).await.expect("connected");
     let hello = ListFrame::Hello { version: 1, name: "router-0".to_owned(), epoch: 0 };
@@ -33,7 +34,7 @@
     near.write_all(&bytes).await.expect("written");
     let (mut far, _) = timeout(SOON, listener.accept()).await.expect("in time").expect("accepted");
     comes(&mut far, &bytes).await;
-    Wire { faults, witness, near, far, _streams: streams }
+    Wire { faults, recorder, near, far, _streams: streams }
 }
 
 async fn comes(socket: &mut TcpStream, bytes: &[u8]) {
@@ -43,13 +44,13 @@
 }
 
 async fn is_silent(socket: &mut TcpStream) {
-    assert!(timeout(SILENCE, socket.read_u8()).await.is_err(), "something came");
+    assert!(timeout(SILENCE, socket.read_u8()).await.is_err(), "bytes arrived on a silent link");
 }
 
 #[tokio::test]
 async fn a_stall_holds_one_direction_and_delivers_it_later() {
-    let mut wire = wire(End::List).await;
-    let there = (End::Router(0), End::List);
+    let mut wire = wire(LinkEnd::List).await;
+    let there = (LinkEnd::Router(0), LinkEnd::List);
     wire.faults.set(&[there], Fault { stall: true, ..Fault::default() });
     wire.near.write_all(b"held").await.expect("written");
     is_silent(&mut wire.far).await;
@@ -58,28 +59,28 @@
 }
 
 #[tokio::test]
-async fn a_cut_loses_bytes_in_silence_and_the_stream_when_it_ends() {
-    let mut wire = wire(End::List).await;
-    wire.faults.set(&[(End::Router(0), End::List)], Fault { cut: true, ..Fault::default() });
+async fn a_cut_loses_bytes_silently_and_breaks_the_stream_when_it_ends() {
+    let mut wire = wire(LinkEnd::List).await;
+    wire.faults.set(&[(LinkEnd::Router(0), LinkEnd::List)], Fault { cut: true, ..Fault::default() });
     wire.near.write_all(b"lost").await.expect("written");
     is_silent(&mut wire.far).await;
     is_silent(&mut wire.near).await;
     wire.faults.heal();
     let end = timeout(SOON, wire.far.read_u8()).await.expect("in time");
-    assert!(end.is_err(), "what follows lost bytes must not be taken for them");
+    assert!(end.is_err(), "bytes that follow lost ones must not be delivered");
 }
 
 #[tokio::test]
 async fn a_reset_ends_the_stream_for_both() {
-    let mut wire = wire(End::List).await;
-    wire.faults.reset(&[(End::List, End::Router(0))]);
+    let mut wire = wire(LinkEnd::List).await;
+    wire.faults.reset(&[(LinkEnd::List, LinkEnd::Router(0))]);
     assert!(timeout(SOON, wire.far.read_u8()).await.expect("in time").is_err());
     assert!(timeout(SOON, wire.near.read_u8()).await.expect("in time").is_err());
 }
 
 #[tokio::test]
-async fn a_list_is_told_when_it_comes_through_with_the_relays_addresses() {
-    let mut wire = wire(End::List).await;
+async fn a_list_is_recorded_on_delivery_and_has_the_relay_addresses() {
+    let mut wire = wire(LinkEnd::List).await;
     let entry = ListEntry {
         engine: "read-0".to_owned(),
         address: "10.0.0.1:1".to_owned(),
@@ -93,10 +94,13 @@
     let frame = ListFrame::Update { scope: Scope::Full, version: 7, entries: vec![entry] };
     let mut bytes = BytesMut::new();
     encode(&frame, &mut bytes);
-    wire.faults.set(&[(End::List, End::Router(0))], Fault { stall: true, ..Fault::default() });
+    wire.faults.set(&[(LinkEnd::List, LinkEnd::Router(0))], Fault { stall: true, ..Fault::default() });
     wire.far.write_all(&bytes).await.expect("written");
     is_silent(&mut wire.near).await;
-    assert!(wire.witness.record.entries().is_empty(), "what was not delivered was not told");
+    assert!(
+        wire.recorder.record.entries().is_empty(),
+        "an entry that was not delivered must not be recorded"
+    );
     wire.faults.heal();
     let mut decoder = FrameDecoder::default();
     let told = loop {
@@ -108,7 +112,7 @@
     assert!(told[0].address.starts_with("127.0.0.1:"), "{told:?}");
     let listed =
         |e: &crate::record::Entry| matches!(&e.what, What::Listed { router, .. } if router == "router-0");
-    while !wire.witness.record.entries().iter().any(listed) {
+    while !wire.recorder.record.entries().iter().any(listed) {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/gaparch-testbed/src/fleet/world.rs
+++ b/crates/gaparch-testbed/src/fleet/world.rs
@@ -1,5 +1,5 @@
-//! Many membership cores in one process, in virtual time: links lose, delay and cut, members stop, die and come back.
-//! The same seed gives the same day.
+//! Simulates many membership cores in one process, in virtual time: links lose, delay and cut messages,
+//! members stop, die and restart. A run is deterministic: the same seed gives the same events.
 
 use gaparch_membership::{Membership, MembershipEvent, Nanos, Output, Settings, View};
 use gaparch_protocol::fleet::{MemberState, Message};
@@ -11,18 +11,20 @@
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
-/// Datagrams that a stopped process finds when it wakes; the system drops the rest.
-const SOCKET_ROOM: usize = 256;
+/// Datagrams that a stopped process receives when it continues; the operating system drops the rest.
+const SOCKET_QUEUE_LENGTH: usize = 256;
 
-const MOST_COPIES: usize = 5_000;
+/// Maximum number of messages that are copied to be replayed later.
+const MAX_COPIES: usize = 5_000;
 
 /// How a link behaves, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
     pub loss: f64,
     pub duplicates: f64,
-    /// Least delay, and what may come on top of it: with that, messages overtake one another.
+    /// The minimum delay.
     pub delay: Nanos,
+    /// Maximum random delay in addition to `delay`; it reorders messages.
     pub jitter: Nanos,
     pub cut: bool,
 }
@@ -34,37 +36,37 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum What {
-    Tick(u64),
-    Arrives(Box<Message>),
+enum Work {
+    Timer(u64),
+    Delivery(Box<Message>),
 }
 
-/// In the order of time; ties in the order they were made.
+/// A scheduled event. Events are ordered by time, and by their creation if the times are equal.
 #[derive(Clone, Debug)]
-struct Due {
+struct ScheduledWork {
     at: Nanos,
-    number: u64,
+    sequence: u64,
     node: usize,
-    what: What,
+    what: Work,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+impl PartialEq for ScheduledWork {
+    fn eq(&self, other: &ScheduledWork) -> bool {
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledWork {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledWork {
+    fn partial_cmp(&self, other: &ScheduledWork) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+impl Ord for ScheduledWork {
+    fn cmp(&self, other: &ScheduledWork) -> std::cmp::Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
@@ -73,15 +75,17 @@
     core: Option<Membership>,
     settings: Settings,
     stopped: bool,
-    /// What waits in its socket while it is stopped.
-    waiting: VecDeque<Message>,
-    /// Grows with each process, so that an earlier one's ticks are known.
+    /// Messages queued in its socket while it is stopped.
+    queued: VecDeque<Message>,
+    /// The number of the current process; timers of earlier ones are recognised by it and ignored.
     process: u64,
-    kept: u64,
-    clock_from: Nanos,
+    /// The incarnation that is stored on disk.
+    stored_incarnation: u64,
+    /// The simulated time at which the node's own clock reads 0.
+    clock_origin: Nanos,
 }
 
-/// Something that a node told of.
+/// An event that a node reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
     pub at: Nanos,
@@ -89,23 +93,23 @@
     pub what: MembershipEvent,
 }
 
-/// A fleet in virtual time.
+/// A simulated fleet in virtual time.
 #[derive(Debug)]
 pub struct World {
     pub now: Nanos,
     pub told: Vec<Told>,
-    /// For every pair without one of its own.
+    /// The link of every pair that has no link of its own.
     pub link: Link,
     links: BTreeMap<(usize, usize), Link>,
     nodes: Vec<Node>,
-    due: BinaryHeap<Reverse<Due>>,
-    number: u64,
+    scheduled: BinaryHeap<Reverse<ScheduledWork>>,
+    sequence: u64,
     rng: ChaCha8Rng,
-    copying: bool,
+    copies_messages: bool,
     copies: Vec<(usize, Message)>,
 }
 
-/// What the members of a world are told, beside their names.
+/// Settings that all members of a simulation share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     pub routers: u32,
@@ -144,7 +148,7 @@
 }
 
 impl World {
-    /// So many members that all start now, and know the first two.
+    /// Creates and starts that many members; the first two are the seeds of all.
     pub fn new(members: usize, terms: Terms) -> World {
         let mut world = World {
             now: SECOND,
@@ -152,10 +156,10 @@
             link: Link::default(),
             links: BTreeMap::new(),
             nodes: Vec::new(),
-            due: BinaryHeap::new(),
-            number: 0,
+            scheduled: BinaryHeap::new(),
+            sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(terms.seed),
-            copying: false,
+            copies_messages: false,
             copies: Vec::new(),
         };
         for node in 0..members {
@@ -177,10 +181,10 @@
                 core: None,
                 settings,
                 stopped: false,
-                waiting: VecDeque::new(),
+                queued: VecDeque::new(),
                 process: 0,
-                kept: 0,
-                clock_from: 0,
+                stored_incarnation: 0,
+                clock_origin: 0,
             });
         }
         (0..members).for_each(|node| world.start(node));
@@ -195,82 +199,84 @@
         self.nodes.is_empty()
     }
 
-    // --- What is done to it ------------------------------------------------------------------------------
+    // --- Actions -----------------------------------------------------------------------------------------
 
-    /// Starts a member, or starts it again under the same name.
+    /// Starts a member, or restarts it under the same name.
     pub fn start(&mut self, node: usize) {
         let run = self.rng.random();
         let n = &mut self.nodes[node];
         n.process += 1;
-        n.clock_from = self.now - SECOND;
-        let settings = Settings { run_id: run, incarnation: n.kept + 1, ..n.settings.clone() };
+        n.clock_origin = self.now - SECOND;
+        let settings = Settings { run_id: run, incarnation: n.stored_incarnation + 1, ..n.settings.clone() };
         let mut out = Vec::new();
         n.core = Some(Membership::new(settings, SECOND, &mut out));
-        (n.stopped, n.waiting) = (false, VecDeque::new());
-        self.carry_out(node, out);
-        self.plan_tick(node);
+        (n.stopped, n.queued) = (false, VecDeque::new());
+        self.perform(node, out);
+        self.schedule_tick(node);
     }
 
-    /// It is gone at once, without a word.
+    /// Ends a member at once; it sends nothing.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].core = None;
     }
 
-    /// It leaves in good order.
+    /// Makes a member leave the fleet in the regular way.
     pub fn leave(&mut self, node: usize) {
         let mut out = Vec::new();
         let now = self.local(node);
         if let Some(mut core) = self.nodes[node].core.take() {
             core.leave(now, &mut out);
         }
-        self.carry_out(node, out);
+        self.perform(node, out);
     }
 
     pub fn stop(&mut self, node: usize) {
         self.nodes[node].stopped = true;
     }
 
-    /// It goes on where it was stopped: its socket first, or its timers, as the system likes.
+    /// Continues a stopped member. Whether its queued messages or its timers come first is random, as with a
+    /// real process.
     pub fn go_on(&mut self, node: usize) {
         self.nodes[node].stopped = false;
-        let waiting = std::mem::take(&mut self.nodes[node].waiting);
+        let queued = std::mem::take(&mut self.nodes[node].queued);
         let timers_first = self.rng.random_bool(0.5);
         if timers_first {
             self.tick(node);
         }
-        for message in waiting {
-            self.hand_over(node, message);
+        for message in queued {
+            self.deliver(node, message);
         }
         if !timers_first {
             self.tick(node);
         }
-        self.plan_tick(node);
+        self.schedule_tick(node);
     }
 
-    /// What it has kept on disk is that from now on.
+    /// Sets the incarnation that a member has stored on disk.
     pub fn set_kept(&mut self, node: usize, incarnation: u64) {
-        self.nodes[node].kept = incarnation;
+        self.nodes[node].stored_incarnation = incarnation;
     }
 
-    /// It takes another one's name, zone and kept incarnation, as a copy of that one's folder would.
+    /// Gives a member the name, zone and stored incarnation of another one, as if its folder had been copied.
     pub fn take_name(&mut self, node: usize, of: usize) {
         let of = &self.nodes[of];
-        let (name, zone, kept) = (of.settings.name.clone(), of.settings.zone.clone(), of.kept);
+        let (name, zone, stored_incarnation) =
+            (of.settings.name.clone(), of.settings.zone.clone(), of.stored_incarnation);
         let node = &mut self.nodes[node];
-        (node.settings.name, node.settings.zone, node.kept) = (name, zone, kept);
+        (node.settings.name, node.settings.zone, node.stored_incarnation) = (name, zone, stored_incarnation);
     }
 
-    /// Whether messages under way are copied, for somebody to send them again.
+    /// Sets whether messages in flight are copied, to be replayed later.
     pub fn keep_copies(&mut self, keep: bool) {
-        self.copying = keep;
+        self.copies_messages = keep;
     }
 
-    /// Copies of messages, by whom they were for; at most some thousands.
+    /// Takes the copies of messages, with their recipients; there are at most 5,000.
     pub fn copies(&mut self) -> Vec<(usize, Message)> {
         std::mem::take(&mut self.copies)
     }
 
-    /// Changes links between all of these and all of those, in that direction.
+    /// Sets the links from each node in `from` to each node in `to`.
     pub fn set_links(&mut self, from: &[usize], to: &[usize], link: Link) {
         for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
             self.links.insert(pair, link);
@@ -286,37 +292,37 @@
         self.cut(other, one);
     }
 
-    /// All links are as [`link`](World::link) says again.
+    /// Restores all links to [`link`](World::link).
     pub fn heal(&mut self) {
         self.links.clear();
     }
 
-    /// A message that comes from nowhere.
+    /// Delivers a message that no member sent.
     pub fn inject(&mut self, to: usize, message: Message) {
-        self.hand_over(to, message);
+        self.deliver(to, message);
     }
 
     // --- Time --------------------------------------------------------------------------------------------
 
     pub fn run_for(&mut self, span: Nanos) {
         let until = self.now + span;
-        while self.due.peek().is_some_and(|due| due.0.at <= until) {
-            let Some(Reverse(due)) = self.due.pop() else { break };
-            self.now = due.at;
-            match due.what {
-                What::Tick(process) if process != self.nodes[due.node].process => {}
-                What::Tick(_) if self.nodes[due.node].stopped => {}
-                What::Tick(_) => {
-                    self.tick(due.node);
-                    self.plan_tick(due.node);
+        while self.scheduled.peek().is_some_and(|scheduled| scheduled.0.at <= until) {
+            let Some(Reverse(scheduled)) = self.scheduled.pop() else { break };
+            self.now = scheduled.at;
+            match scheduled.what {
+                Work::Timer(process) if process != self.nodes[scheduled.node].process => {}
+                Work::Timer(_) if self.nodes[scheduled.node].stopped => {}
+                Work::Timer(_) => {
+                    self.tick(scheduled.node);
+                    self.schedule_tick(scheduled.node);
                 }
-                What::Arrives(message) => self.arrive(due.node, *message),
+                Work::Delivery(message) => self.arrive(scheduled.node, *message),
             }
         }
         self.now = until;
     }
 
-    /// Lets time pass until it holds; how long that took, or `None` within the bound.
+    /// Runs until the condition holds; returns how long that took, or `None` if it did not within `most`.
     pub fn run_until(&mut self, most: Nanos, mut holds: impl FnMut(&World) -> bool) -> Option<Nanos> {
         let from = self.now;
         while !holds(self) {
@@ -329,7 +335,7 @@
     }
 
     fn local(&self, node: usize) -> Nanos {
-        self.now - self.nodes[node].clock_from
+        self.now - self.nodes[node].clock_origin
     }
 
     fn tick(&mut self, node: usize) {
@@ -338,45 +344,47 @@
         if let Some(core) = &mut self.nodes[node].core {
             core.on_timer(now, &mut out);
         }
-        self.carry_out(node, out);
+        self.perform(node, out);
     }
 
-    fn plan_tick(&mut self, node: usize) {
+    fn schedule_tick(&mut self, node: usize) {
         let n = &self.nodes[node];
         if let Some(core) = &n.core {
-            let (at, process) = ((core.next_timer_at() + n.clock_from).max(self.now + 1), n.process);
-            self.plan(at, node, What::Tick(process));
+            let (at, process) = ((core.next_timer_at() + n.clock_origin).max(self.now + 1), n.process);
+            self.schedule(at, node, Work::Timer(process));
         }
     }
 
-    fn plan(&mut self, at: Nanos, node: usize, what: What) {
-        self.number += 1;
-        self.due.push(Reverse(Due { at, number: self.number, node, what }));
+    fn schedule(&mut self, at: Nanos, node: usize, what: Work) {
+        self.sequence += 1;
+        self.scheduled.push(Reverse(ScheduledWork { at, sequence: self.sequence, node, what }));
     }
 
     fn arrive(&mut self, node: usize, message: Message) {
         let n = &mut self.nodes[node];
         if !n.stopped {
-            self.hand_over(node, message);
-        } else if n.waiting.len() < SOCKET_ROOM {
-            n.waiting.push_back(message);
+            self.deliver(node, message);
+        } else if n.queued.len() < SOCKET_QUEUE_LENGTH {
+            n.queued.push_back(message);
         }
     }
 
-    fn hand_over(&mut self, node: usize, message: Message) {
+    fn deliver(&mut self, node: usize, message: Message) {
         let now = self.local(node);
         let mut out = Vec::new();
         if let Some(core) = &mut self.nodes[node].core {
             core.on_message(now, message, &mut out);
         }
-        self.carry_out(node, out);
+        self.perform(node, out);
     }
 
-    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+    fn perform(&mut self, node: usize, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(node, to, message),
-                Output::PersistIncarnation { incarnation } => self.nodes[node].kept = incarnation,
+                Output::PersistIncarnation { incarnation } => {
+                    self.nodes[node].stored_incarnation = incarnation
+                }
                 Output::Event(what) => self.told.push(Told { at: self.now, node, what }),
                 Output::RouterCount(_) | Output::Payload { .. } => {}
             }
@@ -389,53 +397,53 @@
         if link.cut {
             return;
         }
-        if self.copying && self.copies.len() < MOST_COPIES {
+        if self.copies_messages && self.copies.len() < MAX_COPIES {
             self.copies.push((to, message.clone()));
         }
         let copies = 1 + usize::from(self.rng.random_bool(link.duplicates));
         for _ in 0..copies {
             if !self.rng.random_bool(link.loss) {
                 let delay = link.delay + self.rng.random_range(0..=link.jitter);
-                self.plan(self.now + delay, to, What::Arrives(Box::new(message.clone())));
+                self.schedule(self.now + delay, to, Work::Delivery(Box::new(message.clone())));
             }
         }
     }
 
-    // --- What is seen ------------------------------------------------------------------------------------
+    // --- Observations ------------------------------------------------------------------------------------
 
     pub fn view(&self, node: usize) -> Option<View> {
         self.nodes[node].core.as_ref().map(Membership::view)
     }
 
-    /// Messages that one has sent.
+    /// The number of messages that a member has sent.
     pub fn sent(&self, node: usize) -> u64 {
         self.nodes[node].core.as_ref().map_or(0, |core| core.counters().sent)
     }
 
-    /// What one thinks of another; `None` if it knows nothing of it, or is not there.
+    /// The state of `of` in the view of `by`; `None` if `by` does not know it or is not running.
     pub fn state(&self, of: usize, by: usize) -> Option<MemberState> {
         let name = name(of);
         self.view(by)?.members.into_iter().find(|m| m.info.name == name).map(|m| m.state)
     }
 
-    /// All that are at work, and not stopped.
+    /// All members that run and are not stopped.
     pub fn living(&self) -> Vec<usize> {
         let lives = |n: &Node| n.core.is_some() && !n.stopped;
         self.nodes.iter().enumerate().filter(|(_, n)| lives(n)).map(|(node, _)| node).collect()
     }
 
-    /// Every one of these thinks that of every one of those.
+    /// Whether each of `by` has each of `those` in this state.
     pub fn all_think(&self, those: &[usize], state: MemberState, by: &[usize]) -> bool {
         by.iter().all(|by| those.iter().all(|of| of == by || self.state(*of, *by) == Some(state)))
     }
 
-    /// All that are at work know all of them as alive, and none besides who is not.
+    /// Whether each running member sees each running member as alive.
     pub fn is_whole(&self) -> bool {
         let living = self.living();
         self.all_think(&living, MemberState::Alive, &living)
     }
 
-    /// Deaths told of members that were at work and not stopped, from then on.
+    /// The number of deaths reported since then of members that now run and are not stopped.
     pub fn false_deaths(&self, since: Nanos) -> usize {
         let living: BTreeSet<String> = self.living().into_iter().map(name).collect();
         let deaths = self.told.iter().filter(|t| t.at >= since);
