--- a/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
+++ b/crates/gaparch-platform-protocol/tests/pinned_meanings.rs
@@ -1,5 +1,5 @@
-//! What answers of workers and of the catalogue, and the configuration, mean: as a build before the code's names changed
-//! read them.
+//! The meaning of responses of workers, of endpoint lists and of the configuration, as read by an earlier
+//! build: it must not change.
 
 use bytes::BytesMut;
 use gaparch_platform_protocol::config::{ConfigError, GossipAddresses, RouterConfig};
@@ -16,10 +16,10 @@
 
 const LIMITS: ListLimits = ListLimits { bytes: 1 << 20, entries: 100 };
 
-fn head(status: u16, turned_away: bool) -> ResponseHead {
-    let header = if turned_away { "X-Turned-Away: 1\r\n" } else { "" };
+fn head(status: u16, rejected: bool) -> ResponseHead {
+    let header = if rejected { "X-Turned-Away: 1\r\n" } else { "" };
     let text = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 0\r\n\r\n");
-    decode_response(&mut BytesMut::from(text.as_bytes())).expect("sound").expect("complete")
+    decode_response(&mut BytesMut::from(text.as_bytes())).expect("valid").expect("complete")
 }
 
 fn ended(status: AttemptStatus, kv_cache_missing: bool) -> ResponseMeaning {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn answers_of_workers() {
+fn responses_of_workers() {
     assert_eq!(interpret_response(&head(202, false), Stage::Prefill), ResponseMeaning::Prefilled);
     assert_eq!(interpret_response(&head(202, false), Stage::Decode), ended(AttemptStatus::Unknown, false));
     assert_eq!(interpret_response(&head(200, false), Stage::Decode), ResponseMeaning::EventStream);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn answers_of_workers_to_calls() {
+fn responses_of_workers_to_calls() {
     let probes = [200, 503, 404, 500].map(interpret_probe);
     assert_eq!(
         probes,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn calls_of_the_catalogue() {
+fn requests_for_endpoint_lists() {
     assert_eq!(encode_list_request("a:1"), "GET /catalog/members HTTP/1.1\r\nHost: a:1\r\n\r\n");
     let watch = "GET /catalog/members?after=41&wait_ms=1000 HTTP/1.1\r\nHost: a:1\r\n\r\n";
     assert_eq!(encode_watch_request("a:1", 41, 1000), watch);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn answers_of_the_catalogue() {
+fn endpoint_lists() {
     let json = br#"{"generation":42,"reset":true,"instances":[
         {"instanceId":"w-1","hostPort":"10.0.0.1:80","zone":"a","machineType":"decode","cell":7,"lifecycle":"ready",
          "weight":0.5,"startedAtMs":1500.5},
@@ -124,7 +124,7 @@
 
 #[test]
 fn configuration_with_every_field() {
-    let config = RouterConfig::from_json(CONFIG.as_bytes(), |_| None).expect("sound");
+    let config = RouterConfig::from_json(CONFIG.as_bytes(), |_| None).expect("valid");
     assert_eq!((config.name.as_str(), config.sockets), ("n0", 400));
     assert_eq!(config.listen.to_string(), "127.0.0.1:8080");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:9090");
@@ -155,7 +155,7 @@
         _ => None,
     };
     let text = br#"{"settings":{"services":[{"name":"chat"}],"flavors":["m"]}}"#;
-    let config = RouterConfig::from_json(text, fallback).expect("sound");
+    let config = RouterConfig::from_json(text, fallback).expect("valid");
     assert_eq!((config.name.as_str(), config.sockets), ("from-environment", 256));
     assert_eq!((config.listen.port(), config.discovery.port()), (1, 2));
     assert_eq!(config.list_limits, ListLimits { bytes: 16384 * 512, entries: 16384 });
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn configuration_with_a_field_that_makes_no_sense() {
+fn configuration_with_an_invalid_field() {
     let without_settings = br#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}"#;
     let error = RouterConfig::from_json(without_settings, |_| None).expect_err("no settings");
     assert_eq!(error, ConfigError::Missing("settings"));
@@ -183,9 +183,9 @@
         (r#"["m"]"#, "[]", "'settings.flavors' is missing"),
         (r#"{"name":"n0","#, "{{", "not JSON: "),
     ];
-    for (from, to, said) in cases {
+    for (from, to, expected) in cases {
         let error =
             RouterConfig::from_json(CONFIG.replacen(from, to, 1).as_bytes(), |_| None).expect_err(from);
-        assert!(error.to_string().starts_with(said), "{from}: {error}");
+        assert!(error.to_string().starts_with(expected), "{from}: {error}");
     }
 }
--- a/crates/gaparch-platform-settings/tests/pinned_settings.rs
+++ b/crates/gaparch-platform-settings/tests/pinned_settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings object with every key, and what a build before the code's names changed read from it.
+//! The platform's settings object with every key, and what an earlier build read from it, which must not
+//! change.
 
 use gaparch_platform_settings::{diagnose, PlatformSettings, SettingsDiagnostic};
 use gaparch_scheduler::api::{
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn every_key_has_its_field() {
+fn each_key_sets_its_field() {
     let settings = PlatformSettings::read(&every_key(), 99);
     let chat = TrafficClass {
         idempotency: Idempotency::Idempotent,
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn an_absent_key_is_the_modules_own_default() {
+fn an_absent_key_has_the_schedulers_default() {
     let settings = PlatformSettings::read(&json!({}), 0);
     assert_eq!(settings.scheduler, Settings::default());
     assert!(
@@ -125,15 +126,15 @@
     );
 }
 
-/// A field of the wrong type counts as absent, and so does a number that is negative.
+/// A field of the wrong type counts as absent, and so does a negative number.
 #[test]
-fn a_value_that_makes_no_sense_counts_as_absent() {
-    let mut env = every_key();
-    env["rules"]["coldFrom"] = json!("a third");
-    env["rules"]["rampTimeNs"] = json!(-1);
-    env["caps"]["cancel"] = json!("yes");
-    env["zone"] = json!("c");
-    let settings = PlatformSettings::read(&env, 0).scheduler;
+fn an_invalid_value_counts_as_absent() {
+    let mut object = every_key();
+    object["rules"]["coldFrom"] = json!("a third");
+    object["rules"]["rampTimeNs"] = json!(-1);
+    object["caps"]["cancel"] = json!("yes");
+    object["zone"] = json!("c");
+    let settings = PlatformSettings::read(&object, 0).scheduler;
     let defaults = Settings::default();
     assert_eq!(settings.slow_start_speed, defaults.slow_start_speed);
     assert_eq!(
@@ -142,15 +143,15 @@
     );
 }
 
-/// Which fields a diagnostic is given for, in which order.
+/// The fields for which diagnostics are reported, and their order.
 #[test]
 fn diagnostics_name_these_fields_in_this_order() {
-    let fields = |env: &Value| -> Vec<String> {
-        let lines = diagnose(env, &PlatformSettings::read(env, 0));
+    let fields = |object: &Value| -> Vec<String> {
+        let lines = diagnose(object, &PlatformSettings::read(object, 0));
         let field = |diagnostic: &SettingsDiagnostic| {
             let line = diagnostic.to_string();
-            let named = line.strip_prefix("'settings.").expect("a field first");
-            named.split('\'').next().expect("its end").to_owned()
+            let path = line.strip_prefix("'settings.").expect("a field");
+            path.split('\'').next().expect("the field's end").to_owned()
         };
         lines.iter().map(field).collect()
     };
--- a/crates/gaparch-router/src/shell/owner/inputs.rs
+++ b/crates/gaparch-router/src/shell/owner/inputs.rs
@@ -1,4 +1,4 @@
-//! What the owner hears of engines and of the list service.
+//! Handles the messages of engine connections and of the list service.
 
 use super::Owner;
 use crate::core::{Input, ListUpdate, Output};
@@ -12,12 +12,12 @@
 impl Owner {
     pub(super) fn on_engine_message(&mut self, now: u64, message: EngineMessage, out: &mut Vec<Output>) {
         match message {
-            EngineMessage::Up { engine, conn, facts } => {
+            EngineMessage::Connected { engine, conn, facts } => {
                 self.core.handle(now, Input::EngineConnected { engine, conn, facts }, out);
             }
-            EngineMessage::Down { engine, conn, reason } => {
+            EngineMessage::Disconnected { engine, conn, reason } => {
                 tracing::info!(engine = engine.0, conn = conn.0, %reason, "engine connection down");
-                // Another connection may be there already.
+                // A newer connection may have replaced it already.
                 if self.engines.get(&engine).is_some_and(|task| task.conn == conn) {
                     self.engines.remove(&engine);
                 }
@@ -34,13 +34,13 @@
     pub(super) fn on_list_message(&mut self, message: ListMessage, out: &mut Vec<Output>) {
         let now = self.clock.now();
         let input = match message {
-            ListMessage::Up(epoch) => {
+            ListMessage::Connected(epoch) => {
                 if let Some(versions) = &mut self.versions {
                     versions.on_connected(epoch);
                 }
                 Input::ListServiceUp
             }
-            ListMessage::Down(reason) => {
+            ListMessage::Unavailable(reason) => {
                 tracing::warn!(%reason, "the list service is unavailable");
                 Input::ListServiceDown
             }
@@ -53,9 +53,10 @@
         self.core.handle(now, input, out);
     }
 
-    /// Whether an update is to be acted on: where other routers may hand the list on, an older one is not.
+    /// Decides whether to apply an update. With list replication an update that is older than the list in use
+    /// is ignored.
     fn decide_on_update(&mut self, update: &ListUpdate, now: u64) -> UpdateAction {
-        self.hand_over_sends();
+        self.submit_sends();
         let Some(versions) = &mut self.versions else { return UpdateAction::Apply };
         let decision = versions.on_update(update, now);
         if let (Some(operations), Some(text)) = (&mut self.operations, decision.event) {
@@ -65,11 +66,11 @@
         decision.action
     }
 
-    /// Hands over what was sent, to be recorded.
-    pub(super) fn hand_over_sends(&mut self) {
+    /// Passes the send counts to the audit record.
+    pub(super) fn submit_sends(&mut self) {
         let Some(versions) = &mut self.versions else { return };
         let core = &self.core;
         let engine_name = |engine| core.engine_name(ServerId(engine)).to_owned();
-        versions.hand_over_sends(core.orders_revision(), self.clock.now(), engine_name);
+        versions.submit_sends(core.orders_revision(), self.clock.now(), engine_name);
     }
 }
