--- a/crates/gaparch-cli/src/commands/lab.rs
+++ b/crates/gaparch-cli/src/commands/lab.rs
@@ -5,9 +5,9 @@
 use gaparch_net::Clock;
 use gaparch_router::shell::{Disks, FleetDisks};
 use gaparch_store::StateDirectory;
-use gaparch_testbed::fleet::day::Day;
 use gaparch_testbed::fleet::faulty_directory::{DiskFault, FaultyDirectory};
-use gaparch_testbed::fleet::{days, picture, process, rig};
+use gaparch_testbed::fleet::scenario::Scenario;
+use gaparch_testbed::fleet::{picture, process, runner, scenarios};
 use gaparch_testbed::scale::{self, Row};
 use gaparch_testbed::soak;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -255,17 +255,17 @@
 
 /// Scenario texts of a group, a built-in scenario or a file.
 fn scenario_texts(what: &str) -> Result<Vec<String>, String> {
-    if let Some(group) = days::group(what) {
+    if let Some(group) = scenarios::group(what) {
         return Ok(group.into_iter().map(str::to_owned).collect());
     }
-    if let Some(scenario) = days::one(what) {
+    if let Some(scenario) = scenarios::one(what) {
         return Ok(vec![scenario.to_owned()]);
     }
     let file = std::path::Path::new(what);
     match std::fs::read_to_string(file) {
         Ok(text) => Ok(vec![text]),
         Err(error) => {
-            Err(format!("{what}: {error}; built-in scenarios and groups: {}", days::names().join(", ")))
+            Err(format!("{what}: {error}; built-in scenarios and groups: {}", scenarios::names().join(", ")))
         }
     }
 }
@@ -288,10 +288,10 @@
 async fn fleet(options: Fleet) -> CommandResult {
     let mut scenarios = Vec::new();
     for text in scenario_texts(&options.what)? {
-        let mut scenario =
-            Day::parse(&text).map_err(|problems| format!("{}: {}", options.what, problems.join("\n")))?;
+        let mut scenario = Scenario::parse(&text)
+            .map_err(|problems| format!("{}: {}", options.what, problems.join("\n")))?;
         if let Some(routers) = options.routers {
-            let highest_named = scenario.most_named();
+            let highest_named = scenario.highest_router();
             if usize::from(routers) <= highest_named {
                 let name = &scenario.name;
                 return Err(
@@ -318,7 +318,7 @@
             let program = program.clone();
             running.spawn(async move {
                 let name = scenario.name.clone();
-                rig::play(scenario, &program).await.map_err(|e| format!("{name}: {e}"))
+                runner::run(scenario, &program).await.map_err(|e| format!("{name}: {e}"))
             });
         }
         let done = tokio::select! {
@@ -336,7 +336,7 @@
             std::fs::create_dir_all(folder)?;
             std::fs::write(folder.join(format!("{}.svg", report.name)), picture::draw(&report)?)?;
         }
-        if !report.holds() {
+        if !report.passed() {
             failed.push(report.name);
         }
     }
