--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -74,7 +74,7 @@
     steps: BTreeMap<u64, Step>,
     /// Each router's share of the requests.
     shares: Vec<f64>,
-    next_step: u64,
+    last_step: u64,
     attempt_counts: BTreeMap<(usize, u64), u32>,
     prompt_tokens: BTreeMap<(usize, u64), f64>,
     /// By server: the time and the work of each attempt sent, in mean requests.
@@ -119,7 +119,7 @@
             queue: BinaryHeap::new(),
             steps: BTreeMap::new(),
             shares: Vec::new(),
-            next_step: 1,
+            last_step: 1,
             attempt_counts: BTreeMap::new(),
             prompt_tokens: BTreeMap::new(),
             sent: BTreeMap::new(),
@@ -162,9 +162,9 @@
     }
 
     fn schedule(&mut self, at: Nanos, router: usize, step: Step) {
-        self.next_step += 1;
-        self.steps.insert(self.next_step, step);
-        self.queue.push(Reverse((at, self.next_step, router)));
+        self.last_step += 1;
+        self.steps.insert(self.last_step, step);
+        self.queue.push(Reverse((at, self.last_step, router)));
     }
 
     fn run(&mut self, until: Nanos) {
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -192,7 +192,7 @@
         match action {
             Action::SetTimer { token, delay } => self.schedule(delay, Step::Event(Event::TimerFired(token))),
             Action::Send { id, server, .. } => self.send(id, server),
-            // A cancelled prefill still keeps its worker busy.
+            // The work of a cancelled attempt goes on at its server.
             Action::Cancel { id, attempt } => {
                 let server = ServerId(0);
                 self.schedule_outcome(MS, id, attempt, server, AttemptStatus::Cancelled);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
+/// Empty lines do not count.
 const MAX_LINES: usize = 200;
 const MAX_LINE_CHARACTERS: usize = 110;
 
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn no_decision_module_has_more_than_200_lines() {
+fn no_decision_module_has_more_than_200_non_empty_lines() {
     for module in decision_modules() {
         let lines = read_text(&root().join(&module)).lines().filter(|line| !line.trim().is_empty()).count();
         assert!(lines <= MAX_LINES, "{module}: {lines} lines, at most {MAX_LINES}");
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_request_chooses_among_equally_many_servers_in_a_fleet_of_any_size() {
+fn a_request_chooses_among_similarly_many_servers_in_a_fleet_of_any_size() {
     for servers in [400, 1_000, 4_000, 10_000] {
         let tables = Tables::of(&fleet(servers, 12));
         for key in 0..500 {
@@ -124,10 +124,10 @@
     assert!(Tables::of(&fleet(257, 12)).fleet.uses_neighborhoods());
 }
 
-/// Neighbourhoods have enough servers where one role is much scarcer than the other, where servers have no
-/// cell, and where all servers are in one cell.
+/// Neighbourhoods have enough servers, and not too many, where one role is much scarcer than the other and
+/// where servers have no cell. Where all servers are in one cell, they have all prefill workers.
 #[test]
-fn neighborhoods_of_uneven_fleets_have_enough_servers() {
+fn neighborhoods_of_uneven_fleets_have_a_suitable_number_of_servers() {
     let scarce = |servers: u32| -> Vec<Endpoint> {
         (0..servers).map(|n| server(n, if n % 50 == 0 { PREFILL } else { DECODE }, n / 10)).collect()
     };
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_neighborhood_has_all_servers_of_a_cell_or_none() {
+fn a_neighborhood_with_a_prefill_worker_of_a_cell_has_all_servers_of_the_cell() {
     let endpoints = fleet(2_000, 12);
     let tables = Tables::of(&endpoints);
     let mut cells: BTreeMap<CellId, [BTreeSet<ServerId>; 2]> = BTreeMap::new();
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn requests_are_queued_before_prefill_while_all_decode_workers_look_saturated() {
+fn requests_are_queued_before_prefill_while_all_decode_workers_look_saturated_and_sent_once_one_is_free() {
     let mut r = Router::new(Settings { router_count: 1, ..settings() }, two_cells());
     let mut streams = Vec::new();
     let mut queued = None;
@@ -342,10 +342,10 @@
             _ => None,
         })
         .collect();
-    let queue_position = |id| order.iter().position(|i| *i == id);
-    assert!(queue_position(1) < queue_position(50));
-    assert!(queue_position(50).is_some());
-    assert!(queue_position(50) < queue_position(19).or(Some(usize::MAX)));
+    let send_position = |id| order.iter().position(|i| *i == id);
+    assert!(send_position(1) < send_position(50));
+    assert!(send_position(50).is_some());
+    assert!(send_position(50) < send_position(19).or(Some(usize::MAX)));
 }
 
 #[test]
@@ -564,7 +564,7 @@
         r.advance(50 * MS);
     }
     r.advance(2 * S);
-    // No request has reached its deadline, at which its attempt is cancelled in any case.
+    // This may include attempts that are cancelled because their request reached its deadline.
     let cancelled = r.actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert!((3..=30).contains(&cancelled), "{cancelled}");
 }
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -303,7 +303,7 @@
     r.update_endpoints(EndpointUpdate::Full, vec![endpoint(1, 0, 0), endpoint(2, 0, 1)]);
     r.finish_attempt(1, prefill_worker, AttemptStatus::Prefilled);
     assert_rejected(&r.advance(400 * MS), GiveUpReason::KvReleaseTimeout);
-    // The router found the send too late.
+    // The attempt expired before it was sent.
     let mut r = router(idempotent, 5);
     let prefill_worker = sent_to(&r.submit(1)).expect("a prefill is sent");
     assert_rejected(&r.finish_attempt(1, prefill_worker, AttemptStatus::Expired), GiveUpReason::TooLate);
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,4 +1,4 @@
-//! Fixes bytes and names that are read outside this crate: gossip messages between routers, and the names in
+//! Pins bytes and names that are read outside this crate: gossip messages between routers, and the names in
 //! logs and counters.
 
 use gaparch_scheduler::api::{AttemptStatus, ServerId};
--- a/tests/plain/policy.rs
+++ b/tests/plain/policy.rs
@@ -87,7 +87,8 @@
 const ATTEMPTS_FROM_START: u32 = 2;
 /// The span over which rates of sends are measured.
 const RATE_SPAN: Nanos = 5000 * MS;
-/// The mean requests that a server that is warming up gets in an overload window when its peers get nothing.
+/// The requests of mean work that a server that is warming up gets in an overload window when its peers get
+/// nothing.
 const SLOW_START_FLOOR: f64 = 0.5;
 /// The multiple of its even part of the quota that a tenant may send through this router.
 const QUOTA_TOLERANCE: f64 = 1.5;
@@ -115,8 +116,8 @@
     throttle: AdaptiveThrottle,
     /// The number of overdue attempts that may still be cancelled.
     cancellations: f64,
-    /// By kind: the mean requests per second that a warm server is usually sent, and the mean weight of warm
-    /// servers.
+    /// By kind: the work per second that a warm server is usually sent, in requests of mean work, and the
+    /// mean weight of warm servers.
     usual_loads: Vec<(LaggedValue, f64)>,
     /// The mean time to the first token of a decode attempt in seconds: within the cell of the KV cache, and
     /// across cells.
@@ -525,7 +526,7 @@
     }
 
     /// Places the decode of a request whose KV cache is held: it is sent, waits a little longer, or is given
-    /// up when the release time is nearly over.
+    /// up when `PLACEMENT_FRACTION` of the release time is over.
     fn place_decode(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some((_, since)) = request.kv_cache.filter(|_| request.attempt.is_none()) else { return };
@@ -751,7 +752,7 @@
         }
     }
 
-    /// Gives a request up: it is rejected where a retry is harmless, else it fails.
+    /// Gives a request up: it is rejected where a retry is harmless, else it fails. No KV cache stays held.
     fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(class) = self.settings.classes.get(request.request.class.0) else { return };
@@ -1071,8 +1072,8 @@
         if is_server_silent && self.settings.can_probe && !s.unreachable {
             (s.unreachable, s.next_probe_at) = (true, self.now);
         }
-        // A prefill worker that answers a probe at once but not the attempt has lost it; one that answers
-        // neither may be busy.
+        // A prefill worker that answers a probe at once should have answered the attempt; one that does not
+        // may be busy.
         if prefills && s.fast_probe_at <= attempt.sent_at && age < 2 * patience {
             return;
         }
--- a/tests/plain/state.rs
+++ b/tests/plain/state.rs
@@ -183,7 +183,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket that has to earn `debt` tokens before it is empty.
+    /// A bucket that starts `debt` tokens below zero.
     pub fn in_debt(now: Nanos, debt: f64) -> TokenBucket {
         TokenBucket { tokens: -debt, refilled_at: now }
     }
@@ -258,7 +258,7 @@
     pub running_at: Nanos,
     /// Ejections after failures, for all traffic or for one class.
     pub ejections: BTreeMap<Option<TrafficClassKey>, Ejection>,
-    /// Mean latency, for its role's measure of work.
+    /// Mean latency in nanoseconds: to the first token at a decode worker, per prefill token at the others.
     pub latency: RunningMean,
     /// That latency as a multiple of the median of its role; 1 until it is known.
     pub latency_ratio: f64,
@@ -266,7 +266,7 @@
     /// A connection to it could not be made.
     pub connection_lost: bool,
     pub next_probe_at: Nanos,
-    /// When it became reachable again after a lost connection.
+    /// When it became reachable again after a connection to it could not be made.
     pub recovered_at: Nanos,
     /// The work recently sent there, in mean requests.
     pub recent_work: DecayingSum,
@@ -331,7 +331,8 @@
         self.saturated_at.is_some_and(|at| now < at + span)
     }
 
-    /// When its process started, as listed or inferred from a lost connection; 0: long ago.
+    /// When its process started, as listed, or inferred when it answers again after a connect failure; 0:
+    /// long ago.
     pub fn process_started_at(&self) -> Nanos {
         self.started_at.max(self.recovered_at)
     }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -26,7 +26,7 @@
     now: Nanos,
     /// The events to come, by time and number.
     due: BTreeMap<(Nanos, u64), Event>,
-    next_number: u64,
+    last_number: u64,
     /// The state of the random number generator.
     random_state: u64,
     /// The number of attempts sent, by request.
@@ -47,8 +47,8 @@
     }
 
     fn schedule(&mut self, after: Nanos, event: Event) {
-        self.next_number += 1;
-        self.due.insert((self.now + after, self.next_number), event);
+        self.last_number += 1;
+        self.due.insert((self.now + after, self.last_number), event);
     }
 
     fn report(&mut self) -> Option<LoadReport> {
@@ -247,7 +247,7 @@
     let mut simulation = Simulation {
         now: 100 * S,
         due: BTreeMap::new(),
-        next_number: 0,
+        last_number: 0,
         random_state: seed,
         attempt_counts: BTreeMap::new(),
         unanswered: BTreeSet::new(),
