--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::random::SplitMix64;
-use common::{class, endpoint, kinds, settings, MS, S};
+use common::{attempt_outcome, class, endpoint, kinds, settings, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
@@ -233,7 +233,7 @@
                 }
                 Action::Send { id, server, .. } => self.send(now, router, id, server),
                 Action::Cancel { id, attempt } => {
-                    let cancelled = outcome(id, attempt, ServerId(0), AttemptStatus::Cancelled, 0);
+                    let cancelled = attempt_outcome(id, attempt, ServerId(0), AttemptStatus::Cancelled, 0);
                     self.schedule(now + MS, router, Step::Event(Event::AttemptFinished(cancelled)));
                 }
                 Action::Probe(server) => {
@@ -258,15 +258,12 @@
         let mean_ms = 20.0 + if is_prefill { prompt_tokens / 40.0 } else { 10.0 };
         let latency = (mean_ms * variation) as Nanos * MS;
         if is_prefill {
-            let prefilled = outcome(id, attempt, server, AttemptStatus::Prefilled, latency);
+            let prefilled = attempt_outcome(id, attempt, server, AttemptStatus::Prefilled, latency);
             self.schedule(now + latency, router, Step::Event(Event::AttemptFinished(prefilled)));
         } else {
             let first = Event::FirstToken { id, attempt, server, latency };
             self.schedule(now + latency, router, Step::Event(first));
-            let end = AttemptOutcome {
-                request_finished: true,
-                ..outcome(id, attempt, server, AttemptStatus::Ok, latency + 500 * MS)
-            };
+            let end = attempt_outcome(id, attempt, server, AttemptStatus::Ok, latency + 500 * MS);
             self.schedule(now + latency + 500 * MS, router, Step::Event(Event::AttemptFinished(end)));
         }
     }
@@ -281,26 +278,6 @@
     }
 }
 
-fn outcome(
-    id: RequestId,
-    attempt: AttemptNumber,
-    server: ServerId,
-    status: AttemptStatus,
-    latency: Nanos,
-) -> AttemptOutcome {
-    AttemptOutcome {
-        id,
-        attempt,
-        server,
-        status,
-        latency,
-        request_finished: false,
-        cached_prompt_tokens: 0,
-        kv_cache_missing: false,
-        report: None,
-    }
-}
-
 /// What a starting server was sent while it was warming up.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlowStartLoad {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,6 +10,27 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
+/// The outcome of an attempt without a load report; `Ok` finishes the request.
+pub fn attempt_outcome(
+    id: RequestId,
+    attempt: AttemptNumber,
+    server: ServerId,
+    status: AttemptStatus,
+    latency: Nanos,
+) -> AttemptOutcome {
+    AttemptOutcome {
+        id,
+        attempt,
+        server,
+        status,
+        latency,
+        request_finished: status == AttemptStatus::Ok,
+        cached_prompt_tokens: 0,
+        kv_cache_missing: false,
+        report: None,
+    }
+}
+
 pub fn class(idempotency: Idempotency, scope: DeduplicationScope) -> TrafficClass {
     TrafficClass {
         idempotency,
@@ -164,15 +185,9 @@
     ) -> Vec<Action> {
         let attempt = AttemptNumber(self.attempt_counts.get(&id).map_or(0, |n| n - 1));
         self.handle(Event::AttemptFinished(AttemptOutcome {
-            id: RequestId(id),
-            attempt,
-            server: ServerId(server),
-            status,
-            latency: 10 * MS,
-            request_finished: status == AttemptStatus::Ok,
             cached_prompt_tokens: OutcomeNote(note).cached_prompt_tokens(status),
             kv_cache_missing: OutcomeNote(note).kv_cache_missing(status),
-            report: None,
+            ..attempt_outcome(RequestId(id), attempt, ServerId(server), status, 10 * MS)
         }))
     }
 
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::random::SplitMix64;
-use common::{class, endpoint, kinds, settings, MS, S};
+use common::{attempt_outcome, class, endpoint, kinds, settings, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::policy::Policy;
 use std::cmp::Reverse;
@@ -234,7 +234,8 @@
     fn end_stream(&mut self, id: RequestId, attempt: AttemptNumber, server: ServerId) {
         let kv_tokens = self.records[&id].request.prompt_tokens + 100.0;
         *self.held_tokens.entry(server).or_default() -= kv_tokens;
-        self.handle(outcome(id, attempt, server, AttemptStatus::Ok, 100 * TIME_PER_TOKEN));
+        let outcome = attempt_outcome(id, attempt, server, AttemptStatus::Ok, 100 * TIME_PER_TOKEN);
+        self.handle(Event::AttemptFinished(outcome));
     }
 
     fn schedule_outcome(
@@ -245,31 +246,11 @@
         server: ServerId,
         status: AttemptStatus,
     ) {
-        let outcome = outcome(id, attempt, server, status, delay);
-        self.schedule(delay, Step::Event(outcome));
+        let outcome = attempt_outcome(id, attempt, server, status, delay);
+        self.schedule(delay, Step::Event(Event::AttemptFinished(outcome)));
     }
 }
 
-fn outcome(
-    id: RequestId,
-    attempt: AttemptNumber,
-    server: ServerId,
-    status: AttemptStatus,
-    latency: Nanos,
-) -> Event {
-    Event::AttemptFinished(AttemptOutcome {
-        id,
-        attempt,
-        server,
-        status,
-        latency,
-        request_finished: status == AttemptStatus::Ok,
-        cached_prompt_tokens: 0,
-        kv_cache_missing: false,
-        report: None,
-    })
-}
-
 /// The third of the simulated time, 0 to 2.
 fn third(at: Nanos) -> usize {
     ((at * 3) / DURATION).min(2) as usize
--- a/tests/many_servers.rs
+++ b/tests/many_servers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{class, kinds, settings, Router, MS, S};
+use common::{attempt_outcome, class, kinds, settings, Router, MS, S};
 use gaparch_scheduler::api::*;
 use gaparch_scheduler::state::{FleetSummary, NeighborhoodLimits, RingPosition, Server, ServerTable};
 use proptest::prelude::*;
@@ -378,18 +378,7 @@
 }
 
 fn outcome(id: u64, attempt: u32, server: ServerId, status: AttemptStatus) -> AttemptOutcome {
-    let (id, attempt) = (RequestId(id), AttemptNumber(attempt));
-    AttemptOutcome {
-        id,
-        attempt,
-        server,
-        status,
-        latency: MS,
-        request_finished: false,
-        cached_prompt_tokens: 0,
-        kv_cache_missing: false,
-        report: None,
-    }
+    attempt_outcome(RequestId(id), AttemptNumber(attempt), server, status, MS)
 }
 
 /// The servers of all sends among the actions.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -444,18 +444,10 @@
     for id in 1..60 {
         let prefill_worker = sent_to(&r.submit(id)).expect("a prefill is sent");
         let latency = if prefill_worker == 1 { 900 * MS } else { 60 * MS };
-        let attempt = AttemptNumber(0);
-        let actions = r.handle(Event::AttemptFinished(AttemptOutcome {
-            id: RequestId(id),
-            attempt,
-            server: ServerId(prefill_worker),
-            status: AttemptStatus::Prefilled,
-            latency,
-            request_finished: false,
-            cached_prompt_tokens: 0,
-            kv_cache_missing: false,
-            report: None,
-        }));
+        let server = ServerId(prefill_worker);
+        let prefilled =
+            attempt_outcome(RequestId(id), AttemptNumber(0), server, AttemptStatus::Prefilled, latency);
+        let actions = r.handle(Event::AttemptFinished(prefilled));
         let decode_worker = sent_to(&actions).expect("a decode is sent");
         r.first_token(id, decode_worker);
         r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
@@ -613,19 +605,10 @@
             r.advance(50 * MS);
             sends += in_flight.len();
             for (id, prefill_worker) in in_flight.drain(..) {
-                let (id, attempt, server) = (RequestId(id), AttemptNumber(0), ServerId(prefill_worker));
-                let (status, request_finished, report) = (AttemptStatus::Prefilled, false, None);
-                r.handle(Event::AttemptFinished(AttemptOutcome {
-                    id,
-                    attempt,
-                    server,
-                    status,
-                    latency,
-                    request_finished,
-                    cached_prompt_tokens: 0,
-                    kv_cache_missing: false,
-                    report,
-                }));
+                let (id, server) = (RequestId(id), ServerId(prefill_worker));
+                let prefilled =
+                    attempt_outcome(id, AttemptNumber(0), server, AttemptStatus::Prefilled, latency);
+                r.handle(Event::AttemptFinished(prefilled));
                 r.handle(Event::ClientDisconnected(id));
             }
         }
@@ -674,20 +657,14 @@
                 .find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None });
         let server = sent.unwrap_or_else(|| panic!("request {id} is not sent: {actions:?}"));
         r.now += prefill_latency;
+        let (id, attempt) = (RequestId(id), AttemptNumber(0));
         let prefilled = AttemptOutcome {
-            id: RequestId(id),
-            attempt: AttemptNumber(0),
-            server,
-            status: AttemptStatus::Prefilled,
-            latency: prefill_latency,
-            request_finished: false,
             cached_prompt_tokens: 5000,
-            kv_cache_missing: false,
-            report: None,
+            ..attempt_outcome(id, attempt, server, AttemptStatus::Prefilled, prefill_latency)
         };
         let decode_worker = sent_to(&r.handle(Event::AttemptFinished(prefilled))).expect("a decode is sent");
-        r.first_token(id, decode_worker);
-        r.finish_attempt(id, decode_worker, AttemptStatus::Ok);
+        r.first_token(id.0, decode_worker);
+        r.finish_attempt(id.0, decode_worker, AttemptStatus::Ok);
         r.advance(2 * S);
         server.0
     };
--- a/tests/other_sites.rs
+++ b/tests/other_sites.rs
@@ -202,20 +202,8 @@
         };
         last_timeout = timeout;
         r.advance(3 * S);
-        let (status, latency, attempt) = (AttemptStatus::Prefilled, 3 * S, AttemptNumber(0));
-        let report = None;
         let id = RequestId(id);
-        let prefilled = AttemptOutcome {
-            id,
-            attempt,
-            server,
-            status,
-            latency,
-            request_finished: false,
-            cached_prompt_tokens: 0,
-            kv_cache_missing: false,
-            report,
-        };
+        let prefilled = attempt_outcome(id, AttemptNumber(0), server, AttemptStatus::Prefilled, 3 * S);
         let decode_worker = sent_to(&r.handle(Event::AttemptFinished(prefilled))).expect("a decode is sent");
         r.finish_attempt(id.0, decode_worker, AttemptStatus::Ok);
         r.advance(S);
