--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -23,7 +23,7 @@
 /// Time-out of the complete first request from the start of the connection. The platform requires an error
 /// response or a close within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2700);
-/// Time-out of a write to a client. A client that does not read its response counts as disconnected.
+/// Time-out of a write to a client. A client that has not read its response by then counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long bytes are still read after the last response, since closing over unread bytes resets the
 /// connection and the client may lose the response. Shorter than the wait for a free permit
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Responds to a rejected message and closes the connection, since the start of the next message is
+    /// Responds to a rejected message and closes the connection, since the start of the next message may be
     /// unknown.
     async fn reject(mut self, rejection: &Rejection) {
         tracing::debug!(status = rejection.status, reason = %rejection.text, "client message rejected");
--- a/crates/gaparch-platform-router/src/close_reason.rs
+++ b/crates/gaparch-platform-router/src/close_reason.rs
@@ -17,7 +17,8 @@
     ResponseComplete,
     /// A stream broke off. Closing the connection without the last chunk tells the client so.
     StreamBroken,
-    /// A message from the client was malformed or invalid.
+    /// A message from the client was rejected before it reached the owner: it was malformed, invalid or not
+    /// complete in time, or its transaction id was in use.
     BadMessage,
 }
 
--- a/crates/gaparch-platform-router/src/discovery/backoff.rs
+++ b/crates/gaparch-platform-router/src/discovery/backoff.rs
@@ -5,8 +5,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Longest delay. It replaces the wait of a watch and must not be longer, so that a change missed during the
-/// delay is still received in time.
+/// Longest delay. It takes the place of a watch and must not exceed the time of one, so that a change missed
+/// during the delay is still received in time.
 pub(super) const MAX_DELAY: Duration = Duration::from_millis(800);
 const _: () = assert!(MAX_DELAY.as_millis() <= WATCH_WAIT.as_millis() + ANSWER_TIMEOUT.as_millis());
 
--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! Follows the endpoint list: requests the full list first, then one watch after the other on the same
-//! connection. This task waits for no other task, so that there is always a watch.
+//! connection. This task waits for no other task, so that none of them can delay the next watch.
 
 mod backoff;
 mod connection;
--- a/crates/gaparch-platform-router/src/gossip.rs
+++ b/crates/gaparch-platform-router/src/gossip.rs
@@ -48,14 +48,14 @@
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Receives messages until the task is dropped, and queues them for the owner.
+    /// Receives messages for as long as the router runs, and queues them for the owner.
     pub async fn receive(self: Arc<Self>, owner: mpsc::Sender<GossipMessage>) {
         // One byte more than allowed, so that an oversized datagram can be detected.
         let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut datagram).await else {
-                // The error of an earlier datagram, or a lack of system resources: retrying without a delay
-                // could use up the CPU.
+                // An earlier datagram could not be delivered, or the system lacks resources: retrying without
+                // a delay could use up the CPU.
                 sleep(RETRY_DELAY).await;
                 continue;
             };
--- a/crates/gaparch-platform-router/src/lib.rs
+++ b/crates/gaparch-platform-router/src/lib.rs
@@ -13,7 +13,8 @@
 //!   holds a descriptor.
 //! - Gossip from other routers: [`gossip::QUEUE_LENGTH`] messages. Further ones are dropped and counted.
 //! - Client connections: their share of the descriptors. When it is used up, an idle connection is closed
-//!   (unused ones first, then the one idle longest); if none is idle, the new connection is closed.
+//!   (unused ones first, then the one idle longest). If that frees no descriptor in time, the new connection
+//!   is closed.
 //! - Connections to workers: their share of the descriptors. When it is used up, an idle connection is
 //!   closed; if none is idle, the attempt fails to connect.
 //! - Event batches waiting for one client: [`client::STREAM_QUEUE_LENGTH`]. When the queue is full, the
--- a/crates/gaparch-platform-router/src/messages.rs
+++ b/crates/gaparch-platform-router/src/messages.rs
@@ -93,7 +93,7 @@
     Rejected {
         /// Whether it was rejected because the tenant is over quota.
         over_quota: bool,
-        /// Time until the client may retry; 0 if unspecified.
+        /// Time from now until the client may retry, in nanoseconds; 0 if unspecified.
         retry_after: Nanos,
     },
     /// The request failed and may have run.
--- a/crates/gaparch-platform-router/src/owner/mod.rs
+++ b/crates/gaparch-platform-router/src/owner/mod.rs
@@ -57,7 +57,7 @@
     calls: JoinSet<()>,
     /// Longest delay of a timer since the last summary.
     max_timer_lag: Duration,
-    /// Unfetched KV caches held since this time or longer have been logged.
+    /// Unfetched KV caches held since this time or longer are not logged any more.
     unfetched_logged_to: Nanos,
 }
 
@@ -156,7 +156,7 @@
         self.remove_finished();
     }
 
-    /// Performs periodic maintenance.
+    /// Removes expired pool entries and finished tasks, and logs unfetched KV caches.
     fn maintain(&mut self) {
         self.pool.remove_expired();
         self.log_unfetched_kv_caches();
--- a/crates/gaparch-platform-router/src/owner/round.rs
+++ b/crates/gaparch-platform-router/src/owner/round.rs
@@ -16,9 +16,9 @@
 }
 
 impl Round {
-    /// Waits for a message, gossip or the next timer, then collects all available messages and gossip. If a
-    /// round takes longer than the time to the next timer, a timer is always due; messages must be received
-    /// nevertheless.
+    /// Waits for a message, gossip or the next timer, then collects the available messages and gossip, up to
+    /// [`MAX_BATCH`] of each. If a round takes longer than the time to the next timer, a timer is always due;
+    /// messages and gossip must be received nevertheless.
     ///
     /// Returns `false` once all message senders are gone. Cancel-safe.
     pub async fn wait(
--- a/crates/gaparch-platform-router/src/owner/summary.rs
+++ b/crates/gaparch-platform-router/src/owner/summary.rs
@@ -28,7 +28,7 @@
     }
 
     /// Logs KV caches that have been held longer than the settings allow without a decode worker being known
-    /// to have fetched them. Each is logged once.
+    /// to have fetched them. Each is logged at most once.
     pub(super) fn log_unfetched_kv_caches(&mut self) {
         let now = self.shared.clock.now();
         let max_held = self.shared.config.settings.scheduler.kv_release_within;
--- a/crates/gaparch-platform-router/src/ready_workers_tests.rs
+++ b/crates/gaparch-platform-router/src/ready_workers_tests.rs
@@ -22,7 +22,7 @@
 fn only_ready_workers_receive_requests_once_a_list_is_known() {
     let ready = ReadyWorkers::default();
     let may_receive = |name: &str| ready.may_receive_requests(server_id(name));
-    // A delta without a base list is ignored.
+    // Before the first full list all workers may receive requests, and a delta is ignored.
     ready.update(Scope::Delta, &[entry("a", ServerState::Draining)]);
     assert!(may_receive("a") && may_receive("b"));
     let listed =
--- a/crates/gaparch-platform-router/src/run/shutdown.rs
+++ b/crates/gaparch-platform-router/src/run/shutdown.rs
@@ -20,7 +20,7 @@
 pub(super) async fn shut_down(router: Router) {
     let Router { shared, listener, client_permits, max_clients, .. } = router;
     let started_at = Instant::now();
-    // The owner rejects requests based on the clock, even if this task is delayed until then.
+    // From then on the owner rejects requests by the clock, even if this task is delayed.
     let reject_from = started_at + Duration::from_nanos(ACCEPT_REQUESTS_FOR);
     shared.notify_owner(OwnerMessage::StopAt(shared.clock.at(reject_from.into_std())));
     shared.phase.send_replace(Phase::Draining);
--- a/crates/gaparch-platform-router/src/worker/pool.rs
+++ b/crates/gaparch-platform-router/src/worker/pool.rs
@@ -28,8 +28,8 @@
 /// How long a connection is not reused after a request. Stray bytes may follow a response some milliseconds
 /// later and would be taken for the response to the next request.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
-/// A worker without a response for this long is removed from the pool. It is added again when it next
-/// responds.
+/// A worker without a response for this long is removed from the pool, unless it has idle connections. It is
+/// added again when it next responds.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 /// Capacity that a worker's list of idle connections keeps when it shrinks.
 const MIN_IDLE_CAPACITY: usize = 4;
--- a/crates/gaparch-platform-router/src/worker/release.rs
+++ b/crates/gaparch-platform-router/src/worker/release.rs
@@ -23,12 +23,13 @@
     pub attempt_timeout: Duration,
 }
 
-/// Releases all resources held for a request. The call is repeated at other workers until one of them
-/// answers, since a worker that does not answer may never have received it.
+/// Releases all resources held for a request. The call is repeated at more and more workers until one of them
+/// answers or the release is no longer pending ([`ReleaseRounds`]), since a worker that does not answer may
+/// never have received it.
 pub(crate) async fn release(release: Release, pool: Arc<ConnectionPool>, clock: Clock) {
     let Release { transaction, mut processes, attempt_timeout } = release;
-    // The worker that responded most recently is the most likely to be running. If a prefill is unanswered,
-    // that is not the worker that has the prefill.
+    // The worker that responded most recently is the most likely to be running. While a prefill is
+    // unanswered, that is usually not the worker that runs it.
     processes.sort_by_key(|process| Reverse(pool.last_response_at(*process)));
     let mut rounds = ReleaseRounds::new(processes.len(), clock.now());
     let mut attempts = JoinSet::new();
--- a/crates/gaparch-platform-router/tests/guards.rs
+++ b/crates/gaparch-platform-router/tests/guards.rs
@@ -130,24 +130,24 @@
     router.no_second_copies();
 }
 
-/// The outcome of a request sent on an idle connection.
+/// The result of a request on an idle connection, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RequestOutcome {
+enum ClientResult {
     Served,
     /// Rejected with a complete response. It must not have been forwarded.
     Rejected,
     Unread,
 }
 
-/// Returns the outcome of a request on an idle connection: it must be answered, or the connection must end
+/// Returns the result of a request on an idle connection: it must be answered, or the connection must end
 /// without any of it being read.
-fn request_outcome(got: Result<Vec<u8>, ErrorKind>, what: &str) -> RequestOutcome {
+fn client_result(got: Result<Vec<u8>, ErrorKind>, what: &str) -> ClientResult {
     let text = String::from_utf8_lossy(&got.unwrap_or_else(|e| panic!("{what}: {e}"))).into_owned();
     match text.as_str() {
-        "" => RequestOutcome::Unread,
-        served if served.contains("[DONE]") && served.ends_with("0\r\n\r\n") => RequestOutcome::Served,
+        "" => ClientResult::Unread,
+        served if served.contains("[DONE]") && served.ends_with("0\r\n\r\n") => ClientResult::Served,
         rejected if rejected.starts_with("HTTP/1.1 503 ") && rejected.ends_with("a retry is harmless") => {
-            RequestOutcome::Rejected
+            ClientResult::Rejected
         }
         other => panic!("{what}: {other}"),
     }
@@ -187,7 +187,7 @@
     let mut served = Vec::new();
     for client in requests {
         let (txn, got) = client.join().expect("no panic");
-        if request_outcome(got, &txn) == RequestOutcome::Served {
+        if client_result(got, &txn) == ClientResult::Served {
             served.push(txn);
         }
     }
--- a/crates/gaparch-platform-router/tests/races.rs
+++ b/crates/gaparch-platform-router/tests/races.rs
@@ -214,8 +214,8 @@
     let new_service = Catalogue::start(list);
     router.catalogue.silent(true);
     let given_up = router.catalogue.given_up();
-    // The first abandoned connection is that of the silent watch; the address changes in the delay after it
-    // or a later one.
+    // The first abandoned connection is that of the silent watch. The address changes in the delay after it;
+    // any later delay would do as well.
     until("a connection is abandoned", || router.catalogue.given_up() > given_up);
     let mut config = router.config.clone();
     config["discovery"] = json!(new_service.address.to_string());
--- a/crates/gaparch-platform-router/tests/silent_connections.rs
+++ b/crates/gaparch-platform-router/tests/silent_connections.rs
@@ -31,7 +31,8 @@
         [Platform::without_writers(&Platform::list(&router.readers, &router.writers)), vec![entry]].concat(),
     );
     assert_eq!(ask(router.listen, "before").status, 200);
-    // Wait until the connections may be reused after the response.
+    // Wait for the settle time, in which stray bytes could follow the response, so that connections are not
+    // reused.
     std::thread::sleep(Duration::from_millis(100));
     relay.silence_open_connections();
     let request = std::thread::spawn({
--- a/crates/gaparch-platform-settings/src/diagnostics_tests.rs
+++ b/crates/gaparch-platform-settings/src/diagnostics_tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_missing_invalid_or_contradictory_field_is_reported() {
+fn each_missing_invalid_or_contradictory_field_is_reported_and_no_valid_one() {
     assert_eq!(diagnostics(&valid_settings()), Vec::<String>::new());
     let cases = [
         ("/caps/maxAttempts", Value::Null, "caps.maxAttempts' is missing"),
