--- a/crates/gaparch-membership/src/membership/suspicions.rs
+++ b/crates/gaparch-membership/src/membership/suspicions.rs
@@ -6,7 +6,8 @@
 use crate::suspicion::Suspicion;
 use crate::Nanos;
 
-/// The number of this router's own pings that a suspect must leave unanswered before it may be declared dead.
+/// The number of this router's own pings that a suspect must leave unanswered before this router may declare
+/// it dead.
 pub(super) const MIN_PINGS_BEFORE_DEATH: u32 = 4;
 
 /// A member that this router accuses, and the last heartbeat that is known to the accusers.
--- a/crates/gaparch-net/src/clock.rs
+++ b/crates/gaparch-net/src/clock.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Later times than this, counted from the creation of a clock, are clamped when they are converted to an
-/// instant. No wait is meant to be that long.
+/// instant. In a process that has run for longer, the resulting instant lies in the past.
 const MAX_TIME_SINCE_START: Duration = Duration::from_secs(86_400 * 30);
 
 /// A monotonic clock in nanoseconds since the Unix epoch.
--- a/crates/gaparch-protocol/src/ops/frame.rs
+++ b/crates/gaparch-protocol/src/ops/frame.rs
@@ -121,7 +121,8 @@
     }
 }
 
-/// Parses a hello. Another version may have another format after the version, which is enough to answer it.
+/// Parses a hello. The hello of another version may have another format after the version field, so only that
+/// field is read; it is enough to answer such a hello.
 fn parse_hello(body: &mut &[u8]) -> ModalResult<OpsFrame> {
     let version = u16::take(body)?;
     if version != VERSION {
--- a/crates/gaparch-protocol/src/ops/outcome.rs
+++ b/crates/gaparch-protocol/src/ops/outcome.rs
@@ -180,7 +180,7 @@
 
 /// The error for a text that is not a request id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{text}' is not a request id, such as msg_18a2b3_42")]
+#[error("'{text}' is not a request id; one looks like msg_18a2b3_42")]
 pub struct InvalidRequestId {
     /// The rejected text.
     pub text: String,
--- a/crates/gaparch-protocol/src/ops/view/fleet.rs
+++ b/crates/gaparch-protocol/src/ops/view/fleet.rs
@@ -46,7 +46,7 @@
         pub from: String,
         /// The router that receives nothing.
         pub to: String,
-        /// When the failure started, in nanoseconds since the Unix epoch.
+        /// When the router that answers learned of the failure, in nanoseconds since the Unix epoch.
         pub since: u64,
     }
 }
@@ -161,7 +161,7 @@
         /// The number of lists fetched from other routers since the start.
         #[serde(rename = "brought_up")]
         pub lists_from_peers: u64,
-        /// The number of claims of other routers that were rejected since the start.
+        /// The number of lists and claims of other routers that were rejected since the start.
         #[serde(rename = "refused")]
         pub rejected_claims: u64,
         /// The other routers.
@@ -176,7 +176,8 @@
         pub router: String,
         /// Its incarnation.
         pub incarnation: u64,
-        /// Whether more than half of the counted routers are present.
+        /// Whether it has a quorum: more than half of the counted routers, and of the number of routers in
+        /// the settings, are present. A change takes effect after some probe intervals.
         pub majority: bool,
         /// The number of present routers, including itself.
         pub present: u32,
--- a/crates/gaparch-store/src/disk.rs
+++ b/crates/gaparch-store/src/disk.rs
@@ -22,10 +22,10 @@
     /// When the bytes can't be written; some of them may have been appended.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes the content of a file durable.
+    /// Makes a file durable: its name and all of its content survive a crash.
     ///
     /// # Errors
-    /// When the content may not be durable; what is on the disk is then unknown.
+    /// When the file may not be durable; what is on the disk is then unknown.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Truncates a file to a length in bytes.
--- a/crates/gaparch-store/src/journal.rs
+++ b/crates/gaparch-store/src/journal.rs
@@ -11,8 +11,8 @@
     pub records: Vec<Vec<u8>>,
     /// The schema of the records; `None` if there was no valid journal.
     pub schema: Option<u16>,
-    /// Bytes after the last valid record. They belong to a write that was never acknowledged, and are
-    /// dropped.
+    /// Bytes after the last valid record. They are taken for the remains of a write that was never
+    /// acknowledged, and are dropped.
     pub torn_bytes: usize,
     /// Number of damaged records and files. A damaged file is kept under a name that ends in `.damaged`.
     pub damaged: usize,
--- a/crates/gaparch-store/tests/crashes.rs
+++ b/crates/gaparch-store/tests/crashes.rs
@@ -20,8 +20,8 @@
 }
 
 /// Opens the journal, appends ten records and rewrites the journal after every third, where the disk allows
-/// it. Returns the records that were acknowledged, and the number of records that were there before or were
-/// appended.
+/// it. Returns the records that were acknowledged, and the number of records that were there before or that
+/// it tried to append.
 fn append_and_rewrite(disk: &FaultyDisk) -> (Vec<Vec<u8>>, usize) {
     let (mut journal, mut acknowledged) = open(disk);
     let mut attempted = acknowledged.len();
