--- a/crates/gaparch-config/src/raw/mod.rs
+++ b/crates/gaparch-config/src/raw/mod.rs
@@ -267,7 +267,7 @@
     }
 }
 
-/// `<rules>`: timing rules of the site.
+/// `<rules>`: the site's rules for KV release, draining, slow start and late answers.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Rules {
--- a/crates/gaparch-simulator-adapter/tests/wire.rs
+++ b/crates/gaparch-simulator-adapter/tests/wire.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_request_is_sent_to_a_prefill_worker_and_then_to_a_decode_worker() {
+fn a_request_is_sent_once_to_a_prefill_worker_and_then_once_to_a_decode_worker() {
     let id = 2_272_941_206_835_652;
     let out = replies(&run(&[
         batch(CLOCK, start(3)),
--- a/src/api/give_up.rs
+++ b/src/api/give_up.rs
@@ -20,7 +20,7 @@
 }
 
 impl GiveUpReason {
-    /// Whether the request was given up while it waited, so that there is a [`QueueingReason`].
+    /// Whether it may end a wait. There is a [`QueueingReason`] then, unless an attempt is in flight.
     pub fn ends_queueing(self) -> bool {
         matches!(
             self,
@@ -36,7 +36,7 @@
     NoDecodeWorker,
     /// No prefill server was eligible.
     NoPrefillWorker,
-    /// Its tenant was over quota, so that other requests were admitted first.
+    /// Capacity was short, and its tenant was over quota: requests within their quota are admitted first.
     OverQuota,
     /// All decode servers counted as saturated.
     DecodeWorkersSaturated,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -71,7 +71,8 @@
     pub priority_weight: f64,
     /// Weight of an answer between latency objective and deadline, as a fraction of `priority_weight`.
     pub late_priority_weight: f64,
-    /// Whether answers are streamed. If not, an attempt gives no sign before its answer is complete.
+    /// Whether answers are streamed. If not, nothing is received from an attempt before its answer is
+    /// complete.
     pub streamed: bool,
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -44,7 +44,7 @@
         self.throttle.record_send(now, RATE_SPAN);
     }
 
-    /// Throttles prefills after one that missed its latency objective.
+    /// Throttles prefills after one that took longer than the latency objective of its request.
     pub(super) fn record_missed_prefill(&mut self, now: Nanos) {
         self.throttle.reduce(now, PREFILL_REDUCTION);
     }
@@ -156,8 +156,8 @@
         self.mixed_server_has_capacity(Some(request), kv_tokens) || self.decode_workers_have_capacity(request)
     }
 
-    /// False only if no prefill worker can have capacity, given the time left to the latency
-    /// objective. A cheap check: `start_prefill` would find the same worker by worker.
+    /// False only if no prefill worker can have capacity, given the time that the latency objective allows
+    /// from arrival to the first token. A cheap check: `start_prefill` would find the same worker by worker.
     fn prefill_may_have_capacity(&self, requirements: &ResourceRequirements) -> bool {
         let prefill = &self.fleet.ready().prefill;
         if prefill.is_empty() || self.settings.decode_workers_can_prefill {
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -57,12 +57,13 @@
         }
         let may_have_run = request.may_have_run.or_else(|| self.possible_execution(outcome, attempt));
         let is_kv_cache_missing = outcome.kv_cache_missing && attempt.stage != Stage::Prefill;
-        let is_server_failure = !matches!(outcome.status, AttemptStatus::Prefilled | AttemptStatus::NoSocket);
+        let counts_against_server =
+            !matches!(outcome.status, AttemptStatus::Prefilled | AttemptStatus::NoSocket);
         self.requests.update(id, |request| {
             request.may_have_run = may_have_run;
             if is_kv_cache_missing {
                 request.kv_cache = None;
-            } else if is_server_failure && !request.failed_servers.contains(&outcome.server) {
+            } else if counts_against_server && !request.failed_servers.contains(&outcome.server) {
                 request.failed_servers.push(outcome.server);
             }
         });
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -56,7 +56,7 @@
     }
 
     /// Time without an answer after which a prefill is overdue, from its latency objective and the
-    /// learnt prefill pace.
+    /// learned prefill pace.
     pub(super) fn prefill_overdue_after(&self, request: &InFlightRequest, attempt: &Attempt) -> Nanos {
         let pace = self.prefill_cost.pessimistic_time_per_token(OVERDUE_DEVIATIONS);
         (PREFILL_WAIT_FRACTION * request.time_to_objective() + attempt.queued_tokens * pace) as Nanos
--- a/src/policy/connect.rs
+++ b/src/policy/connect.rs
@@ -12,7 +12,7 @@
 
 use crate::api::{AttemptStatus, Nanos};
 
-/// Interval between connection attempts after a local failure.
+/// Interval between connection attempts after a failure that is [retryable](ConnectFailure::is_retryable).
 pub const RETRY_INTERVAL: Nanos = 5_000_000;
 
 /// Fraction of the connect timeout after which a second connection is opened in parallel. Without it,
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -74,10 +74,10 @@
 /// Fraction of the latency objective from which the queueing time of a prefill worker makes it count
 /// as saturated. Further requests wait in the router's queue.
 pub const PREFILL_WAIT_FRACTION: f64 = 0.25;
-/// Fraction of the latency objective from which a prefill counts as missed, a sign of more requests
-/// than all routers can serve.
+/// Fraction of the latency objective above which the latency of a prefill counts as a missed objective, a
+/// sign of more requests than all routers can serve.
 pub const PREFILL_MISSED_FRACTION: f64 = 1.0;
-/// How prefills are throttled after a missed one: to a fraction of the recent rate, at most once a
+/// How prefills are throttled after a missed objective: to a fraction of the recent rate, at most once a
 /// second.
 pub const PREFILL_REDUCTION: RateReduction =
     RateReduction { factor: 0.8, measured_over: RATE_SPAN, interval: RECENT_WINDOW };
--- a/src/policy/decode_capacity.rs
+++ b/src/policy/decode_capacity.rs
@@ -36,8 +36,8 @@
     /// attempts.
     pub(crate) fn memory_utilization(&self, server: &Server) -> f64 {
         let capacity = server.listing.kv_capacity_tokens.max(1.0);
-        // If no server reports its load, gossip tells; it serves only to check capacity, not to compare
-        // loads.
+        // If no server of the role reports its load, the load known from gossip counts. It serves only to
+        // check capacity, not to compare loads.
         let by_gossip = || self.peer_load.tokens_at(server.id) / capacity;
         let peers = self.peer_utilization(server).unwrap_or_else(by_gossip);
         server.local_load.reserved_kv_tokens() / capacity + peers
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -10,7 +10,7 @@
 //! | `request_arrival` | the estimates for a new request, and which prefill workers it prefers |
 //! | `quotas` | whether a request exceeds its tenant's quota |
 //! | `admission` | which queued requests are admitted to prefill, and when |
-//! | `prefill_placement` | where a request is prefilled: at its preferred worker unless that is busier |
+//! | `prefill_placement` | where a request is prefilled: at its preferred worker unless clearly busier |
 //! | `prefill_affinity` | which prefill workers a request has affinity to |
 //! | `decode_placement` | where a request is decoded: at a worker with capacity near its KV cache |
 //! | `decode_capacity` | whether a decode worker has capacity |
--- a/src/policy/prefill_placement.rs
+++ b/src/policy/prefill_placement.rs
@@ -31,7 +31,7 @@
     cell: Option<CellId>,
     /// Workers whose load is probed before the attempt is sent.
     probed_before: Vec<ServerId>,
-    /// How long the answers to these probes are awaited.
+    /// Until when the answers to these probes are awaited.
     probe_deadline: Nanos,
 }
 
@@ -115,8 +115,8 @@
         PrefillCandidates { workers, preferred }
     }
 
-    /// The preferred worker and one other. A worker that is warming up comes first, as it is likely idle
-    /// since no router sends it much.
+    /// The most preferred worker and one other. The other is one that is warming up, if there is any: it is
+    /// likely idle, as no router sends it much.
     fn prefill_workers_to_probe(
         &self,
         request: &InFlightRequest,
@@ -183,8 +183,8 @@
         self.prefill_cost.tokens_within(self.now - sent_at).max(mean_tokens)
     }
 
-    /// Sends a request as a combined attempt to a decode worker that can prefill, as there is no prefill
-    /// worker; returns whether it was sent.
+    /// Sends a request as a combined attempt to a decode worker that can prefill, as no prefill worker is
+    /// eligible; returns whether it was sent.
     fn start_at_decode_worker(&mut self, id: RequestId) -> bool {
         if !self.settings.decode_workers_can_prefill {
             return false;
--- a/src/policy/send_guards.rs
+++ b/src/policy/send_guards.rs
@@ -63,7 +63,7 @@
     AttemptsExhausted,
     /// An earlier attempt may have run, and the server would not drop this one as its repeat (rule 2).
     MayHaveRun,
-    /// A rejection would state that a retry is harmless, but it is not (rule 2).
+    /// A rejection would state that a retry is harmless, which it may not be (rule 2).
     RetryNotHarmless,
     /// The server is draining or removed (rule 3).
     ServerNotReady,
--- a/src/policy/unanswered_decode.rs
+++ b/src/policy/unanswered_decode.rs
@@ -45,7 +45,7 @@
     Wait,
     /// Probe the server to find out whether it runs.
     Probe,
-    /// Try another decode worker, if one has capacity.
+    /// Try another decode worker, if a second attempt is allowed and a worker has capacity.
     Retry,
     /// Release the KV cache.
     Release,
--- a/src/state/adaptive_throttle.rs
+++ b/src/state/adaptive_throttle.rs
@@ -1,4 +1,4 @@
-//! An adaptive rate limit on sends: reduced when sends fail, recovering over time.
+//! An adaptive rate limit on sends: reduced when sends perform poorly, recovering over time.
 
 use super::units::seconds;
 use super::{DecayingSum, TokenBucket};
--- a/src/state/admission_queue.rs
+++ b/src/state/admission_queue.rs
@@ -16,7 +16,7 @@
     pub id: RequestId,
 }
 
-/// What a queued request needs to be admitted: a cheap check that spares most requests the full one.
+/// What a queued request needs to be admitted, for a cheap check that spares most requests the full one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceRequirements {
     /// KV cache tokens that it is expected to need.
--- a/src/state/fleet_summary.rs
+++ b/src/state/fleet_summary.rs
@@ -117,7 +117,7 @@
         self.known_kv_tokens_per_server = self.known_kv_tokens / decode_servers.max(1.0);
     }
 
-    /// All ready servers, by pool.
+    /// All ready servers, by the work that they are asked for.
     pub fn ready(&self) -> &ServerIndices {
         &self.ready
     }
--- a/src/state/in_flight_request.rs
+++ b/src/state/in_flight_request.rs
@@ -81,7 +81,8 @@
     pub first_sent_at: Option<Nanos>,
     /// Until when it waits for responses to load probes.
     pub probe_deadline: Option<Nanos>,
-    /// Whether the client has its final answer; the entry is kept until the attempt ends.
+    /// Whether the final answer was given or the client has disconnected; the entry is kept until the attempt
+    /// ends.
     pub finished: bool,
 }
 
@@ -129,7 +130,7 @@
         self.probe_deadline.is_some_and(|deadline| now < deadline)
     }
 
-    /// Whether no token of its answer has been received and it has no final answer.
+    /// Whether no token of its answer has been received and it is not finished.
     pub fn awaits_first_token(&self) -> bool {
         !self.finished && !self.attempt.is_some_and(|attempt| attempt.is_streaming())
     }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -61,8 +61,8 @@
         Some(changed)
     }
 
-    /// Changes a request without updating the aggregates. The change must not touch what they depend on: the
-    /// attempt, the KV cache and the `finished` flag.
+    /// Changes a request without updating the aggregates. The change must not touch what they depend on:
+    /// whether there is an attempt, its stage, whether it is streaming, the KV cache and the `finished` flag.
     pub fn update_unindexed<T>(
         &mut self,
         id: RequestId,
@@ -88,7 +88,8 @@
         }
     }
 
-    /// KV cache tokens that decode workers will need for requests that have not been sent to one yet.
+    /// KV cache tokens that decode workers will need for requests whose prefill is in flight or complete and
+    /// that have not been sent to one yet.
     pub fn decode_demand_tokens(&self) -> f64 {
         self.decode_demand as f64 / FRACTIONS_PER_TOKEN
     }
--- a/src/state/server/mod.rs
+++ b/src/state/server/mod.rs
@@ -31,7 +31,7 @@
     pub local_load: LocalLoad,
     /// The load from other routers, according to load reports and probes.
     pub reported_load: ReportedLoad,
-    /// When it last reported that it is saturated, or its latency showed it.
+    /// When it last rejected an attempt as saturated, or a late answer to a probe or an attempt showed it.
     pub saturated_at: Option<Nanos>,
     /// Whether it responds, and its probes.
     pub liveness: Liveness,
--- a/src/state/server/slow_start.rs
+++ b/src/state/server/slow_start.rs
@@ -40,7 +40,8 @@
         self.recent_work.value_at(now, time_constant)
     }
 
-    /// The work that it may be sent now; nothing if negative.
+    /// The balance of its budget, at most 0. While it is negative, a server that is warming up may not be
+    /// sent anything.
     pub fn budget(&self) -> f64 {
         self.budget.tokens()
     }
--- a/src/state/server_table.rs
+++ b/src/state/server_table.rs
@@ -3,7 +3,7 @@
 use super::{PerRole, Server};
 use crate::api::{Nanos, Role, ServerId};
 
-/// The servers sorted by id, with the results of the last sweep over all of them.
+/// The servers sorted by id, with the last median latency of each role and the time of the last sweep.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     servers: Vec<Server>,
--- a/src/view.rs
+++ b/src/view.rs
@@ -57,7 +57,7 @@
     pub reported_memory_utilization: Option<f64>,
     /// Its latency as a multiple of the median of its peers.
     pub latency_ratio: f64,
-    /// Remaining slow start budget, in mean requests; `None` unless it is warming up.
+    /// Balance of its slow start budget, in mean requests; `None` unless it is warming up.
     pub slow_start_budget: Option<f64>,
     /// When it last responded; 0: never.
     pub last_response_at: Nanos,
