--- a/crates/gaparch-router/src/core/endpoint_updates.rs
+++ b/crates/gaparch-router/src/core/endpoint_updates.rs
@@ -49,7 +49,8 @@
         self.reconcile_connections(all, out);
     }
 
-    /// Does this for the given engines only: few entries of a long list change at once.
+    /// Connects to those of the given engines that were added, and disconnects from those that were removed.
+    /// A delta needs no more: few entries of a long list change at once.
     fn reconcile_connections(&mut self, engines: BTreeSet<ServerId>, out: &mut Vec<Output>) {
         self.fail_waiting_attempts();
         for engine in engines {
--- a/crates/gaparch-router/src/core/operator_views.rs
+++ b/crates/gaparch-router/src/core/operator_views.rs
@@ -168,21 +168,25 @@
 
     /// The settings in force, under the names that operators' tools show.
     pub fn settings_listing(&self) -> Vec<Setting> {
-        let module = &self.config.scheduler;
-        let router = format!("{}, {} of {}", self.config.router, module.router_index, module.router_count);
-        let slow_start =
-            format!("{} from {} of full speed", Span(module.slow_start_duration), module.slow_start_speed);
+        let scheduler = &self.config.scheduler;
+        let router =
+            format!("{}, {} of {}", self.config.router, scheduler.router_index, scheduler.router_count);
+        let slow_start = format!(
+            "{} from {} of full speed",
+            Span(scheduler.slow_start_duration),
+            scheduler.slow_start_speed
+        );
         let mut settings = vec![
             setting("router", router),
-            setting("drain grace", Span(module.drain_grace).to_string()),
-            setting("release within", Span(module.kv_release_within).to_string()),
+            setting("drain grace", Span(scheduler.drain_grace).to_string()),
+            setting("release within", Span(scheduler.kv_release_within).to_string()),
             setting("cold", slow_start),
-            setting("attempts at most", module.max_attempts.to_string()),
-            setting("calls off attempts", module.can_cancel.to_string()),
-            setting("probes", module.can_probe.to_string()),
-            setting("retry-after at most", Span(module.max_retry_after).to_string()),
+            setting("attempts at most", scheduler.max_attempts.to_string()),
+            setting("calls off attempts", scheduler.can_cancel.to_string()),
+            setting("probes", scheduler.can_probe.to_string()),
+            setting("retry-after at most", Span(scheduler.max_retry_after).to_string()),
         ];
-        for (name, class) in self.config.names.classes.iter().zip(&module.classes) {
+        for (name, class) in self.config.names.classes.iter().zip(&scheduler.classes) {
             settings.push(setting(&format!("class {name}"), class_listing(class)));
         }
         settings
--- a/crates/gaparch-router/src/core/output.rs
+++ b/crates/gaparch-router/src/core/output.rs
@@ -29,7 +29,7 @@
     },
     /// The request was rejected before it had any effect; a retry is safe.
     Rejected {
-        /// The Retry-After for the client; 0: none.
+        /// The Retry-After for the client; 0 if the settings allow none.
         retry_after: Nanos,
         /// Why it was rejected.
         cause: OutcomeCause,
--- a/crates/gaparch-router/src/core/request.rs
+++ b/crates/gaparch-router/src/core/request.rs
@@ -18,7 +18,7 @@
     pub class: ClassId,
     /// Its tenant, if the settings identify tenants by keys.
     pub tenant: Option<TenantId>,
-    /// The session that it belongs to.
+    /// The client's session (a conversation) that it belongs to.
     pub session: Option<AffinityKey>,
     /// The shared prefix of its prompt.
     pub prefix: Option<AffinityKey>,
--- a/crates/gaparch-router/src/core/sending.rs
+++ b/crates/gaparch-router/src/core/sending.rs
@@ -165,8 +165,8 @@
         self.send_to_engine(attempt.server, EngineFrame::Cancel(key));
     }
 
-    /// Sends a frame to an engine if it is connected. With single exchanges the frame is always sent, also if
-    /// the engine is gone, since any engine accepts a release.
+    /// Sends a frame to an engine if it is connected. With single exchanges the frame is always sent, also to
+    /// an engine that is no longer listed, since a release may go to any engine.
     pub(super) fn send_to_engine(&mut self, engine: ServerId, frame: EngineFrame) {
         let is_connectionless = self.config.links == Links::Exchanges;
         if is_connectionless || self.connections.get(&engine).is_some_and(EngineConnection::is_connected) {
--- a/crates/gaparch-router/src/core/wire_names.rs
+++ b/crates/gaparch-router/src/core/wire_names.rs
@@ -1,5 +1,5 @@
-//! Converts types of the scheduler and the core to those of the operations protocol, which names some of them
-//! differently.
+//! Converts between types of the scheduler and the core and those of the operations protocol, which names
+//! some of them differently.
 
 use super::request::{Phase, Stage};
 use gaparch_protocol::ops::outcome;
--- a/crates/gaparch-router/src/shell/engine.rs
+++ b/crates/gaparch-router/src/shell/engine.rs
@@ -33,10 +33,10 @@
     Frames { engine: ServerId, conn: ConnectionNumber, frames: Vec<EngineFrame> },
 }
 
-/// How long an engine may accept no bytes before its connection is closed.
+/// How long the write of a batch of frames to an engine may take before its connection is closed.
 ///
-/// Half the drain grace period, so that a frame that waits to be written does not reach a draining engine
-/// after the grace period has ended.
+/// Half the drain grace period, but at least 100 ms and at most 5 s: if a drain becomes known while a frame
+/// waits to be written, the frame must not reach the engine after the grace period of the drain.
 pub(super) fn write_timeout(drain_grace: Nanos) -> Duration {
     Duration::from_nanos(drain_grace / 2).clamp(Duration::from_millis(100), Duration::from_secs(5))
 }
--- a/crates/gaparch-router/src/shell/list.rs
+++ b/crates/gaparch-router/src/shell/list.rs
@@ -13,7 +13,8 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout for writing one frame, a few bytes, without `confirm`.
+/// Timeout for writing one frame without `confirm`. A service that does not accept these few bytes in time
+/// counts as unavailable.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -37,8 +38,8 @@
     Update(ListUpdate),
 }
 
-/// Connections in a row that the service closes before its hello, after which the first version of the
-/// protocol is tried once.
+/// Connections in a row on which the service rejects the hello, after which the first version of the protocol
+/// is tried once.
 const MAX_REJECTED_HELLOS: u32 = 3;
 /// The time for which the service may be silent is split into this many intervals: it is sent a fetch after
 /// each but the last, after which the connection is closed.
@@ -57,8 +58,8 @@
 ) {
     let mut retry_delay = MIN_RETRY_DELAY;
     // A service that only knows the first version of the protocol closes the connection when it gets another
-    // one, so after some attempts the first version is used. Timeouts and single failures don't count: the
-    // first version has no epoch, and must not be used with a service that sends its epoch.
+    // one, so after some attempts the first version is used. A timeout or a single failure is not enough: the
+    // first version has no epoch, and a service that sends its epoch would be taken for one that has none.
     let mut rejected_hellos = 0;
     loop {
         let version =
--- a/crates/gaparch-router/src/shell/mod.rs
+++ b/crates/gaparch-router/src/shell/mod.rs
@@ -7,7 +7,7 @@
 //! | requests to the owner | `limits/inbox` | the request is rejected at once |
 //! | engines' frames to the owner | 1,024 batches | engine connections are not read |
 //! | notices of disconnected clients to the owner | open requests | not possible: one message per request |
-//! | events to one client | `limits/stream-buffer` | the request ends as for a disconnected client |
+//! | events to one client | `limits/stream-buffer` | slow client: the request ends as if it disconnected |
 //! | frames to one engine | 16,384 | the connection is closed and its attempts are reset |
 //! | datagrams of other routers | the socket's receive buffer | dropped, as UDP may |
 //! | open requests | `limits` | the request is rejected |
--- a/crates/gaparch-router/src/shell/ops/handle.rs
+++ b/crates/gaparch-router/src/shell/ops/handle.rs
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, Notify};
 
-/// Counts and reports requests that are rejected before they reach the owner, because too many are open.
+/// Counts and reports requests that are rejected before they reach the owner, because too many are open or
+/// the owner's queue is full.
 #[derive(Debug)]
 pub(in crate::shell) struct RejectionReporter {
     messages: mpsc::Sender<BroadcasterMessage>,
@@ -114,7 +115,8 @@
         permit.send(StoreOrder { accepted: proposal.accepted, effect: proposal.effect, reply });
     }
 
-    /// Records an operator's order to stop and notifies the owner of the router's handle.
+    /// Records an operator's order to stop, and wakes the task that waits in
+    /// [`asked_to_stop`](crate::shell::RouterHandle::asked_to_stop).
     pub fn request_stop(&mut self, at: u64, operator: &str, reason: &str) {
         let text = format!("{operator} stops the router: {reason}");
         self.send(BroadcasterMessage::Event(Event { at, severity: Severity::Warning, engine: None, text }));
--- a/crates/gaparch-router/src/shell/ops/subscribers.rs
+++ b/crates/gaparch-router/src/shell/ops/subscribers.rs
@@ -23,7 +23,8 @@
         self.by_session.is_empty()
     }
 
-    /// Adds a session and sends it a snapshot; its queue is still empty, so the snapshot fits.
+    /// Adds a session and sends it a snapshot. The queue of a session that subscribes for the first time is
+    /// empty, so the snapshot fits.
     pub fn add(&mut self, session: u64, updates: mpsc::Sender<Update>, snapshot: Snapshot) {
         let _ = updates.try_send(Update::Resync { snapshot: Box::new(snapshot) });
         self.by_session.insert(session, Subscriber { updates, feed: SubscriberFeed::default() });
--- a/crates/gaparch-router/src/shell/storage.rs
+++ b/crates/gaparch-router/src/shell/storage.rs
@@ -47,7 +47,7 @@
 #[error("the event broadcaster has ended")]
 pub(super) struct BroadcasterEnded;
 
-/// Reports to the event broadcaster each time that a store becomes writable or unwritable.
+/// Reports to the event broadcaster whether a store can be written and why not, each time that this changes.
 pub(super) struct StorageReporter {
     store: &'static str,
     messages: mpsc::Sender<BroadcasterMessage>,
@@ -66,7 +66,7 @@
         self.reported != Some(failure.map(ToString::to_string))
     }
 
-    /// Reports a failure or its end, if the state has changed.
+    /// Reports a failure, or that there is none, if that differs from the last report.
     pub async fn report(&mut self, failure: Option<&StorageFailure>) -> Result<(), BroadcasterEnded> {
         if !self.has_changed(failure) {
             return Ok(());
--- a/crates/gaparch-router/tests/core.rs
+++ b/crates/gaparch-router/tests/core.rs
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn an_engine_whose_role_differs_from_the_list_is_disconnected() {
+fn an_engine_whose_role_differs_from_the_list_violates_the_protocol() {
     let mut router = TestRouter::new();
     let engine = server_id("read-1");
     let conn = router.connections[&engine];
--- a/crates/gaparch-router/tests/exchanges.rs
+++ b/crates/gaparch-router/tests/exchanges.rs
@@ -244,7 +244,8 @@
             entries,
         }));
     }
-    // Had the removed engines stayed, they would count against the limit of known endpoints.
+    // Had the removed engines stayed, they would count against the limit of known endpoints, which these
+    // 20,000 do not reach.
     let start = Some(router.now + 10_000 * S);
     let entries = vec![ListEntry { started_at: start, ..entry("w-new", ServerState::Ready) }];
     let version = 20_006;
--- a/crates/gaparch-router/tests/start_times.rs
+++ b/crates/gaparch-router/tests/start_times.rs
@@ -78,7 +78,7 @@
     ["r-1", "r-2", "w-1", "w-2"].map(|name| entry(name, None)).to_vec()
 }
 
-/// The slow start of a new worker neither ends too early nor lasts longer than the delay of the list.
+/// The slow start of a new worker does not end too early, and ends at most the delay of the list too late.
 #[test]
 fn the_age_of_an_added_worker_is_right_whatever_the_routers_wall_clock_shows() {
     for offset in OFFSETS {
