--- a/crates/gaparch-cli/src/commands/ctl/mod.rs
+++ b/crates/gaparch-cli/src/commands/ctl/mod.rs
@@ -110,10 +110,10 @@
     /// Reason for the order, shown to other operators and in the event log
     #[arg(long)]
     why: String,
-    /// Only if nothing was changed since this revision
+    /// Only if the subject of the order has not changed since this revision
     #[arg(long)]
     if_revision: Option<u64>,
-    /// Only at this router, not in the whole fleet
+    /// Only at this router, even if its fleet replicates orders
     #[arg(long)]
     here: bool,
     /// Wait until every router that may be alive has persisted the order, and show which have
--- a/crates/gaparch-cli/src/commands/engine.rs
+++ b/crates/gaparch-cli/src/commands/engine.rs
@@ -81,7 +81,7 @@
     let observer = Arc::new(Unobserved);
     let engine =
         start(EngineOptions { spec, address: options.address, clock, observer, warm: options.warm }).await?;
-    println!("gaparch: engine {} listens at {}", options.name, engine.address());
+    println!("gaparch: engine {} listens on {}", options.name, engine.address());
     let faults = async {
         for (at, fault) in script.0 {
             tokio::time::sleep_until(clock.instant(started_at + at).into()).await;
--- a/crates/gaparch-cli/tests/console.rs
+++ b/crates/gaparch-cli/tests/console.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Orders must reach the router in time even if drawing blocks, because the terminal is not read.
+/// Orders must reach the router in time even while drawing blocks because the terminal is not read.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_are_sent_though_the_terminal_is_not_read() {
     let site = Site::start(Plan { operations: true, ..Plan::small(2, 3) }).await.expect("a site");
@@ -194,7 +194,7 @@
     }
 }
 
-/// Ten `ctl follow` processes are stopped by a signal while 3,000 orders are sent to them.
+/// Ten `ctl follow` processes are stopped by a signal while the events of 3,000 orders are sent to them.
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_followers_take_little_memory_of_a_router() {
     let folder = std::env::temp_dir().join(format!("gaparch-{}-stopped", std::process::id()));
--- a/crates/gaparch-cli/tests/fleet.rs
+++ b/crates/gaparch-cli/tests/fleet.rs
@@ -126,7 +126,7 @@
         (r#"<do at="1s" what="clock" routers="1"/>"#, "<do ahead>: goes with"),
         (r#"<do at="1s" what="stall" from="list" to="clients"/>"#, "of which a router is an end"),
         (r#"<want at="4s" within="3s" what="whole"/>"#, "could be seen after the day's end only"),
-        (r#"<want at="1s" within="1s" what="dead"/>"#, "has to say of whom"),
+        (r#"<want at="1s" within="1s" what="dead"/>"#, "must name routers"),
     ] {
         std::fs::write(&file, scenario(inner)).expect("file written");
         let output = lab(&[&file.display().to_string()]);
--- a/crates/gaparch-testbed/src/fleet/process.rs
+++ b/crates/gaparch-testbed/src/fleet/process.rs
@@ -81,8 +81,8 @@
         self.kill()?;
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(&self.program);
-        // These run as `gaparch serve` or `node`, but also end when this process is killed and can't stop
-        // them.
+        // The `lab` forms of `gaparch serve` and `gaparch node` also end when this process is killed and can't
+        // stop them.
         match self.kind {
             Kind::Serve => {
                 command.args(["lab", "serve", &format!("--ahead={}", self.ahead)]);
--- a/crates/gaparch-testbed/src/fleet/report.rs
+++ b/crates/gaparch-testbed/src/fleet/report.rs
@@ -55,7 +55,8 @@
             failures.extend(self.false_deaths.iter().cloned());
         }
         failures.extend(self.crashes.iter().cloned());
-        // Whatever the views are, the sum is provably below 2; it is 1 if no router was given up as dead.
+        // Whatever the views are, the sum is below 2 (proved in `quorum` of `gaparch-membership`); it is at
+        // most 1 unless a running router was declared dead.
         if self.max_limit_share > self.allowed.1 + 1e-6 {
             failures.push(format!("running routers used {:.3} of a limit at once", self.max_limit_share));
         }
@@ -98,7 +99,7 @@
     /// As JSON, for scripts.
     pub fn to_json(&self) -> serde_json::Value {
         let ms = |d: &Duration| d.as_millis() as u64;
-        let results = |f: &ExpectationResult| {
+        let result = |f: &ExpectationResult| {
             let took: Vec<u64> = f.took.iter().map(ms).collect();
             serde_json::json!({ "what": f.what, "took_ms": took, "short": f.failure })
         };
@@ -106,7 +107,7 @@
             "day": self.name,
             "says": self.says,
             "holds": self.passed(),
-            "wants": self.results.iter().map(results).collect::<Vec<_>>(),
+            "wants": self.results.iter().map(result).collect::<Vec<_>>(),
             "false_deaths": self.false_deaths,
             "most_parts": self.max_limit_share,
             "bytes_per_s": self.bytes_per_s,
@@ -121,12 +122,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = if self.passed() { "holds" } else { "FAILED" };
         write!(f, "{:<14} {word:<12}", self.name)?;
-        for results in self.results.iter().filter(|results| !results.took.is_empty()) {
-            let mut took = results.took.clone();
+        for result in self.results.iter().filter(|result| !result.took.is_empty()) {
+            let mut took = result.took.clone();
             took.sort_unstable();
             let median = took[took.len() / 2].as_secs_f64();
             let worst = took[took.len() - 1].as_secs_f64();
-            write!(f, " {} {median:.1}/{worst:.1} s;", results.what)?;
+            write!(f, " {} {median:.1}/{worst:.1} s;", result.what)?;
         }
         let broken: u64 = self.verdict.rules.iter().map(|r| r.broken_count).sum();
         write!(
@@ -159,7 +160,8 @@
                 if !late.is_empty() {
                     write!(
                         f,
-                        "\n    the audit names {}: {} reads and {} writes to {} under list {}.{}, which was not confirmed to it; \
+                        "\n    the audit names {}: {} reads and {} writes to {} under list {}.{}, \
+                         which was not confirmed to it; \
                          the engine received {} late requests after its drain",
                         row.router,
                         row.sends.prefills,
@@ -181,8 +183,8 @@
                 worst.as_secs_f64()
             )?;
         }
-        for failures in self.failures() {
-            write!(f, "\n    {failures}")?;
+        for failure in self.failures() {
+            write!(f, "\n    {failure}")?;
         }
         Ok(())
     }
--- a/crates/gaparch-testbed/src/fleet/runner.rs
+++ b/crates/gaparch-testbed/src/fleet/runner.rs
@@ -250,8 +250,8 @@
                 }
                 ActionKind::Leave => {
                     self.note_state(router, ProcessState::Left);
-                    let stopped_process = self.stopped_process(router)?;
-                    let mut process = std::mem::replace(&mut self.processes[router], stopped_process);
+                    let unstarted_process = self.unstarted_process(router)?;
+                    let mut process = std::mem::replace(&mut self.processes[router], unstarted_process);
                     let left =
                         tokio::task::spawn_blocking(move || process.leave().map(|well| (process, well)));
                     let (process, well) = left.await.map_err(io::Error::other)??;
@@ -494,7 +494,7 @@
     }
 
     /// A process that is not started, as a placeholder for one that is being ended in another thread.
-    fn stopped_process(&self, router: usize) -> io::Result<Process> {
+    fn unstarted_process(&self, router: usize) -> io::Result<Process> {
         let file =
             |ending: &str| self.copies.with_file_name(format!("{}.{ending}", Site::router_name(router)));
         let text = std::fs::read_to_string(file("xml"))?;
--- a/crates/gaparch-testbed/src/fleet/scenario.rs
+++ b/crates/gaparch-testbed/src/fleet/scenario.rs
@@ -59,7 +59,7 @@
     /// Once the list service has drained an engine for this long, no router may send it new work.
     #[serde(rename = "@stale-after")]
     pub stale_after: Option<Span>,
-    /// Routers run plain SWIM, without the extensions.
+    /// Routers run plain SWIM without its refinements, and don't ask their peers for lists.
     #[serde(skip)]
     pub plain: bool,
     /// Where the routers' state folders are copied to at the end.
@@ -186,7 +186,7 @@
     Deaf,
     /// The routers know that they are unanswered.
     Mute,
-    /// The router has counted forged datagrams.
+    /// The router has counted forged datagrams, and replayed or misdirected ones.
     Forged,
     /// An event that contains the text was reported.
     Event,
@@ -398,7 +398,7 @@
                 _ => false,
             };
             if lacks {
-                wrong.push(format!("<want>: {:?} has to say of whom, or what text", expectation.what));
+                wrong.push(format!("<want>: {:?} must name routers, or have a text", expectation.what));
             }
         }
         if wrong.is_empty() {
--- a/crates/gaparch-testbed/src/fleet/streams.rs
+++ b/crates/gaparch-testbed/src/fleet/streams.rs
@@ -33,10 +33,10 @@
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
 /// The first frame of a stream must end within this many bytes.
 const MAX_HELLO_BYTES: usize = 4096;
-/// A throttled stream is written in parts that take about this long each.
+/// A throttled stream is written in parts of as many bytes as its rate allows in this time, at least one.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Records the list entries that are delivered to routers.
+/// Records what routers are told: the list entries delivered to them, and the orders of operators.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     pub clock: Clock,
