--- a/crates/gaparch-platform-router/src/client/connection.rs
+++ b/crates/gaparch-platform-router/src/client/connection.rs
@@ -17,13 +17,13 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Time-out of a request from its first byte, and of the first byte of the first request from the start of
+/// Timeout of a request from its first byte, and of the first byte of the first request from the start of
 /// the connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time-out of the complete first request from the start of the connection. The platform requires an error
+/// Timeout of the complete first request from the start of the connection. The platform requires an error
 /// response or a close within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2700);
-/// Time-out of a write to a client. A client that has not read its response by then counts as disconnected.
+/// Timeout of a write to a client. A client that has not read its response by then counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long bytes are still read after the last response, since closing over unread bytes resets the
 /// connection and the client may lose the response. Shorter than the wait for a free permit
--- a/crates/gaparch-platform-router/src/client/listener.rs
+++ b/crates/gaparch-platform-router/src/client/listener.rs
@@ -21,7 +21,7 @@
 const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
 /// Interval between two checks for such connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time-out for accepting the connections that are pending when the listener closes.
+/// Timeout for accepting the connections that are pending when the listener closes.
 const LAST_ARRIVALS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Accepts connections until the router is closing.
@@ -39,7 +39,7 @@
             accepted = listener.accept() => acceptor.handle(accepted).await,
         }
     }
-    // Connections that are pending in the kernel would be reset when the listener closes. The time-out keeps
+    // Connections that are pending in the kernel would be reset when the listener closes. The timeout keeps
     // a flood of connections from delaying the shutdown.
     let _ = timeout(LAST_ARRIVALS_TIMEOUT, acceptor.accept_arrived(&listener)).await;
 }
--- a/crates/gaparch-platform-router/src/core_config.rs
+++ b/crates/gaparch-platform-router/src/core_config.rs
@@ -27,7 +27,7 @@
         list: Some(ListConfig { address: config.discovery }),
         links: Links::Exchanges,
         attempts: Attempts {
-            // The settings have no time-out for health checks; the connect time-out is used instead.
+            // The settings have no timeout for health checks; the connect timeout is used instead.
             probe_timeout: connect_timeout(&settings.scheduler).as_nanos() as Nanos,
             reconnect_after: 0,
             reconnect_most: 0,
--- a/crates/gaparch-platform-router/src/discovery/mod.rs
+++ b/crates/gaparch-platform-router/src/discovery/mod.rs
@@ -22,9 +22,9 @@
 /// How long the service may wait for a change before it answers a watch. A short wait detects an unresponsive
 /// service early.
 const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// Time-out of a response, in addition to that wait. A working service responds immediately.
+/// Timeout of a response, in addition to that wait. A working service responds immediately.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time-out for connecting to the service.
+/// Timeout for connecting to the service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay between two connection attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -36,7 +36,7 @@
     (RETRY_DELAY.as_millis() + CONNECT_TIMEOUT.as_millis() + ANSWER_TIMEOUT.as_millis()) as u64,
 );
 /// Longest time for which a change can be missed: a watch gets no response, the next connection is accepted
-/// but gets none either, and the one after it is answered just before its time-out. This bound holds because
+/// but gets none either, and the one after it is answered just before its timeout. This bound holds because
 /// no delay here grows with the number of attempts.
 const MAX_MISSED_TIME: Duration = Duration::from_millis(
     (WATCH_WAIT.as_millis() + ANSWER_TIMEOUT.as_millis() + 2 * ATTEMPT_TIME.as_millis()) as u64,
--- a/crates/gaparch-platform-router/src/timeouts_tests.rs
+++ b/crates/gaparch-platform-router/src/timeouts_tests.rs
@@ -1,4 +1,4 @@
-//! Tests that the derived time-outs fit into the limits that the settings imply.
+//! Tests that the derived timeouts fit into the limits that the settings imply.
 
 use super::*;
 
--- a/crates/gaparch-platform-router/src/worker/exchange/mod.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/mod.rs
@@ -44,11 +44,11 @@
     /// Closes when the last release for the request is finished; a release still running would also free what
     /// this attempt prefills.
     pub release_done: Option<oneshot::Receiver<()>>,
-    /// Time-out for writing the request on an established connection.
+    /// Timeout for writing the request on an established connection.
     pub write_timeout: Duration,
     /// Deadline for writing the last byte, including the time for connecting.
     pub write_by: Nanos,
-    /// Time-out of one release attempt, and of a short body whose head already states the outcome.
+    /// Timeout of one release attempt, and of a short body whose head already states the outcome.
     pub release_timeout: Duration,
     /// Becomes `true` when the last byte is written.
     pub written: watch::Sender<bool>,
--- a/crates/gaparch-platform-router/src/worker/exchange/stream.rs
+++ b/crates/gaparch-platform-router/src/worker/exchange/stream.rs
@@ -105,7 +105,7 @@
         connection: &mut WorkerConnection,
         decoder: &BodyDecoder,
     ) -> Result<bool, StreamError> {
-        // Before the first event the attempt's own time-out applies.
+        // Before the first event the attempt's own timeout applies.
         let read_timeout = if self.client.is_some() { SILENCE_TIMEOUT } else { Duration::MAX };
         match timeout(read_timeout, connection.socket.read()).await {
             Ok(Ok(length)) if length > 0 => Ok(false),
--- a/crates/gaparch-platform-router/src/worker/pool.rs
+++ b/crates/gaparch-platform-router/src/worker/pool.rs
@@ -16,10 +16,10 @@
 
 /// Maximum number of idle connections to one worker.
 const MAX_IDLE_PER_WORKER: usize = 32;
-/// Share of a worker's own idle time-out after which a connection is no longer reused, since a request on it
+/// Share of a worker's own idle timeout after which a connection is no longer reused, since a request on it
 /// could be reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
-/// Idle time-out if the settings do not specify that of the workers.
+/// Idle timeout if the settings do not specify that of the workers.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long idle connections are not reused after one has broken before the response to a request. On a
 /// network that drops idle connections, a quarter of the requests on them were reset, compared with one in
@@ -105,7 +105,7 @@
 }
 
 impl ConnectionPool {
-    /// Creates a pool. `idle_close_ns` is the idle time-out of the workers.
+    /// Creates a pool. `idle_close_ns` is the idle timeout of the workers.
     pub fn new(
         permits: Arc<Semaphore>,
         connect_timeout: Duration,
@@ -157,10 +157,10 @@
     }
 
     /// Establishes a new connection. If this machine lacks a descriptor, port or buffer, it is retried within
-    /// the connect time-out.
+    /// the connect timeout.
     ///
     /// # Errors
-    /// Returns an error if no connection is established within the time-out.
+    /// Returns an error if no connection is established within the timeout.
     pub async fn connect(&self, process: WorkerProcess) -> Result<WorkerConnection, ConnectFailure> {
         let mut last_failure = ConnectFailure::Remote;
         let attempts = async {
--- a/crates/gaparch-platform-router/src/worker/probe.rs
+++ b/crates/gaparch-platform-router/src/worker/probe.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Share of a probe's time-out that it may spend on an idle connection.
+/// Share of a probe's timeout that it may spend on an idle connection.
 const IDLE_CONNECTION_SHARE: f64 = 0.5;
 
 /// Probes a worker and notifies the owner of the result.
--- a/crates/gaparch-platform-router/src/worker/release.rs
+++ b/crates/gaparch-platform-router/src/worker/release.rs
@@ -19,7 +19,7 @@
     pub transaction: TransactionId,
     /// Workers that may be called. Each of them can release resources that are held at any worker.
     pub processes: Vec<WorkerProcess>,
-    /// Time-out of each attempt.
+    /// Timeout of each attempt.
     pub attempt_timeout: Duration,
 }
 
--- a/crates/gaparch-platform-router/src/worker/release_tests.rs
+++ b/crates/gaparch-platform-router/src/worker/release_tests.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Semaphore;
 
-/// Long enough to tell, on a busy machine, whether a round waits for the time-out of the one before it.
+/// Long enough to tell, on a busy machine, whether a round waits for the timeout of the one before it.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn worker(number: u32) -> (WorkerProcess, TcpListener) {
--- a/crates/gaparch-platform-router/src/worker/reserve.rs
+++ b/crates/gaparch-platform-router/src/worker/reserve.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Time-out of a reservation. A worker answers within 0.3 s, but writing the prefill request before it may
+/// Timeout of a reservation. A worker answers within 0.3 s, but writing the prefill request before it may
 /// take longer.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(1);
 
--- a/crates/gaparch-platform-router/tests/races.rs
+++ b/crates/gaparch-platform-router/tests/races.rs
@@ -19,7 +19,7 @@
 /// Tolerance for a loaded machine.
 const SLACK: Duration = Duration::from_millis(300);
 
-/// Allows a long connect time-out, and an even longer drain grace period.
+/// Allows a long connect timeout, and an even longer drain grace period.
 fn with_long_connect_timeout(config: &mut Value) {
     let settings = &mut config["settings"];
     settings["caps"]["connectTimeoutNs"] = json!(3_500_000_000u64);
--- a/crates/gaparch-platform-router/tests/silent_connections.rs
+++ b/crates/gaparch-platform-router/tests/silent_connections.rs
@@ -91,7 +91,7 @@
 /// enough time for another one on a new connection.
 #[test]
 fn a_probe_on_a_connection_that_fell_silent_is_retried_on_a_new_one() {
-    // Probes use the connect time-out. It is 3 s here, so that half of it can be distinguished from all of it
+    // Probes use the connect timeout. It is 3 s here, so that half of it can be distinguished from all of it
     // on a busy machine.
     let router = RunningRouter::with(|config| {
         let settings = &mut config["settings"];
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -73,6 +73,7 @@
     ) {
         let now = self.now;
         let queued_tokens = self.prefill_cost.tokens_within(latency);
+        // The debt differs between routers, so that they do not all send to a new process at once.
         let debt = AffinityKey(self.settings.seed).unit_interval(id);
         let Some(server) = self.servers.get_mut(id) else { return };
         server.record_report(now, REPORT_LAG, report, self.prefill_cost.mean_computed_tokens());
